--- a/cmd/cardamomyoke-gateway/main.go
+++ b/cmd/cardamomyoke-gateway/main.go
@@ -40,8 +40,8 @@
 	}, os.Args[1:]))
 }
 
-// reloadEvery is how often the settings file is looked at; it may change without a signal.
-const reloadEvery = 2 * time.Second
+// reloadInterval is how often the settings file is looked at; it may change without a signal.
+const reloadInterval = 2 * time.Second
 
 func run(ctx context.Context, checked settings.Checker, o program.Options) error {
 	set := checked.(*gateway.Settings)
@@ -90,7 +90,7 @@
 // watch reloads the settings when their file changes.
 func watch(ctx context.Context, o program.Options, signals <-chan os.Signal, logger log.Logger, reload func(*gateway.Settings) []string) {
 	w := &settings.Watcher{
-		File: o.SettingsFile, Every: reloadEvery, Signals: signals,
+		File: o.SettingsFile, Interval: reloadInterval, Signals: signals,
 		Fresh: func() settings.Checker { return &gateway.Settings{} },
 		Changed: func(next settings.Checker) {
 			kept := reload(next.(*gateway.Settings))
--- a/internal/base/controlport/controlport.go
+++ b/internal/base/controlport/controlport.go
@@ -45,7 +45,7 @@
 	if source != nil {
 		protocols.SetHTTP2(true)
 		listener = tls.NewListener(listener, source.Server())
-		handler = keys.Guard(mux)
+		handler = keys.RequireNodeRole(mux)
 	} else {
 		protocols.SetUnencryptedHTTP2(true)
 	}
--- a/internal/base/httpclient/client.go
+++ b/internal/base/httpclient/client.go
@@ -95,8 +95,8 @@
 	return &Client{opts: o, idle: map[string][]*clientConn{}}
 }
 
-// Answer is an answer whose header is read and whose body is still to come. Release must be called once.
-type Answer struct {
+// Response is an answer whose header is read and whose body is still to come. Release must be called once.
+type Response struct {
 	// Status is the HTTP status.
 	Status int
 	Header *fasthttp.ResponseHeader
@@ -104,7 +104,7 @@
 	Reused bool
 	// Body ends with io.EOF after the whole body, and with another error if the answer was cut off.
 	Body    io.Reader
-	res     *fasthttp.Response
+	raw     *fasthttp.Response
 	client  *Client
 	conn    *clientConn
 	address string
@@ -119,7 +119,7 @@
 
 // Do sends req to address (IP:PORT) and reads the answer's header. When ctx ends the connection is closed, also while
 // the body is read. Errors: *DialError, *BrokenError.
-func (c *Client) Do(ctx context.Context, address string, req *fasthttp.Request) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, address string, req *fasthttp.Request) (*Response, error) {
 	return c.DoMatching(ctx, address, req, nil)
 }
 
@@ -127,38 +127,38 @@
 //
 // A second copy of an earlier answer may arrive where this request's answer is due. A peer serves one request at a time on a
 // connection, so that what is foreign comes before what is due and can be dropped.
-func (c *Client) DoMatching(ctx context.Context, address string, req *fasthttp.Request, match Match) (*Answer, error) {
+func (c *Client) DoMatching(ctx context.Context, address string, req *fasthttp.Request, match Match) (*Response, error) {
 	conn, reused, err := c.get(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	written := conn.send(req)
-	res, stage, err := conn.receive(match, req.Header.IsHead(), written)
+	raw, stage, err := conn.receive(match, req.Header.IsHead(), written)
 	if err != nil {
 		stop()
 		_ = conn.Close()
 		<-written.ended // the request belongs to the caller again
 		return nil, &BrokenError{address, stage, errors.Join(err, ctx.Err())}
 	}
-	a := &Answer{Status: res.StatusCode(), Header: &res.Header, Reused: reused, res: res, client: c, conn: conn, address: address, stop: stop, written: written}
-	a.Body = &bodyReader{a}
-	return a, nil
+	res := &Response{Status: raw.StatusCode(), Header: &raw.Header, Reused: reused, raw: raw, client: c, conn: conn, address: address, stop: stop, written: written}
+	res.Body = &bodyReader{res}
+	return res, nil
 }
 
 // bodyReader notes when the body was read to its end.
-type bodyReader struct{ a *Answer }
+type bodyReader struct{ response *Response }
 
 // Read implements io.Reader.
 func (r *bodyReader) Read(p []byte) (int, error) {
-	stream := r.a.res.BodyStream()
+	stream := r.response.raw.BodyStream()
 	if stream == nil {
-		r.a.whole = true
+		r.response.whole = true
 		return 0, io.EOF
 	}
 	n, err := stream.Read(p)
 	if err == io.EOF {
-		r.a.whole = true
+		r.response.whole = true
 	}
 	return n, err
 }
@@ -168,17 +168,17 @@
 //
 // Without this rule a late or doubled answer that is still on the connection would be read as the answer to the next
 // request. Closing is enough: bytes of one connection never reach another.
-func (a *Answer) Release(trusted bool) {
-	live := a.stop()
-	reusable := trusted && live && a.whole && a.written.done() && !a.Header.ConnectionClose() && a.conn.reader.Buffered() == 0
+func (res *Response) Release(trusted bool) {
+	live := res.stop()
+	reusable := trusted && live && res.whole && res.written.done() && !res.Header.ConnectionClose() && res.conn.reader.Buffered() == 0
 	if !reusable {
-		_ = a.conn.Close()
-		<-a.written.ended // the request belongs to the caller again
+		_ = res.conn.Close()
+		<-res.written.ended // the request belongs to the caller again
 	}
-	_ = a.res.CloseBodyStream()
-	fasthttp.ReleaseResponse(a.res)
-	if reusable && !a.client.put(a.address, a.conn) {
-		_ = a.conn.Close()
+	_ = res.raw.CloseBodyStream()
+	fasthttp.ReleaseResponse(res.raw)
+	if reusable && !res.client.put(res.address, res.conn) {
+		_ = res.conn.Close()
 	}
 }
 
--- a/internal/base/httpclient/client_test.go
+++ b/internal/base/httpclient/client_test.go
@@ -67,12 +67,12 @@
 	req := &fasthttp.Request{}
 	req.SetRequestURI("/")
 	req.Header.SetHost("peer")
-	a, err := c.Do(context.Background(), p.address, req)
+	res, err := c.Do(context.Background(), p.address, req)
 	if err != nil {
 		return "", err
 	}
-	body, err := io.ReadAll(a.Body)
-	a.Release(err == nil)
+	body, err := io.ReadAll(res.Body)
+	res.Release(err == nil)
 	return string(body), err
 }
 
@@ -191,18 +191,18 @@
 	req := &fasthttp.Request{}
 	req.SetRequestURI("/")
 	req.Header.SetHost("peer")
-	a, err := c.Do(ctx, p.address, req)
+	res, err := c.Do(ctx, p.address, req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(a.Body, make([]byte, 1)); err != nil {
+	if _, err := io.ReadFull(res.Body, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
 	cancel()
-	if _, err := io.ReadAll(a.Body); err == nil {
+	if _, err := io.ReadAll(res.Body); err == nil {
 		t.Fatal("read on after the end of the context")
 	}
-	a.Release(true)
+	res.Release(true)
 	if body, err := get(t, c, p); err != nil || body != "B" {
 		t.Fatalf("got %q, %v", body, err)
 	}
--- a/internal/base/httpclient/exchange.go
+++ b/internal/base/httpclient/exchange.go
@@ -13,8 +13,8 @@
 	// aheadBytes is the largest body that is written before the answer is read. It fits the smallest send buffer in use,
 	// so that the write does not wait for a peer that answers first.
 	aheadBytes = 4 << 10
-	// maxForeign is how many answers in a row may belong to other requests before the connection is given up.
-	maxForeign = 4
+	// maxMismatched is how many answers in a row may belong to other requests before the connection is given up.
+	maxMismatched = 4
 )
 
 // sending is the outcome of writing a request.
@@ -59,7 +59,7 @@
 			fasthttp.ReleaseResponse(res)
 		}
 	}()
-	for range maxForeign {
+	for range maxMismatched {
 		res.Reset()
 		res.StreamBody = true
 		res.SkipBody = head
@@ -74,7 +74,7 @@
 			return res, "drop foreign answer from", err
 		}
 	}
-	return res, "match answers from", &ForeignError{maxForeign}
+	return res, "match answers from", &MismatchedResponseError{maxMismatched}
 }
 
 func failedStage(written *sending) string {
@@ -87,7 +87,7 @@
 // dropBody reads a foreign answer to its end. One without a length never ends before the connection does.
 func dropBody(res *fasthttp.Response) error {
 	if res.Header.ContentLength() < -1 {
-		return &ForeignError{1}
+		return &MismatchedResponseError{1}
 	}
 	if stream := res.BodyStream(); stream != nil {
 		if _, err := io.Copy(io.Discard, stream); err != nil {
@@ -97,12 +97,12 @@
 	return res.CloseBodyStream()
 }
 
-// ForeignError says that only answers to other requests came.
-type ForeignError struct{ Answers int }
+// MismatchedResponseError says that only answers to other requests came.
+type MismatchedResponseError struct{ Responses int }
 
 // Error implements error.
-func (e *ForeignError) Error() string {
-	return strconv.Itoa(e.Answers) + " answers in a row belong to other requests"
+func (e *MismatchedResponseError) Error() string {
+	return strconv.Itoa(e.Responses) + " answers in a row belong to other requests"
 }
 
 // keepAlive returns for how long the peer keeps an idle connection, less a margin for the way; known is what was known
--- a/internal/base/httpserver/exchange.go
+++ b/internal/base/httpserver/exchange.go
@@ -18,11 +18,11 @@
 	HeaderProof   = "Cardamomyoke-Proof"
 )
 
-// GoneError says that the caller closed its connection, or left an answer unread for too long.
-type GoneError struct{ Reason string }
+// ConnectionClosedError says that the caller closed its connection, or left an answer unread for too long.
+type ConnectionClosedError struct{ Reason string }
 
 // Error implements error.
-func (e *GoneError) Error() string { return "caller gone: " + e.Reason }
+func (e *ConnectionClosedError) Error() string { return "caller gone: " + e.Reason }
 
 // Header is one header line of an answer.
 type Header struct{ Name, Value string }
@@ -30,19 +30,19 @@
 // Exchange is one request with the means to answer it. It is used by one goroutine.
 type Exchange struct {
 	// Req is valid until the handler returns.
-	Req      *fasthttp.Request
-	conn     *conn
-	close    bool
-	answered bool
-	stream   bool
-	size     [sizeBytes]byte
+	Req       *fasthttp.Request
+	conn      *conn
+	close     bool
+	responded bool
+	stream    bool
+	size      [sizeBytes]byte
 }
 
 // Close makes the connection end after this answer.
 func (x *Exchange) Close() { x.close = true }
 
-// Answered reports whether an answer was begun.
-func (x *Exchange) Answered() bool { return x.answered }
+// Responded reports whether an answer was begun.
+func (x *Exchange) Responded() bool { return x.responded }
 
 // FailureBody is the JSON body of a typed failure.
 type FailureBody struct {
@@ -89,21 +89,21 @@
 	_ = x.Respond(e.Code.Meaning().Status, headers, body)
 }
 
-// Respond answers with a whole body. Errors: *GoneError.
+// Respond answers with a whole body. Errors: *ConnectionClosedError.
 func (x *Exchange) Respond(status int, headers []Header, body []byte) error {
-	x.answered = true
+	x.responded = true
 	return x.conn.write(x.head(status, headers, len(body)), body)
 }
 
-// Stream begins an answer whose body is sent in pieces. Errors: *GoneError.
+// Stream begins an answer whose body is sent in pieces. Errors: *ConnectionClosedError.
 func (x *Exchange) Stream(status int, headers []Header) error {
-	x.answered = true
+	x.responded = true
 	x.stream = true
 	return x.conn.write(x.head(status, headers, chunked))
 }
 
 // Write sends one piece of a streamed body, which may be reused when Write returns; it waits while the caller leaves
-// too much unread. Errors: *GoneError.
+// too much unread. Errors: *ConnectionClosedError.
 func (x *Exchange) Write(ctx context.Context, piece []byte) error {
 	if len(piece) == 0 {
 		return nil
@@ -160,7 +160,7 @@
 // abandon closes a connection whose handler returned without a whole answer. The caller must see the cut: a
 // connection left open would make it wait, and the next answer on it would be taken for this one.
 func (x *Exchange) abandon() {
-	if !x.answered {
+	if !x.responded {
 		x.Fail(failure.New(failure.CodeInternal, nil))
 	}
 	if x.stream {
@@ -173,7 +173,7 @@
 	for x.conn.unread.Load() > limit {
 		select {
 		case <-ctx.Done():
-			return &GoneError{"cancelled while the caller left the answer unread"}
+			return &ConnectionClosedError{"cancelled while the caller left the answer unread"}
 		case <-time.After(unreadPoll):
 		}
 		_ = x.conn.gc.Wake(nil)
--- a/internal/base/httpserver/outbox.go
+++ b/internal/base/httpserver/outbox.go
@@ -53,16 +53,16 @@
 	o.spare = buf
 }
 
-// write copies the pieces into the outbox. Errors: *GoneError.
+// write copies the pieces into the outbox. Errors: *ConnectionClosedError.
 func (c *conn) write(pieces ...[]byte) error {
 	if c.gone.Load() {
-		return &GoneError{"connection closed"}
+		return &ConnectionClosedError{"connection closed"}
 	}
 	if !c.out.add(pieces...) {
 		return nil
 	}
 	if err := c.gc.EventLoop().Execute(context.Background(), c); err != nil {
-		return &GoneError{err.Error()}
+		return &ConnectionClosedError{err.Error()}
 	}
 	return nil
 }
--- a/internal/base/httpserver/server.go
+++ b/internal/base/httpserver/server.go
@@ -19,8 +19,8 @@
 // Handler answers one request. It must call Respond once, or Stream and then End; ctx ends when the caller goes away.
 type Handler func(ctx context.Context, x *Exchange)
 
-// sweepEvery is how often connections are checked against the timeouts of Limits.
-const sweepEvery = 250 * time.Millisecond
+// sweepInterval is how often connections are checked against the timeouts of Limits.
+const sweepInterval = 250 * time.Millisecond
 
 // Server is one listener. Create it with Start.
 type Server struct {
@@ -153,7 +153,7 @@
 		key.(*conn).sweep(now)
 		return true
 	})
-	return sweepEvery, gnet.None
+	return sweepInterval, gnet.None
 }
 
 // run serves one request on a goroutine of its own.
--- a/internal/base/ids/ids.go
+++ b/internal/base/ids/ids.go
@@ -27,21 +27,21 @@
 // Upstream names an upstream host.
 type Upstream string
 
-// Life is one life of an upstream, from a start to its end. A restart may keep the upstream's id; nothing that was known of
+// UpstreamIncarnation is one life of an upstream, from a start to its end. A restart may keep the upstream's id; nothing that was known of
 // an ended life, its load, failures, pace or copies of weights, holds for the next.
-type Life struct {
+type UpstreamIncarnation struct {
 	Upstream Upstream
-	// Born is the start's Unix time in milliseconds by the upstream's own clock, which may be set back between two lives: it
+	// StartedAtMS is the start's Unix time in milliseconds by the upstream's own clock, which may be set back between two lives: it
 	// tells lives apart and does not order them. 0 if the upstream does not say.
-	Born int64
+	StartedAtMS int64
 }
 
 // String returns the id, with the start after it if that is known.
-func (l Life) String() string {
-	if l.Born == 0 {
-		return string(l.Upstream)
+func (i UpstreamIncarnation) String() string {
+	if i.StartedAtMS == 0 {
+		return string(i.Upstream)
 	}
-	return string(l.Upstream) + "@" + strconv.FormatInt(l.Born, 10)
+	return string(i.Upstream) + "@" + strconv.FormatInt(i.StartedAtMS, 10)
 }
 
 // Operation identifies one write of an operator or a node, so that a lost answer is settled by reading it back.
--- a/internal/base/keys/keys_test.go
+++ b/internal/base/keys/keys_test.go
@@ -33,7 +33,7 @@
 	mux.Handle(cardamomyokev1connect.NewOperatorServiceHandler(answering{}, connect.WithInterceptors(keys.Interceptor{})))
 	mux.Handle(cardamomyokev1connect.NewRevisionServiceHandler(answering{}))
 	mux.HandleFunc("GET /healthz", func(http.ResponseWriter, *http.Request) {})
-	srv := httptest.NewUnstartedServer(keys.Guard(mux))
+	srv := httptest.NewUnstartedServer(keys.RequireNodeRole(mux))
 	srv.Config.ErrorLog = nil
 	srv.Listener = tls.NewListener(srv.Listener, source.Server())
 	srv.Start()
--- a/internal/base/keys/roles.go
+++ b/internal/base/keys/roles.go
@@ -75,9 +75,9 @@
 // openPaths need a valid certificate and no role.
 var openPaths = []string{"/metrics", "/healthz"}
 
-// Guard lets only nodes through, but for the operators' RPC, where Interceptor decides, and for metrics and health. What
+// RequireNodeRole lets only nodes through, but for the operators' RPC, where Interceptor decides, and for metrics and health. What
 // is added to the port later is closed to operators until it says otherwise.
-func Guard(next http.Handler) http.Handler {
+func RequireNodeRole(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 			http.Error(w, "a certificate is needed", http.StatusUnauthorized)
@@ -120,7 +120,7 @@
 }
 
 // Interceptor checks an operator's role, and that a change names the operator of the certificate: else the audit could
-// be made to name somebody else. Handlers that use it must be behind Guard.
+// be made to name somebody else. Handlers that use it must be behind RequireNodeRole.
 type Interceptor struct{}
 
 var _ connect.Interceptor = Interceptor{}
--- a/internal/base/logging/bounded_test.go
+++ b/internal/base/logging/ratelimited_test.go
@@ -17,18 +17,18 @@
 func TestBoundedLeavesOutAndCounts(t *testing.T) {
 	now := time.Unix(0, 0)
 	var out bytes.Buffer
-	b := logging.NewBounded(log.NewLogfmtLogger(&out), 10, func() time.Time { return now })
+	r := logging.NewRateLimited(log.NewLogfmtLogger(&out), 10, func() time.Time { return now })
 	for range 30 {
-		_ = b.Log("msg", "line")
+		_ = r.Log("msg", "line")
 	}
 	now = now.Add(time.Second)
-	_ = b.Log("msg", "next")
+	_ = r.Log("msg", "next")
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 11 {
 		t.Fatalf("%d lines", len(lines))
 	}
-	if want := "msg=next left_out=20"; lines[10] != want || b.LeftOut() != 20 {
-		t.Fatalf("got %q, left out %d", lines[10], b.LeftOut())
+	if want := "msg=next left_out=20"; lines[10] != want || r.Suppressed() != 20 {
+		t.Fatalf("got %q, left out %d", lines[10], r.Suppressed())
 	}
 }
 
--- a/internal/base/settings/watch.go
+++ b/internal/base/settings/watch.go
@@ -10,8 +10,8 @@
 // Watcher follows a settings file that may change while its process runs.
 type Watcher struct {
 	File string
-	// Every is the time between two looks at the file, since it may change without a signal.
-	Every time.Duration
+	// Interval is the time between two looks at the file, since it may change without a signal.
+	Interval time.Duration
 	// Signals makes the watcher look at once; nil for none.
 	Signals <-chan os.Signal
 	// Fresh returns an empty settings value.
@@ -25,7 +25,7 @@
 
 // Run looks until ctx ends; known is the file's text as the process has read it.
 func (w *Watcher) Run(ctx context.Context, known []byte) {
-	tick := time.NewTicker(w.Every)
+	tick := time.NewTicker(w.Interval)
 	defer tick.Stop()
 	for {
 		asked := false
--- a/internal/base/settings/watch_test.go
+++ b/internal/base/settings/watch_test.go
@@ -31,7 +31,7 @@
 	write("name: first\n")
 	signals, said := make(chan os.Signal), make(chan string)
 	w := &settings.Watcher{
-		File: file, Every: time.Hour, Signals: signals,
+		File: file, Interval: time.Hour, Signals: signals,
 		Fresh:     func() settings.Checker { return &named{} },
 		Changed:   func(c settings.Checker) { said <- "changed to " + c.(*named).Name },
 		Refused:   func(err error) { said <- "refused: " + filepath.Base(err.Error()) },
--- a/internal/base/steady/pulse_test.go
+++ b/internal/base/steady/pausedetector_test.go
@@ -24,10 +24,10 @@
 		"a second standstill":   {[]time.Duration{0, 4 * time.Second, 4050 * time.Millisecond, 5 * time.Second}, 950 * time.Millisecond},
 		"one after a long time": {[]time.Duration{0, time.Second, 1050 * time.Millisecond, time.Hour}, time.Hour - 1050*time.Millisecond},
 	} {
-		var p steady.Pulse
+		var p steady.PauseDetector
 		var got time.Duration
 		for _, d := range c.beats {
-			got = p.Beat(begin.Add(d))
+			got = p.Observe(begin.Add(d))
 		}
 		if got != c.want {
 			t.Errorf("%s: got %v, want %v", name, got, c.want)
--- a/internal/base/tracing/tracing.go
+++ b/internal/base/tracing/tracing.go
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	if len(exporters) == 0 {
-		return Off(), nil
+		return Disabled(), nil
 	}
 	opts := []sdktrace.TracerProviderOption{
 		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(ratioOf(o)))),
@@ -56,8 +56,8 @@
 	return &Tracer{tracer: provider.Tracer(process), close: provider.Shutdown}, nil
 }
 
-// Off returns a tracer that makes no spans; a trace context that comes in goes on unchanged.
-func Off() *Tracer {
+// Disabled returns a tracer that makes no spans; a trace context that comes in goes on unchanged.
+func Disabled() *Tracer {
 	return &Tracer{tracer: noop.NewTracerProvider().Tracer(""), close: func(context.Context) error { return nil }}
 }
 
--- a/internal/experts/lockstep/balance.go
+++ b/internal/experts/lockstep/balance.go
@@ -84,8 +84,8 @@
 
 const (
 	none = -1
-	// leastGain ends the search when rounds gain next to nothing.
-	leastGain = 1e-6
+	// minGain ends the search when rounds gain next to nothing.
+	minGain = 1e-6
 	// hottest is how many of the most loaded ranks are relieved in a round: where the first cannot be, the next may, and
 	// what that frees lets the first go on.
 	hottest = 2
@@ -103,7 +103,7 @@
 	s.sort()
 	order := s.order
 	found, best := false, change{}
-	least := s.cost() - leastGain
+	least := s.cost() - minGain
 	try := func(c change) {
 		if !s.allowed(c) {
 			return
--- a/internal/experts/lockstep/carryout.go
+++ b/internal/experts/lockstep/carryout.go
@@ -8,7 +8,7 @@
 )
 
 // lagPasses is how many passes a report is behind, from the reports' age and a usual pass.
-func (c *Conductor) lagPasses(s *survey) uint64 {
+func (c *Controller) lagPasses(s *survey) uint64 {
 	if s.reports[0].Fresh {
 		return 0
 	}
@@ -20,15 +20,15 @@
 
 // task is a new task for the present leader. Its version is unique: leaders' numbers are, and versions of one leader
 // count up from its own.
-func (c *Conductor) task(s *survey) Task {
+func (c *Controller) task(s *survey) Task {
 	serial := c.o.Serials.next(c.fence)
 	return Task{
-		Epoch:   s.epoch,
-		Ranks:   len(s.upstreams),
-		Lives:   s.lives(),
-		Version: versionOf(c.fence, serial),
-		Present: c.placement,
-		HoldAt:  int(serial/versionsPerTask) % len(s.upstreams),
+		Epoch:      s.epoch,
+		Ranks:      len(s.upstreams),
+		StartTimes: s.startTimes(),
+		Version:    versionOf(c.fence, serial),
+		Present:    c.placement,
+		HoldAt:     int(serial/versionsPerTask) % len(s.upstreams),
 
 		AnswerTime: time.Duration(c.answerTime.Load()),
 
@@ -42,7 +42,7 @@
 }
 
 // carryOut runs a switch to its end, or until ctx ends.
-func (c *Conductor) carryOut(ctx context.Context, s *survey, sw *Switch, orders []Order) {
+func (c *Controller) carryOut(ctx context.Context, s *survey, sw *Switch, orders []Order) {
 	replies := make(chan answered)
 	ended := make(chan struct{})
 	defer close(ended)
@@ -82,8 +82,8 @@
 // The rounds of orders do not wait for reports: while one rank loses orders and another reports late, the group would be held
 // for as long as both last.
 type poll struct {
-	conductor *Conductor
-	survey    *survey
+	controller *Controller
+	survey     *survey
 	// done gets the reports of a round; it takes one without a reader, so that no round outlives its switch for long.
 	done chan []*Report
 	at   time.Time
@@ -92,13 +92,13 @@
 	again bool
 }
 
-func newPoll(c *Conductor, s *survey) *poll {
-	return &poll{conductor: c, survey: s, done: make(chan []*Report, 1), at: time.Now()}
+func newPoll(c *Controller, s *survey) *poll {
+	return &poll{controller: c, survey: s, done: make(chan []*Report, 1), at: time.Now()}
 }
 
 // tick begins a round when it is due.
 func (p *poll) tick(ctx context.Context, now time.Time) {
-	if !p.busy && now.Sub(p.at) >= pollEvery {
+	if !p.busy && now.Sub(p.at) >= pollInterval {
 		p.now(ctx)
 	}
 }
@@ -110,7 +110,7 @@
 		return
 	}
 	p.busy, p.at = true, time.Now()
-	go func() { p.done <- p.conductor.reportsNow(ctx, p.survey) }()
+	go func() { p.done <- p.controller.reportsNow(ctx, p.survey) }()
 }
 
 // ended notes that a round's reports were taken.
@@ -123,7 +123,7 @@
 }
 
 // reportsNow are the ranks' reports, those that lag carried on to the present.
-func (c *Conductor) reportsNow(ctx context.Context, s *survey) []*Report {
+func (c *Controller) reportsNow(ctx context.Context, s *survey) []*Report {
 	reports := c.reports(ctx, s.upstreams)
 	for _, r := range reports {
 		if r != nil && !r.Fresh {
@@ -133,11 +133,11 @@
 	return reports
 }
 
-func (c *Conductor) give(ctx context.Context, s *survey, orders []Order, replies chan<- answered, ended <-chan struct{}) {
+func (c *Controller) give(ctx context.Context, s *survey, orders []Order, replies chan<- answered, ended <-chan struct{}) {
 	for _, o := range orders {
 		u := s.upstreams[o.Rank]
 		go func() {
-			reply, err := c.o.Ranks.Order(ctx, u, o)
+			reply, err := c.o.RankClient.Order(ctx, u, o)
 			if err != nil {
 				_ = level.Info(c.o.Logger).Log("msg", "order", "op", o.Op, "upstream", u.ID, "rank", o.Rank, "version", o.Version,
 					"pass", o.Pass, "reply", reply, "err", err)
@@ -154,21 +154,21 @@
 //
 // A leader that dies between holding a group and releasing it leaves ranks that begin no pass, and so does its own order to
 // hold that is carried out late.
-func (c *Conductor) cleanUp(ctx context.Context, s *survey) bool {
+func (c *Controller) cleanUp(ctx context.Context, s *survey) bool {
 	now := time.Now()
-	left := FindLeft(s.reports)
-	if left == nil {
-		c.leftSince = time.Time{}
+	unfinished := FindUnfinishedSwitch(s.reports)
+	if unfinished == nil {
+		c.unfinishedSince = time.Time{}
 		return false
 	}
-	if c.leftSince.IsZero() {
-		c.leftSince = now
+	if c.unfinishedSince.IsZero() {
+		c.unfinishedSince = now
 	}
-	patience := leftBefore
-	if !s.reports[left.Holders[0]].Fresh {
+	patience := unfinishedAfter
+	if !s.reports[unfinished.Holders[0]].Fresh {
 		patience += 2 * s.group.Engine.ReportLag
 	}
-	if left.Pending && !left.Ahead || now.Sub(c.leftSince) < patience {
+	if unfinished.Pending && !unfinished.Ahead || now.Sub(c.unfinishedSince) < patience {
 		return true
 	}
 	// The map in use is read anew: the one that this leader has switched to is not in use as long as the pass is held.
@@ -176,11 +176,11 @@
 	if !c.learnPlacement(ctx, s) {
 		return true
 	}
-	c.leftSince = time.Time{}
-	task := left.Task(c.task(s))
+	c.unfinishedSince = time.Time{}
+	task := unfinished.Task(c.task(s))
 	sw := NewSwitch(task)
-	c.carryOut(ctx, s, sw, sw.Undo(now, left))
-	_ = level.Warn(c.o.Logger).Log("msg", "switch undone", "reason", "the group was held", "version", task.Version, "pass", left.Pass, "end", sw.State(),
+	c.carryOut(ctx, s, sw, sw.Undo(now, unfinished))
+	_ = level.Warn(c.o.Logger).Log("msg", "switch undone", "reason", "the group was held", "version", task.Version, "pass", unfinished.Pass, "end", sw.State(),
 		"took", time.Since(now))
 	c.forget()
 	return true
--- a/internal/experts/lockstep/conductor.go
+++ b/internal/experts/lockstep/controller.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// pollEvery is how often a switch looks whether the ranks have prepared its map, if they do not say so in answer to
+	// pollInterval is how often a switch looks whether the ranks have prepared its map, if they do not say so in answer to
 	// the order. Each look is a call to each rank.
-	pollEvery = 150 * time.Millisecond
+	pollInterval = 150 * time.Millisecond
 	// retryTick is the period in which a switch sends again what got no answer.
 	retryTick = 5 * time.Millisecond
 	// prepareSlack is added to the time that the copies take before a switch is given up.
 	prepareSlack = 1500 * time.Millisecond
-	// leftBefore is for how long a group must be seen held that no running switch explains, so that another leader's switch
+	// unfinishedAfter is for how long a group must be seen held that no running switch explains, so that another leader's switch
 	// may end; one takes some milliseconds. Reports that are not fresh show a hold for as long as they lag.
-	leftBefore = 100 * time.Millisecond
+	unfinishedAfter = 100 * time.Millisecond
 )
 
-// Group is the group that a Conductor leads.
+// Group is the group that a Controller leads.
 type Group struct {
 	// Name is the group's, as its ranks report it.
 	Name      string
@@ -38,28 +38,28 @@
 
 func (g *Group) experts() *catalog.Experts { return g.Engine.Experts }
 
-// ConductorOptions are what a Conductor is built from.
-type ConductorOptions struct {
-	Ranks  Ranks
-	Logger log.Logger
+// ControllerOptions are what a Controller is built from.
+type ControllerOptions struct {
+	RankClient RankClient
+	Logger     log.Logger
 	// Group returns the group now, or nil if there is none; Fence the leader's fencing number, 0 while this node does not
 	// lead.
 	Group func() *Group
 	Fence func() ids.Fence
 	// Standby reports whether this node may lead soon; it may be nil.
 	Standby func() bool
-	// Wake makes the conductor look at once, as when its node begins to lead; it may be nil.
+	// Wake makes the controller look at once, as when its node begins to lead; it may be nil.
 	Wake <-chan struct{}
 	// Period is the time between two looks at the group, Half the half-life of the estimated demand.
 	Period, Half time.Duration
-	// Serials count the tasks of all conductors of this node.
+	// Serials count the tasks of all controllers of this node.
 	Serials *Serials
 	// Share returns by how much the period is longer, as other groups are led beside this one; it may be nil.
 	Share func() int
-	// Sample is how many ranks' counts are read each time, SampleNear the same where all can be read at no cost to the
+	// Sample is how many ranks' counts are read each time, SampleLocal the same where all can be read at no cost to the
 	// group.
-	Sample, SampleNear int
-	Policy             Options
+	Sample, SampleLocal int
+	Policy              Options
 	// Read is called with the reports of a whole group, by rank; it may be nil.
 	Read func(upstreams []*catalog.Upstream, reports []Report)
 	// Outdated is called with the number of a later leader whose maps the ranks have, or with the next one when this one's
@@ -69,35 +69,35 @@
 	Switched func(before, after float64, copies int)
 }
 
-// Conductor keeps the map of one group in step with the demand while its node leads. Only Run's goroutine uses it.
-type Conductor struct {
-	o      ConductorOptions
+// Controller keeps the map of one group in step with the demand while its node leads. Only Run's goroutine uses it.
+type Controller struct {
+	o      ControllerOptions
 	demand *Demand
 	epoch  uint64
-	// lives are the starts of its ranks: all of a group may start again and form with the same epoch, with nothing of what
+	// startTimes are the starts of its ranks: all of a group may start again and form with the same epoch, with nothing of what
 	// they held.
-	lives []int64
+	startTimes []int64
 	// formedAt is when the group was first seen in its epoch and its ranks' lives.
 	formedAt time.Time
 	// placement is the one in use at version; nil if it must be read.
 	placement Placement
 	version   uint64
 	// switchedAt is the pass of the last switch.
-	switchedAt uint64
-	fence      ids.Fence
-	leftSince  time.Time
-	open       bool
+	switchedAt      uint64
+	fence           ids.Fence
+	unfinishedSince time.Time
+	open            bool
 	// answerTime is how long half of the ranks took to answer when all were asked last.
 	answerTime atomic.Int64
 }
 
-// NewConductor returns a conductor that has seen nothing.
-func NewConductor(o ConductorOptions) *Conductor {
-	return &Conductor{o: o, demand: NewDemand(o.Half)}
+// NewController returns a controller that has seen nothing.
+func NewController(o ControllerOptions) *Controller {
+	return &Controller{o: o, demand: NewDemand(o.Half)}
 }
 
 // Run leads the group until ctx ends.
-func (c *Conductor) Run(ctx context.Context) {
+func (c *Controller) Run(ctx context.Context) {
 	timer := time.NewTimer(c.o.Period)
 	defer timer.Stop()
 	for {
@@ -120,7 +120,7 @@
 const soon = 50 * time.Millisecond
 
 // look reads the group and switches it if that earns its cost; it returns the time from its start to the next look.
-func (c *Conductor) look(ctx context.Context) time.Duration {
+func (c *Controller) look(ctx context.Context) time.Duration {
 	fence := c.o.Fence()
 	group := c.o.Group()
 	if fence == 0 || group == nil {
@@ -165,23 +165,23 @@
 //
 // A group that has just formed runs on its first map, with several times the mean's load at one rank, while the requests of
 // the outage are read. The next look is therefore soon.
-func (c *Conductor) countsDue(now time.Time) bool {
-	return c.demand.Total() < c.o.Policy.LeastCounts && now.Sub(c.formedAt) < formedLately
+func (c *Controller) countsDue(now time.Time) bool {
+	return c.demand.Total() < c.o.Policy.MinCounts && now.Sub(c.formedAt) < formedLately
 }
 
-func (c *Conductor) period() time.Duration {
+func (c *Controller) period() time.Duration {
 	if c.o.Share == nil {
 		return c.o.Period
 	}
 	return c.o.Period * time.Duration(c.o.Share())
 }
 
-func (c *Conductor) forget() {
+func (c *Controller) forget() {
 	c.forgetPlacement()
-	c.leftSince = time.Time{}
+	c.unfinishedSince = time.Time{}
 }
 
-func (c *Conductor) forgetPlacement() { c.placement = nil }
+func (c *Controller) forgetPlacement() { c.placement = nil }
 
 // survey is the group as its ranks reported it, by rank.
 type survey struct {
@@ -192,17 +192,17 @@
 	pass      uint64
 }
 
-// lives are the starts of the ranks, by rank.
-func (s *survey) lives() []int64 {
+// startTimes are the starts of the ranks, by rank.
+func (s *survey) startTimes() []int64 {
 	out := make([]int64, len(s.reports))
 	for rank, r := range s.reports {
-		out[rank] = r.Born
+		out[rank] = r.StartedAtMS
 	}
 	return out
 }
 
 // survey reads all ranks; nil unless the group is whole and works.
-func (c *Conductor) survey(ctx context.Context, g *Group) *survey {
+func (c *Controller) survey(ctx context.Context, g *Group) *survey {
 	reports := c.reports(ctx, g.Upstreams)
 	s := &survey{group: g}
 	for i, r := range reports {
@@ -231,16 +231,16 @@
 	if !whole {
 		return nil
 	}
-	if lives := s.lives(); s.epoch != c.epoch || !slices.Equal(lives, c.lives) {
+	if lives := s.startTimes(); s.epoch != c.epoch || !slices.Equal(lives, c.startTimes) {
 		// What is in demand does not change because the group formed anew, and its first map knows nothing of it.
-		c.epoch, c.lives, c.formedAt = s.epoch, lives, time.Now()
+		c.epoch, c.startTimes, c.formedAt = s.epoch, lives, time.Now()
 		c.forget()
 	}
 	return s
 }
 
 // reports reads all ranks at once; a rank that does not answer has none.
-func (c *Conductor) reports(ctx context.Context, list []*catalog.Upstream) []*Report {
+func (c *Controller) reports(ctx context.Context, list []*catalog.Upstream) []*Report {
 	out := make([]*Report, len(list))
 	took := make([]time.Duration, len(list))
 	began := time.Now()
@@ -248,7 +248,7 @@
 	for i, u := range list {
 		wait.Go(func() {
 			defer func() { took[i] = time.Since(began) }()
-			if r, err := c.o.Ranks.Report(ctx, u); err == nil {
+			if r, err := c.o.RankClient.Report(ctx, u); err == nil {
 				out[i] = &r
 			} else {
 				_ = level.Debug(c.o.Logger).Log("msg", "no report", "upstream", u.ID, "err", err)
@@ -265,7 +265,7 @@
 
 // improve switches to a better placement if there is one. It reports whether the group should be looked at soon: an order
 // to hold it was sent more than once, and one that comes late would hold it again.
-func (c *Conductor) improve(ctx context.Context, s *survey) bool {
+func (c *Controller) improve(ctx context.Context, s *survey) bool {
 	speed := make([]float64, len(s.reports))
 	running := 0
 	for r, report := range s.reports {
@@ -288,7 +288,7 @@
 	c.carryOut(ctx, s, sw, sw.Start(now))
 	_ = level.Info(c.o.Logger).Log("msg", "map switch", "version", task.Version, "epoch", task.Epoch, "end", sw.State(),
 		"switched", sw.Switched(), "pass", sw.Pass(), "before", plan.Before, "after", plan.After, "copies", plan.Copies,
-		"most_copies", plan.MostCopies, "expert_part", part, "took", time.Since(now))
+		"most_copies", plan.MaxCopies, "expert_part", part, "took", time.Since(now))
 	if !sw.Switched() {
 		c.forget()
 		return false
--- a/internal/experts/lockstep/conducted_test.go
+++ b/internal/experts/lockstep/controller_test.go
@@ -12,18 +12,18 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// conduct leads a group of two ranks with four experts, which switches for any gain once it has counted so much, until the
+// startController leads a group of two ranks with four experts, which switches for any gain once it has counted so much, until the
 // test's end or stop.
-func conduct(t *testing.T, ranks lockstep.Ranks, list []*catalog.Upstream, leastCounts float64) (stop func()) {
+func startController(t *testing.T, client lockstep.RankClient, list []*catalog.Upstream, leastCounts float64) (stop func()) {
 	t.Helper()
-	c := lockstep.NewConductor(lockstep.ConductorOptions{
-		Ranks: ranks, Logger: log.NewNopLogger(), Serials: lockstep.NewSerials(),
+	c := lockstep.NewController(lockstep.ControllerOptions{
+		RankClient: client, Logger: log.NewNopLogger(), Serials: lockstep.NewSerials(),
 		Group: func() *lockstep.Group {
 			return &lockstep.Group{Name: "a", Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, Placements: 4, Spare: 2}}}
 		},
 		Fence:  func() ids.Fence { return 7 },
-		Period: 500 * time.Millisecond, Half: 500 * time.Millisecond, Sample: 2, SampleNear: 2,
-		Policy: lockstep.Options{LeastGain: 0.01, LeastCounts: leastCounts},
+		Period: 500 * time.Millisecond, Half: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
+		Policy: lockstep.Options{MinGain: 0.01, MinCounts: leastCounts},
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go c.Run(ctx)
--- a/internal/experts/lockstep/counts.go
+++ b/internal/experts/lockstep/counts.go
@@ -25,16 +25,16 @@
 
 // sample names the ranks whose counts are read now: many that cost the group nothing, and else a few of the others. The same few each
 // time, since two reads of one rank are needed to tell what it did between them.
-func (c *Conductor) sample(s *survey) []int {
+func (c *Controller) sample(s *survey) []int {
 	var near, far []int
 	for r, u := range s.upstreams {
-		if c.o.Ranks.Near(u) {
+		if c.o.RankClient.IsLocal(u) {
 			near = append(near, r)
 		} else {
 			far = append(far, r)
 		}
 	}
-	near = spread(near, c.o.SampleNear)
+	near = spread(near, c.o.SampleLocal)
 	return append(near, spread(far, c.o.Sample-len(near))...)
 }
 
@@ -49,7 +49,7 @@
 }
 
 // readCounts reads the counts of the sampled ranks.
-func (c *Conductor) readCounts(ctx context.Context, s *survey) {
+func (c *Controller) readCounts(ctx context.Context, s *survey) {
 	ranks := c.sample(s)
 	type read struct {
 		rank   int
@@ -60,7 +60,7 @@
 	var wait sync.WaitGroup
 	for i, rank := range ranks {
 		wait.Go(func() {
-			since, counts, err := c.o.Ranks.Counts(ctx, s.upstreams[rank], s.group.experts().Sets)
+			since, counts, err := c.o.RankClient.Counts(ctx, s.upstreams[rank], s.group.experts().Sets)
 			switch {
 			case err != nil:
 				_ = level.Debug(c.o.Logger).Log("msg", "no counts", "rank", rank, "err", err)
--- a/internal/experts/lockstep/doc.go
+++ b/internal/experts/lockstep/doc.go
@@ -7,5 +7,5 @@
 //
 // Demand estimates which experts are in demand, Balance looks for a better placement, Policy decides whether it earns
 // what moving weights costs, and Switch carries it out with the engines' own orders. They are pure: reports, answers and
-// the time go in. Conductor runs them against the ranks of one group.
+// the time go in. Controller runs them against the ranks of one group.
 package lockstep
--- a/internal/experts/lockstep/formed_test.go
+++ b/internal/experts/lockstep/formed_test.go
@@ -30,7 +30,7 @@
 		s, list := newSite([]string{"a"}, 2)
 		began := time.Now()
 		ranks := &slowToCount{site: s, from: began.Add(130 * time.Millisecond)}
-		cancel := conduct(t, ranks, list, 100)
+		cancel := startController(t, ranks, list, 100)
 		switched := func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
--- a/internal/experts/lockstep/latehold_test.go
+++ b/internal/experts/lockstep/latehold_test.go
@@ -56,7 +56,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, list := newSite([]string{"a"}, 2)
 		l := &lateHold{site: s}
-		cancel := conduct(t, l, list, 1)
+		cancel := startController(t, l, list, 1)
 		g, held := s.groups["a"], 0
 		for ms := range 6000 {
 			time.Sleep(time.Millisecond)
--- a/internal/experts/lockstep/learn.go
+++ b/internal/experts/lockstep/learn.go
@@ -10,7 +10,7 @@
 )
 
 // learnPlacement reads the map in use unless it is known; false if it cannot be read now.
-func (c *Conductor) learnPlacement(ctx context.Context, s *survey) bool {
+func (c *Controller) learnPlacement(ctx context.Context, s *survey) bool {
 	version := s.reports[0].Version
 	for _, r := range s.reports {
 		if r.Version != version {
@@ -27,7 +27,7 @@
 	var wait sync.WaitGroup
 	for r, u := range s.upstreams {
 		wait.Go(func() {
-			if h, err := c.o.Ranks.Held(ctx, u); err == nil {
+			if h, err := c.o.RankClient.Held(ctx, u); err == nil {
 				held[r] = &h
 			}
 		})
--- a/internal/experts/lockstep/order.go
+++ b/internal/experts/lockstep/order.go
@@ -53,8 +53,8 @@
 
 // Report is what a rank says of itself.
 type Report struct {
-	// Born tells the rank's lives apart; see ids.Life.
-	Born int64
+	// StartedAtMS tells the rank's lives apart; see ids.UpstreamIncarnation.
+	StartedAtMS int64
 	// Group is the name of the rank's group.
 	Group      string
 	Rank, Size int
--- a/internal/experts/lockstep/placement.go
+++ b/internal/experts/lockstep/placement.go
@@ -28,8 +28,8 @@
 	return n
 }
 
-// MostCopies is the most experts that one rank must load, over all sets: it loads one after the other.
-func MostCopies(from, to Placement) int {
+// MaxCopies is the most experts that one rank must load, over all sets: it loads one after the other.
+func MaxCopies(from, to Placement) int {
 	if len(to) == 0 {
 		return 0
 	}
--- a/internal/experts/lockstep/ranks.go
+++ b/internal/experts/lockstep/rankclient.go
@@ -6,24 +6,24 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// Ranks reaches the engines of a group. Calls are bounded in time by the implementation.
-type Ranks interface {
+// RankClient reaches the engines of a group. Calls are bounded in time by the implementation.
+type RankClient interface {
 	// Report reads what a rank says of itself; it may be some hundred ms old.
 	Report(ctx context.Context, u *catalog.Upstream) (Report, error)
 	// Counts reads how often the rank's requests chose each expert, and since when.
 	Counts(ctx context.Context, u *catalog.Upstream, sets int) (Since, Counts, error)
 	// Held reads the rank's part of the map in use.
 	Held(ctx context.Context, u *catalog.Upstream) (Held, error)
-	// Near reports whether reading the rank costs nothing, now.
-	Near(u *catalog.Upstream) bool
+	// IsLocal reports whether reading the rank costs nothing, now.
+	IsLocal(u *catalog.Upstream) bool
 	// Order gives an order. The error explains ReplyLost and ReplyRefused.
 	Order(ctx context.Context, u *catalog.Upstream, o Order) (Reply, error)
 }
 
 // Since says from when on a rank has counted: a rank that starts again, or whose group forms anew, counts from 0.
 type Since struct {
-	Born  int64
-	Epoch uint64
+	StartedAtMS int64
+	Epoch       uint64
 }
 
 // Held is a rank's part of the map in use.
--- a/internal/experts/lockstep/resend_test.go
+++ b/internal/experts/lockstep/resend_test.go
@@ -66,7 +66,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, list := newSite([]string{"a"}, 2)
 		u := &unlucky{site: s, late: "a-0", losing: "a-1", toLose: 12}
-		cancel := conduct(t, u, list, 1)
+		cancel := startController(t, u, list, 1)
 		held := 0
 		for range 6000 {
 			time.Sleep(time.Millisecond)
--- a/internal/experts/lockstep/reborn_test.go
+++ b/internal/experts/lockstep/restart_test.go
@@ -8,16 +8,16 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// rebornTask is a switch of a group of two ranks in their second and third life.
-func rebornTask(now time.Time) Task {
+// restartedTask is a switch of a group of two ranks in their second and third life.
+func restartedTask(now time.Time) Task {
 	return Task{
-		Epoch: 1, Ranks: 2, Lives: []int64{2, 3}, Version: 10, Fallback: 11, PrepareBy: now.Add(time.Hour),
+		Epoch: 1, Ranks: 2, StartTimes: []int64{2, 3}, Version: 10, Fallback: 11, PrepareBy: now.Add(time.Hour),
 		Placement: Placement{{{0}, {1}}}, Present: Placement{{{1}, {0}}},
 	}
 }
 
 func prepared(born0, born1 int64) []*Report {
-	return []*Report{{Epoch: 1, Born: born0, Prepared: 10}, {Epoch: 1, Born: born1, Prepared: 10}}
+	return []*Report{{Epoch: 1, StartedAtMS: born0, Prepared: 10}, {Epoch: 1, StartedAtMS: born1, Prepared: 10}}
 }
 
 // answerAll acknowledges all orders until the switch is in a state.
@@ -41,7 +41,7 @@
 	now := time.Unix(0, 0)
 	for _, state := range []string{string(statePreparing), string(stateHolding), string(stateArming)} {
 		t.Run(state, func(t *testing.T) {
-			sw := NewSwitch(rebornTask(now))
+			sw := NewSwitch(restartedTask(now))
 			orders := sw.Start(now)
 			if state != string(statePreparing) {
 				orders = sw.OnReports(now, prepared(2, 3))
@@ -58,10 +58,10 @@
 // Reports of the same lives, late ones among them, end nothing.
 func TestASwitchGoesOnWithTheSameLives(t *testing.T) {
 	now := time.Unix(0, 0)
-	sw := NewSwitch(rebornTask(now))
+	sw := NewSwitch(restartedTask(now))
 	sw.Start(now)
 	orders := sw.OnReports(now, prepared(2, 3))
-	sw.OnReports(now, []*Report{nil, {Epoch: 1, Born: 3}})
+	sw.OnReports(now, []*Report{nil, {Epoch: 1, StartedAtMS: 3}})
 	answerAll(t, sw, now, orders, string(stateReleasing))
 	if !sw.Switched() {
 		t.Fatal("not switched")
@@ -73,12 +73,12 @@
 func TestCountsOfANewLifeAreNotComparedWithTheOld(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
 	d := NewDemand(time.Hour)
-	d.Observe(at(0), 0, Since{Born: 1, Epoch: 1}, Counts{{100, 0}})
-	d.Observe(at(1), 0, Since{Born: 2, Epoch: 1}, Counts{{900, 50}})
+	d.Observe(at(0), 0, Since{StartedAtMS: 1, Epoch: 1}, Counts{{100, 0}})
+	d.Observe(at(1), 0, Since{StartedAtMS: 2, Epoch: 1}, Counts{{900, 50}})
 	if d.Value() != nil {
 		t.Fatalf("demand %v from counts of two lives", d.Value())
 	}
-	d.Observe(at(2), 0, Since{Born: 2, Epoch: 1}, Counts{{910, 50}})
+	d.Observe(at(2), 0, Since{StartedAtMS: 2, Epoch: 1}, Counts{{910, 50}})
 	if got := d.Total(); got < 9 || got > 10 {
 		t.Fatalf("%v counts, want the 10 of the second life", got)
 	}
@@ -86,7 +86,7 @@
 
 // oneGroup reports the same group for all but counts how often it is asked.
 type oneGroup struct {
-	Ranks
+	RankClient
 	asked int
 }
 
@@ -98,9 +98,9 @@
 // An upstream starts again under its id, maybe as a rank of another group. It must be asked once more: taken for one of the
 // group that it was of, a part of two groups' ranks would be switched together.
 func TestANewLifeIsAskedForItsGroup(t *testing.T) {
-	r, ranks := NewRoster(), &oneGroup{}
+	g, ranks := NewGroupIndex(), &oneGroup{}
 	for _, born := range []int64{1, 1, 2} {
-		r.Update(t.Context(), ranks, []*catalog.Upstream{{ID: "u", Born: born}})
+		g.Update(t.Context(), ranks, []*catalog.Upstream{{ID: "u", StartedAtMS: born}})
 	}
 	if ranks.asked != 2 {
 		t.Fatalf("asked %d times for two lives", ranks.asked)
--- a/internal/experts/lockstep/running.go
+++ b/internal/experts/lockstep/running.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// Running is a conductor or a fleet in a goroutine of its own.
+// Running is a Controller or a ServiceController in a goroutine of its own.
 type Running struct {
 	stop context.CancelFunc
 	wake chan struct{}
--- a/internal/experts/lockstep/serials.go
+++ b/internal/experts/lockstep/serials.go
@@ -19,7 +19,7 @@
 
 // Serials count the tasks that a node begins under each of its numbers. It is safe for concurrent use.
 //
-// Two conductors under one number may follow each other; if the second counted from the start, two maps would have one
+// Two controllers under one number may follow each other; if the second counted from the start, two maps would have one
 // version, and a rank that has prepared the first would take the second for it.
 type Serials struct {
 	mu   sync.Mutex
@@ -50,7 +50,7 @@
 //
 // A leader that was paused may never hear of the one that led meanwhile, has all its orders refused, and would leave a group
 // held that the other has held. What the ranks report tells it.
-func (c *Conductor) outdated(s *survey) ids.Fence {
+func (c *Controller) outdated(s *survey) ids.Fence {
 	newest := c.fence
 	for _, r := range s.reports {
 		newest = max(newest, ids.Fence(max(r.Version, r.Prepared)>>fenceShift))
@@ -64,7 +64,7 @@
 	return 0
 }
 
-func (c *Conductor) outdatedBy(newer ids.Fence) {
+func (c *Controller) outdatedBy(newer ids.Fence) {
 	_ = level.Info(c.o.Logger).Log("msg", "number outdated", "number", c.fence, "newer", newer)
 	if c.o.Outdated != nil {
 		c.o.Outdated(newer)
--- a/internal/experts/lockstep/serials_test.go
+++ b/internal/experts/lockstep/serials_test.go
@@ -8,7 +8,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-func outdatedOf(t *testing.T, c *Conductor, reports ...Report) ids.Fence {
+func outdatedOf(t *testing.T, c *Controller, reports ...Report) ids.Fence {
 	t.Helper()
 	return c.outdated(&survey{reports: reports})
 }
@@ -17,7 +17,7 @@
 // believed by all to lead, and has each of its orders refused, so that the group stays held. The ranks' versions tell it
 // that its number is obsolete.
 func TestALeaderLearnsFromTheRanksThatItIsOutdated(t *testing.T) {
-	c := NewConductor(ConductorOptions{Serials: NewSerials(), Logger: log.NewNopLogger()})
+	c := NewController(ControllerOptions{Serials: NewSerials(), Logger: log.NewNopLogger()})
 	c.fence = 6
 	own := Report{Version: versionOf(6, 4), Prepared: versionOf(6, 6)}
 	if got := outdatedOf(t, c, own, Report{Version: versionOf(4, 8)}); got != 0 {
@@ -31,7 +31,7 @@
 // A leader that goes on for hours begins more tasks than one number has versions for. The next would have versions of a
 // later leader's, and two maps one name.
 func TestANumberIsUsedUp(t *testing.T) {
-	c := NewConductor(ConductorOptions{Serials: NewSerials(), Logger: log.NewNopLogger()})
+	c := NewController(ControllerOptions{Serials: NewSerials(), Logger: log.NewNopLogger()})
 	c.fence = 6
 	for c.outdated(&survey{}) == 0 {
 		if last := c.o.Serials.next(c.fence) + versionsPerTask; versionOf(6, last) > versionOf(7, 0) {
--- /dev/null
+++ b/internal/experts/lockstep/servicecontroller.go
@@ -0,0 +1,112 @@
+package lockstep
+
+import (
+	"context"
+	"sync/atomic"
+	"time"
+
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+)
+
+const (
+	// groupIndexInterval is how often a leader looks for new groups and ranks. A rank that is not known yet only delays its group's
+	// next switch.
+	groupIndexInterval = 250 * time.Millisecond
+	// maxGroups is how many groups of a service one leader conducts; the others keep the map that they have, which is safe.
+	// Each takes about a tenth of a second of a host's processor for a switch.
+	maxGroups = 32
+	// groupsPerPeriod is how many groups are looked at in one period; with more of them each is looked at less often.
+	groupsPerPeriod = 4
+)
+
+// ServiceController conducts all groups of one service. Only Run's goroutine uses it.
+type ServiceController struct {
+	o       ControllerOptions
+	groups  *GroupIndex
+	running map[string]*Running
+	count   atomic.Int64
+}
+
+// NewServiceController returns a controller without groups. The options' Group returns all upstreams of the service.
+func NewServiceController(o ControllerOptions) *ServiceController {
+	o.Serials = NewSerials()
+	return &ServiceController{o: o, groups: NewGroupIndex(), running: map[string]*Running{}}
+}
+
+// Run conducts until ctx ends.
+func (s *ServiceController) Run(ctx context.Context) {
+	timer := time.NewTimer(groupIndexInterval)
+	defer timer.Stop()
+	for {
+		s.tick(ctx)
+		timer.Reset(groupIndexInterval)
+		select {
+		case <-ctx.Done():
+			return
+		case <-timer.C:
+		case <-s.o.Wake:
+			s.wake()
+		}
+	}
+}
+
+func (s *ServiceController) wake() {
+	for _, c := range s.running {
+		c.Wake()
+	}
+}
+
+func (s *ServiceController) tick(ctx context.Context) {
+	group := s.o.Group()
+	leads := s.o.Fence() != 0
+	if group == nil || !leads && !s.standsBy() {
+		return
+	}
+	names := s.groups.Update(ctx, s.o.RankClient, group.Upstreams)
+	if !leads {
+		return
+	}
+	if len(names) > maxGroups {
+		if s.count.Load() != maxGroups {
+			_ = level.Warn(s.o.Logger).Log("msg", "groups left as they are", "groups", len(names), "conducted", maxGroups)
+		}
+		names = names[:maxGroups]
+	}
+	s.count.Store(int64(len(names)))
+	wanted := map[string]bool{}
+	for _, name := range names {
+		wanted[name] = true
+		if s.running[name] == nil {
+			s.running[name] = s.startController(ctx, name)
+		}
+	}
+	for name, c := range s.running {
+		if !wanted[name] {
+			c.Stop()
+			delete(s.running, name)
+		}
+	}
+}
+
+// standsBy reports whether the roster is kept without leading.
+//
+// The group may be held by a leader that has ended, and stands still while its successor asks every rank for its group.
+func (s *ServiceController) standsBy() bool { return s.o.Standby != nil && s.o.Standby() }
+
+func (s *ServiceController) startController(ctx context.Context, name string) *Running {
+	o := s.o
+	o.Logger = log.With(o.Logger, "group", name)
+	o.Group = func() *Group {
+		all := s.o.Group()
+		if all == nil {
+			return nil
+		}
+		return &Group{Name: name, Upstreams: s.groups.Of(name, all.Upstreams), Engine: all.Engine}
+	}
+	o.Share = func() int { return max(1, int(s.count.Load())/groupsPerPeriod) }
+	return Start(ctx, func(ctx context.Context, wake <-chan struct{}) {
+		o.Wake = wake
+		NewController(o).Run(ctx)
+	})
+}
--- a/internal/experts/lockstep/fleet_test.go
+++ b/internal/experts/lockstep/servicecontroller_test.go
@@ -93,7 +93,7 @@
 	return lockstep.Held{Epoch: g.epoch, Version: g.ranks[p.rank].inUse, Experts: [][]int{{p.rank, p.rank + 2}}}, nil
 }
 
-func (s *site) Near(*catalog.Upstream) bool { return true }
+func (s *site) IsLocal(*catalog.Upstream) bool { return true }
 
 func (s *site) Order(_ context.Context, u *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
 	s.mu.Lock()
@@ -123,17 +123,17 @@
 func TestEachGroupIsSwitchedByItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, list := newSite([]string{"a", "bb", "ccc"}, 2)
-		f := lockstep.NewFleet(lockstep.ConductorOptions{
-			Ranks: s, Logger: log.NewNopLogger(),
+		controller := lockstep.NewServiceController(lockstep.ControllerOptions{
+			RankClient: s, Logger: log.NewNopLogger(),
 			Group: func() *lockstep.Group {
 				return &lockstep.Group{Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, Placements: 4, Spare: 2}}}
 			},
 			Fence:  func() ids.Fence { return 7 },
-			Period: 500 * time.Millisecond, Half: 500 * time.Millisecond, Sample: 2, SampleNear: 2,
-			Policy: lockstep.Options{LeastGain: 0.01, LeastCounts: 1},
+			Period: 500 * time.Millisecond, Half: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
+			Policy: lockstep.Options{MinGain: 0.01, MinCounts: 1},
 		})
 		ctx, cancel := context.WithCancel(t.Context())
-		go f.Run(ctx)
+		go controller.Run(ctx)
 		for range 8000 {
 			time.Sleep(time.Millisecond)
 			s.step()
@@ -192,8 +192,8 @@
 				var leads atomic.Bool
 				looked := make(chan time.Time, 1)
 				wake := make(chan struct{}, 1)
-				f := lockstep.NewFleet(lockstep.ConductorOptions{
-					Ranks: ranks, Logger: log.NewNopLogger(), Wake: wake,
+				controller := lockstep.NewServiceController(lockstep.ControllerOptions{
+					RankClient: ranks, Logger: log.NewNopLogger(), Wake: wake,
 					Group: func() *lockstep.Group {
 						return &lockstep.Group{Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, Placements: 4, Spare: 2}}}
 					},
@@ -204,7 +204,7 @@
 						return 0
 					},
 					Standby: func() bool { return c.standby },
-					Period:  500 * time.Millisecond, Half: 500 * time.Millisecond, Sample: 2, SampleNear: 2,
+					Period:  500 * time.Millisecond, Half: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
 					Read: func([]*catalog.Upstream, []lockstep.Report) {
 						select {
 						case looked <- time.Now():
@@ -214,7 +214,7 @@
 				})
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				go f.Run(ctx)
+				go controller.Run(ctx)
 				time.Sleep(3 * time.Second)
 				if got := ranks.reports.Load(); got != c.before {
 					t.Errorf("%d reports before it leads, %d are due", got, c.before)
@@ -259,17 +259,17 @@
 	for _, heldToo := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			s, list := newSite([]string{"a"}, 2)
-			f := lockstep.NewFleet(lockstep.ConductorOptions{
-				Ranks: &strange{s, heldToo}, Logger: log.NewNopLogger(),
+			controller := lockstep.NewServiceController(lockstep.ControllerOptions{
+				RankClient: &strange{s, heldToo}, Logger: log.NewNopLogger(),
 				Group: func() *lockstep.Group {
 					return &lockstep.Group{Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, Placements: 4, Spare: 2}}}
 				},
 				Fence:  func() ids.Fence { return 7 },
-				Period: 500 * time.Millisecond, Half: 500 * time.Millisecond, Sample: 2, SampleNear: 2,
-				Policy: lockstep.Options{LeastGain: 0.01, LeastCounts: 1},
+				Period: 500 * time.Millisecond, Half: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
+				Policy: lockstep.Options{MinGain: 0.01, MinCounts: 1},
 			})
 			ctx, cancel := context.WithCancel(t.Context())
-			go f.Run(ctx)
+			go controller.Run(ctx)
 			time.Sleep(5 * time.Second)
 			cancel()
 			synctest.Wait()
--- a/internal/experts/lockstep/switch.go
+++ b/internal/experts/lockstep/switch.go
@@ -34,10 +34,10 @@
 	// resendAfter is how long an answer is waited for before the order is sent once more; the first may still be answered.
 	// An answer takes some ms, and while ranks are armed the group may stand still, which every caller sees.
 	resendAfter = 15 * time.Millisecond
-	// answersTaken is how many times as long as those of half of the ranks the answers of all may take, and mostFirst the most
+	// answersTaken is how many times as long as those of half of the ranks the answers of all may take, and maxFirst the most
 	// that is waited for the first of each.
 	answersTaken = 3
-	mostFirst    = 100 * time.Millisecond
+	maxFirst     = 100 * time.Millisecond
 	// armWait is for how long agents try to have their ranks armed or disarmed: some tries, while the group may stand still.
 	armWait = 60 * time.Millisecond
 	// prepareResend is the same for the order that carries a whole map, and that nothing waits for.
@@ -58,8 +58,8 @@
 type Task struct {
 	Epoch uint64
 	Ranks int
-	// Lives are the ranks' starts, by rank. A rank in another life holds nothing that it acknowledged.
-	Lives []int64
+	// StartTimes are the ranks' starts, by rank. A rank in another life holds nothing that it acknowledged.
+	StartTimes []int64
 	// Version names the new map, and Fallback the present one if the switch is undone. No two tasks of any node may share
 	// one: a rank would take one map for the other.
 	Version, Fallback uint64
@@ -131,14 +131,14 @@
 //
 // A hold that is carried out late stops a group whose switch is complete, with nothing to disarm. A rank is armed for one
 // pass at a time, so that releasing the held one is safe.
-func (s *Switch) Undo(now time.Time, left *Left) []Order {
-	s.pass = left.Pass
-	if left.Ahead {
-		s.release = left.Holders
+func (s *Switch) Undo(now time.Time, unfinished *UnfinishedSwitch) []Order {
+	s.pass = unfinished.Pass
+	if unfinished.Ahead {
+		s.release = unfinished.Holders
 		s.fire(evUnneeded)
 		return s.Tick(now)
 	}
-	s.release = append(s.release, left.Holders...)
+	s.release = append(s.release, unfinished.Holders...)
 	s.fire(evRescue)
 	return s.Tick(now)
 }
@@ -186,7 +186,7 @@
 	case o.Op == OpPrepare:
 		return prepareResend + o.Wait
 	case o.Op == OpArm && s.due[o.Rank].IsZero():
-		return max(resendAfter, min(answersTaken*s.task.AnswerTime, mostFirst))
+		return max(resendAfter, min(answersTaken*s.task.AnswerTime, maxFirst))
 	}
 	return resendAfter
 }
@@ -252,12 +252,12 @@
 	return s.Tick(now)
 }
 
-// reborn reports whether a rank has started again since the switch began.
+// restarted reports whether a rank has started again since the switch began.
 //
 // A rank that starts again after it has acknowledged may be in a group of the same epoch. Its acknowledgement must not count,
 // or the group is released with one rank that has nothing to switch to.
-func (s *Switch) reborn(rank int, r *Report) bool {
-	return rank < len(s.task.Lives) && r.Born != s.task.Lives[rank]
+func (s *Switch) restarted(rank int, r *Report) bool {
+	return rank < len(s.task.StartTimes) && r.StartedAtMS != s.task.StartTimes[rank]
 }
 
 // current reports whether an order is what the present state still wants of its rank.
@@ -351,7 +351,7 @@
 		if r == nil {
 			continue
 		}
-		if r.Epoch != s.task.Epoch || s.reborn(rank, r) {
+		if r.Epoch != s.task.Epoch || s.restarted(rank, r) {
 			s.fire(evEpochChanged)
 			return nil
 		}
--- a/internal/experts/lockstep/switch_test.go
+++ b/internal/experts/lockstep/switch_test.go
@@ -77,22 +77,22 @@
 	}
 }
 
-// begin starts a switch, or undoes what another leader left, as the conductor does.
+// begin starts a switch, or undoes what another leader left, as the controller does.
 func (w *world) begin(l *leader) {
 	task := w.task(l)
 	l.sw = lockstep.NewSwitch(task)
-	left := lockstep.FindLeft(flat(w.group.reports()))
-	if left == nil {
+	unfinished := lockstep.FindUnfinishedSwitch(flat(w.group.reports()))
+	if unfinished == nil {
 		l.sw.OnReports(w.now, w.group.reports())
 		l.orders = l.sw.Start(w.now)
 		return
 	}
-	if left.Pending && !left.Ahead {
+	if unfinished.Pending && !unfinished.Ahead {
 		l.sw = nil
 		return
 	}
-	l.sw = lockstep.NewSwitch(left.Task(task))
-	l.orders = l.sw.Undo(w.now, left)
+	l.sw = lockstep.NewSwitch(unfinished.Task(task))
+	l.orders = l.sw.Undo(w.now, unfinished)
 }
 
 func flat(reports []*lockstep.Report) []lockstep.Report {
@@ -188,12 +188,12 @@
 // ranks for pass 6, which nothing holds, would be overtaken by it, and some ranks would have switched.
 func TestACompleteSwitchIsNotUndone(t *testing.T) {
 	held := uint64(7)
-	left := lockstep.FindLeft([]lockstep.Report{
+	unfinished := lockstep.FindUnfinishedSwitch([]lockstep.Report{
 		{Rank: 0, Pass: 5, Prepared: 131074, Armed: &lockstep.Armed{Version: 131074, Pass: 6}},
 		{Rank: 1, Pass: 5, Prepared: 131074, Armed: &lockstep.Armed{Version: 131074, Pass: 6}, Held: &held},
 	})
-	if left == nil || !left.Pending || left.Pass != 7 {
-		t.Fatalf("got %+v, want pass 7 with a switch pending", left)
+	if unfinished == nil || !unfinished.Pending || unfinished.Pass != 7 {
+		t.Fatalf("got %+v, want pass 7 with a switch pending", unfinished)
 	}
 }
 
@@ -208,13 +208,13 @@
 		r.armed = &lockstep.Armed{Version: 20, Pass: 7}
 	}
 	g.ranks[1].held = &late
-	left := lockstep.FindLeft(flat(g.reports()))
-	if left == nil || !left.Ahead {
-		t.Fatalf("got %+v, want a switch ahead", left)
+	unfinished := lockstep.FindUnfinishedSwitch(flat(g.reports()))
+	if unfinished == nil || !unfinished.Ahead {
+		t.Fatalf("got %+v, want a switch ahead", unfinished)
 	}
 	now := time.Unix(0, 0)
-	sw := lockstep.NewSwitch(left.Task(lockstep.Task{Epoch: 1, Ranks: 3, Version: 30, Fallback: 31}))
-	for _, o := range sw.Undo(now, left) {
+	sw := lockstep.NewSwitch(unfinished.Task(lockstep.Task{Epoch: 1, Ranks: 3, Version: 30, Fallback: 31}))
+	for _, o := range sw.Undo(now, unfinished) {
 		sw.OnReply(now, o, g.order(o))
 	}
 	g.step()
--- a/internal/experts/lockstep/left.go
+++ b/internal/experts/lockstep/unfinished.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Left is a switch that a leader began and that is not over.
-type Left struct {
+// UnfinishedSwitch is a switch that a leader began and that is not over.
+type UnfinishedSwitch struct {
 	// Holders are the ranks that hold Pass, the earliest pass that is held.
 	Holders []int
 	Pass    uint64
@@ -16,38 +16,38 @@
 	Ahead bool
 }
 
-// FindLeft returns the switch that the reports show, or nil if no rank holds the group.
-func FindLeft(reports []Report) *Left {
-	l := &Left{}
+// FindUnfinishedSwitch returns the switch that the reports show, or nil if no rank holds the group.
+func FindUnfinishedSwitch(reports []Report) *UnfinishedSwitch {
+	u := &UnfinishedSwitch{}
 	for _, r := range reports {
 		switch {
 		case r.Held == nil:
-		case len(l.Holders) == 0 || *r.Held < l.Pass:
-			l.Holders, l.Pass = []int{r.Rank}, *r.Held
-		case *r.Held == l.Pass:
-			l.Holders = append(l.Holders, r.Rank)
+		case len(u.Holders) == 0 || *r.Held < u.Pass:
+			u.Holders, u.Pass = []int{r.Rank}, *r.Held
+		case *r.Held == u.Pass:
+			u.Holders = append(u.Holders, r.Rank)
 		}
 	}
-	if len(l.Holders) == 0 {
+	if len(u.Holders) == 0 {
 		return nil
 	}
 	armed := uint64(0)
 	for _, r := range reports {
-		l.Version = max(l.Version, r.Prepared)
+		u.Version = max(u.Version, r.Prepared)
 		if r.Armed == nil {
 			continue
 		}
-		if r.Armed.Pass != l.Pass {
-			l.Pending = true
+		if r.Armed.Pass != u.Pass {
+			u.Pending = true
 			continue
 		}
 		armed = r.Armed.Version
 	}
 	if armed != 0 {
-		l.Version = armed
+		u.Version = armed
 	}
-	l.Ahead = armedAhead(reports, l.Pass)
-	return l
+	u.Ahead = armedAhead(reports, u.Pass)
+	return u
 }
 
 // armedAhead reports whether all ranks are armed for one version at one pass after the given one.
@@ -60,9 +60,9 @@
 }
 
 // Task returns the task of undoing it: t for another rank to hold the group at, and the version to take back.
-func (l *Left) Task(t Task) Task {
-	t.Version = l.Version
-	for slices.Contains(l.Holders, t.HoldAt) && len(l.Holders) < t.Ranks {
+func (u *UnfinishedSwitch) Task(t Task) Task {
+	t.Version = u.Version
+	for slices.Contains(u.Holders, t.HoldAt) && len(u.Holders) < t.Ranks {
 		t.HoldAt = (t.HoldAt + 1) % t.Ranks
 	}
 	return t
--- a/internal/experts/placement/staging/budget.go
+++ b/internal/experts/placement/staging/budget.go
@@ -26,8 +26,8 @@
 	return b.limit - min(used, b.limit)
 }
 
-// Take uses up bytes; the caller has asked Left before.
-func (b *Budget) Take(now time.Time, bytes uint64) {
+// Consume uses up bytes; the caller has asked Left before.
+func (b *Budget) Consume(now time.Time, bytes uint64) {
 	b.advance(now)
 	b.seconds[b.newest%budgetSeconds] += bytes
 }
--- a/internal/experts/placement/staging/staging.go
+++ b/internal/experts/placement/staging/staging.go
@@ -84,7 +84,7 @@
 		}
 		left -= n
 		s.left[i] -= n
-		s.budget.Take(now, n)
+		s.budget.Consume(now, n)
 		s.store.AllowN(now, int(n))
 		pieces = append(pieces, Piece{i, ld.Rank, n, s.left[i] == 0})
 	}
--- a/internal/experts/placement/staging/staging_test.go
+++ b/internal/experts/placement/staging/staging_test.go
@@ -32,8 +32,8 @@
 	bytes uint64
 }
 
-// mostInAMinute returns the most bytes that any span of a minute holds.
-func mostInAMinute(list []taken) uint64 {
+// maxPerMinute returns the most bytes that any span of a minute holds.
+func maxPerMinute(list []taken) uint64 {
 	most, sum, from := uint64(0), uint64(0), 0
 	for _, t := range list {
 		sum += t.bytes
@@ -81,7 +81,7 @@
 				t.Fatalf("%d bytes in %v from a store of %d a second", total, now.Sub(epoch), limits.StoreRate)
 			}
 		}
-		if most := mostInAMinute(list); most > perMinute {
+		if most := maxPerMinute(list); most > perMinute {
 			t.Fatalf("%d bytes in a minute, limit %d", most, perMinute)
 		}
 	})
--- a/internal/experts/rebalance/group.go
+++ b/internal/experts/rebalance/group.go
@@ -44,8 +44,8 @@
 const (
 	// reportTimeout bounds the round of reports.
 	reportTimeout = 2 * time.Second
-	// decideEvery is the longest time between two decisions; it is a third of the time after which a rank is stalled.
-	decideEvery = placement.StallAfter / 3
+	// decideInterval is the longest time between two decisions; it is a third of the time after which a rank is stalled.
+	decideInterval = placement.StallAfter / 3
 	// switchTimeout bounds a switch with its loading of weights.
 	switchTimeout = 5 * time.Minute
 	// memorySlack is the room for replicas, and for those being loaded, over one copy of each expert, as a part of it.
@@ -130,7 +130,7 @@
 // due reports whether there is something to decide on: a new window, or enough time that a rank may have stalled. A
 // decision costs milliseconds, so it is not made again on reports that were seen.
 func (g *Group) due(reports []*cardamomyokev1.GetRankReportResponse, now time.Time) bool {
-	news := now.Sub(g.decided) >= decideEvery
+	news := now.Sub(g.decided) >= decideInterval
 	for _, r := range reports {
 		if r.GetWindow() != g.windows[r.GetRank()] {
 			g.windows[r.GetRank()] = r.GetWindow()
--- a/internal/experts/rebalance/runner.go
+++ b/internal/experts/rebalance/runner.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// turnEvery is the time between two rounds of reports; it is below a third of placement.StallAfter.
-	turnEvery = 2 * time.Second
-	// lookEvery is the time between two looks at the configuration and the roster.
-	lookEvery = time.Second
+	// turnInterval is the time between two rounds of reports; it is below a third of placement.StallAfter.
+	turnInterval = 2 * time.Second
+	// checkInterval is the time between two looks at the configuration and the roster.
+	checkInterval = time.Second
 	// candidates is how many entries want a group's lease, so that one that is lost has a successor at hand.
 	candidates = 3
 )
@@ -34,7 +34,7 @@
 	Node      ids.Node
 	Config    config.Source
 	Directory *Directory
-	Keeper    *keeper.Keeper
+	Leases    *keeper.Manager
 	Hub       *node.Hub
 	Loop      *control.Loop
 	Objects   platform.Objects
@@ -62,7 +62,7 @@
 // Tick follows the configuration: one duty a group. It runs on the control loop.
 func (r *Runner) Tick(now time.Time) {
 	snap := r.opts.Config.Current()
-	if snap == nil || now.Sub(r.looked) < lookEvery {
+	if snap == nil || now.Sub(r.looked) < checkInterval {
 		return
 	}
 	r.looked = now
@@ -70,7 +70,7 @@
 	for _, g := range snap.Proto.GetGroups() {
 		name := ids.Group(g.GetName())
 		wanted[name] = true
-		r.opts.Keeper.Want(now, DutyOf(name), r.candidate(DutyOf(name)))
+		r.opts.Leases.SetWanted(now, DutyOf(name), r.candidate(DutyOf(name)))
 		if r.groups[name] == nil {
 			ctx, cancel := context.WithCancel(context.Background())
 			r.groups[name] = cancel
@@ -81,7 +81,7 @@
 		if !wanted[name] {
 			cancel()
 			delete(r.groups, name)
-			r.opts.Keeper.Want(now, DutyOf(name), false)
+			r.opts.Leases.SetWanted(now, DutyOf(name), false)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 	r.opts.Hub.AddProposer(name, proposer)
 	go proposer.Run(ctx)
 	var duty *Group
-	tick := time.NewTicker(turnEvery)
+	tick := time.NewTicker(turnInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -137,9 +137,9 @@
 
 // turn takes one turn, if the lease is held; without it what was learned is dropped, since the next holder decides.
 func (r *Runner) turn(ctx context.Context, now time.Time, name ids.Group, duty *Group, p *node.Proposer) *Group {
-	held := r.opts.Keeper.Held(DutyOf(name))
+	held := r.opts.Leases.Held(DutyOf(name))
 	snap := r.opts.Config.Current()
-	if !held.At(now) || snap.Group(name) == nil {
+	if !held.ValidAt(now) || snap.Group(name) == nil {
 		return nil
 	}
 	if duty == nil {
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -45,9 +45,9 @@
 }
 
 // Run serves until ctx ends. There is nothing to finish: an order that is cut off is sent again by its gateway.
-func Run(ctx context.Context, set *Settings, ranks lockstep.Ranks, logger log.Logger) error {
+func Run(ctx context.Context, set *Settings, client lockstep.RankClient, logger log.Logger) error {
 	mux := http.NewServeMux()
-	mux.Handle(cardamomyokev1connect.NewAgentServiceHandler(NewServer(ranks, set.Engine)))
+	mux.Handle(cardamomyokev1connect.NewAgentServiceHandler(NewServer(client, set.Engine)))
 	port, err := controlport.Start(set.Listen, mux, metrics.NewSet(), nil, logger)
 	if err != nil {
 		return err
--- a/internal/node/agent/agent_test.go
+++ b/internal/node/agent/agent_test.go
@@ -55,7 +55,7 @@
 	return lockstep.Held{}, errLost
 }
 
-func (r *rank) Near(*catalog.Upstream) bool { return false }
+func (r *rank) IsLocal(*catalog.Upstream) bool { return false }
 
 func (r *rank) Order(ctx context.Context, _ *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
 	if r.loses(o) {
--- a/internal/node/agent/client.go
+++ b/internal/node/agent/client.go
@@ -22,16 +22,16 @@
 	// dialTimeout bounds the making of a connection.
 	dialTimeout = 100 * time.Millisecond
 	// firstDirect is how long a rank is reached directly after its agent could not be reached once; it doubles with each
-	// further time in a row up to mostDirect. An agent that starts takes some tenths of a second.
+	// further time in a row up to maxDirect. An agent that starts takes some tenths of a second.
 	firstDirect = 250 * time.Millisecond
-	mostDirect  = 2 * time.Second
+	maxDirect   = 2 * time.Second
 	// maxIdle is how many idle connections are kept to one agent; calls to it follow each other.
 	maxIdle = 2
 )
 
-// Client reaches ranks through their agents, and directly where there is none. It implements lockstep.Ranks.
+// Client reaches ranks through their agents, and directly where there is none. It implements lockstep.RankClient.
 type Client struct {
-	direct lockstep.Ranks
+	direct lockstep.RankClient
 	port   string
 	http   *http.Client
 
@@ -42,7 +42,7 @@
 	avoid  map[string]detour                                   // hosts whose agents could not be reached
 }
 
-var _ lockstep.Ranks = (*Client)(nil)
+var _ lockstep.RankClient = (*Client)(nil)
 
 // detour is for how long a host's rank is reached directly.
 type detour struct {
@@ -55,13 +55,13 @@
 // Agents listen some tenths of a second after their hosts start. Until they are asked again the ranks are reached directly,
 // by reports that lag, and the first map after an outage is late.
 func (d detour) longer(now time.Time) detour {
-	length := min(mostDirect, max(firstDirect, 2*d.length))
+	length := min(maxDirect, max(firstDirect, 2*d.length))
 	return detour{now.Add(length), length}
 }
 
 // NewClient returns a client of the agents at the given port of the ranks' hosts; without a port all are reached
 // directly.
-func NewClient(direct lockstep.Ranks, port string) *Client {
+func NewClient(direct lockstep.RankClient, port string) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{
 		direct: direct,
@@ -75,8 +75,8 @@
 	}
 }
 
-// Near implements lockstep.Ranks.
-func (c *Client) Near(u *catalog.Upstream) bool {
+// IsLocal implements lockstep.RankClient.
+func (c *Client) IsLocal(u *catalog.Upstream) bool {
 	_, _, ok := c.agent(u)
 	return ok
 }
@@ -119,7 +119,7 @@
 	delete(c.avoid, host)
 }
 
-// Report implements lockstep.Ranks.
+// Report implements lockstep.RankClient.
 func (c *Client) Report(ctx context.Context, u *catalog.Upstream) (lockstep.Report, error) {
 	a, host, ok := c.agent(u)
 	if !ok {
@@ -138,7 +138,7 @@
 	return r, nil
 }
 
-// Counts implements lockstep.Ranks.
+// Counts implements lockstep.RankClient.
 func (c *Client) Counts(ctx context.Context, u *catalog.Upstream, sets int) (lockstep.Since, lockstep.Counts, error) {
 	a, host, ok := c.agent(u)
 	if !ok {
@@ -159,10 +159,10 @@
 			counts[s][e] = float64(res.GetCounts()[s*perSet+e])
 		}
 	}
-	return lockstep.Since{Born: res.GetBorn(), Epoch: res.GetEpoch()}, counts, nil
+	return lockstep.Since{StartedAtMS: res.GetBorn(), Epoch: res.GetEpoch()}, counts, nil
 }
 
-// Held implements lockstep.Ranks.
+// Held implements lockstep.RankClient.
 func (c *Client) Held(ctx context.Context, u *catalog.Upstream) (lockstep.Held, error) {
 	a, host, ok := c.agent(u)
 	if !ok {
@@ -188,7 +188,7 @@
 // after it, its rank could not be told to release the group before it wakes.
 func direct(op lockstep.Op) bool { return op == lockstep.OpHold || op == lockstep.OpRelease }
 
-// Order implements lockstep.Ranks.
+// Order implements lockstep.RankClient.
 func (c *Client) Order(ctx context.Context, u *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
 	a, host, ok := c.agent(u)
 	if !ok || direct(o.Op) {
--- a/internal/node/agent/codec.go
+++ b/internal/node/agent/codec.go
@@ -41,7 +41,7 @@
 		Running:     uint32(r.Running),
 		Waiting:     uint32(r.Waiting),
 		CacheTokens: uint64(r.CacheTokens),
-		Born:        r.Born,
+		Born:        r.StartedAtMS,
 	}
 	if r.Armed != nil {
 		res.Armed = &cardamomyokev1.ArmedSwitch{Version: r.Armed.Version, Pass: r.Armed.Pass}
@@ -64,7 +64,7 @@
 		Running:     int(res.GetRunning()),
 		Waiting:     int(res.GetWaiting()),
 		CacheTokens: int(res.GetCacheTokens()),
-		Born:        res.GetBorn(),
+		StartedAtMS: res.GetBorn(),
 	}
 	if a := res.GetArmed(); a != nil {
 		r.Armed = &lockstep.Armed{Version: a.GetVersion(), Pass: a.GetPass()}
--- a/internal/node/agent/server.go
+++ b/internal/node/agent/server.go
@@ -17,7 +17,7 @@
 
 // Server passes calls on to the rank beside it. It implements the AgentService.
 type Server struct {
-	ranks lockstep.Ranks
+	ranks lockstep.RankClient
 	rank  *catalog.Upstream
 	mu    sync.Mutex
 	told  placements
@@ -29,8 +29,8 @@
 var _ cardamomyokev1connect.AgentServiceHandler = (*Server)(nil)
 
 // NewServer returns the agent of the rank at address (IP:PORT).
-func NewServer(ranks lockstep.Ranks, address string) *Server {
-	return &Server{ranks: ranks, rank: &catalog.Upstream{Address: address}}
+func NewServer(client lockstep.RankClient, address string) *Server {
+	return &Server{ranks: client, rank: &catalog.Upstream{Address: address}}
 }
 
 // RankReport implements the AgentService.
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	res := &cardamomyokev1.RankCountsResponse{Epoch: since.Epoch, Born: since.Born, Sets: req.GetSets()}
+	res := &cardamomyokev1.RankCountsResponse{Epoch: since.Epoch, Born: since.StartedAtMS, Sets: req.GetSets()}
 	for _, set := range counts {
 		for _, n := range set {
 			res.Counts = append(res.Counts, uint64(n))
@@ -127,9 +127,9 @@
 
 const (
 	// firstTry is how long the rank's first answer is waited for; it runs beside the agent. Each further try is given twice as
-	// long as the one before, up to mostTry, so that a rank that is slow to answer is heard in the end.
+	// long as the one before, up to maxTry, so that a rank that is slow to answer is heard in the end.
 	firstTry = 5 * time.Millisecond
-	mostTry  = 80 * time.Millisecond
+	maxTry   = 80 * time.Millisecond
 )
 
 // give gives the rank an order until it answers, the time is over, or another order follows.
@@ -139,7 +139,7 @@
 // the only one.
 func (s *Server) give(ctx context.Context, o lockstep.Order, until time.Time) (lockstep.Reply, error) {
 	followed := s.follow(o)
-	for wait := firstTry; ; wait = min(2*wait, mostTry) {
+	for wait := firstTry; ; wait = min(2*wait, maxTry) {
 		next := time.After(wait)
 		reply, err := s.try(ctx, o, wait, until)
 		if reply != lockstep.ReplyLost || !time.Now().Before(until) {
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon is what the daemons with a slot or entry share: the frame of logger, tracer and node.
+// Package daemon is what the daemons with a slot or entry share: the runtime of logger, tracer and node.
 package daemon
 
 import (
--- a/internal/node/daemon/entrymain/entrymain.go
+++ b/internal/node/daemon/entrymain/entrymain.go
@@ -44,7 +44,7 @@
 		return err
 	}
 	set := checked.(*entry.Settings)
-	f, err := daemon.Open(ctx, daemon.FrameOptions{
+	r, err := daemon.Open(ctx, daemon.RuntimeOptions{
 		Process: "cardamomyoke-entry", Log: set.Log, Tracing: set.Tracing, TLS: set.TLS,
 		Node: daemon.NodeOptions{
 			Self: &revision.Member{
@@ -63,24 +63,24 @@
 	if err != nil {
 		return err
 	}
-	n := f.Node
+	n := r.Node
 	e, err := entry.Start(set, entry.Deps{
 		Config: n.Config, Loop: n.Loop, Incarnation: n.Incarnation, Roster: n.Roster, Table: n.Platform,
-		Logger: f.Logger, Tracer: f.Tracer, Audit: n.Record,
+		Logger: r.Logger, Tracer: r.Tracer, Audit: n.Record,
 	})
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
 	tick := e.Tick
 	if n.Agent != nil {
-		tick = withDuties(set, n, e.Tick, f.Logger)
+		tick = withDuties(set, n, e.Tick, r.Logger)
 		n.Mux.Handle(operator.Handler(operator.New(operator.Options{
 			Node: set.Name, Agent: n.Agent, Table: n.Platform, Upstreams: e.UpstreamStatuses,
 			Audit: n.Audit,
 		}), n.HandlerOptions()...))
 	}
 	n.CatchUpAudit(ctx)
-	return f.Serve(ctx, e, tick, o.Grace)
+	return r.Serve(ctx, e, tick, o.Grace)
 }
 
 // withDuties adds the duties that this entry may hold a lease for to what the control loop does.
@@ -94,13 +94,13 @@
 		Loop:        n.Loop,
 		Rand:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		Logger:      logger,
-		Taken:       n.Audit.LeaseTaken,
+		OnAcquired:  n.Audit.LeaseAcquired,
 	})
 	runner := rebalance.NewRunner(rebalance.RunnerOptions{
 		Node:      ids.Node(set.Name),
 		Config:    n.Config,
 		Directory: n.Directory(),
-		Keeper:    leases,
+		Leases:    leases,
 		Hub:       hub,
 		Loop:      n.Loop,
 		Objects:   n.Platform,
--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -28,8 +28,8 @@
 const (
 	// platformTimeout bounds one call to the platform.
 	platformTimeout = 2 * time.Second
-	// tickEvery is the period of the control loop.
-	tickEvery = 25 * time.Millisecond
+	// tickInterval is the period of the control loop.
+	tickInterval = 25 * time.Millisecond
 )
 
 // NodeOptions say who a node is.
@@ -154,7 +154,7 @@
 	n.control = c
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
-	go n.Loop.Run(ctx, tickEvery, n.ticks(tick))
+	go n.Loop.Run(ctx, tickInterval, n.ticks(tick))
 	if n.Audit != nil {
 		go n.Audit.Run(ctx)
 	}
@@ -169,10 +169,10 @@
 	if n.Agent == nil {
 		return tick
 	}
-	inForce := &writer.InForce{Writer: n.Audit.Writer}
+	recorder := &writer.RevisionRecorder{Writer: n.Audit.Writer}
 	return func(now time.Time) {
 		n.Agent.Tick(now)
-		inForce.Observe(now, n.Agent.View())
+		recorder.Observe(now, n.Agent.View())
 		tick(now)
 	}
 }
--- a/internal/node/daemon/frame.go
+++ b/internal/node/daemon/runtime.go
@@ -15,8 +15,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/tracing"
 )
 
-// FrameOptions are the settings that all daemons have.
-type FrameOptions struct {
+// RuntimeOptions are the settings that all daemons have.
+type RuntimeOptions struct {
 	// Process is the program's name, for traces.
 	Process string
 	Log     logging.Options
@@ -26,8 +26,8 @@
 	Node NodeOptions
 }
 
-// Frame is what surrounds a daemon's own part: logger, tracer and node.
-type Frame struct {
+// Runtime is what surrounds a daemon's own part: logger, tracer and node.
+type Runtime struct {
 	Logger log.Logger
 	Tracer *tracing.Tracer
 	Node   *Node
@@ -42,8 +42,8 @@
 	Kill()
 }
 
-// Open sets up a frame; nothing runs before Serve.
-func Open(ctx context.Context, o FrameOptions) (*Frame, error) {
+// Open sets up a Runtime; nothing runs before Serve.
+func Open(ctx context.Context, o RuntimeOptions) (*Runtime, error) {
 	logger := logging.New(os.Stderr, o.Log)
 	tracer, err := tracing.New(ctx, o.Process, o.Tracing)
 	if err != nil {
@@ -55,24 +55,24 @@
 	}
 	o.Node.Keys = source
 	o.Node.Logger = logger
-	return &Frame{Logger: logger, Tracer: tracer, Node: NewNode(o.Node)}, nil
+	return &Runtime{Logger: logger, Tracer: tracer, Node: NewNode(o.Node)}, nil
 }
 
 // Serve runs the part, with tick on the control loop, until ctx ends, and then shuts down in order within grace: the
 // part first, so that nothing in flight is cut off, then the node's membership, so that no change waits for it.
-func (f *Frame) Serve(ctx context.Context, p Part, tick func(now time.Time), grace time.Duration) error {
-	if err := f.Node.Run(p.Metrics(), tick); err != nil {
+func (r *Runtime) Serve(ctx context.Context, p Part, tick func(now time.Time), grace time.Duration) error {
+	if err := r.Node.Run(p.Metrics(), tick); err != nil {
 		p.Kill()
 		return fmt.Errorf("start: %w", err)
 	}
-	defer f.Node.Stop()
+	defer r.Node.Stop()
 	<-ctx.Done()
-	_ = level.Info(f.Logger).Log("msg", "shutting down")
+	_ = level.Info(r.Logger).Log("msg", "shutting down")
 	limit, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
 	err := p.Shutdown(limit)
-	f.Node.Leave(limit)
-	if closeErr := f.Tracer.Close(limit); err == nil {
+	r.Node.Leave(limit)
+	if closeErr := r.Tracer.Close(limit); err == nil {
 		err = closeErr
 	}
 	if err != nil {
--- a/internal/node/daemon/slotmain/slotmain.go
+++ b/internal/node/daemon/slotmain/slotmain.go
@@ -41,7 +41,7 @@
 		return err
 	}
 	set := checked.(*slot.Settings)
-	f, err := daemon.Open(ctx, daemon.FrameOptions{
+	r, err := daemon.Open(ctx, daemon.RuntimeOptions{
 		Process: "cardamomyoke-slot", Log: set.Log, Tracing: set.Tracing, TLS: set.TLS,
 		Node: daemon.NodeOptions{
 			Self: &revision.Member{
@@ -62,10 +62,10 @@
 	if err != nil {
 		return err
 	}
-	n := f.Node
+	n := r.Node
 	s, err := slot.Start(set, slot.Deps{
 		Config: n.Config, Incarnation: n.Incarnation, Roster: n.Roster, Table: n.Platform,
-		Logger: f.Logger, Tracer: f.Tracer,
+		Logger: r.Logger, Tracer: r.Tracer,
 	})
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
@@ -73,9 +73,9 @@
 	if set.Group.Name != "" {
 		groupCtx, stop := context.WithCancel(context.Background())
 		defer stop()
-		joinGroup(groupCtx, set, n, f.Logger)
+		joinGroup(groupCtx, set, n, r.Logger)
 	}
-	return f.Serve(ctx, s, func(time.Time) {}, o.Grace)
+	return r.Serve(ctx, s, func(time.Time) {}, o.Grace)
 }
 
 // joinGroup runs the rank's part of the map switch and answers for its reports.
--- a/internal/node/entry/audit_test.go
+++ b/internal/node/entry/audit_test.go
@@ -14,7 +14,7 @@
 // step to a refusal is recorded, once, with its end and the client.
 func TestRefusalsAreRecordedOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	k := quarantine.NewKeeper(nil, quarantine.Rules{Period: time.Minute}, quarantine.DefaultKeeperOptions())
+	p := quarantine.NewPersistentTracker(nil, quarantine.Rules{Period: time.Minute}, quarantine.DefaultPersistentTrackerOptions())
 	poison := quarantine.Running{Fingerprint: quarantine.FingerprintOf("azteca", sha256.Sum256([]byte("x"))), Client: "azteca"}
 	other := quarantine.Running{Fingerprint: quarantine.FingerprintOf("norte", sha256.Sum256([]byte("y"))), Client: "norte"}
 	var got []*audit.Row
@@ -23,9 +23,9 @@
 		{ID: 2, At: now, Ran: []quarantine.Running{poison}, Probe: true},
 		{ID: 2, At: now, Ran: []quarantine.Running{poison}, Probe: true},
 	} {
-		before := k.Snapshot()
-		k.Merge(now, c.Suspects()...)
-		got = append(got, refusals(now, before, k.Snapshot(), c.Suspects())...)
+		before := p.Snapshot()
+		p.Merge(now, c.Suspects()...)
+		got = append(got, refusals(now, before, p.Snapshot(), c.Suspects())...)
 	}
 	if len(got) != 1 {
 		t.Fatalf("rows %v", got)
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -52,7 +52,7 @@
 	metrics     *entryMetrics
 	client      *httpclient.Client
 	limits      *limits.Limiter
-	quarantine  *quarantine.Keeper
+	quarantine  *quarantine.PersistentTracker
 	sequence    atomic.Uint64
 	view        atomic.Pointer[view]
 	// withdrawn is set once callers are no longer sent here.
@@ -80,11 +80,11 @@
 	defaultQuarantine = 10 * time.Minute
 	// digestSuspects is how many suspects one digest carries; more would not fit its datagram.
 	digestSuspects = 4
-	// tickEvery is how often the control loop judges health.
-	tickEvery = 25 * time.Millisecond
-	// viewEvery is how often it builds a view without a change that cannot wait. Digests come every 250 ms or more, and
+	// tickInterval is how often the control loop judges health.
+	tickInterval = 25 * time.Millisecond
+	// viewInterval is how often it builds a view without a change that cannot wait. Digests come every 250 ms or more, and
 	// building a view at each tick would take most of the processor time that control may have.
-	viewEvery = 100 * time.Millisecond
+	viewInterval = 100 * time.Millisecond
 )
 
 // Events and actions of the entry chart.
@@ -124,7 +124,7 @@
 	if e.loop == nil {
 		e.loop = control.New()
 	}
-	e.quarantine = quarantine.NewKeeper(d.Table, quarantine.Rules{Period: defaultQuarantine}, quarantine.DefaultKeeperOptions())
+	e.quarantine = quarantine.NewPersistentTracker(d.Table, quarantine.Rules{Period: defaultQuarantine}, quarantine.DefaultPersistentTrackerOptions())
 	e.state = newState(set, d.Config, e.limits, e.logger, now)
 	if d.Audit != nil {
 		e.state.record = d.Audit
@@ -139,7 +139,7 @@
 		go e.quarantine.Run(ctx)
 	}
 	if d.Loop == nil {
-		go e.loop.Run(ctx, tickEvery, e.Tick)
+		go e.loop.Run(ctx, tickInterval, e.Tick)
 	}
 	_ = level.Info(e.logger).Log("msg", "entry listens", "http", set.HTTP.Address, "incarnation", e.incarnation)
 	return e, nil
@@ -254,10 +254,10 @@
 	}
 }
 
-// viewDue reports whether the view must be built anew: for a change that requests must see at once, else each viewEvery.
+// viewDue reports whether the view must be built anew: for a change that requests must see at once, else each viewInterval.
 func (e *Entry) viewDue(now time.Time) bool {
 	changed := e.view.Load().config != e.state.snapshot || e.life.State() != e.viewLife
-	return changed || now.Sub(e.viewAt) >= viewEvery
+	return changed || now.Sub(e.viewAt) >= viewInterval
 }
 
 func (e *Entry) publish(now time.Time) {
@@ -268,7 +268,7 @@
 
 // sendDigests tells those who are due, or everybody at once if there is news that cannot wait.
 func (e *Entry) sendDigests(now time.Time, all bool) {
-	due := e.state.members.Due(e.settings.Digests.Seeds, now, all)
+	due := e.state.members.DueTargets(e.settings.Digests.Seeds, now, all)
 	if len(due) == 0 {
 		return
 	}
--- a/internal/node/entry/forward.go
+++ b/internal/node/entry/forward.go
@@ -77,30 +77,30 @@
 
 // send sends the attempt and returns the slot's answer, which is neither a refusal nor another attempt's. The caller
 // must release it. Errors: *failure.Error.
-func (e *Entry) send(ctx context.Context, t *try) (*httpclient.Answer, error) {
+func (e *Entry) send(ctx context.Context, t *try) (*httpclient.Response, error) {
 	req := t.request()
-	answer, err := e.client.Do(ctx, t.to.Address, req)
+	res, err := e.client.Do(ctx, t.to.Address, req)
 	fasthttp.ReleaseRequest(req) // it is written in full, or given up
 	if err != nil {
 		return nil, e.lost(ctx, t, err)
 	}
-	if got := string(answer.Header.Peek(attempt.HeaderAttempt)); got != t.id.String() {
-		defer answer.Release(false)
-		return nil, e.foreign(answer, t, got)
+	if got := string(res.Header.Peek(attempt.HeaderAttempt)); got != t.id.String() {
+		defer res.Release(false)
+		return nil, e.foreign(res, t, got)
 	}
-	if code := answer.Header.Peek(httpserver.HeaderFailure); len(code) > 0 {
-		f := readFailure(answer)
-		answer.Release(true)
+	if code := res.Header.Peek(httpserver.HeaderFailure); len(code) > 0 {
+		f := readFailure(res)
+		res.Release(true)
 		return nil, f
 	}
-	return answer, nil
+	return res, nil
 }
 
 // foreign judges an answer without the attempt's id: either the slot could not read the attempt, or the answer is
 // another's. The latter is dropped with its connection; what became of the attempt is then not known.
-func (e *Entry) foreign(answer *httpclient.Answer, t *try, got string) error {
-	if got == "" && answer.Header.StatusCode() >= fasthttp.StatusBadRequest {
-		return readFailure(answer)
+func (e *Entry) foreign(res *httpclient.Response, t *try, got string) error {
+	if got == "" && res.Header.StatusCode() >= fasthttp.StatusBadRequest {
+		return readFailure(res)
 	}
 	e.metrics.mismatches.Inc()
 	return failure.New(failure.CodeUpstreamFailed, &attempt.MismatchError{Attempt: t.id, Want: "its own id", Got: got})
@@ -108,8 +108,8 @@
 
 // readFailure reads a slot's typed refusal. Only what the slot says in full is believed: an unknown code or a refusal
 // without its proof counts as a failure after the start.
-func readFailure(answer *httpclient.Answer) *failure.Error {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxFailureBytes))
+func readFailure(res *httpclient.Response) *failure.Error {
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxFailureBytes))
 	if err != nil {
 		return failure.New(failure.CodeUpstreamFailed, err)
 	}
@@ -162,13 +162,13 @@
 	req.Header.SetHost("slot")
 	req.Header.Set(attempt.HeaderAttempt, t.id.String())
 	req.Header.Set(attempt.HeaderIncarnation, string(t.header.Incarnation))
-	answer, err := e.client.Do(ctx, t.to.Address, req)
+	res, err := e.client.Do(ctx, t.to.Address, req)
 	if err != nil {
 		return false
 	}
-	own := string(answer.Header.Peek(attempt.HeaderAttempt)) == t.id.String()
-	promised := own && answer.Header.StatusCode() == fasthttp.StatusOK
-	_, err = io.Copy(io.Discard, answer.Body)
-	answer.Release(own && err == nil)
+	own := string(res.Header.Peek(attempt.HeaderAttempt)) == t.id.String()
+	promised := own && res.Header.StatusCode() == fasthttp.StatusOK
+	_, err = io.Copy(io.Discard, res.Body)
+	res.Release(own && err == nil)
 	return promised
 }
--- a/internal/node/entry/handler.go
+++ b/internal/node/entry/handler.go
@@ -78,7 +78,7 @@
 	err = e.admitAndRun(ctx, x, r)
 	span.End(err)
 	e.metrics.answered(r.service.GetName(), err)
-	if err != nil && !x.Answered() {
+	if err != nil && !x.Responded() {
 		x.Fail(failure.From(err), httpserver.Header{Name: headerRequest, Value: r.id})
 	}
 }
@@ -97,11 +97,11 @@
 // admitAndRun waits for the request's place and runs it.
 func (e *Entry) admitAndRun(ctx context.Context, x *httpserver.Exchange, r *request) error {
 	tokens := float64(r.promptTokens + r.outputTokens)
-	if err := e.limits.Take(r.client, tokens, time.Now()); err != nil {
+	if err := e.limits.Consume(r.client, tokens, time.Now()); err != nil {
 		return err
 	}
 	p := e.view.Load().pools[ids.Service(r.service.GetName())]
-	ticket := p.gate.Offer(admission.Request{
+	ticket := p.gate.Submit(admission.Request{
 		ID:       e.sequence.Add(1),
 		Client:   r.client,
 		Class:    r.service.GetClass(),
@@ -111,12 +111,12 @@
 	}, time.Now())
 	defer func() { ticket.Done(tokens, time.Now()) }()
 	select {
-	case <-ticket.Settled():
+	case <-ticket.Decided():
 	case <-ctx.Done():
 		return failure.New(failure.CodeDeadlineUnmet, ctx.Err())
 	}
 	if err := ticket.Err(); err != nil {
-		e.limits.Settle(r.client, -tokens)
+		e.limits.Adjust(r.client, -tokens)
 		return err
 	}
 	return e.attempts(ctx, x, r, p)
@@ -132,7 +132,7 @@
 		if err == nil {
 			return nil
 		}
-		var gone *httpserver.GoneError
+		var gone *httpserver.ConnectionClosedError
 		if errors.As(err, &gone) {
 			return failure.New(failure.CodeCancelled, err)
 		}
@@ -186,7 +186,7 @@
 		level = max(level, quarantine.Suspected)
 	}
 	if level > quarantine.Clear {
-		exclude = p.allBut(quarantine.Home(r.print, p.usable(exclude)))
+		exclude = p.allBut(quarantine.AssignedUpstream(r.print, p.usable(exclude)))
 	}
 	r.suspicion = int(level)
 	choice, err := p.picker.Pick(&routing.Request{
--- a/internal/node/entry/model.go
+++ b/internal/node/entry/model.go
@@ -41,17 +41,17 @@
 	}
 	t := e.newTry(m.r, v, c, body, m.tokens, trace)
 	defer t.flight.End()
-	answer, err := e.send(ctx, t)
+	res, err := e.send(ctx, t)
 	if err != nil {
 		return err
 	}
-	f := attempt.NewFollower(t.id, m.tokens, answer.Body)
+	f := attempt.NewFollower(t.id, m.tokens, res.Body)
 	if err := e.follow(ctx, t, m, f); err != nil {
-		answer.Release(false)
+		res.Release(false)
 		return err
 	}
 	// The last event makes the answer whole, whatever becomes of the connection after it.
-	answer.Release(ended(f))
+	res.Release(ended(f))
 	c.Upstream.Cached.Add(m.r.blocks...)
 	return nil
 }
@@ -77,7 +77,7 @@
 	return body, nil
 }
 
-// follow delivers the tokens of one attempt. Errors: *failure.Error, *httpserver.GoneError.
+// follow delivers the tokens of one attempt. Errors: *failure.Error, *httpserver.ConnectionClosedError.
 func (e *Entry) follow(ctx context.Context, t *try, m *modelAnswer, f *attempt.Follower) error {
 	for {
 		event, err := f.Next()
--- a/internal/node/entry/plain.go
+++ b/internal/node/entry/plain.go
@@ -20,17 +20,17 @@
 func (e *Entry) tryPlain(ctx context.Context, v *view, c routing.Choice, r *request, trace string) (*plainAnswer, error) {
 	t := e.newTry(r, v, c, r.body, 0, trace)
 	defer t.flight.End()
-	answer, err := e.send(ctx, t)
+	res, err := e.send(ctx, t)
 	if err != nil {
 		return nil, err
 	}
-	body, err := io.ReadAll(answer.Body)
+	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		answer.Release(false)
+		res.Release(false)
 		return nil, failure.New(afterEnd(ctx), err)
 	}
-	out := &plainAnswer{answer.Header.StatusCode(), string(answer.Header.ContentType()), body}
-	answer.Release(true)
+	out := &plainAnswer{res.Header.StatusCode(), string(res.Header.ContentType()), body}
+	res.Release(true)
 	return out, nil
 }
 
--- a/internal/node/entry/state.go
+++ b/internal/node/entry/state.go
@@ -33,7 +33,7 @@
 	record    func(now time.Time, r *audit.Row)
 	tracker   *health.Tracker
 	upstreams map[ids.Upstream]*upstream
-	members   *membership.Table
+	members   *membership.MemberList
 	roster    *revision.Roster
 	pools     map[ids.Service]*pool
 	snapshot  *config.Snapshot
@@ -79,7 +79,7 @@
 
 // hear takes in a digest and reports whether it is news: a late or doubled one is dropped.
 func (s *state) hear(d *cardamomyokev1.Digest, now time.Time) bool {
-	news := s.members.Hear(d, now)
+	news := s.members.Receive(d, now)
 	if news && d.GetRole() == cardamomyokev1.NodeRole_NODE_ROLE_SLOT {
 		s.hearSlot(d, now)
 	}
@@ -145,7 +145,7 @@
 // tick judges health and forgets who is long silent. With more entries to tell, slots report more rarely, so the time
 // after which one is silent follows; a fixed one would eject healthy upstreams of a large deployment.
 func (s *state) tick(now time.Time) {
-	every := s.members.SlotEvery()
+	every := s.members.SlotInterval()
 	s.tracker.SetSilentAfter(max(health.Defaults().SilentAfter, time.Duration(missingReports*float64(every))))
 	for _, c := range s.tracker.Evaluate(now) {
 		_ = level.Info(s.logger).Log("msg", "upstream changed", "upstream", c.Upstream, "from", c.From, "to", c.To, "reason", c.Reason)
@@ -215,7 +215,7 @@
 }
 
 func (s *state) queueOptions() admission.Options {
-	o := admission.Options{Reserve: admission.DefaultReserve, MostWait: admission.DefaultMostWait, Share: s.weight}
+	o := admission.Options{Reserve: admission.DefaultReserve, MaxWait: admission.DefaultMaxWait, Share: s.weight}
 	for _, c := range s.snapshot.Proto.GetClasses() {
 		o.Classes = append(o.Classes, admission.Class{
 			Name: c.GetName(), Rank: int(c.GetRank()), QueueLimit: int(c.GetQueueLimit()),
@@ -301,13 +301,13 @@
 	return sum / float64(n)
 }
 
-// leastPart keeps the weight of a client above 0 where next to none of its demand was seen.
-const leastPart = 0.01
+// minPart keeps the weight of a client above 0 where next to none of its demand was seen.
+const minPart = 0.01
 
 // weight is a client's share times the part of its demand that comes to this entry, so that it gets its share over all
 // entries and not at each.
 func (s *state) weight(c ids.Client) float64 {
-	return s.share(c) * max(leastPart, s.limits.Part(c, time.Now()))
+	return s.share(c) * max(minPart, s.limits.Part(c, time.Now()))
 }
 
 // share is a client's share by the configuration in force.
--- a/internal/node/entry/usage.go
+++ b/internal/node/entry/usage.go
@@ -12,12 +12,12 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/admission/limits"
 )
 
-// usageEvery is the time between two reports of what clients ask for.
-const usageEvery = time.Second
+// usageInterval is the time between two reports of what clients ask for.
+const usageInterval = time.Second
 
 // tellUsage reports the clients' demand here to the entries that add it up. It runs on the control loop.
 func (e *Entry) tellUsage(now time.Time) {
-	if now.Sub(e.usageAt) < usageEvery {
+	if now.Sub(e.usageAt) < usageInterval {
 		return
 	}
 	e.usageAt = now
@@ -35,12 +35,12 @@
 // hearUsage takes in another entry's demand and answers with the sums, or takes in such an answer.
 func (e *Entry) hearUsage(d *cardamomyokev1.Digest, now time.Time) {
 	if d.GetSums() != nil {
-		e.limits.Learn(e.clientNames.Decode(d.GetSums()), now)
+		e.limits.MergeSums(e.clientNames.Decode(d.GetSums()), now)
 	}
 	if d.GetUsage() == nil {
 		return
 	}
-	sums := e.limits.Gather(ids.Node(d.GetNode()), e.clientNames.Decode(d.GetUsage()), now)
+	sums := e.limits.MergeReport(ids.Node(d.GetNode()), e.clientNames.Decode(d.GetUsage()), now)
 	if len(e.state.members.OtherEntries())+1 > limits.FullExchangeUpTo {
 		e.sendUsage(d.GetDigestAddress(), nil, limits.Encode(sums), now)
 	}
--- a/internal/node/gateway/candidates.go
+++ b/internal/node/gateway/candidates.go
@@ -20,20 +20,20 @@
 	// standbys is how many gateways have a number ready, so that one may lead at once although the store is away: the leader
 	// is one of them, and others may end before the store is back.
 	standbys = 5
-	// drawEvery is the most time between two tries to draw a number ahead, drawTimeout bounds one.
-	drawEvery   = 500 * time.Millisecond
-	drawTimeout = 2 * time.Second
+	// allocateInterval is the most time between two tries to draw a number ahead, allocateTimeout bounds one.
+	allocateInterval = 500 * time.Millisecond
+	allocateTimeout  = 2 * time.Second
 )
 
 // rivals is what this gateway knows of itself and others that may lead.
 func (e *experts) rivals(now time.Time, c candidates) rivals {
 	r := rivals{
 		Ready:      e.g.control.node == stateReady,
-		Seen:       e.leases.SeenOfOthers(expertsDuty),
-		Unanswered: e.leases.Unanswered(now, expertsDuty),
+		Seen:       e.leases.NewestFenceOfOthers(expertsDuty),
+		PendingFor: e.leases.PendingFor(now, expertsDuty),
 		Place:      e.place(c),
 	}
-	if held := e.leases.Held(expertsDuty); held.At(now) {
+	if held := e.leases.Held(expertsDuty); held.ValidAt(now) {
 		r.Held = held.Fence
 	}
 	for _, p := range e.g.peers.live(now) {
@@ -107,33 +107,33 @@
 	return slices.Contains(c.names[:min(standbys, len(c.names))], e.g.Settings().Name)
 }
 
-// drawDue spreads the draws of numbers that are not needed yet: of those drawn at one moment only the last can be used.
-func (e *experts) drawDue(now time.Time) bool {
-	first := e.drawAt.IsZero()
-	if !first && now.Before(e.drawAt) {
+// allocateDue spreads the draws of numbers that are not needed yet: of those drawn at one moment only the last can be used.
+func (e *experts) allocateDue(now time.Time) bool {
+	first := e.allocateAt.IsZero()
+	if !first && now.Before(e.allocateAt) {
 		return false
 	}
-	e.drawAt = now.Add(rand.N(drawEvery))
+	e.allocateAt = now.Add(rand.N(allocateInterval))
 	return !first
 }
 
-// draw gets a number from the store, one call at a time.
-func (e *experts) draw() {
-	if e.drawing {
+// allocateFence gets a number from the store, one call at a time.
+func (e *experts) allocateFence() {
+	if e.allocating {
 		return
 	}
-	e.drawing = true
+	e.allocating = true
 	go func() {
-		ctx, cancel := context.WithTimeout(e.ctx, drawTimeout)
+		ctx, cancel := context.WithTimeout(e.ctx, allocateTimeout)
 		defer cancel()
-		n, err := keeper.Draw(ctx, e.table, expertsDuty)
+		n, err := keeper.AllocateFence(ctx, e.table, expertsDuty)
 		e.g.loop.Post(func(time.Time) {
-			e.drawing = false
+			e.allocating = false
 			if err != nil {
 				_ = level.Info(e.g.logger).Log("msg", "no number drawn", "duty", expertsDuty, "err", err)
 				return
 			}
-			e.leading.drawn(n)
+			e.leading.allocated(n)
 		})
 	}()
 }
--- a/internal/node/gateway/dialect.go
+++ b/internal/node/gateway/dialect.go
@@ -26,8 +26,8 @@
 	PromptTokens, MaxOutputTokens, OutputHint int
 }
 
-// Leg is what the gateway tells an upstream.
-type Leg struct {
+// UpstreamHeader is what the gateway tells an upstream.
+type UpstreamHeader struct {
 	Upstream  ids.Upstream
 	Client    ids.Client
 	Remaining time.Duration
@@ -60,8 +60,8 @@
 type Dialect interface {
 	// ReadCall decodes a caller's header. An error means that a field cannot be read.
 	ReadCall(h *fasthttp.RequestHeader) (Call, error)
-	// WriteLeg turns a copy of the caller's header into that of a request to an upstream.
-	WriteLeg(h *fasthttp.RequestHeader, l Leg)
+	// WriteUpstreamHeader turns a copy of the caller's header into that of a request to an upstream.
+	WriteUpstreamHeader(h *fasthttp.RequestHeader, u UpstreamHeader)
 	// ReadReply decodes an upstream's header.
 	ReadReply(h *fasthttp.ResponseHeader) Reply
 	// AttemptHeader is the field that carries an attempt's id in answers.
--- a/internal/node/gateway/experts.go
+++ b/internal/node/gateway/experts.go
@@ -25,46 +25,46 @@
 	// leaseLength is renewed three times. A gateway that is not heard is replaced much sooner; this bounds how long one
 	// goes on that is heard but cannot reach the store, and another can.
 	leaseLength = 3 * time.Second
-	// lookEvery is the period in which the leader looks at a group, a few passes; demandHalf is the half-life of the estimated
+	// pollInterval is the period in which the leader looks at a group, a few passes; demandHalf is the half-life of the estimated
 	// demand.
 	//
 	// Until the map follows a shift of demand, passes take longer than callers accept, and each stream is late by one of them.
 	// Looking more often costs in copies what it gains in passes.
-	lookEvery  = 250 * time.Millisecond
-	demandHalf = 300 * time.Millisecond
+	pollInterval = 250 * time.Millisecond
+	demandHalf   = 300 * time.Millisecond
 	// sampledRanks is how many ranks' counts are read each time; reading from afar makes the group pause.
 	sampledRanks = 4
-	// sampledNear is the same where each rank has an agent beside it. The group does not pause for it, but each reading has
+	// sampledLocal is the same where each rank has an agent beside it. The group does not pause for it, but each reading has
 	// some KB of the leader's link.
-	sampledNear = 24
+	sampledLocal = 24
 )
 
 // experts places the experts of groups while this gateway holds the duty.
 type experts struct {
 	g      *Gateway
 	ctx    context.Context
-	ranks  lockstep.Ranks
-	leases *keeper.Keeper
+	ranks  lockstep.RankClient
+	leases *keeper.Manager
 	table  platform.Table
-	// number is what this gateway leads under, for the conductors; 0 while it does not lead.
+	// number is what this gateway leads under, for the controllers; 0 while it does not lead.
 	number atomic.Uint64
 	// next says that this gateway is one of those that lead next.
 	next atomic.Bool
-	// slow are the ranks that are slower than usual, by service and group, as the conductors read them last.
+	// slow are the ranks that are slower than usual, by service and group, as the controllers read them last.
 	slow sync.Map // string → []*cardamomyokev1.UpstreamPace
-	// The rest belongs to the control loop. drawing says that a number is being drawn, drawAt from when on the next may be.
-	leading leadership
-	drawing bool
-	drawAt  time.Time
-	running map[ids.Service]*lockstep.Running
+	// The rest belongs to the control loop. allocating says that a number is being drawn, allocateAt from when on the next may be.
+	leading    leadership
+	allocating bool
+	allocateAt time.Time
+	running    map[ids.Service]*lockstep.Running
 }
 
-func newExperts(ctx context.Context, g *Gateway, ranks lockstep.Ranks, table platform.Table) *experts {
+func newExperts(ctx context.Context, g *Gateway, client lockstep.RankClient, table platform.Table) *experts {
 	return &experts{
-		g: g, ctx: ctx, ranks: ranks, table: table, running: map[ids.Service]*lockstep.Running{},
+		g: g, ctx: ctx, ranks: client, table: table, running: map[ids.Service]*lockstep.Running{},
 		leases: keeper.New(keeper.Config{
 			Name: g.Settings().Name, Incarnation: g.incarnation, Length: leaseLength, Table: table, Loop: g.loop,
-			Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Logger: g.logger, Ended: g.peers.ended,
+			Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Logger: g.logger, HolderDead: g.peers.ended,
 		}),
 	}
 }
@@ -74,13 +74,13 @@
 	e.follow()
 	c := e.candidates(now)
 	known := e.rivals(now, c)
-	e.leases.Want(now, expertsDuty, e.wanted(now, known))
+	e.leases.SetWanted(now, expertsDuty, e.wanted(now, known))
 	e.leases.Tick(now)
 	number, draw := e.leading.decide(now, known)
 	next := e.mayLead(now, c)
 	e.next.Store(next)
-	if draw || next && e.wantsSpare() && e.drawDue(now) {
-		e.draw()
+	if draw || next && e.wantsSpare() && e.allocateDue(now) {
+		e.allocateFence()
 	}
 	if e.number.Swap(uint64(number)) == uint64(number) {
 		return
@@ -94,7 +94,7 @@
 
 func (e *experts) anyGroup() bool { return len(e.running) > 0 }
 
-// follow runs a conductor for each service whose upstreams are ranks of a group.
+// follow runs a controller for each service whose upstreams are ranks of a group.
 func (e *experts) follow() {
 	if e.g.control.config == nil {
 		return
@@ -104,7 +104,7 @@
 		c := e.running[name]
 		switch {
 		case grouped && c == nil:
-			e.running[name] = e.conduct(name)
+			e.running[name] = e.startController(name)
 		case !grouped && c != nil:
 			c.Stop()
 			delete(e.running, name)
@@ -112,16 +112,16 @@
 	}
 }
 
-func (e *experts) conduct(name ids.Service) *lockstep.Running {
-	o := lockstep.ConductorOptions{
-		Ranks:   e.ranks,
-		Logger:  log.With(e.g.logger, "service", name),
-		Group:   func() *lockstep.Group { return e.group(name) },
-		Fence:   func() ids.Fence { return ids.Fence(e.number.Load()) },
-		Standby: e.next.Load,
-		Period:  lookEvery,
-		Half:    demandHalf,
-		Sample:  sampledRanks, SampleNear: sampledNear,
+func (e *experts) startController(name ids.Service) *lockstep.Running {
+	o := lockstep.ControllerOptions{
+		RankClient: e.ranks,
+		Logger:     log.With(e.g.logger, "service", name),
+		Group:      func() *lockstep.Group { return e.group(name) },
+		Fence:      func() ids.Fence { return ids.Fence(e.number.Load()) },
+		Standby:    e.next.Load,
+		Period:     pollInterval,
+		Half:       demandHalf,
+		Sample:     sampledRanks, SampleLocal: sampledLocal,
 		Policy: lockstep.DefaultOptions(),
 		Read: func(upstreams []*catalog.Upstream, reports []lockstep.Report) {
 			e.notePaces(string(name)+"/"+reports[0].Group, upstreams, reports)
@@ -133,7 +133,7 @@
 	}
 	return lockstep.Start(e.ctx, func(ctx context.Context, wake <-chan struct{}) {
 		o.Wake = wake
-		lockstep.NewFleet(o).Run(ctx)
+		lockstep.NewServiceController(o).Run(ctx)
 	})
 }
 
@@ -157,7 +157,7 @@
 // paceOf returns an upstream's pace among slow ones; 0 if it is none of them.
 func paceOf(slow []*cardamomyokev1.UpstreamPace, u *catalog.Upstream) float64 {
 	for _, s := range slow {
-		if s.GetUpstream() == hashOf(u.Life()) {
+		if s.GetUpstream() == hashOf(u.Incarnation()) {
 			return s.GetPace()
 		}
 	}
@@ -168,7 +168,7 @@
 	var slow []*cardamomyokev1.UpstreamPace
 	for rank, u := range upstreams {
 		if pace := reports[rank].Pace; pace >= slowPace {
-			slow = append(slow, &cardamomyokev1.UpstreamPace{Upstream: hashOf(u.Life()), Pace: pace})
+			slow = append(slow, &cardamomyokev1.UpstreamPace{Upstream: hashOf(u.Incarnation()), Pace: pace})
 		}
 	}
 	return slow
--- a/internal/node/gateway/following_test.go
+++ b/internal/node/gateway/following_test.go
@@ -26,8 +26,8 @@
 const (
 	// shiftPass is a usual pass, and shiftCounts what is chosen in it of one set.
 	shiftPass, shiftCounts = 70 * time.Millisecond, 8000
-	// shiftEvery is the time between two shifts, shiftSwitch how long a switch takes.
-	shiftEvery, shiftSwitch = 4 * time.Second, 130 * time.Millisecond
+	// shiftInterval is the time between two shifts, shiftSwitch how long a switch takes.
+	shiftInterval, shiftSwitch = 4 * time.Second, 130 * time.Millisecond
 )
 
 // skewedDemand draws a demand in which a few experts of each set have most.
@@ -75,7 +75,7 @@
 	sum, passes := 0.0, 0
 	for now := time.Duration(0); now < 40*time.Second; now += shiftPass {
 		if now >= shiftAt {
-			demand, shiftAt = g.skewedDemand(rng), shiftAt+shiftEvery
+			demand, shiftAt = g.skewedDemand(rng), shiftAt+shiftInterval
 		}
 		if next != nil && now >= nextAt {
 			placement, next = next, nil
@@ -114,7 +114,7 @@
 	var copiesWere, copiesAre int
 	for seed := range uint64(10) {
 		a, n := fewRanks.follow(seed, 500*time.Millisecond, 500*time.Millisecond, lockstep.DefaultOptions())
-		b, m := fewRanks.follow(seed, lookEvery, demandHalf, lockstep.DefaultOptions())
+		b, m := fewRanks.follow(seed, pollInterval, demandHalf, lockstep.DefaultOptions())
 		was, is, copiesWere, copiesAre = was+a/10, is+b/10, copiesWere+n, copiesAre+m
 	}
 	t.Logf("mean skew %.3f, was %.3f; copies %d, were %d", is, was, copiesAre, copiesWere)
@@ -130,8 +130,8 @@
 	const onePrice = 6.1
 	before := lockstep.DefaultOptions()
 	before.CopyPrice = onePrice * manyRanks.part
-	was, copiesWere := manyRanks.follow(0, lookEvery, demandHalf, before)
-	is, copiesAre := manyRanks.follow(0, lookEvery, demandHalf, lockstep.DefaultOptions())
+	was, copiesWere := manyRanks.follow(0, pollInterval, demandHalf, before)
+	is, copiesAre := manyRanks.follow(0, pollInterval, demandHalf, lockstep.DefaultOptions())
 	t.Logf("mean skew %.3f, was %.3f; copies %d, were %d", is, was, copiesAre, copiesWere)
 	// What skew is above 1 makes passes longer: a tenth of it less is more than two estimates of one demand differ by.
 	if is-1 > 0.9*(was-1) {
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	// tickEvery is the period of the control loop: it bounds how long a waiting request overstays its time.
-	tickEvery = 50 * time.Millisecond
+	// tickInterval is the period of the control loop: it bounds how long a waiting request overstays its time.
+	tickInterval = 50 * time.Millisecond
 	// dialTimeout is some times the longest way to an upstream and back; a host that is dead answers never.
 	dialTimeout = 250 * time.Millisecond
 	// upstreamIdle is how long idle connections to upstreams are kept, unless they say less themselves.
@@ -44,7 +44,7 @@
 type Deps struct {
 	Feed    platform.Feed
 	Table   platform.Table
-	Ranks   lockstep.Ranks
+	Ranks   lockstep.RankClient
 	Dialect Dialect
 	Decoder Decoder
 	Logger  log.Logger
@@ -60,7 +60,7 @@
 	logger      log.Logger
 	requests    *requestLogs
 	starting    *starting
-	pulse       steady.Pulse
+	pauses      steady.PauseDetector
 	incarnation ids.Incarnation
 	loop        *control.Loop
 	metrics     *gatewayMetrics
@@ -77,7 +77,7 @@
 	moves     *moves
 
 	servers struct{ callers, directory, readiness *httpserver.Server }
-	ranks   lockstep.Ranks
+	ranks   lockstep.RankClient
 	ctx     context.Context
 	cancel  context.CancelFunc
 	// control is what the control loop owns.
@@ -107,7 +107,7 @@
 		metrics:     newMetrics(),
 		moves:       newMoves(),
 		starting:    newStarting(),
-		tracer:      cmp.Or(d.Tracer, tracing.Off()),
+		tracer:      cmp.Or(d.Tracer, tracing.Disabled()),
 		ranks:       d.Ranks,
 		ctx:         ctx,
 		cancel:      cancel,
@@ -137,25 +137,25 @@
 	for _, f := range g.followers {
 		go f.Run(ctx)
 	}
-	go g.loop.Run(ctx, tickEvery, g.tick)
+	go g.loop.Run(ctx, tickInterval, g.tick)
 	_ = level.Info(g.logger).Log("msg", "started", "incarnation", g.incarnation, "callers", set.Listen.Callers, "store", set.Store)
 	return g, nil
 }
 
 func (g *Gateway) follower(feed platform.Feed, table string) *replica.Follower {
-	copied := replica.NewTable(table)
+	copied := replica.NewReplica(table)
 	return &replica.Follower{
 		Feed:     feed,
-		Table:    copied,
+		Replica:  copied,
 		Sentinel: func() bool { return g.peers.sentinel(time.Now()) },
 		Relayed:  func() bool { return g.peers.relayed(copied, time.Now()) },
-		FollowingChanged: func(t *replica.Table, following bool) {
-			_ = level.Info(g.logger).Log("msg", "store feed", "table", t.Name(), "following", following, "version", t.Newest())
+		FollowingChanged: func(r *replica.Replica, following bool) {
+			_ = level.Info(g.logger).Log("msg", "store feed", "table", r.Name(), "following", following, "version", r.Newest())
 			g.loop.Post(g.peers.announce)
 		},
-		Changed: func(*replica.Table) { g.loop.Post(g.changed) },
-		LinkChanged: func(t *replica.Table, l replica.Link) {
-			g.logStoreLink(t.Name(), l.Up, l.Cause)
+		Changed: func(*replica.Replica) { g.loop.Post(g.changed) },
+		ConnectionChanged: func(r *replica.Replica, c replica.StoreConnection) {
+			g.logStoreLink(r.Name(), c.Up, c.Cause)
 			g.loop.Post(func(now time.Time) {
 				g.publish()
 				g.peers.announce(now)
@@ -196,7 +196,7 @@
 // reload takes over what the copies of the store's tables hold.
 func (g *Gateway) reload(now time.Time) {
 	before := g.control.node
-	config, err := g.decoder.Configuration(g.config.Table.Rows())
+	config, err := g.decoder.Configuration(g.config.Replica.Rows())
 	switch {
 	case err != nil:
 		_ = level.Error(g.logger).Log("msg", "configuration kept", "reason", "the new one cannot be read", "err", err)
@@ -238,17 +238,17 @@
 		upstreams: g.control.upstreams,
 		services:  g.control.services,
 		state:     g.control.node,
-		current:   g.config.Link().Up,
-		linkSince: g.config.Link().Since,
+		current:   g.config.Connection().Up,
+		linkSince: g.config.Connection().Since,
 	})
-	if g.control.config != nil && g.registry.Table.Newest() > 0 {
+	if g.control.config != nil && g.registry.Replica.Newest() > 0 {
 		g.starting.end()
 	}
 }
 
 // tick runs on the control loop.
 func (g *Gateway) tick(now time.Time) {
-	g.pulse.Beat(now)
+	g.pauses.Observe(now)
 	sharing := g.peers.sharing(now)
 	for name, s := range g.control.services {
 		s.gate.SetSharing(sharing)
@@ -261,7 +261,7 @@
 		s.gate.SetOthers(g.peers.work(name, g.control.upstreams, now))
 		g.logEjections(name, s)
 	}
-	g.suspects.keeper.Expire(now)
+	g.suspects.tracker.Expire(now)
 	g.experts.tick(now)
 	g.peers.tick(now)
 }
--- a/internal/node/gateway/groupwatch.go
+++ b/internal/node/gateway/groupwatch.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// watchEvery is how often a group is read that does not work: callers wait for it.
-	watchEvery = 80 * time.Millisecond
+	// watchInterval is how often a group is read that does not work: callers wait for it.
+	watchInterval = 80 * time.Millisecond
 	// staleReport is how long after a refusal a report that is not fresh may still show the group as it was before.
 	staleReport = 300 * time.Millisecond
 	// watchReads is how many ranks are read at once, in case one of them is the one that is gone; surveyReads is the same
@@ -34,7 +34,7 @@
 // groupWatch finds out whether a group works, from the moment that something speaks against it, and closes the
 // service's gate meanwhile.
 type groupWatch struct {
-	ranks  lockstep.Ranks
+	ranks  lockstep.RankClient
 	gate   *dispatch.Gate
 	logger log.Logger
 	// upstreams returns the ranks' upstreams now.
@@ -48,7 +48,7 @@
 	// off reports whether a mechanism is switched off; nil for none.
 	off func(dispatch.Mechanism) bool
 	// ranksWatched are the ranks that are watched one by one.
-	ranksWatched map[ids.Life]bool
+	ranksWatched map[ids.UpstreamIncarnation]bool
 }
 
 // doubt keeps requests from a group until a rank says that it is open; u is the upstream that gave reason to doubt, or nil.
@@ -86,7 +86,7 @@
 	began := time.Now()
 	for !w.opened(ctx, w.look(ctx), reason) {
 		w.gate.SetClosed(true)
-		steady.Sleep(ctx, watchEvery)
+		steady.Sleep(ctx, watchInterval)
 	}
 	_ = level.Info(w.logger).Log("msg", "group closed to requests", "reason", reason, "for", time.Since(began))
 }
@@ -202,7 +202,7 @@
 	case n.service.group == nil || err == nil:
 	case errors.As(err, &refused) && refused.Status != statusOtherInstance:
 		n.service.group.doubt(n.g.ctx, u, "refused")
-	case errors.As(err, &broken) && n.x.Answered():
+	case errors.As(err, &broken) && n.x.Responded():
 		n.service.group.doubt(n.g.ctx, u, "cut off")
 	}
 }
--- a/internal/node/gateway/groupwatch_test.go
+++ b/internal/node/gateway/groupwatch_test.go
@@ -18,7 +18,7 @@
 
 // fakeRanks report the group of each rank; only Report is used.
 type fakeRanks struct {
-	lockstep.Ranks
+	lockstep.RankClient
 	mu   sync.Mutex
 	size int
 	// shut are the ranks whose group is not open.
@@ -46,7 +46,7 @@
 	gate := dispatch.NewGate(dispatch.NewPool(dispatch.Options{Fill: 1, LateFill: 1}, rand.New(rand.NewPCG(1, 2))))
 	gate.SetUpstreams(list)
 	w := &groupWatch{
-		ranks: ranks, gate: gate, logger: log.NewNopLogger(), ranksWatched: map[ids.Life]bool{},
+		ranks: ranks, gate: gate, logger: log.NewNopLogger(), ranksWatched: map[ids.UpstreamIncarnation]bool{},
 		upstreams: func() []*catalog.Upstream { return list },
 	}
 	return w, list
@@ -110,7 +110,7 @@
 func (w *groupWatch) ranksAre(u *catalog.Upstream) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.watching && len(w.ranksWatched) == 1 && w.ranksWatched[u.Life()]
+	return !w.watching && len(w.ranksWatched) == 1 && w.ranksWatched[u.Incarnation()]
 }
 
 // A rank is replaced: the new one is listed beside the old, so that there are more ranks than a group takes, and the only
--- a/internal/node/gateway/handler.go
+++ b/internal/node/gateway/handler.go
@@ -43,7 +43,7 @@
 // serve answers one request of a caller, once.
 func (g *Gateway) serve(ctx context.Context, x *httpserver.Exchange) {
 	now := time.Now()
-	stood := g.pulse.Beat(now)
+	stood := g.pauses.Observe(now)
 	g.awaitStart(ctx, x.Req)
 	v := g.view.Load()
 	ctx, span := g.tracer.Start(ctx, "gateway request", string(x.Req.Header.Peek(tracing.HeaderName)))
@@ -68,7 +68,7 @@
 	run.trace = trace
 	err := run.attempts(ctx)
 	g.answered(run, err)
-	if err != nil && !x.Answered() {
+	if err != nil && !x.Responded() {
 		g.fail(x, r, err)
 	}
 	return err
@@ -123,7 +123,7 @@
 // A node that the store turns away, or that others have told of a newer configuration, may not know a new route yet. Callers
 // take a 404 as final, so it asks them to come back instead.
 func (g *Gateway) missing(v *view, code failure.Code) error {
-	if !v.current || g.peers.behind(g.config.Table, time.Now()) > 0 {
+	if !v.current || g.peers.behind(g.config.Replica, time.Now()) > 0 {
 		return failure.New(failure.CodeStaleRevision, failure.New(code, nil)).WithRetryAfter(unknownRetry)
 	}
 	return failure.New(code, nil)
--- a/internal/node/gateway/joining.go
+++ b/internal/node/gateway/joining.go
@@ -38,7 +38,7 @@
 
 // join asks the gateways of the settings for names while this one is new.
 func (p *peers) join(now time.Time) {
-	if !p.joining(now) || now.Sub(p.askedAt) < joinEvery {
+	if !p.joining(now) || now.Sub(p.askedAt) < joinInterval {
 		return
 	}
 	p.askedAt = now
--- a/internal/node/gateway/leading.go
+++ b/internal/node/gateway/leading.go
@@ -38,8 +38,8 @@
 	Held, Seen ids.Fence
 	// Heard is the highest number under which another gateway says that it leads, 0 if none does.
 	Heard ids.Fence
-	// Unanswered is for how long the store has not answered the present call for the lease.
-	Unanswered time.Duration
+	// PendingFor is for how long the store has not answered the present call for the lease.
+	PendingFor time.Duration
 	// Place is this gateway's among those that should lead, 0 for the first; negative if it should not, or another one leads.
 	Place int
 	// Lower counts the others that have a spare number which is lower than this one's, and yet later than all leaders'.
@@ -75,7 +75,7 @@
 
 func (l *leadership) entitled(now time.Time, r rivals) bool {
 	alone := takeOverAfter * time.Duration(1+r.Lower)
-	return r.Held != 0 || r.Place >= 0 && r.Unanswered >= takeOverAfter && now.Sub(l.ledAt) >= alone
+	return r.Held != 0 || r.Place >= 0 && r.PendingFor >= takeOverAfter && now.Sub(l.ledAt) >= alone
 }
 
 // note takes in whether another gateway leads.
@@ -97,8 +97,8 @@
 
 func (l *leadership) spareIsNewest() bool { return l.spare > max(l.number, l.newest) }
 
-// drawn takes in a number that was drawn.
-func (l *leadership) drawn(n ids.Fence) { l.spare = max(l.spare, n) }
+// allocated takes in a number that was drawn.
+func (l *leadership) allocated(n ids.Fence) { l.spare = max(l.spare, n) }
 
 // outdated takes in that a later leader's maps are in use.
 func (l *leadership) outdated(newer ids.Fence) { l.newest = max(l.newest, newer) }
--- a/internal/node/gateway/log.go
+++ b/internal/node/gateway/log.go
@@ -17,13 +17,13 @@
 // requestLogs are the bounded logs of what is decided about requests. Lines about requests that went wrong are fewer and
 // needed more, so they have a bound of their own.
 type requestLogs struct {
-	ordinary, failures *logging.Bounded
+	ordinary, failures *logging.RateLimited
 }
 
 func newRequestLogs(l log.Logger, b LogBounds) *requestLogs {
 	return &requestLogs{
-		ordinary: logging.NewBounded(level.Info(l), b.ordinary(), time.Now),
-		failures: logging.NewBounded(level.Info(l), b.failures(), time.Now),
+		ordinary: logging.NewRateLimited(level.Info(l), b.ordinary(), time.Now),
+		failures: logging.NewRateLimited(level.Info(l), b.failures(), time.Now),
 	}
 }
 
@@ -144,7 +144,7 @@
 	for _, e := range s.gate.TakeEjections() {
 		g.metrics.ejected(name, e.Cause)
 		_ = g.requests.failures.Log("msg", "upstream ejected", "service", name, "upstream", e.Upstream, "cause", e.Cause,
-			"in_row", e.InRow, "for_ms", e.For.Milliseconds())
+			"in_row", e.Consecutive, "for_ms", e.For.Milliseconds())
 	}
 }
 
--- a/internal/node/gateway/metrics.go
+++ b/internal/node/gateway/metrics.go
@@ -30,11 +30,11 @@
 	gauge("leads_experts", func() float64 { return boolean(g.experts.number.Load() > 0) })
 	gauge("requests_quarantined", func() float64 { return float64(g.suspects.refused(time.Now())) })
 	for _, f := range g.followers {
-		gauge(fmt.Sprintf("store_up{table=%q}", f.Table.Name()), func() float64 { return boolean(f.Link().Up) })
-		gauge(fmt.Sprintf("store_since_seconds{table=%q}", f.Table.Name()), func() float64 { return time.Since(f.Link().Since).Seconds() })
+		gauge(fmt.Sprintf("store_up{table=%q}", f.Replica.Name()), func() float64 { return boolean(f.Connection().Up) })
+		gauge(fmt.Sprintf("store_since_seconds{table=%q}", f.Replica.Name()), func() float64 { return time.Since(f.Connection().Since).Seconds() })
 	}
-	gauge(`log_lines_left_out_total{class="ordinary"}`, func() float64 { return float64(g.requests.ordinary.LeftOut()) })
-	gauge(`log_lines_left_out_total{class="failures"}`, func() float64 { return float64(g.requests.failures.LeftOut()) })
+	gauge(`log_lines_left_out_total{class="ordinary"}`, func() float64 { return float64(g.requests.ordinary.Suppressed()) })
+	gauge(`log_lines_left_out_total{class="failures"}`, func() float64 { return float64(g.requests.failures.Suppressed()) })
 }
 
 // watchService adds the gauges of one service; they show 0 once the service is gone.
--- a/internal/node/gateway/move.go
+++ b/internal/node/gateway/move.go
@@ -29,12 +29,14 @@
 // late for as long as it has any. Moved, they go on after their last event.
 type moves struct {
 	mu      sync.Mutex
-	running map[ids.Life]map[*run]context.CancelCauseFunc
+	running map[ids.UpstreamIncarnation]map[*run]context.CancelCauseFunc
 }
 
-func newMoves() *moves { return &moves{running: map[ids.Life]map[*run]context.CancelCauseFunc{}} }
+func newMoves() *moves {
+	return &moves{running: map[ids.UpstreamIncarnation]map[*run]context.CancelCauseFunc{}}
+}
 
-func (m *moves) add(u ids.Life, n *run, cancel context.CancelCauseFunc) {
+func (m *moves) add(u ids.UpstreamIncarnation, n *run, cancel context.CancelCauseFunc) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.running[u] == nil {
@@ -43,7 +45,7 @@
 	m.running[u][n] = cancel
 }
 
-func (m *moves) remove(u ids.Life, n *run) {
+func (m *moves) remove(u ids.UpstreamIncarnation, n *run) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.running[u], n)
@@ -54,7 +56,7 @@
 
 // away takes the streams from ranks that are slow, as long as the retry budget of their service has room: one that could
 // not be sent again must stay.
-func (m *moves) away(paces map[ids.Life]float64, now time.Time) {
+func (m *moves) away(paces map[ids.UpstreamIncarnation]float64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for u, pace := range paces {
@@ -62,7 +64,7 @@
 			continue
 		}
 		for n, cancel := range m.running[u] {
-			if !n.service.budget.Take(now) {
+			if !n.service.budget.Allow(now) {
 				return
 			}
 			delete(m.running[u], n)
@@ -82,7 +84,7 @@
 	if !n.mayMove() {
 		return n.attempt(ctx, t)
 	}
-	u := t.Upstream().Life()
+	u := t.Upstream().Incarnation()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	n.g.moves.add(u, n, cancel)
--- a/internal/node/gateway/move_test.go
+++ b/internal/node/gateway/move_test.go
@@ -33,11 +33,11 @@
 		for range 3 {
 			ctx, cancel := context.WithCancelCause(t.Context())
 			defer cancel(nil)
-			m.add(ids.Life{Upstream: u}, movableRun(s, true), cancel)
+			m.add(ids.UpstreamIncarnation{Upstream: u}, movableRun(s, true), cancel)
 			at[u] = append(at[u], ctx)
 		}
 	}
-	m.away(map[ids.Life]float64{{Upstream: "very-slow"}: 12, {Upstream: "slow"}: 2}, time.Now())
+	m.away(map[ids.UpstreamIncarnation]float64{{Upstream: "very-slow"}: 12, {Upstream: "slow"}: 2}, time.Now())
 	moved := map[ids.Upstream]int{}
 	for u, list := range at {
 		for _, ctx := range list {
--- a/internal/node/gateway/news.go
+++ b/internal/node/gateway/news.go
@@ -18,8 +18,8 @@
 // catchUp pulls the tables of which the sender knows a newer change.
 func (p *peers) catchUp(d *cardamomyokev1.Digest) {
 	for _, f := range p.g.followers {
-		if newest := newestOf(d, f.Table.Name()); !f.Table.Has(newest) {
-			p.noteBehind(f.Table, newest)
+		if newest := newestOf(d, f.Replica.Name()); !f.Replica.Has(newest) {
+			p.noteBehind(f.Replica, newest)
 			p.pull(f, d)
 		}
 	}
@@ -37,8 +37,8 @@
 const maxLacked = 16
 
 // without returns what the copy still lacks.
-func (l lag) without(t *replica.Table) lag {
-	return slices.DeleteFunc(l, func(v lacked) bool { return t.Has(v.version) })
+func (l lag) without(r *replica.Replica) lag {
+	return slices.DeleteFunc(l, func(v lacked) bool { return r.Has(v.version) })
 }
 
 // with returns the lag after another version was told.
@@ -50,19 +50,19 @@
 	return l
 }
 
-func (p *peers) noteBehind(t *replica.Table, newest uint64) {
+func (p *peers) noteBehind(r *replica.Replica, newest uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lags[t.Name()] = p.lags[t.Name()].without(t).with(newest, time.Now())
+	p.lags[r.Name()] = p.lags[r.Name()].without(r).with(newest, time.Now())
 }
 
 // behind returns for how long the table's copy has lacked a change of which others have told; 0 if it lacks none. A copy that
 // gets each change soon is not behind for long, however many there are.
-func (p *peers) behind(t *replica.Table, now time.Time) time.Duration {
+func (p *peers) behind(r *replica.Replica, now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.lags[t.Name()].without(t)
-	p.lags[t.Name()] = l
+	l := p.lags[r.Name()].without(r)
+	p.lags[r.Name()] = l
 	if len(l) == 0 {
 		return 0
 	}
@@ -84,7 +84,7 @@
 	switch {
 	case f.Following():
 		return newsGrace
-	case !f.Link().Up:
+	case !f.Connection().Up:
 		return 0
 	case from.GetDataCentre() != string(p.g.Settings().DataCentre):
 		return farGrace
@@ -93,7 +93,7 @@
 }
 
 func (p *peers) pull(f *replica.Follower, from *cardamomyokev1.Digest) {
-	table := f.Table.Name()
+	table := f.Replica.Name()
 	p.mu.Lock()
 	busy := p.pulling[table]
 	p.pulling[table] = true
@@ -116,10 +116,10 @@
 //
 // The nearest gateway that tells of a change may not give it; the one that brought the news has it.
 func (p *peers) pullFirst(f *replica.Follower, from ...*cardamomyokev1.Digest) {
-	wanted := newestOf(from[len(from)-1], f.Table.Name())
+	wanted := newestOf(from[len(from)-1], f.Replica.Name())
 	asked := ""
 	for _, d := range from {
-		if f.Table.Has(wanted) || d.GetDigestAddress() == asked {
+		if f.Replica.Has(wanted) || d.GetDigestAddress() == asked {
 			continue
 		}
 		asked = d.GetDigestAddress()
@@ -153,23 +153,23 @@
 func (p *peers) pullNow(f *replica.Follower, from *cardamomyokev1.Digest) {
 	ctx, cancel := context.WithTimeout(p.ctx, pullTimeout)
 	defer cancel()
-	after, _ := f.Table.Position()
+	after, _ := f.Replica.Position()
 	client := cardamomyokev1connect.NewPeerServiceClient(p.http, "http://"+from.GetDigestAddress())
-	res, err := client.Pull(ctx, &cardamomyokev1.PullRequest{Table: f.Table.Name(), After: after})
+	res, err := client.Pull(ctx, &cardamomyokev1.PullRequest{Table: f.Replica.Name(), After: after})
 	if err != nil {
-		_ = level.Warn(p.g.logger).Log("msg", "pull failed", "table", f.Table.Name(), "peer", from.GetNode(), "err", err)
+		_ = level.Warn(p.g.logger).Log("msg", "pull failed", "table", f.Replica.Name(), "peer", from.GetNode(), "err", err)
 		return
 	}
-	changed := f.Table.Merge(deltaOf(res))
-	_ = level.Info(p.g.logger).Log("msg", "pulled", "table", f.Table.Name(), "peer", from.GetNode(), "after", after,
+	changed := f.Replica.Merge(deltaOf(res))
+	_ = level.Info(p.g.logger).Log("msg", "pulled", "table", f.Replica.Name(), "peer", from.GetNode(), "after", after,
 		"version", res.GetVersion(), "rows", len(res.GetRows()), "changed", changed)
 	if changed {
-		f.Changed(f.Table)
+		f.Changed(f.Replica)
 	}
 }
 
 func deltaOf(res *cardamomyokev1.PullResponse) replica.Delta {
-	d := replica.Delta{Whole: res.GetWhole(), Version: res.GetVersion()}
+	d := replica.Delta{Full: res.GetWhole(), Version: res.GetVersion()}
 	for _, r := range res.GetRows() {
 		row := platform.Row{Key: r.GetKey(), Version: r.GetVersion(), Value: r.GetValue()}
 		d.Changes = append(d.Changes, platform.Change{Row: row, Removed: r.GetRemoved()})
@@ -180,11 +180,11 @@
 // Pull implements the peers' service.
 func (p *peers) Pull(_ context.Context, req *cardamomyokev1.PullRequest) (*cardamomyokev1.PullResponse, error) {
 	for _, f := range p.g.followers {
-		if f.Table.Name() != req.GetTable() {
+		if f.Replica.Name() != req.GetTable() {
 			continue
 		}
-		d := f.Table.Since(req.GetAfter())
-		res := &cardamomyokev1.PullResponse{Version: d.Version, Whole: d.Whole}
+		d := f.Replica.Since(req.GetAfter())
+		res := &cardamomyokev1.PullResponse{Version: d.Version, Whole: d.Full}
 		for _, c := range d.Changes {
 			res.Rows = append(res.Rows, &cardamomyokev1.TableRow{Key: c.Key, Version: c.Version, Value: c.Value, Removed: c.Removed})
 		}
--- a/internal/node/gateway/peers.go
+++ b/internal/node/gateway/peers.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	// digestEvery is how often a gateway tells the others of itself when nothing changes, workEvery when its work does.
-	digestEvery = 200 * time.Millisecond
-	workEvery   = 100 * time.Millisecond
-	// namesEvery is how often a digest names other gateways, newNamesEvery the same while some are new.
-	namesEvery    = time.Second
-	newNamesEvery = 200 * time.Millisecond
+	// digestInterval is how often a gateway tells the others of itself when nothing changes, workInterval when its work does.
+	digestInterval = 200 * time.Millisecond
+	workInterval   = 100 * time.Millisecond
+	// namesInterval is how often a digest names other gateways, newNamesInterval the same while some are new.
+	namesInterval    = time.Second
+	newNamesInterval = 200 * time.Millisecond
 	// newFor is for how long a gateway counts as new: until others have named it a few times.
 	newFor = 1500 * time.Millisecond
 	// joinTime is for how long a gateway that has started only gets to know the others: names pass to the gateways of its
 	// settings and back. It takes no duty before that.
 	joinTime = 450 * time.Millisecond
-	// joinEvery is the time between its questions for names.
-	joinEvery = 150 * time.Millisecond
+	// joinInterval is the time between its questions for names.
+	joinInterval = 150 * time.Millisecond
 	// unknownFor is how long after its start a gateway takes a leader that it has not heard for one that it does not know
 	// yet: names of gateways that start together reach all within a second.
 	unknownFor = 1200 * time.Millisecond
@@ -81,7 +81,7 @@
 	// sequence numbers the datagrams.
 	sequence atomic.Uint64
 	// failures logs what could not be sent.
-	failures *logging.Bounded
+	failures *logging.RateLimited
 
 	mu       sync.Mutex
 	detector *liveness.Detector
@@ -115,7 +115,7 @@
 
 		relaysAt: map[string]time.Time{},
 		detector: newDetector(),
-		failures: logging.NewBounded(level.Warn(g.logger), sendFailuresLogged, time.Now),
+		failures: logging.NewRateLimited(level.Warn(g.logger), sendFailuresLogged, time.Now),
 	}
 	var err error
 	if p.sender, err = digest.NewSender(); err != nil {
@@ -174,7 +174,7 @@
 		p.g.loop.Post(func(now time.Time) { p.sendNames(now, d.GetDigestAddress()) })
 	}
 	if d.GetProbe() == nil {
-		p.g.suspects.keeper.Merge(now, quarantine.FromDigest(d)...)
+		p.g.suspects.tracker.Merge(now, quarantine.FromDigest(d)...)
 		p.catchUp(d)
 	}
 }
@@ -243,7 +243,7 @@
 	var out []*peer
 	limit := p.silenceLocked(peerSilent)
 	for _, k := range p.known {
-		if now.Sub(k.heardAt) <= limit && !p.detector.Ended(k.address()) {
+		if now.Sub(k.heardAt) <= limit && !p.detector.Dead(k.address()) {
 			out = append(out, k)
 		}
 	}
--- a/internal/node/gateway/peers_test.go
+++ b/internal/node/gateway/peers_test.go
@@ -92,7 +92,7 @@
 	if p.ended("gateway-7", "a") {
 		t.Error("a leader that nobody found dead has ended")
 	}
-	p.detector.Take(now, []liveness.Rumor{{Life: p.detector.Known(leader.address()).Life, Sequence: 1, Ended: true}})
+	p.detector.MergeRumors(now, []liveness.Rumor{{IncarnationHash: p.detector.RumorOf(leader.address()).IncarnationHash, Sequence: 1, Dead: true}})
 	if !p.ended("gateway-7", "a") {
 		t.Error("a leader that answers nobody has not ended")
 	}
@@ -125,8 +125,8 @@
 // behindGateway is a gateway of the data centre "near" whose copy of a table is at a version.
 func behindGateway(t *testing.T, version uint64) (*peers, *replica.Follower) {
 	t.Helper()
-	f := &replica.Follower{Table: replica.NewTable("op"), Changed: func(*replica.Table) {}}
-	f.Table.Load([]platform.Row{{Key: "config", Version: version}}, version)
+	f := &replica.Follower{Replica: replica.NewReplica("op"), Changed: func(*replica.Replica) {}}
+	f.Replica.Load([]platform.Row{{Key: "config", Version: version}}, version)
 	g := &Gateway{logger: log.NewNopLogger(), followers: []*replica.Follower{f}}
 	g.settings.Store(&Settings{Name: "own", DataCentre: "near"})
 	return &peers{
@@ -146,7 +146,7 @@
 	told := far.start(t, "far", 90)
 	p.known["near"] = &peer{digest: near.start(t, "near", 90), heardAt: time.Now()}
 	p.pullFirst(f, p.nearest("op", told), told)
-	if got := f.Table.Newest(); got != 90 || near.asked.Load() != 1 || far.asked.Load() != 1 {
+	if got := f.Replica.Newest(); got != 90 || near.asked.Load() != 1 || far.asked.Load() != 1 {
 		t.Fatalf("version %d after asking the nearest %d times and the teller %d times", got, near.asked.Load(), far.asked.Load())
 	}
 }
@@ -155,13 +155,13 @@
 // take as final, and it asks the store itself after some pulls.
 func TestAGatewayThatIsKnownToBeBehindAsksTheStore(t *testing.T) {
 	p, f := behindGateway(t, 80)
-	late := time.Now().Add(mostBehind + time.Second)
+	late := time.Now().Add(maxBehind + time.Second)
 	following := []*cardamomyokev1.TableNews{{Table: "op", Newest: 90, Following: true}}
 	for i := range 20 {
 		d := &cardamomyokev1.Digest{Node: fmt.Sprint("gateway-", i), DataCentre: "near", News: following}
 		p.known[d.GetNode()] = &peer{digest: d, heardAt: late}
 	}
-	if !p.relayed(f.Table, late) {
+	if !p.relayed(f.Replica, late) {
 		t.Fatal("a gateway among 20 others follows the store itself")
 	}
 	g := p.g
@@ -170,17 +170,17 @@
 	missing := func() failure.Code {
 		return failure.From(g.missing(&view{current: true}, failure.CodeUnknownService)).Code
 	}
-	if got := missing(); got != failure.CodeUnknownService || p.behind(f.Table, now) != 0 {
+	if got := missing(); got != failure.CodeUnknownService || p.behind(f.Replica, now) != 0 {
 		t.Fatalf("a gateway that lacks nothing answered %s", got)
 	}
-	p.noteBehind(f.Table, 90)
+	p.noteBehind(f.Replica, 90)
 	if got := missing(); got != failure.CodeStaleRevision {
 		t.Fatalf("a gateway that is behind answered %s", got)
 	}
-	if behind := p.behind(f.Table, late); behind <= mostBehind || p.relayed(f.Table, late) {
+	if behind := p.behind(f.Replica, late); behind <= maxBehind || p.relayed(f.Replica, late) {
 		t.Fatalf("%s behind, and still relayed", behind)
 	}
-	f.Table.Apply([]platform.Change{{Row: platform.Row{Key: "config", Version: 90}}}, 90)
+	f.Replica.Apply([]platform.Change{{Row: platform.Row{Key: "config", Version: 90}}}, 90)
 	if got := missing(); got != failure.CodeUnknownService {
 		t.Fatalf("a gateway that is up to date again answered %s", got)
 	}
@@ -189,10 +189,10 @@
 // Others tell of a change that came before this gateway read the whole table: it asks nobody for it.
 func TestNewsOfWhatIsKnownAreNotPulled(t *testing.T) {
 	p, f := behindGateway(t, 80)
-	f.Table.Load([]platform.Row{{Key: "config", Version: 80}}, 95)
+	f.Replica.Load([]platform.Row{{Key: "config", Version: 80}}, 95)
 	told := &teller{answer: &cardamomyokev1.PullResponse{}}
 	p.catchUp(told.start(t, "far", 90))
-	if p.behind(f.Table, time.Now()) != 0 || len(p.pulling) > 0 {
+	if p.behind(f.Replica, time.Now()) != 0 || len(p.pulling) > 0 {
 		t.Fatal("a copy that is complete up to 95 lacks a change of 90")
 	}
 }
@@ -240,21 +240,21 @@
 func TestACopyThatKeepsUpWithManyChangesIsNotBehind(t *testing.T) {
 	p, f := behindGateway(t, 80)
 	for version := uint64(81); version < 120; version++ {
-		p.noteBehind(f.Table, version)
-		f.Table.Load([]platform.Row{{Key: "config", Version: version - 1}}, version-1)
-		late := p.lags["op"].without(f.Table)
+		p.noteBehind(f.Replica, version)
+		f.Replica.Load([]platform.Row{{Key: "config", Version: version - 1}}, version-1)
+		late := p.lags["op"].without(f.Replica)
 		if len(late) != 1 || late[0].version != version {
 			t.Fatalf("at version %d the copy lacks %v", version, late)
 		}
 	}
 	for version := uint64(120); version < 200; version++ {
-		p.noteBehind(f.Table, version)
+		p.noteBehind(f.Replica, version)
 	}
 	if n := len(p.lags["op"]); n != maxLacked {
 		t.Errorf("%d versions are remembered", n)
 	}
-	f.Table.Load([]platform.Row{{Key: "config", Version: 199}}, 199)
-	if p.behind(f.Table, time.Now()) != 0 {
+	f.Replica.Load([]platform.Row{{Key: "config", Version: 199}}, 199)
+	if p.behind(f.Replica, time.Now()) != 0 {
 		t.Error("a copy that has all is behind")
 	}
 }
--- a/internal/node/gateway/plain.go
+++ b/internal/node/gateway/plain.go
@@ -29,26 +29,26 @@
 //
 // If the upstream's connection breaks in the middle of a body, a caller must not take the part for the whole: the answer is
 // given on only when it is whole, and with its length.
-func (n *run) relayPlain(ctx context.Context, t *dispatch.Ticket, a *httpclient.Answer, reply Reply) error {
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxHeldBytes))
+func (n *run) relayPlain(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, reply Reply) error {
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxHeldBytes))
 	if err != nil {
-		a.Release(false)
+		res.Release(false)
 		return &httpclient.BrokenError{Address: t.Upstream().Address, Stage: "read body from", Cause: err}
 	}
-	if reason := unusable(a.Status, reply); reason != "" {
-		a.Release(false)
-		return &AnswerError{t.Upstream().ID, a.Status, reason}
+	if reason := unusable(res.Status, reply); reason != "" {
+		res.Release(false)
+		return &AnswerError{t.Upstream().ID, res.Status, reason}
 	}
 	n.service.gate.Answered(t)
 	n.noteFirst()
-	p := &plainAnswer{a.Status, answerHeaders(a.Header), body}
+	p := &plainAnswer{res.Status, answerHeaders(res.Header), body}
 	if len(body) == maxHeldBytes {
-		return n.relayRest(ctx, a, p)
+		return n.relayRest(ctx, res, p)
 	}
-	a.Release(true)
-	if a.Status >= fasthttp.StatusInternalServerError {
+	res.Release(true)
+	if res.Status >= fasthttp.StatusInternalServerError {
 		n.held = p
-		return &FailedError{t.Upstream().ID, a.Status}
+		return &FailedError{t.Upstream().ID, res.Status}
 	}
 	return p.respond(n)
 }
@@ -69,23 +69,23 @@
 }
 
 // relayRest gives on an answer that is too long to be held.
-func (n *run) relayRest(ctx context.Context, a *httpclient.Answer, p *plainAnswer) error {
+func (n *run) relayRest(ctx context.Context, res *httpclient.Response, p *plainAnswer) error {
 	if err := n.x.Stream(p.status, p.headers); err != nil {
-		a.Release(false)
+		res.Release(false)
 		return err
 	}
 	err := n.x.Write(ctx, p.body)
 	buf := make([]byte, 32<<10)
 	for err == nil {
 		var got int
-		got, err = a.Body.Read(buf)
+		got, err = res.Body.Read(buf)
 		if got > 0 {
 			if werr := n.x.Write(ctx, buf[:got]); werr != nil {
 				err = werr
 			}
 		}
 	}
-	a.Release(err == io.EOF)
+	res.Release(err == io.EOF)
 	if err != io.EOF {
 		return err
 	}
--- a/internal/node/gateway/probing.go
+++ b/internal/node/gateway/probing.go
@@ -24,14 +24,14 @@
 func (p *peers) probeOthers(now time.Time) {
 	p.mu.Lock()
 	asks := p.detector.Tick(now)
-	urgent := p.detector.Urgent()
+	urgent := p.detector.UrgentTargets()
 	changes := p.detector.Changes()
 	rumors := p.detector.Rumors(maxRumors)
 	p.mu.Unlock()
 	p.note(changes)
 	var probes []probe
-	for _, a := range asks {
-		probes = append(probes, probe{a.To, &cardamomyokev1.Probe{Ask: true, About: string(a.About)}, rumors})
+	for _, due := range asks {
+		probes = append(probes, probe{due.To, &cardamomyokev1.Probe{Ask: true, About: string(due.Target)}, rumors})
 	}
 	for _, to := range urgent {
 		probes = append(probes, probe{to, &cardamomyokev1.Probe{}, rumors})
@@ -43,19 +43,19 @@
 func (p *peers) observe(d *cardamomyokev1.Digest, now time.Time) []probe {
 	from := liveness.Address(d.GetDigestAddress())
 	about := liveness.Address(d.GetProbe().GetAbout())
-	waiting := p.detector.Heard(now, liveness.Sign{
-		Address: from, Incarnation: ids.Incarnation(d.GetIncarnation()), Sequence: d.GetSequence(), Answer: d.GetProbe().GetAnswer(),
+	waiting := p.detector.ReceiveAlive(now, liveness.AliveMessage{
+		Address: from, Incarnation: ids.Incarnation(d.GetIncarnation()), Sequence: d.GetSequence(), IsProbeReply: d.GetProbe().GetAnswer(),
 	})
-	p.detector.Take(now, rumorsOf(d))
+	p.detector.MergeRumors(now, rumorsOf(d))
 	var out []probe
 	for _, by := range waiting {
-		out = append(out, probe{by, &cardamomyokev1.Probe{}, []liveness.Rumor{p.detector.Known(from)}})
+		out = append(out, probe{by, &cardamomyokev1.Probe{}, []liveness.Rumor{p.detector.RumorOf(from)}})
 	}
 	if d.GetProbe().GetAsk() {
 		out = append(out, probe{from, &cardamomyokev1.Probe{Answer: true}, p.detector.Rumors(maxRumors)})
 	}
 	if about != "" {
-		p.detector.AskedFor(now, from, about)
+		p.detector.ReceiveProbeRequest(now, from, about)
 		out = append(out, probe{about, &cardamomyokev1.Probe{Ask: true}, nil})
 	}
 	return out
@@ -74,12 +74,12 @@
 func (p *peers) note(changes []liveness.Change) {
 	for _, c := range changes {
 		msg := "peer lives"
-		if c.Ended {
+		if c.Dead {
 			msg = "peer ended"
-			p.g.metrics.peerEnded(c.Told)
+			p.g.metrics.peerEnded(c.ByRumor)
 		}
 		_ = level.Info(p.g.logger).Log("msg", msg, "peer_address", c.Address, "incarnation", c.Incarnation, "silent", c.Silent,
-			"sequence", c.Sequence, "told_by_others", c.Told)
+			"sequence", c.Sequence, "told_by_others", c.ByRumor)
 	}
 }
 
@@ -87,7 +87,7 @@
 	columns := d.GetRumors()
 	out := make([]liveness.Rumor, len(columns.GetLives()))
 	for i, life := range columns.GetLives() {
-		out[i] = liveness.Rumor{Life: life, Sequence: columns.GetSequences()[i], Ended: columns.GetEnded()[i]}
+		out[i] = liveness.Rumor{IncarnationHash: life, Sequence: columns.GetSequences()[i], Dead: columns.GetEnded()[i]}
 	}
 	return out
 }
@@ -98,9 +98,9 @@
 	}
 	columns := &cardamomyokev1.Rumors{}
 	for _, r := range rumors {
-		columns.Lives = append(columns.Lives, r.Life)
+		columns.Lives = append(columns.Lives, r.IncarnationHash)
 		columns.Sequences = append(columns.Sequences, r.Sequence)
-		columns.Ended = append(columns.Ended, r.Ended)
+		columns.Ended = append(columns.Ended, r.Dead)
 	}
 	return columns
 }
--- a/internal/node/gateway/rankwatch.go
+++ b/internal/node/gateway/rankwatch.go
@@ -11,23 +11,23 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// rankWatchMost is the longest pause between two reads of a rank that refuses; the pause doubles from watchEvery. A rank
+// rankWatchMost is the longest pause between two reads of a rank that refuses; the pause doubles from watchInterval. A rank
 // that is left over may refuse for good, and one whose group has formed again is missed for half a second at most.
 const rankWatchMost = 500 * time.Millisecond
 
 // doubtRank keeps requests from one rank until it says that its group is open. It is called with the lock held.
 func (w *groupWatch) doubtRank(ctx context.Context, u *catalog.Upstream, reason string) {
-	if u == nil || w.ranksWatched[u.Life()] {
+	if u == nil || w.ranksWatched[u.Incarnation()] {
 		return
 	}
-	w.ranksWatched[u.Life()] = true
-	w.gate.SetUpstreamClosed(u.Life(), true)
+	w.ranksWatched[u.Incarnation()] = true
+	w.gate.SetUpstreamClosed(u.Incarnation(), true)
 	go w.watchRank(ctx, u, reason)
 }
 
 func (w *groupWatch) watchRank(ctx context.Context, u *catalog.Upstream, reason string) {
 	began := time.Now()
-	pause := watchEvery
+	pause := watchInterval
 	verdict := w.ask(ctx, u)
 	if verdict == groupBroken {
 		w.survey(ctx, reason)
@@ -38,10 +38,10 @@
 		verdict = w.ask(ctx, u)
 	}
 	w.mu.Lock()
-	delete(w.ranksWatched, u.Life())
-	w.gate.SetUpstreamClosed(u.Life(), false)
+	delete(w.ranksWatched, u.Incarnation())
+	w.gate.SetUpstreamClosed(u.Incarnation(), false)
 	w.mu.Unlock()
-	if time.Since(began) < watchEvery {
+	if time.Since(began) < watchInterval {
 		return // it was only full
 	}
 	_ = level.Info(w.logger).Log("msg", "rank closed to requests", "upstream", u.ID, "reason", reason, "for", time.Since(began))
@@ -49,5 +49,5 @@
 
 // listed reports whether the upstream's life is still one of the service's.
 func (w *groupWatch) listed(u *catalog.Upstream) bool {
-	return slices.ContainsFunc(w.upstreams(), func(v *catalog.Upstream) bool { return v.Life() == u.Life() })
+	return slices.ContainsFunc(w.upstreams(), func(v *catalog.Upstream) bool { return v.Incarnation() == u.Incarnation() })
 }
--- a/internal/node/gateway/registry.go
+++ b/internal/node/gateway/registry.go
@@ -10,9 +10,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/registry"
 )
 
-// mostFindings is how many findings about entries are logged at one change of the registry; a writer that fills it with
+// maxFindings is how many findings about entries are logged at one change of the registry; a writer that fills it with
 // thousands of entries must not fill the log, too.
-const mostFindings = 20
+const maxFindings = 20
 
 // readUpstreams makes the list of upstreams from the copy of the registry.
 func (g *Gateway) readUpstreams(now time.Time) *catalog.Upstreams {
@@ -20,7 +20,7 @@
 	if g.control.config != nil {
 		services = g.control.config.Services
 	}
-	next, findings := g.control.entries.Update(g.registry.Table.Rows(), services)
+	next, findings := g.control.entries.Update(g.registry.Replica.Rows(), services)
 	g.noteFindings(findings, now)
 	g.logUpstreams(g.control.upstreams, next)
 	return next
@@ -29,13 +29,13 @@
 func (g *Gateway) noteFindings(findings []registry.Finding, now time.Time) {
 	for i, f := range findings {
 		if f.Kind == registry.Restarted {
-			g.suspects.restarted(f.Before, now)
+			g.suspects.restarted(f.Previous, now)
 		}
-		if i < mostFindings {
-			_ = level.Warn(g.logger).Log("msg", f.Kind, "entry", f.Key, "version", f.Version, "life", f.Life, "before", f.Before, "err", f.Err)
+		if i < maxFindings {
+			_ = level.Warn(g.logger).Log("msg", f.Kind, "entry", f.Key, "version", f.Version, "life", f.Incarnation, "before", f.Previous, "err", f.Err)
 		}
 	}
-	if more := len(findings) - mostFindings; more > 0 {
+	if more := len(findings) - maxFindings; more > 0 {
 		_ = level.Warn(g.logger).Log("msg", "more findings about entries", "not_logged", more)
 	}
 }
@@ -44,23 +44,23 @@
 func (g *Gateway) logUpstreams(before, after *catalog.Upstreams) {
 	for _, u := range after.All() {
 		old := before.Get(u.ID)
-		if old == nil || old.State != u.State || old.Born != u.Born {
-			_ = level.Info(g.logger).Log("msg", "upstream", "upstream", u.Life(), "service", u.Service, "address", u.Address, "state", u.State)
+		if old == nil || old.State != u.State || old.StartedAtMS != u.StartedAtMS {
+			_ = level.Info(g.logger).Log("msg", "upstream", "upstream", u.Incarnation(), "service", u.Service, "address", u.Address, "state", u.State)
 		}
 	}
 	for _, u := range before.All() {
 		if after.Get(u.ID) == nil {
-			_ = level.Info(g.logger).Log("msg", "upstream", "upstream", u.Life(), "service", u.Service, "state", "gone")
+			_ = level.Info(g.logger).Log("msg", "upstream", "upstream", u.Incarnation(), "service", u.Service, "state", "gone")
 		}
 	}
 }
 
-// disown leaves out the entry of an upstream at whose address another one answered, on the control loop.
-func (g *Gateway) disown(u *catalog.Upstream, answered ids.Upstream, now time.Time) {
-	if !g.control.entries.Disown(u.Life()) {
+// reject leaves out the entry of an upstream at whose address another one answered, on the control loop.
+func (g *Gateway) reject(u *catalog.Upstream, answered ids.Upstream, now time.Time) {
+	if !g.control.entries.Reject(u.Incarnation()) {
 		return
 	}
-	_ = level.Warn(g.logger).Log("msg", "upstream left out", "reason", "another one answers at its address", "upstream", u.Life(),
+	_ = level.Warn(g.logger).Log("msg", "upstream left out", "reason", "another one answers at its address", "upstream", u.Incarnation(),
 		"address", u.Address, "answered", answered, "entry_version", u.Version)
 	g.reload(now)
 }
--- a/internal/node/gateway/run.go
+++ b/internal/node/gateway/run.go
@@ -78,7 +78,7 @@
 		}
 		n.note(err)
 		n.blame(ticket.Upstream(), err)
-		n.disown(ticket.Upstream(), err)
+		n.reject(ticket.Upstream(), err)
 		if reason := n.final(ctx, err); reason != "" {
 			return n.giveUp(ctx, err, reason)
 		}
@@ -92,10 +92,10 @@
 	latest := r.deadline
 	if r.route.Kind == catalog.KindStream {
 		since := r.arrived
-		if n.x.Answered() {
+		if n.x.Responded() {
 			since = n.lastAt
 		}
-		if leaves := since.Add(r.route.Patience()); leaves.Before(latest) {
+		if leaves := since.Add(r.route.CallerTimeout()); leaves.Before(latest) {
 			latest = leaves
 		}
 	}
@@ -122,27 +122,27 @@
 
 // attempt sends the request to one upstream and relays the answer.
 func (n *run) attempt(ctx context.Context, t *dispatch.Ticket) error {
-	a, err := n.send(ctx, t.Upstream())
+	res, err := n.send(ctx, t.Upstream())
 	if err != nil {
 		return err
 	}
-	reply := n.g.dialect.ReadReply(a.Header)
+	reply := n.g.dialect.ReadReply(res.Header)
 	switch {
 	case reply.NotRun:
-		drop(a)
-		return &RefusedError{t.Upstream().ID, a.Status, reply.Culprit, reply.Instance}
-	case isStream(a) && n.r.route.Kind == catalog.KindStream && a.Status/100 == 2:
-		return n.relayStream(ctx, t, a, reply)
+		drop(res)
+		return &RefusedError{t.Upstream().ID, res.Status, reply.Culprit, reply.Instance}
+	case isStream(res) && n.r.route.Kind == catalog.KindStream && res.Status/100 == 2:
+		return n.relayStream(ctx, t, res, reply)
 	default:
-		return n.relayPlain(ctx, t, a, reply)
+		return n.relayPlain(ctx, t, res, reply)
 	}
 }
 
-// disown has the registry's entry left out whose address another upstream answered at.
-func (n *run) disown(u *catalog.Upstream, err error) {
+// reject has the registry's entry left out whose address another upstream answered at.
+func (n *run) reject(u *catalog.Upstream, err error) {
 	var refused *RefusedError
 	if errors.As(err, &refused) && refused.stranger() {
-		n.g.loop.Post(func(now time.Time) { n.g.disown(u, refused.Instance, now) })
+		n.g.loop.Post(func(now time.Time) { n.g.reject(u, refused.Instance, now) })
 	}
 }
 
@@ -170,7 +170,7 @@
 // A request that may not be repeated must not run twice after its connection broke. Only two proofs allow another attempt: no
 // connection was made, or the upstream promised that it did not run.
 func (n *run) final(ctx context.Context, err error) string {
-	var gone *httpserver.GoneError
+	var gone *httpserver.ConnectionClosedError
 	var moved *MovedError
 	switch {
 	case errors.As(err, &gone):
@@ -179,7 +179,7 @@
 		return "the time is over"
 	case n.mayHaveRun && !n.r.route.Repeatable():
 		return "it may have run"
-	case n.x.Answered() && !n.r.route.Resumable:
+	case n.x.Responded() && !n.r.route.Resumable:
 		return "the answer has begun"
 	case n.sent >= n.r.route.Attempts:
 		return "no attempt is left"
@@ -189,7 +189,7 @@
 		return "no upstream can be reached"
 	case errors.As(err, &moved):
 		return "" // its part of the budget was taken when it was moved
-	case n.sent > 0 && !n.service.budget.Take(time.Now()):
+	case n.sent > 0 && !n.service.budget.Allow(time.Now()):
 		return "the retry budget is used up"
 	}
 	return ""
@@ -198,14 +198,14 @@
 // giveUp turns the last attempt's error into the caller's answer.
 func (n *run) giveUp(ctx context.Context, err error, reason string) error {
 	cause := fmt.Errorf("%s: %w", reason, err)
-	var gone *httpserver.GoneError
+	var gone *httpserver.ConnectionClosedError
 	switch {
 	case errors.As(err, &gone) || context.Cause(ctx) == context.Canceled:
 		return failure.New(failure.CodeCancelled, cause)
-	case n.held != nil && !n.x.Answered():
+	case n.held != nil && !n.x.Responded():
 		n.gaveHeld = true
 		return n.held.respond(n)
-	case n.x.Answered():
+	case n.x.Responded():
 		return failure.New(failure.CodeIncompleteAnswer, cause)
 	case ctx.Err() != nil && n.mayHaveRun:
 		return failure.New(failure.CodeDeadlinePassed, cause)
@@ -223,7 +223,7 @@
 	switch {
 	case context.Cause(ctx) == context.Canceled:
 		return failure.New(failure.CodeCancelled, err)
-	case n.mayHaveRun || n.x.Answered():
+	case n.mayHaveRun || n.x.Responded():
 		return n.giveUp(ctx, err, "no upstream for another attempt")
 	}
 	var none *dispatch.NoUpstreamError
@@ -239,7 +239,7 @@
 
 // outcomeOf is what an attempt says of its upstream.
 func outcomeOf(ctx context.Context, err error) dispatch.Outcome {
-	var gone *httpserver.GoneError
+	var gone *httpserver.ConnectionClosedError
 	var refused *RefusedError
 	var failed *FailedError
 	var moved *MovedError
--- a/internal/node/gateway/send.go
+++ b/internal/node/gateway/send.go
@@ -24,7 +24,7 @@
 }
 
 // send writes the request to an upstream and reads the header of the answer that bears its attempt's id.
-func (n *run) send(ctx context.Context, to *catalog.Upstream) (*httpclient.Answer, error) {
+func (n *run) send(ctx context.Context, to *catalog.Upstream) (*httpclient.Response, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	n.writeRequest(req, to)
@@ -60,7 +60,7 @@
 	if n.trace != "" {
 		h.Set(tracing.HeaderName, n.trace)
 	}
-	n.g.dialect.WriteLeg(h, Leg{
+	n.g.dialect.WriteUpstreamHeader(h, UpstreamHeader{
 		Upstream:  to.ID,
 		Client:    n.r.client,
 		Remaining: time.Until(n.r.deadline),
@@ -92,15 +92,15 @@
 	return false
 }
 
-func isStream(a *httpclient.Answer) bool {
-	return bytes.HasPrefix(a.Header.ContentType(), []byte("text/event-stream"))
+func isStream(res *httpclient.Response) bool {
+	return bytes.HasPrefix(res.Header.ContentType(), []byte("text/event-stream"))
 }
 
 // maxDropped is how much of an answer that nobody wants is read to keep its connection.
 const maxDropped = 64 << 10
 
 // drop reads a short answer to its end, so that its connection can be used again.
-func drop(a *httpclient.Answer) {
-	_, err := io.Copy(io.Discard, io.LimitReader(a.Body, maxDropped))
-	a.Release(err == nil)
+func drop(res *httpclient.Response) {
+	_, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDropped))
+	res.Release(err == nil)
 }
--- a/internal/node/gateway/services.go
+++ b/internal/node/gateway/services.go
@@ -44,7 +44,7 @@
 		ranks:        g.ranks,
 		gate:         s.gate,
 		logger:       log.With(g.logger, "service", c.Name),
-		ranksWatched: map[ids.Life]bool{},
+		ranksWatched: map[ids.UpstreamIncarnation]bool{},
 		off:          g.off,
 		upstreams: func() []*catalog.Upstream {
 			return g.view.Load().upstreams.Of(c.Name)
--- a/internal/node/gateway/starting.go
+++ b/internal/node/gateway/starting.go
@@ -65,6 +65,6 @@
 	}
 	began := time.Now()
 	over := g.starting.wait(ctx, min(startWait, time.Duration(startShare*float64(call.Remaining))))
-	_ = g.requests.ordinary.Log("msg", "start awaited", "request", call.Attempt, "over", over, "store_up", g.config.Link().Up,
+	_ = g.requests.ordinary.Log("msg", "start awaited", "request", call.Attempt, "over", over, "store_up", g.config.Connection().Up,
 		"waited_ms", time.Since(began).Milliseconds(), "left_ms", call.Remaining.Milliseconds())
 }
--- a/internal/node/gateway/stream.go
+++ b/internal/node/gateway/stream.go
@@ -45,31 +45,31 @@
 //
 // An upstream may break off in the middle of an event and the stream go on elsewhere. Only whole events are given on, and
 // none that the caller has already, so that no event is a joint of two halves.
-func (n *run) relayStream(ctx context.Context, t *dispatch.Ticket, a *httpclient.Answer, reply Reply) error {
+func (n *run) relayStream(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, reply Reply) error {
 	if !reply.Sealed {
-		a.Release(false)
-		return &AnswerError{t.Upstream().ID, a.Status, "a stream without a signature"}
+		res.Release(false)
+		return &AnswerError{t.Upstream().ID, res.Status, "a stream without a signature"}
 	}
-	err := n.copyEvents(ctx, t, a)
-	a.Release(err == nil)
+	err := n.copyEvents(ctx, t, res)
+	res.Release(err == nil)
 	if err != nil {
 		return err
 	}
-	if !n.x.Answered() {
+	if !n.x.Responded() {
 		return &EventError{"no event"}
 	}
 	return n.x.End()
 }
 
-func (n *run) copyEvents(ctx context.Context, t *dispatch.Ticket, a *httpclient.Answer) error {
+func (n *run) copyEvents(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response) error {
 	var pending []byte
 	buf := make([]byte, streamBuffer)
 	for {
-		got, err := a.Body.Read(buf)
+		got, err := res.Body.Read(buf)
 		pending = append(pending, buf[:got]...)
 		whole := wholeEvents(pending)
 		if whole > 0 {
-			if err := n.giveEvents(ctx, t, a, pending[:whole]); err != nil {
+			if err := n.giveEvents(ctx, t, res, pending[:whole]); err != nil {
 				return err
 			}
 			pending = append(pending[:0], pending[whole:]...)
@@ -88,7 +88,7 @@
 }
 
 // giveEvents writes whole events to the caller, with the answer's header before the first.
-func (n *run) giveEvents(ctx context.Context, t *dispatch.Ticket, a *httpclient.Answer, events []byte) error {
+func (n *run) giveEvents(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, events []byte) error {
 	events, last, err := after(events, n.stream.lastEvent)
 	if err != nil {
 		return err
@@ -98,8 +98,8 @@
 	}
 	n.service.gate.Answered(t)
 	n.noteFirst()
-	if !n.x.Answered() {
-		if err := n.x.Stream(a.Status, answerHeaders(a.Header)); err != nil {
+	if !n.x.Responded() {
+		if err := n.x.Stream(res.Status, answerHeaders(res.Header)); err != nil {
 			return err
 		}
 	}
--- a/internal/node/gateway/sums.go
+++ b/internal/node/gateway/sums.go
@@ -32,7 +32,7 @@
 }
 
 // paces are those of the slow ranks among a service's upstreams, as the leader tells them; this gateway may be the leader.
-func (p *peers) paces(name ids.Service, upstreams *catalog.Upstreams, now time.Time) map[ids.Life]float64 {
+func (p *peers) paces(name ids.Service, upstreams *catalog.Upstreams, now time.Time) map[ids.UpstreamIncarnation]float64 {
 	told := map[uint64]float64{}
 	for _, s := range p.g.experts.slowKnown() {
 		told[s.GetUpstream()] = s.GetPace()
@@ -45,17 +45,17 @@
 	if len(told) == 0 {
 		return nil
 	}
-	out := map[ids.Life]float64{}
+	out := map[ids.UpstreamIncarnation]float64{}
 	for _, u := range upstreams.Of(name) {
-		if pace, ok := told[hashOf(u.Life())]; ok {
-			out[u.Life()] = pace
+		if pace, ok := told[hashOf(u.Incarnation())]; ok {
+			out[u.Incarnation()] = pace
 		}
 	}
 	return out
 }
 
 // work is what the other gateways have in flight at a service's upstreams, and when the oldest digest that says so came.
-func (p *peers) work(name ids.Service, upstreams *catalog.Upstreams, now time.Time) (map[ids.Life]dispatch.Work, time.Time) {
+func (p *peers) work(name ids.Service, upstreams *catalog.Upstreams, now time.Time) (map[ids.UpstreamIncarnation]dispatch.Work, time.Time) {
 	sum := map[uint32]dispatch.Work{}
 	var oldest time.Time
 	for _, k := range p.live(now) {
@@ -70,10 +70,10 @@
 			sum[upstream] = s
 		}
 	}
-	out := map[ids.Life]dispatch.Work{}
+	out := map[ids.UpstreamIncarnation]dispatch.Work{}
 	for _, u := range upstreams.Of(name) {
-		if w, ok := sum[shortHashOf(u.Life())]; ok {
-			out[u.Life()] = w
+		if w, ok := sum[shortHashOf(u.Incarnation())]; ok {
+			out[u.Incarnation()] = w
 		}
 	}
 	return out, oldest
--- a/internal/node/gateway/suspects.go
+++ b/internal/node/gateway/suspects.go
@@ -39,15 +39,15 @@
 // see what else an upstream ran, so it counts the deaths at which the request ran, with those that others tell, and refuses
 // it after the third.
 type suspects struct {
-	keeper *quarantine.Keeper
-	logger log.Logger
-	dial   func(ctx context.Context, address string) error
+	tracker *quarantine.PersistentTracker
+	logger  log.Logger
+	dial    func(ctx context.Context, address string) error
 
 	mu sync.Mutex
 	// broken are the runs that broke off at upstreams which are being asked whether they live, by upstream.
-	broken map[ids.Life][]quarantine.Running
+	broken map[ids.UpstreamIncarnation][]quarantine.Running
 	// answered are the runs that broke off at upstreams where something listened when asked.
-	answered map[ids.Life]brokenRuns
+	answered map[ids.UpstreamIncarnation]brokenRuns
 }
 
 // brokenRuns are runs that broke off at one life of an upstream, the last of them at a time.
@@ -60,11 +60,11 @@
 	rules := quarantine.Rules{Period: quarantineLength, Crashes: crashesRefused}
 	return &suspects{
 		// Evidence is a hint and no promise: if all gateways end at once, three more deaths bring it back.
-		keeper:   quarantine.NewKeeper(nil, rules, quarantine.KeeperOptions{}),
+		tracker:  quarantine.NewPersistentTracker(nil, rules, quarantine.PersistentTrackerOptions{}),
 		logger:   logger,
 		dial:     dialOnce,
-		broken:   map[ids.Life][]quarantine.Running{},
-		answered: map[ids.Life]brokenRuns{},
+		broken:   map[ids.UpstreamIncarnation][]quarantine.Running{},
+		answered: map[ids.UpstreamIncarnation]brokenRuns{},
 	}
 }
 
@@ -80,7 +80,7 @@
 // refused counts the requests that are refused now.
 func (s *suspects) refused(now time.Time) int {
 	n := 0
-	for _, l := range s.keeper.List(now) {
+	for _, l := range s.tracker.List(now) {
 		if l.Level == quarantine.Refused {
 			n++
 		}
@@ -120,7 +120,7 @@
 
 // judge returns how a request is treated. While nothing is suspected, which is nearly always, nothing is computed.
 func (s *suspects) judge(n *run, now time.Time) (quarantine.Level, *QuarantinedError) {
-	known := s.keeper.Snapshot()
+	known := s.tracker.Snapshot()
 	if known.Empty() {
 		return quarantine.Clear, nil
 	}
@@ -140,8 +140,8 @@
 
 // completed notes that a request ran to its end: whatever died while it ran did not die of it.
 func (s *suspects) completed(n *run, now time.Time) {
-	if !s.keeper.Snapshot().Empty() {
-		s.keeper.Completed(now, n.fingerprint())
+	if !s.tracker.Snapshot().Empty() {
+		s.tracker.Completed(now, n.fingerprint())
 	}
 }
 
@@ -150,8 +150,8 @@
 	ran := quarantine.Running{Fingerprint: n.fingerprint(), Client: n.r.client}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, asked := s.broken[u.Life()]
-	s.broken[u.Life()] = append(s.broken[u.Life()], ran)
+	_, asked := s.broken[u.Incarnation()]
+	s.broken[u.Incarnation()] = append(s.broken[u.Incarnation()], ran)
 	if !asked {
 		go s.confirm(ctx, u)
 	}
@@ -163,13 +163,13 @@
 	err := s.dial(ctx, u.Address)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ran := s.broken[u.Life()]
-	delete(s.broken, u.Life())
+	ran := s.broken[u.Incarnation()]
+	delete(s.broken, u.Incarnation())
 	switch {
 	case err == nil:
-		s.noteAnswered(u.Life(), ran, time.Now())
+		s.noteAnswered(u.Incarnation(), ran, time.Now())
 	case errors.Is(err, syscall.ECONNREFUSED):
-		s.blameRuns(u.Life(), ran, "nothing listens where it was")
+		s.blameRuns(u.Incarnation(), ran, "nothing listens where it was")
 	}
 }
 
@@ -177,19 +177,19 @@
 // restart takes some seconds, and its entry some heartbeats.
 const restartHeard = 10 * time.Second
 
-func (s *suspects) noteAnswered(l ids.Life, ran []quarantine.Running, now time.Time) {
+func (s *suspects) noteAnswered(i ids.UpstreamIncarnation, ran []quarantine.Running, now time.Time) {
 	for known, b := range s.answered {
 		if now.Sub(b.at) > restartHeard {
 			delete(s.answered, known)
 		}
 	}
-	s.answered[l] = brokenRuns{append(s.answered[l].runs, ran...), now}
+	s.answered[i] = brokenRuns{append(s.answered[i].runs, ran...), now}
 }
 
 // restarted takes in that an upstream has a new life under its id.
 //
 // An upstream may be back before it is asked whether it listens. Its new life proves that the old one has ended.
-func (s *suspects) restarted(before ids.Life, now time.Time) {
+func (s *suspects) restarted(before ids.UpstreamIncarnation, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b, known := s.answered[before]
@@ -201,15 +201,15 @@
 
 // blameRuns counts a death against the runs that broke off at it. It is called with the lock held, so that whoever finds no
 // question open finds its answer as well.
-func (s *suspects) blameRuns(l ids.Life, ran []quarantine.Running, proof string) {
+func (s *suspects) blameRuns(i ids.UpstreamIncarnation, ran []quarantine.Running, proof string) {
 	now := time.Now()
 	// The death's id comes from the life, so that the reports of several gateways count as one death, and two deaths of one
 	// id as two.
-	death := quarantine.Evidence{Crash: quarantine.NewCrashID(ids.Incarnation(l.String()), 1), At: now}
+	death := quarantine.Evidence{Crash: quarantine.NewCrashID(ids.Incarnation(i.String()), 1), At: now}
 	for _, r := range ran {
-		s.keeper.Merge(now, quarantine.Suspect{Fingerprint: r.Fingerprint, Client: r.Client, Evidence: []quarantine.Evidence{death}})
-		judged, _ := s.keeper.Snapshot().Judge(now, r.Fingerprint)
-		_ = level.Info(s.logger).Log("msg", "request suspected", "reason", "upstream died while it ran", "upstream", l, "proof", proof,
+		s.tracker.Merge(now, quarantine.Suspect{Fingerprint: r.Fingerprint, Client: r.Client, Evidence: []quarantine.Evidence{death}})
+		judged, _ := s.tracker.Snapshot().Judge(now, r.Fingerprint)
+		_ = level.Info(s.logger).Log("msg", "request suspected", "reason", "upstream died while it ran", "upstream", i, "proof", proof,
 			"fingerprint", r.Fingerprint, "client", r.Client, "level", judged)
 	}
 }
--- a/internal/node/gateway/suspects_test.go
+++ b/internal/node/gateway/suspects_test.go
@@ -24,14 +24,14 @@
 
 // breakOff has a run break off at an upstream, and waits until that one was asked whether it lives.
 func breakOff(s *suspects, n *run, life ids.Upstream) {
-	breakOffAt(s, n, ids.Life{Upstream: life})
+	breakOffAt(s, n, ids.UpstreamIncarnation{Upstream: life})
 }
 
-func breakOffAt(s *suspects, n *run, life ids.Life) {
-	s.brokeOff(context.Background(), n, &catalog.Upstream{ID: life.Upstream, Born: life.Born})
+func breakOffAt(s *suspects, n *run, incarnation ids.UpstreamIncarnation) {
+	s.brokeOff(context.Background(), n, &catalog.Upstream{ID: incarnation.Upstream, StartedAtMS: incarnation.StartedAtMS})
 	for asking := true; asking; time.Sleep(time.Millisecond) {
 		s.mu.Lock()
-		_, asking = s.broken[life]
+		_, asking = s.broken[incarnation]
 		s.mu.Unlock()
 	}
 }
@@ -78,7 +78,7 @@
 	breakOff(s, n, "a")
 	breakOff(s, n, "a")
 	breakOff(other, n, "a")
-	s.keeper.Merge(time.Now(), other.keeper.Digest(time.Now(), digestSuspects)...)
+	s.tracker.Merge(time.Now(), other.tracker.Digest(time.Now(), digestSuspects)...)
 	if got := levelOf(s, n); got != quarantine.Suspected {
 		t.Fatalf("level %s after one death", got)
 	}
@@ -128,9 +128,9 @@
 		if got := levelOf(s, n); got == quarantine.Refused {
 			t.Fatalf("refused after %d deaths", born)
 		}
-		life := ids.Life{Upstream: "a", Born: born + 1}
-		breakOffAt(s, n, life)
-		s.restarted(life, time.Now())
+		incarnation := ids.UpstreamIncarnation{Upstream: "a", StartedAtMS: born + 1}
+		breakOffAt(s, n, incarnation)
+		s.restarted(incarnation, time.Now())
 	}
 	if got := levelOf(s, n); got != quarantine.Refused {
 		t.Fatalf("%v after three deaths of one id", got)
@@ -143,9 +143,9 @@
 	s := newSuspects(log.NewNopLogger())
 	s.dial = func(context.Context, string) error { return nil }
 	n := runOf("x")
-	life := ids.Life{Upstream: "a", Born: 1}
-	breakOffAt(s, n, life)
-	s.restarted(life, time.Now().Add(restartHeard+time.Second))
+	incarnation := ids.UpstreamIncarnation{Upstream: "a", StartedAtMS: 1}
+	breakOffAt(s, n, incarnation)
+	s.restarted(incarnation, time.Now().Add(restartHeard+time.Second))
 	if got := levelOf(s, n); got != quarantine.Clear {
 		t.Fatalf("%v, want clear", got)
 	}
--- a/internal/node/gateway/telling.go
+++ b/internal/node/gateway/telling.go
@@ -21,7 +21,7 @@
 	p.greet()
 	p.probeOthers(now)
 	since := now.Sub(p.toldAt)
-	if since >= digestEvery || since >= workEvery && p.workChanged() {
+	if since >= digestInterval || since >= workInterval && p.workChanged() {
 		p.tell(now)
 	}
 }
@@ -45,7 +45,7 @@
 func (p *peers) send(now time.Time, to []string) {
 	p.toldAt = now
 	d := p.compose()
-	if now.Sub(p.namedAt) >= p.namesEvery(now) {
+	if now.Sub(p.namedAt) >= p.namesInterval(now) {
 		p.namedAt = now
 		d.Peers = p.named(now)
 	}
@@ -95,11 +95,11 @@
 	d.ExpertsSpare = uint64(g.experts.leading.spare)
 	for _, f := range g.followers {
 		d.News = append(d.News, &cardamomyokev1.TableNews{
-			Table: f.Table.Name(), Newest: f.Table.Newest(), Following: f.Following(), Lost: !f.Link().Up,
+			Table: f.Replica.Name(), Newest: f.Replica.Newest(), Following: f.Following(), Lost: !f.Connection().Up,
 		})
 	}
 	d.Slow = g.experts.slowKnown()
-	d.Suspects = quarantine.ToDigest(g.suspects.keeper.Digest(time.Now(), digestSuspects))
+	d.Suspects = quarantine.ToDigest(g.suspects.tracker.Digest(time.Now(), digestSuspects))
 	d.Work = g.workColumns()
 	p.mu.Lock()
 	d.Rumors = rumorColumns(p.detector.Rumors(maxRumors))
@@ -111,11 +111,11 @@
 func (g *Gateway) workColumns() *cardamomyokev1.WorkColumns {
 	var columns *cardamomyokev1.WorkColumns
 	for _, s := range g.control.services {
-		for life, w := range s.gate.Own() {
+		for incarnation, w := range s.gate.Own() {
 			if columns == nil {
 				columns = &cardamomyokev1.WorkColumns{}
 			}
-			columns.Upstreams = append(columns.Upstreams, shortHashOf(life))
+			columns.Upstreams = append(columns.Upstreams, shortHashOf(incarnation))
 			columns.Requests = append(columns.Requests, uint32(w.Requests))
 			columns.PromptTokens = append(columns.PromptTokens, uint32(max(0, w.PromptTokens)))
 		}
@@ -124,10 +124,10 @@
 }
 
 // shortHashOf is hashOf in half as many bytes, for what may be mistaken once in a while.
-func shortHashOf(l ids.Life) uint32 { return uint32(hashOf(l)) }
+func shortHashOf(i ids.UpstreamIncarnation) uint32 { return uint32(hashOf(i)) }
 
 // hashOf stands for an upstream's life in digests: what others tell of an ended life matches no present one.
-func hashOf(l ids.Life) uint64 { return xxhash.Sum64String(l.String()) }
+func hashOf(i ids.UpstreamIncarnation) uint64 { return xxhash.Sum64String(i.String()) }
 
 func digestState(s nodeState) cardamomyokev1.NodeState {
 	switch s {
@@ -189,17 +189,17 @@
 		}
 	}
 	turns := max(1, (ready-1+maxTold-1)/maxTold)
-	return dispatch.Sharing{Gateways: ready, Interval: workEvery * time.Duration(turns)}
+	return dispatch.Sharing{Gateways: ready, Interval: workInterval * time.Duration(turns)}
 }
 
-// namesEvery is how often names are told now.
-func (p *peers) namesEvery(now time.Time) time.Duration {
+// namesInterval is how often names are told now.
+func (p *peers) namesInterval(now time.Time) time.Duration {
 	for _, k := range p.live(now) {
 		if now.Sub(k.firstAt) < newFor {
-			return newNamesEvery
+			return newNamesInterval
 		}
 	}
-	return namesEvery
+	return namesInterval
 }
 
 // named are some live gateways for others to know.
--- a/internal/node/gateway/watching.go
+++ b/internal/node/gateway/watching.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// leastSentinels is how many gateways in all follow the store at least: one may be gone and another cut off from the
+	// minSentinels is how many gateways in all follow the store at least: one may be gone and another cut off from the
 	// store at the same time.
-	leastSentinels = 3
-	// leastRelays is how many gateways that follow the store must be heard by one that does not: of two, one may have been
+	minSentinels = 3
+	// minRelays is how many gateways that follow the store must be heard by one that does not: of two, one may have been
 	// turned away by the store and not noticed yet.
-	leastRelays = 2
+	minRelays = 2
 	// relayGrace is for how long a gateway goes on without enough others that follow the store: another one takes the place of
 	// one that ended or was turned away, and tells all.
 	relayGrace = 300 * time.Millisecond
-	// mostBehind is for how long a copy may lack a change that others have told of before the store is asked for it: some
+	// maxBehind is for how long a copy may lack a change that others have told of before the store is asked for it: some
 	// pulls from the nearest gateway and the one that told.
-	mostBehind = 600 * time.Millisecond
+	maxBehind = 600 * time.Millisecond
 )
 
 // sentinel reports whether this gateway is one that its data centre relies on for news of the store: one of the first by
@@ -38,7 +38,7 @@
 			names = append(names, k.digest.GetNode())
 		}
 	}
-	each := (leastSentinels + len(centres) - 1) / len(centres)
+	each := (minSentinels + len(centres) - 1) / len(centres)
 	return slices.Contains(lease.Candidates("store", names, each), own.Name)
 }
 
@@ -51,20 +51,20 @@
 // soon.
 //
 // When a gateway that followed the store ends or is turned away, all others would call the store at once.
-func (p *peers) relayed(t *replica.Table, now time.Time) bool {
+func (p *peers) relayed(r *replica.Replica, now time.Time) bool {
 	if p.joining(now) {
 		return true
 	}
-	if p.sentinel(now) || p.behind(t, now) > mostBehind {
+	if p.sentinel(now) || p.behind(r, now) > maxBehind {
 		return false
 	}
-	enough := p.relays(t, now) >= leastRelays
+	enough := p.relays(r, now) >= minRelays
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if enough {
-		p.relaysAt[t.Name()] = now
+		p.relaysAt[r.Name()] = now
 	}
-	last := p.relaysAt[t.Name()]
+	last := p.relaysAt[r.Name()]
 	if began := p.began.Add(joinTime); last.Before(began) {
 		last = began
 	}
@@ -72,11 +72,11 @@
 }
 
 // relays counts the gateways that follow a table in the store.
-func (p *peers) relays(t *replica.Table, now time.Time) int {
+func (p *peers) relays(r *replica.Replica, now time.Time) int {
 	relays := 0
 	for _, k := range p.live(now) {
 		for _, n := range k.digest.GetNews() {
-			if n.GetTable() == t.Name() && n.GetFollowing() {
+			if n.GetTable() == r.Name() && n.GetFollowing() {
 				relays++
 			}
 		}
@@ -108,7 +108,7 @@
 	if p.isolatedLocked(now) {
 		return false
 	}
-	if now.Sub(k.heardAt) > p.silenceLocked(leaderSilent) || p.detector.Ended(k.address()) {
+	if now.Sub(k.heardAt) > p.silenceLocked(leaderSilent) || p.detector.Dead(k.address()) {
 		return true
 	}
 	return k.digest.GetIncarnation() > string(life)
--- a/internal/node/operator/operator.go
+++ b/internal/node/operator/operator.go
@@ -51,8 +51,8 @@
 	Committed()
 	// Record takes in a fact that is not in the log; it does not wait.
 	Record(now time.Time, r *cardamomyokev1.AuditRow)
-	// Settle writes what it can of all that this node knows of.
-	Settle(ctx context.Context)
+	// FlushAll writes what it can of all that this node knows of.
+	FlushAll(ctx context.Context)
 }
 
 // noAudit keeps nothing.
@@ -60,7 +60,7 @@
 
 func (noAudit) Committed()                                 {}
 func (noAudit) Record(time.Time, *cardamomyokev1.AuditRow) {}
-func (noAudit) Settle(context.Context)                     {}
+func (noAudit) FlushAll(context.Context)                   {}
 
 // Server implements the RPC. It is safe for concurrent use.
 type Server struct{ o Options }
--- a/internal/node/operator/status.go
+++ b/internal/node/operator/status.go
@@ -63,7 +63,7 @@
 		return nil, asConnect(err)
 	}
 	if r.GetAfter() == "" {
-		s.o.Audit.Settle(ctx)
+		s.o.Audit.FlushAll(ctx)
 	}
 	rows, err := s.o.Table.List(ctx, audit.Prefix, r.GetAfter(), limit)
 	if err != nil {
--- a/internal/node/rank/rank.go
+++ b/internal/node/rank/rank.go
@@ -99,13 +99,13 @@
 	req.SetRequestURI(path)
 	req.Header.SetHost("engine")
 	req.SetBodyRaw(body)
-	answer, err := e.client.Do(ctx, e.address, req)
+	res, err := e.client.Do(ctx, e.address, req)
 	if err != nil {
 		return nil, err
 	}
-	out, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
-	status := answer.Header.StatusCode()
-	answer.Release(err == nil)
+	out, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
+	status := res.Header.StatusCode()
+	res.Release(err == nil)
 	if err != nil {
 		return nil, fmt.Errorf("engine's rank: %w", err)
 	}
--- a/internal/node/slot/digests.go
+++ b/internal/node/slot/digests.go
@@ -26,7 +26,7 @@
 	cancel   context.CancelFunc
 	mu       sync.Mutex
 	sequence uint64
-	members  *membership.Table
+	members  *membership.MemberList
 	roster   *revision.Roster
 }
 
@@ -70,10 +70,10 @@
 func (d *digests) take(in *cardamomyokev1.Digest) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.members.Hear(in, time.Now()) {
+	if !d.members.Receive(in, time.Now()) {
 		return
 	}
-	d.slot.guard.Learn(quarantine.FromDigest(in)...)
+	d.slot.guard.Merge(quarantine.FromDigest(in)...)
 }
 
 // send tells the entries that are due, or all of them if there is news that cannot wait.
@@ -84,7 +84,7 @@
 	d.slot.guard.SetPeriod(quarantinePeriod(d.slot.config))
 	d.adoptRoster(now)
 	d.members.Tick(now)
-	for _, to := range d.members.Due(d.slot.settings.Digests.Seeds, now, all) {
+	for _, to := range d.members.DueTargets(d.slot.settings.Digests.Seeds, now, all) {
 		d.sequence++
 		n, err := d.sender.Send(to.Address, d.slot.digestFor(to.Incarnation, d.sequence, now))
 		d.slot.metrics.digestBytes.Add(n)
--- a/internal/node/slot/handler.go
+++ b/internal/node/slot/handler.go
@@ -67,7 +67,7 @@
 	err = s.run(ctx, x, j)
 	span.End(err)
 	s.metrics.answered(err)
-	if err != nil && !x.Answered() {
+	if err != nil && !x.Responded() {
 		x.Fail(failure.From(err), own(h.Attempt))
 	}
 }
@@ -85,17 +85,17 @@
 	if !j.service.GetRepeatable() {
 		return s.runOnce(ctx, x, j)
 	}
-	pass, err := s.enter(ctx, j)
+	permit, err := s.enter(ctx, j)
 	if err != nil {
 		return err
 	}
-	defer pass.Leave(quarantine.Stopped)
+	defer permit.Release(quarantine.Stopped)
 	if err := s.begin(j); err != nil {
 		return err
 	}
 	defer func() { s.table.Finish(j.Attempt, time.Now()) }()
 	err = s.forward(ctx, x, j)
-	s.leave(ctx, pass, err)
+	s.leave(ctx, permit, err)
 	return err
 }
 
--- a/internal/node/slot/model.go
+++ b/internal/node/slot/model.go
@@ -58,20 +58,20 @@
 	defer cancel(nil)
 	sent := time.Now()
 	req := engineRequest(j)
-	answer, err := s.client.Do(ctx, s.settings.Upstream.Address, req)
+	res, err := s.client.Do(ctx, s.settings.Upstream.Address, req)
 	fasthttp.ReleaseRequest(req) // it is written in full, or given up
 	if err != nil {
 		return s.upstreamError(ctx, err)
 	}
 	trusted := false
-	defer func() { answer.Release(trusted) }()
-	if code := answer.Header.StatusCode(); code != fasthttp.StatusOK {
+	defer func() { res.Release(trusted) }()
+	if code := res.Header.StatusCode(); code != fasthttp.StatusOK {
 		return engineStatus(code)
 	}
 	relay := &modelRelay{x: x, job: j, id: j.Attempt.String(), flight: flight, speed: &s.speed, steps: &s.steps, last: sent, after: s.settings.Upstream.StopAfter.Or(defaultStopAfter)}
 	relay.watch = relay.stallTimer(cancel)
 	defer relay.watch.Stop()
-	err = relay.all(ctx, answer)
+	err = relay.all(ctx, res)
 	trusted = err == nil
 	if err != nil {
 		err = errors.Join(err, context.Cause(ctx))
@@ -159,9 +159,9 @@
 	wire bytes.Buffer
 }
 
-func (r *modelRelay) all(ctx context.Context, answer *httpclient.Answer) error {
+func (r *modelRelay) all(ctx context.Context, res *httpclient.Response) error {
 	r.next = r.job.Resume
-	for ev, err := range sse.Read(answer.Body, nil) {
+	for ev, err := range sse.Read(res.Body, nil) {
 		if err != nil {
 			return r.broken(r.cut(err))
 		}
@@ -173,7 +173,7 @@
 			return r.broken(err)
 		}
 		if last {
-			return r.finish(answer)
+			return r.finish(res)
 		}
 	}
 	return r.broken(r.cut(nil))
@@ -248,11 +248,11 @@
 }
 
 // finish reads the engine's end marker, without which the connection may not be used again.
-func (r *modelRelay) finish(answer *httpclient.Answer) error {
+func (r *modelRelay) finish(res *httpclient.Response) error {
 	if err := r.x.End(); err != nil {
 		return err
 	}
-	return drain(answer)
+	return drain(res)
 }
 
 // broken tells the entry that the answer breaks off, so that it can resume elsewhere at once.
--- a/internal/node/slot/once.go
+++ b/internal/node/slot/once.go
@@ -25,12 +25,12 @@
 	case verdict.Outcome != nil:
 		return respondPlain(x, j, &plainAnswer{verdict.Outcome.Status, verdict.Outcome.ContentType, verdict.Outcome.Body})
 	}
-	pass, err := s.enter(ctx, j)
+	permit, err := s.enter(ctx, j)
 	if err != nil {
 		s.claims.NotStarted(j.Attempt)
 		return err
 	}
-	defer pass.Leave(quarantine.Stopped)
+	defer permit.Release(quarantine.Stopped)
 	// The fence is asked after the claim and directly before the start: an entry that gave up while the claim was
 	// being written gets its promise, and the claim is given back.
 	if err := s.begin(j); err != nil {
@@ -39,7 +39,7 @@
 	}
 	defer func() { s.table.Finish(j.Attempt, time.Now()) }()
 	answer, err := s.callPlain(ctx, j)
-	s.leave(ctx, pass, err)
+	s.leave(ctx, permit, err)
 	if err != nil {
 		return s.settleClaim(j.Attempt, err)
 	}
--- a/internal/node/slot/orders.go
+++ b/internal/node/slot/orders.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// ordersEvery is the time between two looks at the upstream's row of orders: 780 slots read 156 rows a second.
-	ordersEvery = 5 * time.Second
+	// ordersInterval is the time between two looks at the upstream's row of orders: 780 slots read 156 rows a second.
+	ordersInterval = 5 * time.Second
 	// orderTimeout bounds one order; loading goes on in the engine after it answered.
 	orderTimeout = 2 * time.Second
 	// ordersPath is where an engine takes orders, as the JSON form of EngineOrder.
@@ -31,14 +31,14 @@
 type orders struct {
 	slot  *Slot
 	table platform.Table
-	gate  lease.Gate
+	gate  lease.FenceFilter
 	// done is the fencing number of the newest order that the engine took.
 	done ids.Fence
 }
 
 // run looks for orders until ctx ends.
 func (o *orders) run(ctx context.Context) {
-	tick := time.NewTicker(ordersEvery)
+	tick := time.NewTicker(ordersInterval)
 	defer tick.Stop()
 	for {
 		if err := o.turn(ctx); err != nil {
@@ -87,13 +87,13 @@
 	req.Header.SetHost("engine")
 	req.Header.SetContentType("application/json")
 	req.SetBodyRaw(body)
-	answer, err := o.slot.client.Do(ctx, o.slot.settings.Upstream.Address, req)
+	res, err := o.slot.client.Do(ctx, o.slot.settings.Upstream.Address, req)
 	if err != nil {
 		return fmt.Errorf("give order: %w", err)
 	}
-	_, err = io.Copy(io.Discard, answer.Body)
-	status := answer.Header.StatusCode()
-	answer.Release(err == nil)
+	_, err = io.Copy(io.Discard, res.Body)
+	status := res.Header.StatusCode()
+	res.Release(err == nil)
 	if status != fasthttp.StatusOK {
 		return fmt.Errorf("give order: %w", &StatusError{status})
 	}
--- a/internal/node/slot/plain.go
+++ b/internal/node/slot/plain.go
@@ -44,14 +44,14 @@
 	defer flight.End()
 	sent := time.Now()
 	req := plainRequest(j)
-	answer, err := s.client.Do(ctx, s.settings.Upstream.Address, req)
+	res, err := s.client.Do(ctx, s.settings.Upstream.Address, req)
 	fasthttp.ReleaseRequest(req) // it is written in full, or given up
 	if err != nil {
 		return nil, s.upstreamError(ctx, err)
 	}
 	trusted := false
-	defer func() { answer.Release(trusted) }()
-	a, err := readPlain(j, answer)
+	defer func() { res.Release(trusted) }()
+	a, err := readPlain(j, res)
 	if err != nil {
 		return nil, failure.New(failure.CodeUpstreamFailed, err)
 	}
@@ -80,20 +80,20 @@
 	return req
 }
 
-func readPlain(j *job, answer *httpclient.Answer) (*plainAnswer, error) {
+func readPlain(j *job, res *httpclient.Response) (*plainAnswer, error) {
 	// A service that echoes the request's id lets a crossed answer be seen; one that does not is trusted to keep the
 	// order of its connection, which httpclient never shares.
-	if id := string(answer.Header.Peek(engineHeaderID)); id != "" && id != j.Attempt.String() {
+	if id := string(res.Header.Peek(engineHeaderID)); id != "" && id != j.Attempt.String() {
 		return nil, &attempt.MismatchError{Attempt: j.Attempt, Want: "its own id", Got: id}
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes+1))
 	if err != nil {
 		return nil, &attempt.CutError{Attempt: j.Attempt, Cause: err}
 	}
 	if len(body) > maxAnswerBytes {
 		return nil, &AnswerSizeError{maxAnswerBytes}
 	}
-	return &plainAnswer{answer.Header.StatusCode(), string(answer.Header.ContentType()), body}, nil
+	return &plainAnswer{res.Header.StatusCode(), string(res.Header.ContentType()), body}, nil
 }
 
 // AnswerSizeError says that an answer is larger than is passed on.
@@ -103,8 +103,8 @@
 func (e *AnswerSizeError) Error() string { return fmt.Sprintf("answer is over %d bytes", e.Limit) }
 
 // drain reads what follows an answer's last event; more than the end marker is not expected.
-func drain(answer *httpclient.Answer) error {
-	_, err := io.Copy(io.Discard, io.LimitReader(answer.Body, 1<<10))
+func drain(res *httpclient.Response) error {
+	_, err := io.Copy(io.Discard, io.LimitReader(res.Body, 1<<10))
 	if err != nil && !errors.Is(err, io.EOF) {
 		return fmt.Errorf("end of answer: %w", err)
 	}
--- a/internal/node/slot/upstream.go
+++ b/internal/node/slot/upstream.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// probeEvery is how often the slot looks whether its upstream is there; probeTimeout bounds one look.
-	probeEvery   = 250 * time.Millisecond
-	probeTimeout = time.Second
+	// probeInterval is how often the slot looks whether its upstream is there; probeTimeout bounds one look.
+	probeInterval = 250 * time.Millisecond
+	probeTimeout  = time.Second
 	// loadPath is where an engine reports its load, with the id of its process.
 	loadPath = "/v1/load"
 	// digestSuspects is how many suspects one digest carries; more would not fit its datagram.
@@ -28,25 +28,25 @@
 )
 
 // enter waits for leave to run the job on the upstream. A suspect may have to wait or is refused before the start.
-func (s *Slot) enter(ctx context.Context, j *job) (*quarantine.Pass, error) {
+func (s *Slot) enter(ctx context.Context, j *job) (*quarantine.Permit, error) {
 	r := quarantine.Running{
 		Fingerprint: quarantine.FingerprintOf(j.Client, sha256.Sum256(j.body)),
 		Client:      j.Client,
 	}
-	return s.guard.Enter(ctx, r, quarantine.Level(j.Suspicion))
+	return s.guard.Acquire(ctx, r, quarantine.Level(j.Suspicion))
 }
 
 // leave tells the guard how a run ended. A connection that broke is looked into at once: if the upstream died, what
 // ran there is suspect, and the entry's next attempt must know.
-func (s *Slot) leave(ctx context.Context, pass *quarantine.Pass, err error) {
+func (s *Slot) leave(ctx context.Context, permit *quarantine.Permit, err error) {
 	switch {
 	case err == nil:
-		pass.Leave(quarantine.Whole)
+		permit.Release(quarantine.Whole)
 	case ctx.Err() == nil && broke(err):
-		pass.Leave(quarantine.Broken)
+		permit.Release(quarantine.Broken)
 		s.upstream.look(s)
 	default:
-		pass.Leave(quarantine.Stopped)
+		permit.Release(quarantine.Stopped)
 	}
 }
 
@@ -65,7 +65,7 @@
 
 // run looks at the upstream until ctx ends.
 func (w *upstreamWatch) run(ctx context.Context, s *Slot) {
-	tick := time.NewTicker(probeEvery)
+	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -111,12 +111,12 @@
 	req := &fasthttp.Request{}
 	req.SetRequestURI(loadPath)
 	req.Header.SetHost("engine")
-	answer, err := s.client.Do(ctx, s.settings.Upstream.Address, req)
+	res, err := s.client.Do(ctx, s.settings.Upstream.Address, req)
 	if err != nil {
 		return "", err
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
-	answer.Release(err == nil)
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
+	res.Release(err == nil)
 	if err != nil {
 		return "", err
 	}
--- a/internal/node/slot/upstream_test.go
+++ b/internal/node/slot/upstream_test.go
@@ -31,13 +31,13 @@
 	req := &fasthttp.Request{}
 	req.SetRequestURI("/")
 	req.Header.SetHost("engine")
-	answer, err := httpclient.New(httpclient.Options{}).Do(t.Context(), l.Addr().String(), req)
+	res, err := httpclient.New(httpclient.Options{}).Do(t.Context(), l.Addr().String(), req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer answer.Release(false)
+	defer res.Release(false)
 	r := &modelRelay{job: &job{}}
-	if err := r.all(t.Context(), answer); !broke(err) {
+	if err := r.all(t.Context(), res); !broke(err) {
 		t.Fatalf("%v does not count as broken", err)
 	}
 }
--- a/internal/policy/admission/classqueue.go
+++ b/internal/policy/admission/classqueue.go
@@ -52,7 +52,7 @@
 	}
 	f.share = share
 	if len(f.items) == 0 {
-		f.since = it.offered
+		f.since = it.submitted
 	}
 	f.items = append(f.items, it)
 	f.backlog += it.req.Tokens
@@ -122,8 +122,8 @@
 // idleAfter is how long a client that sends nothing is remembered for what it had too much.
 const idleAfter = time.Minute
 
-// settle charges a client for work that was estimated wrongly.
-func (c *classQueue) settle(client ids.Client, tokens, share float64) {
+// adjust charges a client for work that was estimated wrongly.
+func (c *classQueue) adjust(client ids.Client, tokens, share float64) {
 	f := c.flows[client]
 	if f == nil {
 		return
--- a/internal/policy/admission/estimate.go
+++ b/internal/policy/admission/estimate.go
@@ -50,7 +50,7 @@
 	if f := c.flows[it.req.Client]; f != nil {
 		wait = q.wait(s, f, f.backlog, now)
 	}
-	if excess := wait - q.opts.MostWait; q.opts.MostWait > 0 && excess > 0 {
+	if excess := wait - q.opts.MaxWait; q.opts.MaxWait > 0 && excess > 0 {
 		return failure.New(failure.CodeOverloaded, nil).WithRetryAfter(atLeastSecond(excess))
 	}
 	if late := lateBy(it, wait, now); late > 0 {
@@ -89,7 +89,7 @@
 	if f.index < 0 || now.Sub(f.since) < q.opts.RateWindow {
 		return wait
 	}
-	pace := max(leastRate, f.rate.perSecond(now))
+	pace := max(minRate, f.rate.perSecond(now))
 	return max(wait, time.Duration(ahead/pace*float64(time.Second)))
 }
 
@@ -148,8 +148,8 @@
 	return time.Duration(work / s.rate * float64(time.Second))
 }
 
-// leastRate keeps estimates finite when nothing was served for a while.
-const leastRate = 1
+// minRate keeps estimates finite when nothing was served for a while.
+const minRate = 1
 
 // rateFor is the work per second that is left to a class by those before it.
 func (q *Queue) rateFor(c *classQueue, now time.Time) float64 {
@@ -163,5 +163,5 @@
 		}
 		rate -= before.rate.perSecond(now)
 	}
-	return max(leastRate, rate)
+	return max(minRate, rate)
 }
--- a/internal/policy/admission/gate.go
+++ b/internal/policy/admission/gate.go
@@ -17,20 +17,20 @@
 type Ticket struct {
 	gate    *Gate
 	id      uint64
-	settled chan struct{}
+	decided chan struct{}
 	err     error
 }
 
 // NewGate returns a gate around q, which must not be used otherwise any more.
 func NewGate(q *Queue) *Gate { return &Gate{queue: q, tickets: make(map[uint64]*Ticket)} }
 
-// Offer takes in a request. The ticket is settled at once or later.
-func (g *Gate) Offer(req Request, now time.Time) *Ticket {
+// Submit takes in a request. The ticket is settled at once or later.
+func (g *Gate) Submit(req Request, now time.Time) *Ticket {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	t := &Ticket{gate: g, id: req.ID, settled: make(chan struct{})}
+	t := &Ticket{gate: g, id: req.ID, decided: make(chan struct{})}
 	g.tickets[req.ID] = t
-	g.settle(g.queue.Offer(req, now))
+	g.decide(g.queue.Submit(req, now))
 	return t
 }
 
@@ -38,7 +38,7 @@
 func (g *Gate) Tick(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.settle(g.queue.Tick(now))
+	g.decide(g.queue.Tick(now))
 }
 
 // SetCapacity passes a new capacity on; see Queue.SetCapacity.
@@ -55,19 +55,19 @@
 	return g.queue.Waiting(), g.queue.Started()
 }
 
-func (g *Gate) settle(outcomes []Outcome) {
+func (g *Gate) decide(outcomes []Outcome) {
 	for _, o := range outcomes {
 		t := g.tickets[o.Request.ID]
 		t.err = o.Err
-		close(t.settled)
+		close(t.decided)
 		delete(g.tickets, o.Request.ID)
 	}
 }
 
-// Settled is closed once the request may start or is refused.
-func (t *Ticket) Settled() <-chan struct{} { return t.settled }
+// Decided is closed once the request may start or is refused.
+func (t *Ticket) Decided() <-chan struct{} { return t.decided }
 
-// Err returns nil if the request may start, else *failure.Error. It may be called once Settled is closed.
+// Err returns nil if the request may start, else *failure.Error. It may be called once Decided is closed.
 func (t *Ticket) Err() error { return t.err }
 
 // Done frees the request's place, whatever became of it: waiting, started or refused. used is the work that it took,
@@ -80,5 +80,5 @@
 		delete(g.tickets, t.id)
 		return
 	}
-	g.settle(g.queue.Done(t.id, used, now))
+	g.decide(g.queue.Done(t.id, used, now))
 }
