--- a/internal/policy/admission/gate_test.go
+++ b/internal/policy/admission/gate_test.go
@@ -16,14 +16,14 @@
 	var wg sync.WaitGroup
 	for i := range uint64(callers) {
 		wg.Go(func() {
-			ticket := g.Offer(admission.Request{
+			ticket := g.Submit(admission.Request{
 				ID: i + 1, Client: "a", Class: quotes, Tokens: tokens, Run: time.Millisecond, Deadline: begin.Add(time.Hour),
 			}, begin)
 			if i%5 == 0 {
 				ticket.Done(0, begin)
 				return
 			}
-			<-ticket.Settled()
+			<-ticket.Decided()
 			if err := ticket.Err(); err != nil {
 				t.Errorf("request %d: %v", i, err)
 			}
@@ -48,8 +48,8 @@
 			next++
 			id := next
 			mu.Unlock()
-			ticket := g.Offer(admission.Request{ID: id, Client: "a", Class: quotes, Tokens: tokens, Deadline: begin.Add(time.Hour)}, begin)
-			<-ticket.Settled()
+			ticket := g.Submit(admission.Request{ID: id, Client: "a", Class: quotes, Tokens: tokens, Deadline: begin.Add(time.Hour)}, begin)
+			<-ticket.Decided()
 			ticket.Done(tokens, begin)
 		}
 	})
--- a/internal/policy/admission/limits/book.go
+++ b/internal/policy/admission/limits/book.go
@@ -23,7 +23,7 @@
 	return book{opts: opts, heard: make(map[ids.Node]time.Time), demand: make(map[ids.Client]map[ids.Node]told)}
 }
 
-func (b *book) take(from ids.Node, records []Record, now time.Time) {
+func (b *book) record(from ids.Node, records []Record, now time.Time) {
 	b.heard[from] = now
 	for _, r := range records {
 		by := b.demand[r.Client]
--- a/internal/policy/admission/limits/exchange.go
+++ b/internal/policy/admission/limits/exchange.go
@@ -68,7 +68,7 @@
 // minDemand is the fraction of an even part of the limit below which a client's demand is not told: it cannot matter.
 const minDemand = 0.1
 
-// Report returns the demand of this entry's clients, most first and no more than Options.MostRecords. It is sent once
+// Report returns the demand of this entry's clients, most first and no more than Options.MaxRecords. It is sent once
 // a second to where Ring.Address says.
 func (l *Limiter) Report(now time.Time) []Record {
 	l.mu.Lock()
@@ -87,7 +87,7 @@
 	slices.SortFunc(records, func(a, b Record) int {
 		return cmp.Or(cmp.Compare(b.Demand.Tokens, a.Demand.Tokens), cmp.Compare(a.Client, b.Client))
 	})
-	return records[:min(len(records), l.opts.MostRecords)]
+	return records[:min(len(records), l.opts.MaxRecords)]
 }
 
 func (l *Limiter) matters(d Usage, limit Limit) bool {
@@ -99,12 +99,12 @@
 		limit.TokensPerSecond > 0 && d.Tokens > even*limit.TokensPerSecond
 }
 
-// Gather takes in what another entry reported, and returns the sums over all entries but that one, this one included,
+// MergeReport takes in what another entry reported, and returns the sums over all entries but that one, this one included,
 // for the same clients. An aggregator sends them back; in the full exchange they are not needed.
-func (l *Limiter) Gather(from ids.Node, records []Record, now time.Time) []Record {
+func (l *Limiter) MergeReport(from ids.Node, records []Record, now time.Time) []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.book.take(from, records, now)
+	l.book.record(from, records, now)
 	sums := make([]Record, 0, len(records))
 	for _, r := range records {
 		total, _ := l.book.sum(r.Client, now)
@@ -117,8 +117,8 @@
 	return sums
 }
 
-// Learn takes in what an aggregator returned for a report of this entry: the demand at the other entries.
-func (l *Limiter) Learn(sums []Record, now time.Time) {
+// MergeSums takes in what an aggregator returned for a report of this entry: the demand at the other entries.
+func (l *Limiter) MergeSums(sums []Record, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range sums {
--- a/internal/policy/admission/limits/limiter.go
+++ b/internal/policy/admission/limits/limiter.go
@@ -24,15 +24,15 @@
 	Fresh time.Duration
 	// Hold is how long the others' last demand counts when they, or the aggregator, are not heard any more.
 	Hold time.Duration
-	// MostRecords bounds a report, so that it fits one datagram beside a digest; the clients with most demand are told.
-	MostRecords int
+	// MaxRecords bounds a report, so that it fits one datagram beside a digest; the clients with most demand are told.
+	MaxRecords int
 }
 
 // Defaults returns the settings in use.
 func Defaults() Options {
 	return Options{
 		Burst: time.Second, Window: 2 * time.Second, Fresh: 3500 * time.Millisecond, Hold: 30 * time.Second,
-		MostRecords: 56,
+		MaxRecords: 56,
 	}
 }
 
@@ -81,9 +81,9 @@
 	l.entries = max(1, n)
 }
 
-// Take counts a request of the given size in tokens; it returns *failure.Error with CodeOverLimit and the time after
+// Consume counts a request of the given size in tokens; it returns *failure.Error with CodeOverLimit and the time after
 // which the client has allowance again. It counts the demand of clients without a limit too, for fair sharing.
-func (l *Limiter) Take(client ids.Client, tokens float64, now time.Time) error {
+func (l *Limiter) Consume(client ids.Client, tokens float64, now time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	limit := l.limits[client]
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// Settle corrects an earlier Take by the difference between the real and the estimated tokens.
-func (l *Limiter) Settle(client ids.Client, difference float64) {
+// Adjust corrects an earlier Consume by the difference between the real and the estimated tokens.
+func (l *Limiter) Adjust(client ids.Client, difference float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if a := l.accounts[client]; a != nil {
--- a/internal/policy/admission/limits/limiter_test.go
+++ b/internal/policy/admission/limits/limiter_test.go
@@ -54,7 +54,7 @@
 		for i := range perSecond {
 			node := at[e.rng.IntN(len(at))]
 			now := e.now.Add(time.Duration(i) * time.Second / time.Duration(perSecond))
-			if e.limiters[node].Take(client, tokens, now) == nil {
+			if e.limiters[node].Consume(client, tokens, now) == nil {
 				granted[s]++
 			}
 		}
@@ -71,9 +71,9 @@
 				continue
 			}
 			e.sent += len(records)
-			sums := e.limiters[to].Gather(from, records, e.now)
+			sums := e.limiters[to].MergeReport(from, records, e.now)
 			if !e.ring.Full() {
-				e.limiters[from].Learn(sums, e.now)
+				e.limiters[from].MergeSums(sums, e.now)
 			}
 		}
 	}
@@ -164,17 +164,17 @@
 func TestARefusalSaysWhenToComeBack(t *testing.T) {
 	l := limits.New(limits.Defaults(), 1)
 	l.SetLimits(map[ids.Client]limits.Limit{client: {TokensPerSecond: 100}})
-	if err := l.Take(client, 350, begin); err != nil {
+	if err := l.Consume(client, 350, begin); err != nil {
 		t.Fatalf("a request larger than a burst can never run: %v", err)
 	}
-	f := failure.From(l.Take(client, 1, begin))
+	f := failure.From(l.Consume(client, 1, begin))
 	if f.Code != failure.CodeOverLimit || f.RetryAfter != 3*time.Second || f.Proof != failure.ProofNeverSent {
 		t.Fatalf("got %v, retry after %v", f, f.RetryAfter)
 	}
-	if err := l.Take(client, 1, begin.Add(f.RetryAfter)); err != nil {
+	if err := l.Consume(client, 1, begin.Add(f.RetryAfter)); err != nil {
 		t.Fatalf("refused again at the time that was said: %v", err)
 	}
-	if err := l.Take("unlimited", 1e9, begin); err != nil {
+	if err := l.Consume("unlimited", 1e9, begin); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -183,10 +183,10 @@
 func TestAReportIsBounded(t *testing.T) {
 	l := limits.New(limits.Defaults(), 360)
 	for i := range 30_000 {
-		_ = l.Take(ids.Client(fmt.Sprintf("client-%05d", i)), float64(i+1), begin)
+		_ = l.Consume(ids.Client(fmt.Sprintf("client-%05d", i)), float64(i+1), begin)
 	}
 	report := l.Report(begin)
-	if len(report) != limits.Defaults().MostRecords || report[0].Client != "client-29999" {
+	if len(report) != limits.Defaults().MaxRecords || report[0].Client != "client-29999" {
 		t.Fatalf("%d records, the first of %s", len(report), report[0].Client)
 	}
 	if again := l.Report(begin.Add(time.Minute)); len(again) != 0 {
@@ -201,9 +201,9 @@
 	for i := range 10 * 100 {
 		now := begin.Add(time.Duration(i) * 10 * time.Millisecond)
 		for _, name := range e.names {
-			_ = e.limiters[name].Take("flooder", 10, now)
+			_ = e.limiters[name].Consume("flooder", 10, now)
 		}
-		_ = e.limiters[e.names[0]].Take("modest", 1, now)
+		_ = e.limiters[e.names[0]].Consume("modest", 1, now)
 		e.now = now
 	}
 	e.exchange()
@@ -229,11 +229,11 @@
 	}
 }
 
-func BenchmarkTake(b *testing.B) {
+func BenchmarkConsume(b *testing.B) {
 	l := limits.New(limits.Defaults(), 6)
 	l.SetLimits(map[ids.Client]limits.Limit{client: {RequestsPerSecond: 1e9}})
 	b.ReportAllocs()
 	for i := range b.N {
-		_ = l.Take(client, 1, begin.Add(time.Duration(i)))
+		_ = l.Consume(client, 1, begin.Add(time.Duration(i)))
 	}
 }
--- a/internal/policy/admission/limits/wire_test.go
+++ b/internal/policy/admission/limits/wire_test.go
@@ -27,7 +27,7 @@
 // The largest report must fit one datagram of 1,400 bytes beside the rest of a digest, which takes up to 190.
 func TestALargestReportFitsADatagram(t *testing.T) {
 	var records []limits.Record
-	for i := range limits.Defaults().MostRecords {
+	for i := range limits.Defaults().MaxRecords {
 		records = append(records, limits.Record{
 			Client: ids.Client(fmt.Sprintf("client-with-a-long-name-%05d", i)), Demand: limits.Usage{Requests: 5000, Tokens: 5e6},
 		})
--- a/internal/policy/admission/queue.go
+++ b/internal/policy/admission/queue.go
@@ -35,9 +35,9 @@
 	Reserve float64
 	// RateWindow is the time over which the rate of started work is measured.
 	RateWindow time.Duration
-	// MostWait is the longest expected wait that a request is queued for; 0 means until its deadline. A queue takes up
+	// MaxWait is the longest expected wait that a request is queued for; 0 means until its deadline. A queue takes up
 	// bursts; under lasting overload a longer one serves no more requests, it only makes each of them wait.
-	MostWait time.Duration
+	MaxWait time.Duration
 	// Share returns a client's weight at this entry, above 0; nil means 1 for all.
 	Share func(ids.Client) float64
 }
@@ -46,9 +46,9 @@
 // and keeps the first class's time to the first token near what it is without; docs/measurements.md has the figures.
 const DefaultReserve = 0.3
 
-// DefaultMostWait takes up bursts of half a second. What waits for longer gets its first token too late to be of use:
+// DefaultMaxWait takes up bursts of half a second. What waits for longer gets its first token too late to be of use:
 // the aim is 1.1 seconds, of which a prompt and the way through a busy batch take the rest.
-const DefaultMostWait = 500 * time.Millisecond
+const DefaultMaxWait = 500 * time.Millisecond
 
 // DefaultRateWindow is long enough to even out single long requests.
 const DefaultRateWindow = 2 * time.Second
@@ -74,8 +74,8 @@
 }
 
 type item struct {
-	req     Request
-	offered time.Time
+	req       Request
+	submitted time.Time
 }
 
 // Queue admits the requests of one entry to one pool of upstreams. It belongs to one goroutine.
@@ -125,9 +125,9 @@
 // Started returns how many requests were started and are not done.
 func (q *Queue) Started() int { return len(q.started) }
 
-// Offer takes in a request. It returns the outcomes that follow at once: the request's own, if it may start or is
+// Submit takes in a request. It returns the outcomes that follow at once: the request's own, if it may start or is
 // refused, and none if it waits.
-func (q *Queue) Offer(req Request, now time.Time) []Outcome {
+func (q *Queue) Submit(req Request, now time.Time) []Outcome {
 	c := q.class(req.Class)
 	if c == nil {
 		return []Outcome{{req, failure.New(failure.CodeInternal, &ClassError{req.Class})}}
@@ -135,7 +135,7 @@
 	if c == q.classes[0] {
 		q.firstAt = now
 	}
-	it := &item{req: req, offered: now}
+	it := &item{req: req, submitted: now}
 	if err := q.refusal(c, it, now); err != nil {
 		return []Outcome{{req, err}}
 	}
@@ -166,7 +166,7 @@
 		return nil
 	}
 	delete(q.started, id)
-	s.class.settle(s.req.Client, used-s.req.Tokens, q.share(s.req.Client))
+	s.class.adjust(s.req.Client, used-s.req.Tokens, q.share(s.req.Client))
 	return q.start(now)
 }
 
@@ -213,11 +213,11 @@
 	if q.opts.Share == nil {
 		return 1
 	}
-	return max(leastShare, q.opts.Share(client))
+	return max(minShare, q.opts.Share(client))
 }
 
-// leastShare is the weight of a client that has none, for example because its account was just removed.
-const leastShare = 0.001
+// minShare is the weight of a client that has none, for example because its account was just removed.
+const minShare = 0.001
 
 // reserveFor is how long places are kept free after the first class was last asked for.
 const reserveFor = 30 * time.Second
--- a/internal/policy/admission/queue_test.go
+++ b/internal/policy/admission/queue_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-func (e *engine) offer(client ids.Client, class string, deadline time.Duration) uint64 {
+func (e *engine) submit(client ids.Client, class string, deadline time.Duration) uint64 {
 	e.next++
-	e.take(e.queue.Offer(admission.Request{
+	e.take(e.queue.Submit(admission.Request{
 		ID: e.next, Client: client, Class: class, Tokens: tokens, Run: run, Deadline: e.now.Add(deadline),
 	}, e.now))
 	return e.next
@@ -90,10 +90,10 @@
 func TestTheFirstClassGoesFirst(t *testing.T) {
 	e := newEngine(options(), 1)
 	for range 3 {
-		e.offer("a", letters, time.Minute)
+		e.submit("a", letters, time.Minute)
 	}
 	for range 2 {
-		e.offer("a", quotes, time.Minute)
+		e.submit("a", quotes, time.Minute)
 	}
 	e.pass(time.Second)
 	var order []string
@@ -109,16 +109,16 @@
 	opts := options()
 	opts.Reserve = 0.25
 	e := newEngine(opts, 8)
-	e.offer("a", quotes, time.Minute)
+	e.submit("a", quotes, time.Minute)
 	e.pass(2 * run)
 	e.started = nil
 	for range 10 {
-		e.offer("a", letters, time.Minute)
+		e.submit("a", letters, time.Minute)
 	}
 	if len(e.started) != 6 {
 		t.Fatalf("%d letters started in 8 places with a quarter reserved", len(e.started))
 	}
-	e.offer("a", quotes, time.Minute)
+	e.submit("a", quotes, time.Minute)
 	if got := e.started[len(e.started)-1].Class; got != quotes {
 		t.Fatalf("a quote waits although places are reserved for it")
 	}
@@ -130,7 +130,7 @@
 	opts.Reserve = 0.25
 	e := newEngine(opts, 8)
 	for range 10 {
-		e.offer("a", letters, time.Minute)
+		e.submit("a", letters, time.Minute)
 	}
 	if len(e.started) != 8 {
 		t.Fatalf("%d letters started in 8 places", len(e.started))
@@ -143,8 +143,8 @@
 	opts.Share = func(c ids.Client) float64 { return map[ids.Client]float64{"a": 1}[c] }
 	e := newEngine(opts, 1)
 	for range 5 {
-		e.offer("removed", letters, time.Minute)
-		e.offer("a", letters, time.Minute)
+		e.submit("removed", letters, time.Minute)
+		e.submit("a", letters, time.Minute)
 	}
 	e.pass(11 * run)
 	if len(e.started) != 10 {
@@ -165,8 +165,8 @@
 		"deadline before the run":                {nil, 0, run / 2, failure.CodeDeadlineUnmet, 0},
 		"deadline before its turn":               {nil, 40, 2 * time.Second, failure.CodeDeadlineUnmet, 3 * time.Second},
 		"queue full":                             {nil, 50, time.Minute, failure.CodeOverloaded, 5 * time.Second},
-		"wait longer than it may be":             {func(o *admission.Options) { o.MostWait = time.Second }, 15, time.Minute, failure.CodeOverloaded, time.Second},
-		"wait as long as it may be":              {func(o *admission.Options) { o.MostWait = time.Second }, 10, time.Minute, "", 0},
+		"wait longer than it may be":             {func(o *admission.Options) { o.MaxWait = time.Second }, 15, time.Minute, failure.CodeOverloaded, time.Second},
+		"wait as long as it may be":              {func(o *admission.Options) { o.MaxWait = time.Second }, 10, time.Minute, "", 0},
 		"class that is not in the configuration": {func(o *admission.Options) { o.Classes = o.Classes[:1] }, 0, time.Minute, failure.CodeInternal, 0},
 	}
 	for name, tc := range tests {
@@ -177,12 +177,12 @@
 			}
 			e := newEngine(opts, 1)
 			if tc.waiting > 0 {
-				e.offer("a", quotes, time.Hour)
+				e.submit("a", quotes, time.Hour)
 			}
 			for range tc.waiting {
-				e.offer("a", quotes, time.Hour)
+				e.submit("a", quotes, time.Hour)
 			}
-			err := e.refused[e.offer("a", quotes, tc.deadline)]
+			err := e.refused[e.submit("a", quotes, tc.deadline)]
 			if code(err) != tc.want {
 				t.Fatalf("got %v, want %q", err, tc.want)
 			}
@@ -202,9 +202,9 @@
 func TestAWaitingRequestIsRefusedAsSoonAsItIsHopeless(t *testing.T) {
 	e := newEngine(options(), 2)
 	for range 40 {
-		e.offer("a", letters, time.Minute)
+		e.submit("a", letters, time.Minute)
 	}
-	last := e.offer("a", letters, 3*time.Second)
+	last := e.submit("a", letters, 3*time.Second)
 	if err := e.refused[last]; err != nil {
 		t.Fatalf("refused too early: %v", err)
 	}
@@ -220,12 +220,12 @@
 func TestTheWorkOfClassesAheadCounts(t *testing.T) {
 	e := newEngine(options(), 1)
 	for range 25 {
-		e.offer("a", quotes, time.Minute)
+		e.submit("a", quotes, time.Minute)
 		e.pass(2 * run)
 	}
 	refused := 0
 	for range 11 {
-		refused += map[bool]int{true: 1}[e.refused[e.offer("b", letters, 12*run)] != nil]
+		refused += map[bool]int{true: 1}[e.refused[e.submit("b", letters, 12*run)] != nil]
 	}
 	if refused < 4 || refused > 6 {
 		t.Fatalf("%d of 11 letters were refused; about 6 of them can be done before their deadline", refused)
@@ -247,11 +247,11 @@
 	}
 	for i := range 400 {
 		for range 4 {
-			e.offer("flood", letters, time.Minute)
+			e.submit("flood", letters, time.Minute)
 		}
-		e.offer("double", letters, time.Minute)
+		e.submit("double", letters, time.Minute)
 		if i%10 == 0 {
-			e.offer("modest", letters, time.Minute)
+			e.submit("modest", letters, time.Minute)
 		}
 		e.pass(50 * time.Millisecond)
 	}
@@ -267,8 +267,8 @@
 func TestWorkEstimatedWronglyIsSettled(t *testing.T) {
 	e := newEngine(options(), 1)
 	for range 20 {
-		e.offer("long", letters, time.Minute)
-		e.offer("short", letters, time.Minute)
+		e.submit("long", letters, time.Minute)
+		e.submit("short", letters, time.Minute)
 	}
 	for range 20 {
 		id := e.started[len(e.started)-1].ID
@@ -299,7 +299,7 @@
 			case 0, 1:
 				client := ids.Client(fmt.Sprintf("c%d", rapid.IntRange(0, 3).Draw(t, "client")))
 				deadline := time.Duration(rapid.IntRange(0, 2000).Draw(t, "deadline")) * time.Millisecond
-				e.offer(client, rapid.SampledFrom([]string{quotes, letters}).Draw(t, "class"), deadline)
+				e.submit(client, rapid.SampledFrom([]string{quotes, letters}).Draw(t, "class"), deadline)
 			case 2:
 				e.pass(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			case 3:
@@ -336,7 +336,7 @@
 	})
 }
 
-func BenchmarkOfferAndDone(b *testing.B) {
+func BenchmarkSubmitAndDone(b *testing.B) {
 	for _, waiting := range []int{0, 40, 400} {
 		b.Run(fmt.Sprintf("%d-clients-waiting", waiting), func(b *testing.B) {
 			opts := options()
@@ -345,14 +345,14 @@
 			req := admission.Request{Class: letters, Tokens: tokens, Run: run, Deadline: begin.Add(time.Hour)}
 			for i := range waiting + 10 {
 				req.ID, req.Client = uint64(i+1), ids.Client(fmt.Sprintf("c%d", i))
-				q.Offer(req, begin)
+				q.Submit(req, begin)
 			}
 			next, oldest := uint64(waiting+10), uint64(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				next++
 				req.ID, req.Client = next, ids.Client(fmt.Sprintf("c%d", next%uint64(waiting+10)))
-				q.Offer(req, begin)
+				q.Submit(req, begin)
 				oldest++
 				q.Done(oldest, tokens, begin)
 			}
--- a/internal/policy/dispatch/choice.go
+++ b/internal/policy/dispatch/choice.go
@@ -10,8 +10,8 @@
 	Interval time.Duration
 }
 
-// leastChoices is how many upstreams a placement compares at least: two drawn at random spread requests far better than one.
-const leastChoices = 2
+// minChoices is how many upstreams a placement compares at least: two drawn at random spread requests far better than one.
+const minChoices = 2
 
 // choices is how many of the upstreams a placement compares, drawn at random.
 //
@@ -23,7 +23,7 @@
 	if unheard <= 0 || p.opts.Off[FewChoices] {
 		return able
 	}
-	return min(able, max(leastChoices, int(float64(able)/(1+unheard))))
+	return min(able, max(minChoices, int(float64(able)/(1+unheard))))
 }
 
 // unheard is how many placements of others this gateway has not heard of, on average: callers go to all gateways alike.
--- a/internal/policy/dispatch/gate.go
+++ b/internal/policy/dispatch/gate.go
@@ -21,15 +21,15 @@
 // Wait offers a request and waits until it is placed. Errors: *NoUpstreamError, *OverloadedError, or ctx's.
 func (g *Gate) Wait(ctx context.Context, r Request) (*Ticket, error) {
 	g.mu.Lock()
-	t := g.pool.Offer(r, time.Now())
+	t := g.pool.Submit(r, time.Now())
 	if t.state != waiting {
 		g.mu.Unlock()
 		return t, t.err
 	}
-	t.settled = make(chan struct{})
+	t.decided = make(chan struct{})
 	g.mu.Unlock()
 	select {
-	case <-t.settled:
+	case <-t.decided:
 		return t, t.err
 	case <-ctx.Done():
 		return g.abandon(ctx, t)
@@ -40,7 +40,7 @@
 func (g *Gate) abandon(ctx context.Context, t *Ticket) (*Ticket, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pool.Withdraw(t)
+	g.pool.Cancel(t)
 	wake(g.pool.Done(t, OutcomeNone, time.Now()))
 	return t, ctx.Err()
 }
@@ -76,12 +76,12 @@
 }
 
 // SetUpstreamClosed says whether one upstream is known to refuse what is sent to it.
-func (g *Gate) SetUpstreamClosed(l ids.Life, closed bool) {
-	g.change(func(p *Pool, now time.Time) []*Ticket { return p.SetUpstreamClosed(l, closed, now) })
+func (g *Gate) SetUpstreamClosed(i ids.UpstreamIncarnation, closed bool) {
+	g.change(func(p *Pool, now time.Time) []*Ticket { return p.SetUpstreamClosed(i, closed, now) })
 }
 
 // SetOthers replaces what the other gateways have in flight; at is when the oldest of their digests came.
-func (g *Gate) SetOthers(work map[ids.Life]Work, at time.Time) {
+func (g *Gate) SetOthers(work map[ids.UpstreamIncarnation]Work, at time.Time) {
 	g.change(func(p *Pool, now time.Time) []*Ticket { return p.SetOthers(work, at, now) })
 }
 
@@ -93,7 +93,7 @@
 }
 
 // SetPaces replaces what is known of upstreams that are slower than usual.
-func (g *Gate) SetPaces(paces map[ids.Life]float64) {
+func (g *Gate) SetPaces(paces map[ids.UpstreamIncarnation]float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pool.SetPaces(paces)
@@ -114,7 +114,7 @@
 }
 
 // Own returns what this gateway has in flight at each upstream.
-func (g *Gate) Own() map[ids.Life]Work {
+func (g *Gate) Own() map[ids.UpstreamIncarnation]Work {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.pool.Own()
@@ -128,6 +128,6 @@
 
 func wake(settled []*Ticket) {
 	for _, t := range settled {
-		close(t.settled)
+		close(t.decided)
 	}
 }
--- a/internal/policy/dispatch/group_replay_test.go
+++ b/internal/policy/dispatch/group_replay_test.go
@@ -19,7 +19,7 @@
 	// streamEvents is the mean length of an answer; one event comes in a pass.
 	streamEvents = 23
 	meanPrompt   = 700.0
-	mostPrompt   = 2800
+	maxPrompt    = 2800
 	aimFirst     = 400 * time.Millisecond
 	aimPause     = 120 * time.Millisecond
 	leavesAfter  = 2 * time.Second
@@ -48,7 +48,7 @@
 	pool    *dispatch.Pool
 	waiting map[*dispatch.Ticket]caller
 	// told is what the others were told last of what this gateway has in flight, tellAt when they are told next.
-	told   map[ids.Life]dispatch.Work
+	told   map[ids.UpstreamIncarnation]dispatch.Work
 	tellAt time.Time
 }
 
@@ -110,25 +110,25 @@
 
 // prompt draws a length as callers' are: many short, some several times the mean.
 func (g *groupReplay) prompt() int {
-	return int(min(mostPrompt, max(40, meanPrompt*math.Exp(0.8*g.rng.NormFloat64()-0.32))))
+	return int(min(maxPrompt, max(40, meanPrompt*math.Exp(0.8*g.rng.NormFloat64()-0.32))))
 }
 
 func (g *groupReplay) arrive() {
 	due := g.now.Add(aimFirst)
-	g.offer(caller{dispatch.Request{Arrived: g.now, Aim: due, Latest: g.now.Add(leavesAfter), PromptTokens: g.prompt()}, due})
+	g.submit(caller{dispatch.Request{Arrived: g.now, Aim: due, Latest: g.now.Add(leavesAfter), PromptTokens: g.prompt()}, due})
 }
 
-// offer sends a request to any of the gateways.
-func (g *groupReplay) offer(c caller) {
+// submit sends a request to any of the gateways.
+func (g *groupReplay) submit(c caller) {
 	gw := g.gateways[g.rng.IntN(len(g.gateways))]
-	t := gw.pool.Offer(c.request, g.now)
+	t := gw.pool.Submit(c.request, g.now)
 	gw.waiting[t] = c
 	if t.Upstream() != nil || t.Err() != nil {
-		g.settle(gw, []*dispatch.Ticket{t})
+		g.decide(gw, []*dispatch.Ticket{t})
 	}
 }
 
-func (g *groupReplay) settle(gw *gatewayReplay, list []*dispatch.Ticket) {
+func (g *groupReplay) decide(gw *gatewayReplay, list []*dispatch.Ticket) {
 	for _, t := range list {
 		c := gw.waiting[t]
 		q := c.request
@@ -184,7 +184,7 @@
 		} else {
 			g.onTime++
 		}
-		g.settle(s.gateway, s.gateway.pool.Done(s.ticket, dispatch.OutcomeOK, g.now))
+		g.decide(s.gateway, s.gateway.pool.Done(s.ticket, dispatch.OutcomeOK, g.now))
 	}
 	return length
 }
@@ -218,7 +218,7 @@
 		}
 	}
 	for _, gw := range g.gateways {
-		sum := map[ids.Life]dispatch.Work{}
+		sum := map[ids.UpstreamIncarnation]dispatch.Work{}
 		for _, o := range g.gateways {
 			if o == gw {
 				continue
@@ -227,7 +227,7 @@
 				sum[u] = dispatch.Work{Requests: sum[u].Requests + w.Requests, PromptTokens: sum[u].PromptTokens + w.PromptTokens}
 			}
 		}
-		g.settle(gw, gw.pool.SetOthers(sum, g.now, g.now))
+		g.decide(gw, gw.pool.SetOthers(sum, g.now, g.now))
 	}
 }
 
@@ -235,7 +235,7 @@
 func (g *groupReplay) setClosed(closed bool) {
 	g.closed = closed
 	for _, gw := range g.gateways {
-		g.settle(gw, gw.pool.SetClosed(closed, g.now))
+		g.decide(gw, gw.pool.SetClosed(closed, g.now))
 	}
 	if !closed {
 		g.openedAt = g.now
@@ -261,7 +261,7 @@
 	for _, c := range g.returning {
 		// A gateway takes it for a new one, though its caller counts from the first request.
 		c.request.Arrived, c.request.Aim, c.request.Latest = g.now, g.now.Add(aimFirst), g.now.Add(leavesAfter)
-		g.offer(c)
+		g.submit(c)
 	}
 	g.returning = nil
 }
@@ -298,7 +298,7 @@
 		g.comeBack()
 		g.tell()
 		for _, gw := range g.gateways {
-			g.settle(gw, gw.pool.Tick(g.now))
+			g.decide(gw, gw.pool.Tick(g.now))
 		}
 	}
 }
--- a/internal/policy/dispatch/lives_test.go
+++ b/internal/policy/dispatch/lives_test.go
@@ -11,7 +11,7 @@
 )
 
 func lifeOf(born int64) []*catalog.Upstream {
-	return []*catalog.Upstream{{ID: "u-00", Born: born, State: catalog.StateReady, Slots: 2}}
+	return []*catalog.Upstream{{ID: "u-00", StartedAtMS: born, State: catalog.StateReady, Slots: 2}}
 }
 
 // An upstream's connections break while it is full and known to refuse; it starts again under its id. Its new life holds
@@ -20,16 +20,16 @@
 	p := newPool(0, 0)
 	p.SetUpstreams(lifeOf(1), at(0))
 	for range 2 {
-		p.Done(p.Offer(timed(at(0)), at(0)), dispatch.OutcomeBroken, at(0))
+		p.Done(p.Submit(timed(at(0)), at(0)), dispatch.OutcomeBroken, at(0))
 	}
-	p.Offer(timed(at(0)), at(0))
-	p.SetUpstreamClosed(ids.Life{Upstream: "u-00", Born: 1}, true, at(0))
+	p.Submit(timed(at(0)), at(0))
+	p.SetUpstreamClosed(ids.UpstreamIncarnation{Upstream: "u-00", StartedAtMS: 1}, true, at(0))
 
 	p.SetUpstreams(lifeOf(2), at(1))
-	p.SetOthers(map[ids.Life]dispatch.Work{{Upstream: "u-00", Born: 1}: {Requests: 2}}, at(1), at(1))
-	p.SetPaces(map[ids.Life]float64{{Upstream: "u-00", Born: 1}: 12})
+	p.SetOthers(map[ids.UpstreamIncarnation]dispatch.Work{{Upstream: "u-00", StartedAtMS: 1}: {Requests: 2}}, at(1), at(1))
+	p.SetPaces(map[ids.UpstreamIncarnation]float64{{Upstream: "u-00", StartedAtMS: 1}: 12})
 	for i := range 2 {
-		if ticket := p.Offer(timed(at(1)), at(1)); ticket.Upstream() == nil {
+		if ticket := p.Submit(timed(at(1)), at(1)); ticket.Upstream() == nil {
 			t.Fatalf("request %d was not placed at the new life: %v", i, ticket.Err())
 		}
 	}
@@ -40,10 +40,10 @@
 func TestALapsedEntryDoesNotMakeAnUpstreamIdle(t *testing.T) {
 	p := newPool(0, 0)
 	p.SetUpstreams(lifeOf(1), at(0))
-	running := p.Offer(timed(at(0)), at(0))
+	running := p.Submit(timed(at(0)), at(0))
 	p.SetUpstreams(nil, at(1))
 	p.SetUpstreams(lifeOf(1), at(2))
-	want := map[ids.Life]dispatch.Work{{Upstream: "u-00", Born: 1}: {Requests: 1}}
+	want := map[ids.UpstreamIncarnation]dispatch.Work{{Upstream: "u-00", StartedAtMS: 1}: {Requests: 1}}
 	if diff := cmp.Diff(want, p.Own()); diff != "" {
 		t.Fatal(diff)
 	}
--- a/internal/policy/dispatch/outlier.go
+++ b/internal/policy/dispatch/outlier.go
@@ -34,23 +34,23 @@
 }
 
 const (
-	// brokenInRow connections that break one after the other eject an upstream: one alone may be a lost answer.
-	brokenInRow = 2
-	// refusedInRow refusals eject an upstream that is full or failing, so that requests go elsewhere meanwhile.
-	refusedInRow = 2
+	// brokenThreshold connections that break one after the other eject an upstream: one alone may be a lost answer.
+	brokenThreshold = 2
+	// refusedThreshold refusals eject an upstream that is full or failing, so that requests go elsewhere meanwhile.
+	refusedThreshold = 2
 	// refusedFor is how long a refusal keeps requests away; an engine's request ends every few tens of milliseconds.
 	refusedFor = 100 * time.Millisecond
-	// firstEjection doubles with each further one up to mostEjection: a restart takes seconds.
+	// firstEjection doubles with each further one up to maxEjection: a restart takes seconds.
 	firstEjection = 500 * time.Millisecond
-	mostEjection  = 4 * time.Second
+	maxEjection   = 4 * time.Second
 )
 
 // outlier follows one upstream's failures.
 type outlier struct {
-	brokenRow, refusedRow int
-	ejections             int
-	until                 time.Time
-	gone                  bool
+	consecutiveBroken, consecutiveRefused int
+	ejections                             int
+	until                                 time.Time
+	gone                                  bool
 }
 
 // usable reports whether requests may go to the upstream.
@@ -58,7 +58,7 @@
 
 // chosen notes that a request is sent; after an ejection it is the probe, and others wait for its outcome a little.
 func (o *outlier) chosen(now time.Time) {
-	if o.brokenRow >= brokenInRow {
+	if o.consecutiveBroken >= brokenThreshold {
 		o.until = now.Add(firstEjection)
 	}
 }
@@ -69,15 +69,15 @@
 	case OutcomeOK, OutcomeFailed:
 		*o = outlier{gone: o.gone}
 	case OutcomeBroken:
-		o.brokenRow++
-		if o.brokenRow >= brokenInRow {
-			o.until = now.Add(min(mostEjection, firstEjection<<min(o.ejections, 8)))
+		o.consecutiveBroken++
+		if o.consecutiveBroken >= brokenThreshold {
+			o.until = now.Add(min(maxEjection, firstEjection<<min(o.ejections, 8)))
 			o.ejections++
 			return true
 		}
 	case OutcomeRefused:
-		o.refusedRow++
-		if o.refusedRow >= refusedInRow {
+		o.consecutiveRefused++
+		if o.consecutiveRefused >= refusedThreshold {
 			o.until = now.Add(refusedFor)
 			return true
 		}
@@ -91,20 +91,20 @@
 // Ejection says that requests are kept away from an upstream for some time.
 type Ejection struct {
 	Upstream ids.Upstream
-	// Cause is the outcome of the last request there, InRow how many of its kind came one after the other.
-	Cause Outcome
-	InRow int
+	// Cause is the outcome of the last request there, Consecutive how many of its kind came one after the other.
+	Cause       Outcome
+	Consecutive int
 	// For is how long requests are kept away; 0 for good.
 	For time.Duration
 }
 
 func (t *target) ejection(cause Outcome, now time.Time) Ejection {
-	e := Ejection{Upstream: t.up.ID, Cause: cause, InRow: 1}
+	e := Ejection{Upstream: t.up.ID, Cause: cause, Consecutive: 1}
 	switch cause {
 	case OutcomeBroken:
-		e.InRow = t.health.brokenRow
+		e.Consecutive = t.health.consecutiveBroken
 	case OutcomeRefused:
-		e.InRow = t.health.refusedRow
+		e.Consecutive = t.health.consecutiveRefused
 	}
 	if !t.health.gone {
 		e.For = t.health.until.Sub(now)
--- a/internal/policy/dispatch/pool.go
+++ b/internal/policy/dispatch/pool.go
@@ -49,7 +49,7 @@
 // Pool places the requests of one service. It is not safe for concurrent use.
 type Pool struct {
 	opts    Options
-	targets map[ids.Life]*target
+	targets map[ids.UpstreamIncarnation]*target
 	// order lists the targets by id, so that equal inputs give equal decisions.
 	order   []*target
 	waiting []*Ticket
@@ -77,7 +77,7 @@
 
 // NewPool returns a pool without upstreams.
 func NewPool(o Options, rng *rand.Rand) *Pool {
-	return &Pool{opts: o, targets: map[ids.Life]*target{}, rng: rng}
+	return &Pool{opts: o, targets: map[ids.UpstreamIncarnation]*target{}, rng: rng}
 }
 
 // SetOptions follows a change of the configuration.
@@ -89,24 +89,24 @@
 // An entry may lapse while the store is away, with its upstream at work. Taken for a new one when it is back, the upstream
 // would get as many requests again as it has slots.
 func (p *Pool) SetUpstreams(list []*catalog.Upstream, now time.Time) []*Ticket {
-	next := make(map[ids.Life]*target, len(list))
+	next := make(map[ids.UpstreamIncarnation]*target, len(list))
 	p.order = p.order[:0]
 	for _, u := range list {
-		t := p.targets[u.Life()]
+		t := p.targets[u.Incarnation()]
 		if t == nil {
 			t = &target{}
 		}
 		t.up = u
-		next[u.Life()] = t
+		next[u.Incarnation()] = t
 		p.order = append(p.order, t)
 	}
-	for l, t := range p.targets {
-		if next[l] == nil && t.own.Requests > 0 {
-			next[l] = t
+	for i, t := range p.targets {
+		if next[i] == nil && t.own.Requests > 0 {
+			next[i] = t
 		}
 	}
 	p.targets = next
-	return p.settle(now)
+	return p.decide(now)
 }
 
 // SetClosed says whether all upstreams are known to refuse what is sent to them, as the ranks of a broken group do.
@@ -121,26 +121,26 @@
 		p.closedAt = now
 	}
 	p.closed = closed
-	return p.settle(now)
+	return p.decide(now)
 }
 
 // SetUpstreamClosed says whether one upstream is known to refuse what is sent to it.
 //
 // Ranks that no group takes refuse all they get, seem idle for it, and would get the next request, too.
-func (p *Pool) SetUpstreamClosed(l ids.Life, closed bool, now time.Time) []*Ticket {
-	if t := p.targets[l]; t != nil {
+func (p *Pool) SetUpstreamClosed(i ids.UpstreamIncarnation, closed bool, now time.Time) []*Ticket {
+	if t := p.targets[i]; t != nil {
 		t.closed = closed
 	}
-	return p.settle(now)
+	return p.decide(now)
 }
 
 // SetOthers replaces what the other gateways have in flight; at is when the oldest of their digests came.
-func (p *Pool) SetOthers(work map[ids.Life]Work, at, now time.Time) []*Ticket {
+func (p *Pool) SetOthers(work map[ids.UpstreamIncarnation]Work, at, now time.Time) []*Ticket {
 	p.othersAt = at
 	for _, t := range p.order {
-		t.others = work[t.up.Life()]
+		t.others = work[t.up.Incarnation()]
 	}
-	return p.settle(now)
+	return p.decide(now)
 }
 
 // SetSharing says who else places requests at the same upstreams.
@@ -150,9 +150,9 @@
 }
 
 // SetPaces replaces what is known of upstreams that are slower than usual; all others are as usual.
-func (p *Pool) SetPaces(paces map[ids.Life]float64) {
+func (p *Pool) SetPaces(paces map[ids.UpstreamIncarnation]float64) {
 	for _, t := range p.order {
-		t.pace = paces[t.up.Life()]
+		t.pace = paces[t.up.Incarnation()]
 		if p.opts.Off[SlowRanks] {
 			t.pace = 0
 		}
@@ -160,18 +160,18 @@
 }
 
 // Own returns what this gateway has in flight at each upstream.
-func (p *Pool) Own() map[ids.Life]Work {
-	out := make(map[ids.Life]Work, len(p.order))
+func (p *Pool) Own() map[ids.UpstreamIncarnation]Work {
+	out := make(map[ids.UpstreamIncarnation]Work, len(p.order))
 	for _, t := range p.order {
 		if t.own.Requests > 0 {
-			out[t.up.Life()] = t.own
+			out[t.up.Incarnation()] = t.own
 		}
 	}
 	return out
 }
 
-// Offer takes in a request. The ticket is settled at once, or by a later call that returns it.
-func (p *Pool) Offer(r Request, now time.Time) *Ticket {
+// Submit takes in a request. The ticket is settled at once, or by a later call that returns it.
+func (p *Pool) Submit(r Request, now time.Time) *Ticket {
 	t := &Ticket{request: r}
 	if p.place(t, now) {
 		return t
@@ -198,8 +198,8 @@
 	}
 }
 
-// Withdraw takes a waiting ticket out, because its caller left.
-func (p *Pool) Withdraw(t *Ticket) {
+// Cancel takes a waiting ticket out, because its caller left.
+func (p *Pool) Cancel(t *Ticket) {
 	p.waiting = slices.DeleteFunc(p.waiting, func(w *Ticket) bool { return w == t })
 }
 
@@ -237,7 +237,7 @@
 		p.ejected = append(p.ejected, t.target.ejection(o, now))
 		p.spare(now)
 	}
-	return p.settle(now)
+	return p.decide(now)
 }
 
 // ejects reports whether an outcome may keep requests away from its upstream.
@@ -254,10 +254,10 @@
 }
 
 // Tick lets time pass: it refuses what has waited too long and places what has become free.
-func (p *Pool) Tick(now time.Time) []*Ticket { return p.settle(now) }
+func (p *Pool) Tick(now time.Time) []*Ticket { return p.decide(now) }
 
-// settle places waiting requests, the best first, and refuses those that are past their latest time.
-func (p *Pool) settle(now time.Time) []*Ticket {
+// decide places waiting requests, the best first, and refuses those that are past their latest time.
+func (p *Pool) decide(now time.Time) []*Ticket {
 	if len(p.waiting) == 0 {
 		return nil
 	}
--- a/internal/policy/dispatch/pool_test.go
+++ b/internal/policy/dispatch/pool_test.go
@@ -26,7 +26,7 @@
 // send offers a request, ends it with an outcome, and returns where it went.
 func send(t *testing.T, p *dispatch.Pool, now time.Time, o dispatch.Outcome) ids.Upstream {
 	t.Helper()
-	ticket := p.Offer(timed(now), now)
+	ticket := p.Submit(timed(now), now)
 	if ticket.Upstream() == nil {
 		t.Fatalf("not placed: %v", ticket.Err())
 	}
@@ -40,7 +40,7 @@
 	p := newPool(1, 4)
 	send(t, p, at(0), dispatch.OutcomeBroken)
 	send(t, p, at(0), dispatch.OutcomeBroken)
-	want := []dispatch.Ejection{{Upstream: "u-00", Cause: dispatch.OutcomeBroken, InRow: 2, For: 500 * time.Millisecond}}
+	want := []dispatch.Ejection{{Upstream: "u-00", Cause: dispatch.OutcomeBroken, Consecutive: 2, For: 500 * time.Millisecond}}
 	if diff := cmp.Diff(want, p.TakeEjections()); diff != "" {
 		t.Fatal(diff)
 	}
@@ -50,7 +50,7 @@
 	p = newPool(2, 4)
 	var broken ids.Upstream
 	for broken == "" {
-		ticket := p.Offer(timed(at(0)), at(0))
+		ticket := p.Submit(timed(at(0)), at(0))
 		if ticket.Upstream().ID == "u-00" {
 			p.Done(ticket, dispatch.OutcomeBroken, at(0))
 			if len(p.TakeEjections()) > 0 {
@@ -67,7 +67,7 @@
 	}
 	probed := 0
 	for range 4 {
-		ticket := p.Offer(timed(at(600*time.Millisecond)), at(600*time.Millisecond))
+		ticket := p.Submit(timed(at(600*time.Millisecond)), at(600*time.Millisecond))
 		if ticket.Upstream().ID == broken {
 			probed++
 		}
@@ -83,11 +83,11 @@
 	list := upstreams(2, 1)
 	list[0].State = catalog.StateDraining
 	p.SetUpstreams(list, start)
-	first := p.Offer(timed(start), start)
+	first := p.Submit(timed(start), start)
 	if first.Upstream().ID != "u-01" {
 		t.Fatalf("placed at %s", first.Upstream().ID)
 	}
-	if second := p.Offer(timed(start), start); second.Upstream() != nil {
+	if second := p.Submit(timed(start), start); second.Upstream() != nil {
 		t.Fatalf("placed at %s", second.Upstream().ID)
 	}
 }
@@ -95,9 +95,9 @@
 // What the other gateways have in flight counts as much as what this one has, and the placement says how old it was.
 func TestOthersWorkCounts(t *testing.T) {
 	p := newPool(2, 4)
-	p.SetOthers(map[ids.Life]dispatch.Work{{Upstream: "u-00"}: {Requests: 3}}, at(0), at(0))
+	p.SetOthers(map[ids.UpstreamIncarnation]dispatch.Work{{Upstream: "u-00"}: {Requests: 3}}, at(0), at(0))
 	for range 3 {
-		ticket := p.Offer(timed(at(0)), at(150*time.Millisecond))
+		ticket := p.Submit(timed(at(0)), at(150*time.Millisecond))
 		if ticket.Upstream().ID != "u-01" {
 			t.Fatalf("placed at the busier %s", ticket.Upstream().ID)
 		}
@@ -111,7 +111,7 @@
 func TestNoUpstream(t *testing.T) {
 	p := newPool(0, 0)
 	var none *dispatch.NoUpstreamError
-	if err := p.Offer(timed(start), start).Err(); !errors.As(err, &none) || none.RetryAfter <= 0 {
+	if err := p.Submit(timed(start), start).Err(); !errors.As(err, &none) || none.RetryAfter <= 0 {
 		t.Fatalf("got %v", err)
 	}
 }
@@ -124,10 +124,10 @@
 		want int
 	}{{0, 12}, {1.6, 4}, {2.5, 1}, {12, 0}} {
 		p := newPool(2, 12)
-		p.SetPaces(map[ids.Life]float64{{Upstream: "u-00"}: c.pace})
+		p.SetPaces(map[ids.UpstreamIncarnation]float64{{Upstream: "u-00"}: c.pace})
 		placed := map[ids.Upstream]int{}
 		for range 30 {
-			if u := p.Offer(timed(start), start).Upstream(); u != nil {
+			if u := p.Submit(timed(start), start).Upstream(); u != nil {
 				placed[u.ID]++
 			}
 		}
@@ -143,16 +143,16 @@
 func TestRequestsDoNotWaitForAGroupThatIsLost(t *testing.T) {
 	p := newPool(1, 4)
 	p.SetClosed(true, at(0))
-	if ticket := p.Offer(timed(at(0)), at(0)); ticket.Err() != nil {
+	if ticket := p.Submit(timed(at(0)), at(0)); ticket.Err() != nil {
 		t.Fatalf("refused at once: %v", ticket.Err())
 	}
 	long := at(9 * time.Second)
 	var overloaded *dispatch.OverloadedError
-	if ticket := p.Offer(timed(long), long); !errors.As(ticket.Err(), &overloaded) || overloaded.RetryAfter <= 0 {
+	if ticket := p.Submit(timed(long), long); !errors.As(ticket.Err(), &overloaded) || overloaded.RetryAfter <= 0 {
 		t.Fatalf("got %v, want a refusal with the time to come back", ticket.Err())
 	}
 	p.SetClosed(false, long)
-	if ticket := p.Offer(timed(long), long); ticket.Upstream() == nil {
+	if ticket := p.Submit(timed(long), long); ticket.Upstream() == nil {
 		t.Fatalf("not placed: %v", ticket.Err())
 	}
 }
@@ -160,7 +160,7 @@
 // A rank that is known to refuse everything has the fewest requests and would be chosen first; it gets none.
 func TestAClosedUpstreamTakesNothing(t *testing.T) {
 	p := newPool(2, 4)
-	p.SetUpstreamClosed(ids.Life{Upstream: "u-00"}, true, at(0))
+	p.SetUpstreamClosed(ids.UpstreamIncarnation{Upstream: "u-00"}, true, at(0))
 	for range 4 {
 		if got := send(t, p, at(0), dispatch.OutcomeOK); got != "u-01" {
 			t.Fatalf("sent to %s", got)
--- a/internal/policy/dispatch/replay_test.go
+++ b/internal/policy/dispatch/replay_test.go
@@ -15,7 +15,7 @@
 // replay plays a load against a pool: upstreams serve each request in the same time as long as they have slots, and
 // callers leave when they have waited for too long. Time is a variable.
 type replay struct {
-	*agenda.Agenda
+	*agenda.Queue
 	pool    *dispatch.Pool
 	service time.Duration
 	// onTime, late, refused and left count requests by their end; retryAfter collects what refused callers were told.
@@ -35,10 +35,10 @@
 
 func newReplay(o dispatch.Options, n, slots int, service time.Duration) *replay {
 	r := &replay{
-		pool: dispatch.NewPool(o, rand.New(rand.NewPCG(1, 2))), Agenda: agenda.New(time.Unix(0, 0)), service: service,
+		pool: dispatch.NewPool(o, rand.New(rand.NewPCG(1, 2))), Queue: agenda.New(time.Unix(0, 0)), service: service,
 		waiting: map[*dispatch.Ticket]dispatch.Request{},
 	}
-	r.settle(r.pool.SetUpstreams(upstreams(n, slots), r.Now()))
+	r.decide(r.pool.SetUpstreams(upstreams(n, slots), r.Now()))
 	return r
 }
 
@@ -46,19 +46,19 @@
 func (r *replay) at(t time.Time, run func()) {
 	r.In(t.Sub(r.Now()), func() {
 		run()
-		r.settle(r.pool.Tick(r.Now()))
+		r.decide(r.pool.Tick(r.Now()))
 	})
 }
 
-func (r *replay) offer(q dispatch.Request) {
-	t := r.pool.Offer(q, r.Now())
+func (r *replay) submit(q dispatch.Request) {
+	t := r.pool.Submit(q, r.Now())
 	r.waiting[t] = q
 	if t.Upstream() != nil || t.Err() != nil {
-		r.settle([]*dispatch.Ticket{t})
+		r.decide([]*dispatch.Ticket{t})
 	}
 }
 
-func (r *replay) settle(list []*dispatch.Ticket) {
+func (r *replay) decide(list []*dispatch.Ticket) {
 	for _, t := range list {
 		q := r.waiting[t]
 		delete(r.waiting, t)
@@ -83,14 +83,14 @@
 		r.onTime++
 	}
 	r.pool.Answered(t, r.Now())
-	r.settle(r.pool.Done(t, dispatch.OutcomeOK, r.Now()))
+	r.decide(r.pool.Done(t, dispatch.OutcomeOK, r.Now()))
 }
 
 // arrivals offers requests at a rate for a while; aim is what the pool is told of the target.
 func (r *replay) arrivals(from time.Time, length time.Duration, perSecond float64, shape func(arrived time.Time) dispatch.Request) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for at := from; at.Before(from.Add(length)); at = at.Add(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))) {
-		r.at(at, func() { r.offer(shape(at)) })
+		r.at(at, func() { r.submit(shape(at)) })
 	}
 }
 
@@ -149,8 +149,8 @@
 		return dispatch.Request{Arrived: arrived, Aim: arrived.Add(400 * time.Millisecond), Latest: arrived.Add(4 * time.Second)}
 	}
 	r.arrivals(begin, 8*time.Second, 150, patient)
-	r.at(begin.Add(2*time.Second), func() { r.settle(r.pool.SetClosed(true, r.Now())) })
-	r.at(begin.Add(4*time.Second), func() { r.settle(r.pool.SetClosed(false, r.Now())) })
+	r.at(begin.Add(2*time.Second), func() { r.decide(r.pool.SetClosed(true, r.Now())) })
+	r.at(begin.Add(4*time.Second), func() { r.decide(r.pool.SetClosed(false, r.Now())) })
 	r.RunAll()
 	if r.refused > 0 || r.left > 0 {
 		t.Fatalf("%d refused and %d left of a group that was back soon", r.refused, r.left)
--- a/internal/policy/dispatch/ticket.go
+++ b/internal/policy/dispatch/ticket.go
@@ -29,8 +29,8 @@
 	// late says that it could no longer be answered in time when it was placed.
 	late     bool
 	decision Decision
-	// settled is closed once the ticket is placed or refused; it is the Gate's.
-	settled chan struct{}
+	// decided is closed once the ticket is placed or refused; it is the Gate's.
+	decided chan struct{}
 }
 
 // Upstream returns where the request was placed, or nil.
--- a/internal/policy/dispatch/wait.go
+++ b/internal/policy/dispatch/wait.go
@@ -8,10 +8,10 @@
 const (
 	// rateWindow is the time over which the pool's throughput is measured: some answers of the slowest service.
 	rateWindow = 2 * time.Second
-	// leastRetry and mostRetry bound what refused callers are told; mostRetry is what a caller with a deadline of six
+	// minRetry and maxRetry bound what refused callers are told; maxRetry is what a caller with a deadline of six
 	// seconds honours.
-	leastRetry = 200 * time.Millisecond
-	mostRetry  = 2 * time.Second
+	minRetry = 200 * time.Millisecond
+	maxRetry = 2 * time.Second
 )
 
 // rate counts events over the last window in two halves.
@@ -78,9 +78,9 @@
 	if p.closed {
 		return closedRetry
 	}
-	base := float64(max(leastRetry, min(mostRetry, wait)))
+	base := float64(max(minRetry, min(maxRetry, wait)))
 	spread := 1 + retrySpread*p.rng.Float64()
-	return time.Duration(min(base, float64(mostRetry)/(1+retrySpread)) * spread)
+	return time.Duration(min(base, float64(maxRetry)/(1+retrySpread)) * spread)
 }
 
 // retrySpread is the part of the wait by which callers may come back later than the queue is expected to be drained.
--- a/internal/policy/quarantine/fingerprint.go
+++ b/internal/policy/quarantine/fingerprint.go
@@ -54,9 +54,9 @@
 	return CrashID(xxhash.Sum64(binary.AppendUvarint([]byte(slot), n)))
 }
 
-// Home returns the upstream that a suspect is sent to: the same from every entry with the same list, so that copies
+// AssignedUpstream returns the upstream that a suspect is sent to: the same from every entry with the same list, so that copies
 // which arrive through all entries at once meet in one slot, which lets in one. Order does not matter; nil gives "".
-func Home(f Fingerprint, upstreams []ids.Upstream) ids.Upstream {
+func AssignedUpstream(f Fingerprint, upstreams []ids.Upstream) ids.Upstream {
 	if len(upstreams) == 0 {
 		return ""
 	}
--- a/internal/policy/quarantine/gate.go
+++ b/internal/policy/quarantine/gate.go
@@ -13,16 +13,16 @@
 type Gate struct {
 	mu      sync.Mutex
 	guard   *Guard
-	waiting map[Ticket]chan Turn
+	waiting map[Ticket]chan Decision
 }
 
 // NewGate returns the gate of an idle upstream; period is policies.quarantine_s.
 func NewGate(slot ids.Incarnation, period time.Duration) *Gate {
-	return &Gate{guard: NewGuard(slot, period), waiting: map[Ticket]chan Turn{}}
+	return &Gate{guard: NewGuard(slot, period), waiting: map[Ticket]chan Decision{}}
 }
 
-// Pass is leave to run one attempt on the upstream.
-type Pass struct {
+// Permit is leave to run one attempt on the upstream.
+type Permit struct {
 	gate   *Gate
 	ticket Ticket
 }
@@ -34,11 +34,11 @@
 	g.guard.Tracker().SetPeriod(d)
 }
 
-// Learn takes in what entries say of suspects.
-func (g *Gate) Learn(news ...Suspect) {
+// Merge takes in what entries say of suspects.
+func (g *Gate) Merge(news ...Suspect) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.tell(g.guard.Learn(time.Now(), news...))
+	g.tell(g.guard.Merge(time.Now(), news...))
 }
 
 // Digest returns what the slot has to say of suspects, the latest crash first.
@@ -49,54 +49,54 @@
 	return g.guard.Tracker().Digest(now, limit)
 }
 
-// Enter waits until the request may run on the upstream; level is the entry's. A *failure.Error is a refusal before
+// Acquire waits until the request may run on the upstream; level is the entry's. A *failure.Error is a refusal before
 // the start.
-func (g *Gate) Enter(ctx context.Context, r Running, level Level) (*Pass, error) {
+func (g *Gate) Acquire(ctx context.Context, r Running, level Level) (*Permit, error) {
 	g.mu.Lock()
-	turn := g.guard.Ask(time.Now(), r, level)
-	var later chan Turn
-	if turn.Admission == Wait {
-		later = make(chan Turn, 1)
-		g.waiting[turn.Ticket] = later
+	decision := g.guard.Submit(time.Now(), r, level)
+	var later chan Decision
+	if decision.Admission == Wait {
+		later = make(chan Decision, 1)
+		g.waiting[decision.Ticket] = later
 	}
 	g.mu.Unlock()
 	if later == nil {
-		return g.pass(turn)
+		return g.permit(decision)
 	}
 	select {
-	case turn = <-later:
-		return g.pass(turn)
+	case decision = <-later:
+		return g.permit(decision)
 	case <-ctx.Done():
-		return nil, g.giveUp(turn.Ticket)
+		return nil, g.cancel(decision.Ticket)
 	}
 }
 
-func (g *Gate) pass(t Turn) (*Pass, error) {
-	if t.Admission == Enter {
-		return &Pass{gate: g, ticket: t.Ticket}, nil
+func (g *Gate) permit(d Decision) (*Permit, error) {
+	if d.Admission == Enter {
+		return &Permit{gate: g, ticket: d.Ticket}, nil
 	}
 	refusal := failure.New(failure.CodeNoUpstream, nil)
-	if t.Level == Refused {
-		refusal = Refusal(time.Now(), t.Until)
+	if d.Level == Refused {
+		refusal = Refusal(time.Now(), d.Until)
 	}
 	return nil, refusal.WithProof(failure.ProofRefusedBeforeStart)
 }
 
-// giveUp withdraws a request whose caller does not wait any longer, also if its turn came at the same moment.
-func (g *Gate) giveUp(t Ticket) error {
+// cancel withdraws a request whose caller does not wait any longer, also if its turn came at the same moment.
+func (g *Gate) cancel(t Ticket) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.waiting, t)
-	g.tell(g.guard.GiveUp(t))
-	g.tell(g.guard.Leave(time.Now(), t, Stopped))
+	g.tell(g.guard.Cancel(t))
+	g.tell(g.guard.Release(time.Now(), t, Stopped))
 	return failure.New(failure.CodeDeadlineUnmet, nil).WithProof(failure.ProofRefusedBeforeStart)
 }
 
-// Leave ends the run; only the first call counts.
-func (p *Pass) Leave(end End) {
+// Release ends the run; only the first call counts.
+func (p *Permit) Release(end End) {
 	p.gate.mu.Lock()
 	defer p.gate.mu.Unlock()
-	p.gate.tell(p.gate.guard.Leave(time.Now(), p.ticket, end))
+	p.gate.tell(p.gate.guard.Release(time.Now(), p.ticket, end))
 }
 
 // Died says that the upstream is dead, by a refused connection or a new process in its place. What ran is suspect here
@@ -104,17 +104,17 @@
 func (g *Gate) Died() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	turns, any := g.guard.Died(time.Now())
-	g.tell(turns)
+	decisions, any := g.guard.Died(time.Now())
+	g.tell(decisions)
 	return any
 }
 
 // tell hands turns to those who wait for them.
-func (g *Gate) tell(turns []Turn) {
-	for _, t := range turns {
-		if c := g.waiting[t.Ticket]; c != nil {
-			delete(g.waiting, t.Ticket)
-			c <- t
+func (g *Gate) tell(decisions []Decision) {
+	for _, d := range decisions {
+		if c := g.waiting[d.Ticket]; c != nil {
+			delete(g.waiting, d.Ticket)
+			c <- d
 		}
 	}
 }
--- a/internal/policy/quarantine/guard.go
+++ b/internal/policy/quarantine/guard.go
@@ -34,8 +34,8 @@
 // Ticket names one run on the upstream, or one that waits.
 type Ticket uint64
 
-// Turn is what becomes of a ticket.
-type Turn struct {
+// Decision is what becomes of a ticket.
+type Decision struct {
 	Ticket    Ticket
 	Admission Admission
 	// Level is the request's; with Refused goes the time at which that ends.
@@ -100,35 +100,35 @@
 // Tracker returns what the slot knows of suspects, to be told to entries.
 func (g *Guard) Tracker() *Tracker { return g.tracker }
 
-// Ask asks for a run at the level that the entry gives. The slot's own knowledge counts as well, since it is the first
-// to know of a crash. A ticket that must wait gets its turn from a later call, or is withdrawn with GiveUp.
-func (g *Guard) Ask(now time.Time, r Running, level Level) Turn {
+// Submit asks for a run at the level that the entry gives. The slot's own knowledge counts as well, since it is the first
+// to know of a crash. A ticket that must wait gets its turn from a later call, or is withdrawn with Cancel.
+func (g *Guard) Submit(now time.Time, r Running, level Level) Decision {
 	g.last++
 	own, until := g.tracker.Judge(now, r.Fingerprint)
 	asked := run{Running: r, ticket: g.last, level: max(level, own)}
-	turn := Turn{Ticket: asked.ticket, Admission: Deny, Level: asked.level, Until: until}
+	decision := Decision{Ticket: asked.ticket, Admission: Deny, Level: asked.level, Until: until}
 	switch {
 	case asked.level == Refused:
-		return turn
+		return decision
 	case asked.level == Clear:
 		if g.machine.State() == stateOpen {
 			g.running = append(g.running, asked)
-			turn.Admission = Enter
+			decision.Admission = Enter
 		}
-		return turn
+		return decision
 	case len(g.waiting) >= maxWaiting:
-		return turn
+		return decision
 	}
 	g.waiting = append(g.waiting, asked)
-	turn.Admission = Wait
+	decision.Admission = Wait
 	if len(g.advance()) > 0 {
-		turn.Admission = Enter
+		decision.Admission = Enter
 	}
-	return turn
+	return decision
 }
 
-// GiveUp withdraws a ticket that waits and returns the turns that come of it.
-func (g *Guard) GiveUp(t Ticket) []Turn {
+// Cancel withdraws a ticket that waits and returns the turns that come of it.
+func (g *Guard) Cancel(t Ticket) []Decision {
 	i := index(g.waiting, t)
 	if i < 0 {
 		return nil
@@ -140,8 +140,8 @@
 	return g.advance()
 }
 
-// Leave ends a run and returns the turns that come of it.
-func (g *Guard) Leave(now time.Time, t Ticket, end End) []Turn {
+// Release ends a run and returns the turns that come of it.
+func (g *Guard) Release(now time.Time, t Ticket, end End) []Decision {
 	i := index(g.running, t)
 	if i < 0 {
 		return nil
@@ -161,8 +161,8 @@
 	return g.advance()
 }
 
-// Learn takes in what entries say of suspects and returns the turns that come of it.
-func (g *Guard) Learn(now time.Time, news ...Suspect) []Turn {
+// Merge takes in what entries say of suspects and returns the turns that come of it.
+func (g *Guard) Merge(now time.Time, news ...Suspect) []Decision {
 	g.tracker.Merge(now, news...)
 	return g.recheck(now)
 }
@@ -170,7 +170,7 @@
 // Died says that the upstream is dead. What ran becomes suspect, unless it was reported before; what still runs is
 // taken as broken, since its handlers have yet to notice. It returns the turns that come of it, and whether anything
 // ran.
-func (g *Guard) Died(now time.Time) ([]Turn, bool) {
+func (g *Guard) Died(now time.Time) ([]Decision, bool) {
 	crash := g.report(now)
 	g.fire(evDied)
 	g.tracker.Merge(now, crash.Suspects()...)
@@ -196,8 +196,8 @@
 
 // recheck refuses waiting requests that have become more suspect. Copies of one request wait here for each other; when
 // the first takes the upstream down, the next must not follow it, so all are looked at before any is started.
-func (g *Guard) recheck(now time.Time) []Turn {
-	var turns []Turn
+func (g *Guard) recheck(now time.Time) []Decision {
+	var decisions []Decision
 	var stay []run
 	for _, w := range g.waiting {
 		level, until := g.tracker.Judge(now, w.Fingerprint)
@@ -205,26 +205,26 @@
 			stay = append(stay, w)
 			continue
 		}
-		turns = append(turns, Turn{w.ticket, Deny, level, until})
+		decisions = append(decisions, Decision{w.ticket, Deny, level, until})
 	}
 	headLeft := len(stay) < len(g.waiting) && (len(stay) == 0 || stay[0].ticket != g.waiting[0].ticket)
 	g.waiting = stay
 	if headLeft {
 		g.fire(evGivenUp)
 	}
-	return append(turns, g.advance()...)
+	return append(decisions, g.advance()...)
 }
 
 // advance starts waiting runs in their order, as far as what runs allows.
-func (g *Guard) advance() []Turn {
-	var turns []Turn
+func (g *Guard) advance() []Decision {
+	var decisions []Decision
 	for len(g.waiting) > 0 && g.mayStart(g.waiting[0]) {
 		next := g.waiting[0]
-		turns = append(turns, Turn{Ticket: next.ticket, Admission: Enter, Level: next.level})
+		decisions = append(decisions, Decision{Ticket: next.ticket, Admission: Enter, Level: next.level})
 		g.running = append(g.running, next)
 		g.waiting = slices.Delete(g.waiting, 0, 1)
 	}
-	return turns
+	return decisions
 }
 
 func (g *Guard) mayStart(r run) bool {
--- a/internal/policy/quarantine/keeper_test.go
+++ b/internal/policy/quarantine/persistent_test.go
@@ -18,16 +18,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := memtable.New(func() (memtable.Fault, time.Duration) { return memtable.Unavailable, 0 })
 		ctx, cancel := context.WithCancel(t.Context())
-		keeper := func() *Keeper {
-			k := NewKeeper(table, Rules{Period: quarantineLength}, DefaultKeeperOptions())
-			go k.Run(ctx)
-			return k
+		tracker := func() *PersistentTracker {
+			p := NewPersistentTracker(table, Rules{Period: quarantineLength}, DefaultPersistentTrackerOptions())
+			go p.Run(ctx)
+			return p
 		}
-		level := func(k *Keeper) Level {
-			got, _ := k.Snapshot().Judge(time.Now(), poison.Fingerprint)
+		level := func(p *PersistentTracker) Level {
+			got, _ := p.Snapshot().Judge(time.Now(), poison.Fingerprint)
 			return got
 		}
-		a, b := keeper(), keeper()
+		a, b := tracker(), tracker()
 		a.Merge(time.Now(), Crash{ID: 1, At: time.Now(), Ran: []Running{poison}, Probe: true}.Suspects()...)
 		b.Merge(time.Now(), Crash{ID: 2, At: time.Now(), Ran: []Running{poison}, Probe: true}.Suspects()...)
 		time.Sleep(time.Minute)
@@ -36,7 +36,7 @@
 			return []memtable.Fault{memtable.None, memtable.AnswerLost, memtable.RequestLost}[rng.IntN(3)], 0
 		})
 		time.Sleep(time.Minute)
-		late := keeper()
+		late := tracker()
 		time.Sleep(time.Minute)
 		if level(late) != Refused {
 			t.Error("an entry that starts later lets the request through")
--- a/internal/policy/quarantine/quarantine_test.go
+++ b/internal/policy/quarantine/quarantine_test.go
@@ -152,11 +152,11 @@
 // and a second look at the dead upstream, make one report.
 func TestOneDeathIsReportedOnce(t *testing.T) {
 	g := NewGuard("s", quarantineLength)
-	a := g.Ask(start, poison, Clear)
-	b := g.Ask(start, other, Clear)
-	g.Ask(start, third, Clear)
-	g.Leave(start, a.Ticket, Broken)
-	g.Leave(start, b.Ticket, Whole)
+	a := g.Submit(start, poison, Clear)
+	b := g.Submit(start, other, Clear)
+	g.Submit(start, third, Clear)
+	g.Release(start, a.Ticket, Broken)
+	g.Release(start, b.Ticket, Whole)
 	if _, ran := g.Died(start); !ran {
 		t.Fatal("nothing reported")
 	}
@@ -174,15 +174,15 @@
 func TestWaitingCopiesDoNotFollowTheFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate("s", quarantineLength)
-		beside, err := g.Enter(t.Context(), other, Clear)
+		beside, err := g.Acquire(t.Context(), other, Clear)
 		if err != nil {
 			t.Fatal(err)
 		}
 		codes := make(chan failure.Code, 3)
-		var first *Pass
+		var first *Permit
 		for range 3 {
 			go func() {
-				p, err := g.Enter(t.Context(), poison, Alone)
+				p, err := g.Acquire(t.Context(), poison, Alone)
 				if err != nil {
 					codes <- failure.CodeOf(err)
 					return
@@ -194,10 +194,10 @@
 		if first != nil {
 			t.Fatal("ran beside another request")
 		}
-		if _, err := g.Enter(t.Context(), third, Clear); failure.CodeOf(err) != failure.CodeNoUpstream {
+		if _, err := g.Acquire(t.Context(), third, Clear); failure.CodeOf(err) != failure.CodeNoUpstream {
 			t.Fatalf("let in while a suspect waits: %v", err)
 		}
-		beside.Leave(Whole)
+		beside.Release(Whole)
 		synctest.Wait()
 		if first == nil {
 			t.Fatal("the suspect never ran")
@@ -209,7 +209,7 @@
 				t.Fatalf("a waiting copy got %s", code)
 			}
 		}
-		if _, err := g.Enter(t.Context(), third, Clear); err != nil {
+		if _, err := g.Acquire(t.Context(), third, Clear); err != nil {
 			t.Fatalf("the upstream stays closed: %v", err)
 		}
 	})
@@ -219,16 +219,16 @@
 func TestGivingUpOpensTheUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate("s", quarantineLength)
-		if _, err := g.Enter(t.Context(), other, Clear); err != nil {
+		if _, err := g.Acquire(t.Context(), other, Clear); err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err := g.Enter(ctx, poison, Alone)
+		_, err := g.Acquire(ctx, poison, Alone)
 		if f := failure.From(err); f.Code != failure.CodeDeadlineUnmet || f.Proof != failure.ProofRefusedBeforeStart {
 			t.Fatalf("got %v", err)
 		}
-		if _, err := g.Enter(t.Context(), third, Clear); err != nil {
+		if _, err := g.Acquire(t.Context(), third, Clear); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/policy/retry/budget.go
+++ b/internal/policy/retry/budget.go
@@ -46,8 +46,8 @@
 	b.balance = min(burst*retryCost, b.balance+int(deposit*float64(b.percent)))
 }
 
-// Take pays for one retry; false if the budget is used up.
-func (b *Budget) Take() bool {
+// Allow pays for one retry; false if the budget is used up.
+func (b *Budget) Allow() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.balance < retryCost {
--- a/internal/policy/retry/session.go
+++ b/internal/policy/retry/session.go
@@ -32,15 +32,15 @@
 	MaxAttempts int
 	// Pause is the wait before the second attempt; it doubles with each further one.
 	Pause time.Duration
-	// LeastRun is the least time that an attempt needs; with less left before the deadline none is begun.
-	LeastRun time.Duration
+	// MinRun is the least time that an attempt needs; with less left before the deadline none is begun.
+	MinRun time.Duration
 }
 
 // DefaultRules returns the rules for a service whose requests may or may not be repeated.
 func DefaultRules(repeatable, resumable bool) Rules {
 	return Rules{
 		Repeatable: repeatable, Resumable: resumable, MaxAttempts: 3,
-		Pause: 5 * time.Millisecond, LeastRun: 20 * time.Millisecond,
+		Pause: 5 * time.Millisecond, MinRun: 20 * time.Millisecond,
 	}
 }
 
@@ -114,10 +114,10 @@
 		return s.giveUp(f, delivered, reason, now)
 	}
 	pause := s.rules.Pause << (s.attempts - 1)
-	if s.deadline.Sub(now) < pause+s.rules.LeastRun {
+	if s.deadline.Sub(now) < pause+s.rules.MinRun {
 		return s.giveUp(f, delivered, "no time is left", now)
 	}
-	if !s.budget.Take() {
+	if !s.budget.Allow() {
 		return s.giveUp(f, delivered, "the retry budget is used up", now)
 	}
 	s.attempts++
--- a/internal/policy/retry/session_test.go
+++ b/internal/policy/retry/session_test.go
@@ -124,15 +124,15 @@
 func TestTheBudgetIsConfiguration(t *testing.T) {
 	b := retry.NewBudget(0)
 	b.First()
-	if b.Take() {
+	if b.Allow() {
 		t.Fatal("a retry with a budget of 0")
 	}
 	b.SetPercent(percent)
-	if !b.Take() {
+	if !b.Allow() {
 		t.Fatal("a service with little traffic cannot retry at all")
 	}
 	b.SetPercent(0)
-	if b.Take() {
+	if b.Allow() {
 		t.Fatal("a retry after the budget was taken away")
 	}
 }
--- a/internal/policy/retry/window.go
+++ b/internal/policy/retry/window.go
@@ -70,8 +70,8 @@
 	return 0
 }
 
-// Take pays for one retry; false if the budget is used up.
-func (w *Window) Take(now time.Time) bool {
+// Allow pays for one retry; false if the budget is used up.
+func (w *Window) Allow(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	b := w.at(now)
--- a/internal/policy/retry/window_test.go
+++ b/internal/policy/retry/window_test.go
@@ -17,7 +17,7 @@
 		w.First(now)
 		at := now.Add(11 * time.Second)
 		for range extra {
-			if !w.Take(at) {
+			if !w.Allow(at) {
 				t.Fatal("no retry is left in a new window")
 			}
 		}
--- a/internal/policy/routing/picker.go
+++ b/internal/policy/routing/picker.go
@@ -52,8 +52,8 @@
 const (
 	// OvertakenTokens is how many more prompt tokens than believed may be ahead.
 	OvertakenTokens = 500
-	// MostOvertaken is how often one request may be sent back.
-	MostOvertaken = 2
+	// MaxOvertaken is how often one request may be sent back.
+	MaxOvertaken = 2
 )
 
 // Overtaken reports whether a slot should refuse a request before its start, with a fresh report, because other
@@ -61,7 +61,7 @@
 // prompt takes, so two of them often send to the same idle upstream; one more way to another is shorter than the wait.
 // believed is the Choice's Ahead, actual what the slot counts, times how often the request was sent back already.
 func Overtaken(first bool, believed, actual, times int) bool {
-	return first && times < MostOvertaken && actual > believed+OvertakenTokens
+	return first && times < MaxOvertaken && actual > believed+OvertakenTokens
 }
 
 // Picker chooses an upstream for each request. It is immutable and safe for concurrent use.
--- a/internal/state/audit/audit_test.go
+++ b/internal/state/audit/audit_test.go
@@ -21,7 +21,7 @@
 		rows = append(rows, linked...)
 	}
 	add("a", row(audit.KindInForce, "1"), row(audit.KindInForce, "2"), row(audit.KindInForce, "3"))
-	add("b", row(audit.KindLeaseTaken, "map/g"))
+	add("b", row(audit.KindLeaseAcquired, "map/g"))
 	add(audit.ChangesChain, row(audit.KindChange, "1"), row(audit.KindChange, "2"))
 	add(audit.RegisterChain, row(audit.KindStarted, "a"), row(audit.KindStarted, "b"))
 	return slices.Concat(heads, rows)
--- a/internal/state/audit/row.go
+++ b/internal/state/audit/row.go
@@ -21,8 +21,8 @@
 	KindRoster = "roster"
 	// KindInForce: the actor put a revision in force; the row is the proof for that node, with its time.
 	KindInForce = "in-force"
-	// KindLeaseTaken: the actor took a duty; after is the fencing number.
-	KindLeaseTaken = "lease-taken"
+	// KindLeaseAcquired: the actor took a duty; after is the fencing number.
+	KindLeaseAcquired = "lease-taken"
 	// KindLeaseReleased: an operator let another node take a duty.
 	KindLeaseReleased = "lease-released"
 	// KindOrder: an operator ordered an engine to do something.
--- a/internal/state/audit/writer/auditor.go
+++ b/internal/state/audit/writer/auditor.go
@@ -38,9 +38,9 @@
 	}()
 }
 
-// Settle writes what it can of all that this entry knows of, so that what is listed next holds it. A chain that somebody
+// FlushAll writes what it can of all that this entry knows of, so that what is listed next holds it. A chain that somebody
 // changed takes no more rows; it must still be possible to list and verify it, so a failure is only logged.
-func (a *Auditor) Settle(ctx context.Context) {
+func (a *Auditor) FlushAll(ctx context.Context) {
 	if err := errors.Join(a.Changes.CatchUp(ctx), a.Flush(ctx)); err != nil {
 		_ = level.Warn(a.o.Logger).Log("msg", "audit is behind", "rows", a.Waiting(), "err", err)
 	}
@@ -61,30 +61,30 @@
 	}
 }
 
-// InForce records each revision that a node puts in force. It is used on the control loop only.
-type InForce struct {
+// RevisionRecorder records each revision that a node puts in force. It is used on the control loop only.
+type RevisionRecorder struct {
 	Writer *Writer
 	last   uint64
 }
 
 // Observe looks at the node's newest view. A node that starts records what it starts with.
-func (i *InForce) Observe(now time.Time, v *revision.View) {
+func (r *RevisionRecorder) Observe(now time.Time, v *revision.View) {
 	rev := v.InForce.Revision()
-	if rev == i.last {
+	if rev == r.last {
 		return
 	}
-	i.Writer.Record(now, &audit.Row{
+	r.Writer.Record(now, &audit.Row{
 		Kind: audit.KindInForce, Subject: "configuration", Revision: rev,
-		Before: fmt.Sprintf("revision %d", i.last), After: fmt.Sprintf("revision %d", rev),
+		Before: fmt.Sprintf("revision %d", r.last), After: fmt.Sprintf("revision %d", rev),
 		Reason: "every live node holds it",
 	})
-	i.last = rev
+	r.last = rev
 }
 
-// LeaseTaken records that this node took a duty; it is a keeper's Taken.
-func (w *Writer) LeaseTaken(now time.Time, h lease.Held) {
+// LeaseAcquired records that this node took a duty; it is a lease manager's OnAcquired.
+func (w *Writer) LeaseAcquired(now time.Time, h lease.HeldLease) {
 	w.Record(now, &audit.Row{
-		Kind: audit.KindLeaseTaken, Subject: string(h.Duty), After: fmt.Sprintf("fencing number %d", h.Fence),
+		Kind: audit.KindLeaseAcquired, Subject: string(h.Duty), After: fmt.Sprintf("fencing number %d", h.Fence),
 		Reason: "the lease was free or had lapsed",
 	})
 }
--- a/internal/state/audit/writer/writer.go
+++ b/internal/state/audit/writer/writer.go
@@ -208,7 +208,7 @@
 		// Sent again with other rows it could be applied twice, and the chain would hold one row two times.
 		w.underWay = b
 	case isConflict(err):
-		return w.settle(ctx, b, err)
+		return w.resolve(ctx, b, err)
 	default:
 		if w.underWay != nil {
 			break // an earlier try may still have been applied
@@ -236,9 +236,9 @@
 	}
 }
 
-// settle finds out whether a batch that met a conflict was applied before. Nobody else writes this chain: if its head
+// resolve finds out whether a batch that met a conflict was applied before. Nobody else writes this chain: if its head
 // is another one, somebody changed it, and the writer leaves it as it is.
-func (w *Writer) settle(ctx context.Context, b *batch, conflict error) error {
+func (w *Writer) resolve(ctx context.Context, b *batch, conflict error) error {
 	now, err := readEnd(ctx, w.o.Table, w.end.Chain)
 	if err != nil {
 		w.underWay = b
--- a/internal/state/audit/writer/writer_test.go
+++ b/internal/state/audit/writer/writer_test.go
@@ -67,8 +67,8 @@
 	w.Record(at, &audit.Row{Kind: audit.KindUpstream, Subject: subject})
 }
 
-// settled flushes until all is written; each failure of the stand-in is used up by one try.
-func settled(t *testing.T, w *writer.Writer) {
+// flushAll flushes until all is written; each failure of the stand-in is used up by one try.
+func flushAll(t *testing.T, w *writer.Writer) {
 	t.Helper()
 	var err error
 	for range 20 {
@@ -90,7 +90,7 @@
 		t.Fatal("no answer was lost")
 	}
 	record(w, "u2")
-	settled(t, w)
+	flushAll(t, w)
 	if got := subjects(kept(t, s), audit.KindUpstream); got != "u1 u2" {
 		t.Fatalf("rows %q", got)
 	}
@@ -111,7 +111,7 @@
 		}
 	}
 	s.SetFaults(standin.PartTable, standin.Faults{})
-	settled(t, w)
+	flushAll(t, w)
 	got := strings.Fields(subjects(kept(t, s), audit.KindUpstream))
 	if len(got) != 200 || got[0] != "u000" || got[199] != "u199" {
 		t.Fatalf("%d rows: %v", len(got), got)
@@ -125,7 +125,7 @@
 	for i := range 8 {
 		w := newWriter(s, fmt.Sprint("life-", i))
 		record(w, "u1")
-		all.Go(func() { settled(t, w) })
+		all.Go(func() { flushAll(t, w) })
 	}
 	all.Wait()
 	if got := strings.Fields(subjects(kept(t, s), audit.KindStarted)); len(got) != 8 {
@@ -138,7 +138,7 @@
 	s := standin.NewStore(standin.Limits{})
 	w := newWriter(s, "a")
 	record(w, "u1")
-	settled(t, w)
+	flushAll(t, w)
 	head := audit.Head{Chain: "a"}
 	value, _ := proto.Marshal(head.Row())
 	_, err := s.Commit(t.Context(), platform.Txn{Operation: "cut", Puts: []platform.Put{
@@ -244,18 +244,18 @@
 	s := standin.NewStore(standin.Limits{})
 	l := store.New(s, func() time.Time { return at })
 	w := newWriter(s, "a")
-	i := &writer.InForce{Writer: w}
-	i.Observe(at, &revision.View{})
+	r := &writer.RevisionRecorder{Writer: w}
+	r.Observe(at, &revision.View{})
 	for n := range 3 {
 		keep(t, l, fmt.Sprint("op-", n), uint64(n), uint32(5000+n))
 		st, err := l.Committed(t.Context(), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		i.Observe(at, &revision.View{InForce: st})
-		i.Observe(at, &revision.View{InForce: st})
+		r.Observe(at, &revision.View{InForce: st})
+		r.Observe(at, &revision.View{InForce: st})
 	}
-	settled(t, w)
+	flushAll(t, w)
 	var got []string
 	for _, r := range kept(t, s) {
 		if r.GetKind() == audit.KindInForce {
--- a/internal/state/catalog/configuration.go
+++ b/internal/state/catalog/configuration.go
@@ -58,13 +58,13 @@
 	return r.Kind == KindSafe || r.Kind == KindStream && r.Resumable
 }
 
-// Patience is how long a caller of a stream waits for its first event, and between two events, before it leaves: the
+// CallerTimeout is how long a caller of a stream waits for its first event, and between two events, before it leaves: the
 // longest of two seconds, four times the aim for the first event and eight times the aim for pauses.
-func (r *Route) Patience() time.Duration {
-	return max(leastPatience, 4*r.TargetLatency, 8*r.TargetGap)
+func (r *Route) CallerTimeout() time.Duration {
+	return max(minCallerTimeout, 4*r.TargetLatency, 8*r.TargetGap)
 }
 
-const leastPatience = 2 * time.Second
+const minCallerTimeout = 2 * time.Second
 
 // Engine is the published model of a service whose upstreams are model engines that batch requests.
 type Engine struct {
--- a/internal/state/catalog/upstreams.go
+++ b/internal/state/catalog/upstreams.go
@@ -20,11 +20,11 @@
 // Upstream is one life of a back end. A restart may keep its ID, and the address may belong to another service after it.
 type Upstream struct {
 	ID ids.Upstream
-	// Born tells the lives of one ID apart; see ids.Life.
-	Born       int64
-	Service    ids.Service
-	Address    string
-	DataCentre ids.DataCentre
+	// StartedAtMS tells the lives of one ID apart; see ids.UpstreamIncarnation.
+	StartedAtMS int64
+	Service     ids.Service
+	Address     string
+	DataCentre  ids.DataCentre
 	// Release is the version of its software.
 	Release string
 	// Slots is how many requests it runs at once.
@@ -34,8 +34,10 @@
 	Version uint64
 }
 
-// Life names the upstream's life.
-func (u *Upstream) Life() ids.Life { return ids.Life{Upstream: u.ID, Born: u.Born} }
+// Incarnation names the upstream's life.
+func (u *Upstream) Incarnation() ids.UpstreamIncarnation {
+	return ids.UpstreamIncarnation{Upstream: u.ID, StartedAtMS: u.StartedAtMS}
+}
 
 // Upstreams is the list of all upstreams that are registered. It is immutable.
 type Upstreams struct {
@@ -70,9 +72,9 @@
 func (u *Upstreams) Get(id ids.Upstream) *Upstream { return u.byID[id] }
 
 // Has reports whether that life is in the list.
-func (u *Upstreams) Has(l ids.Life) bool {
-	up := u.byID[l.Upstream]
-	return up != nil && up.Born == l.Born
+func (u *Upstreams) Has(i ids.UpstreamIncarnation) bool {
+	up := u.byID[i.Upstream]
+	return up != nil && up.StartedAtMS == i.StartedAtMS
 }
 
 // Of returns the upstreams of a service, ordered by ID; the list must not be changed.
--- a/internal/state/claims/ledger.go
+++ b/internal/state/claims/ledger.go
@@ -15,7 +15,7 @@
 // Effect is something that the owner of a Ledger must do: an Answer or a Commit.
 type Effect interface{ effect() }
 
-// Answer is the verdict on an attempt; each Arrive leads to exactly one.
+// Answer is the verdict on an attempt; each Submit leads to exactly one.
 type Answer struct {
 	Attempt ids.Attempt
 	Verdict Verdict
@@ -108,8 +108,8 @@
 	}
 }
 
-// Arrive takes in an attempt.
-func (l *Ledger) Arrive(now time.Time, r Request) []Effect {
+// Submit takes in an attempt.
+func (l *Ledger) Submit(now time.Time, r Request) []Effect {
 	if v, answered := l.judgeArrival(now, r); answered {
 		l.answer(r, v)
 		return l.flush(now)
@@ -189,9 +189,9 @@
 	return refusal(failure.CodeRunning, nil)
 }
 
-// GiveUp tells that the caller of an attempt has gone. An attempt that has not been answered is refused and never
+// Cancel tells that the caller of an attempt has gone. An attempt that has not been answered is refused and never
 // starts; to an attempt that was answered it does nothing.
-func (l *Ledger) GiveUp(now time.Time, a ids.Attempt) []Effect {
+func (l *Ledger) Cancel(now time.Time, a ids.Attempt) []Effect {
 	if c := l.byAttempt[a]; c != nil {
 		l.expire(c, failure.CodeCancelled)
 	}
--- a/internal/state/claims/ledger_test.go
+++ b/internal/state/claims/ledger_test.go
@@ -80,7 +80,7 @@
 	return string(v.Refusal.Code)
 }
 
-func (b *bench) arrive(r Request) { b.take(b.ledger.Arrive(b.now, r)) }
+func (b *bench) submit(r Request) { b.take(b.ledger.Submit(b.now, r)) }
 
 // pass lets time pass and the ledger do what is due.
 func (b *bench) pass(d time.Duration) {
@@ -138,19 +138,19 @@
 func TestResendGetsTheStoredOutcome(t *testing.T) {
 	mem := memtable.NewMemory()
 	first := newBench(t, mem, "s1")
-	first.arrive(request(1, "k", "slip"))
+	first.submit(request(1, "k", "slip"))
 	first.serve()
 	first.want(map[uint64][]string{1: {"start"}})
 	first.take(first.ledger.Finished(first.now, ids.Attempt{Entry: "e", Seq: 1}, Outcome{Status: 200, Body: []byte("printed")}))
-	first.arrive(request(2, "k", "slip"))
+	first.submit(request(2, "k", "slip"))
 	first.want(map[uint64][]string{1: {"start"}, 2: {"outcome printed"}})
 	first.settle()
 	if first.ledger.Live() != 0 {
 		t.Fatalf("%d claims are live", first.ledger.Live())
 	}
 	other := newBench(t, mem, "s2")
-	other.arrive(request(3, "k", "slip"))
-	other.arrive(request(4, "k2", "slip"))
+	other.submit(request(3, "k", "slip"))
+	other.submit(request(4, "k2", "slip"))
 	other.serve()
 	other.settle()
 	other.want(map[uint64][]string{3: {"outcome printed"}, 4: {"start"}})
@@ -161,14 +161,14 @@
 func TestConflictDoesNotFailTheOthersOfItsBatch(t *testing.T) {
 	mem := memtable.NewMemory()
 	holder := newBench(t, mem, "s1")
-	holder.arrive(request(1, "taken", "a"))
+	holder.submit(request(1, "taken", "a"))
 	holder.serve()
 	b := newBench(t, mem, "s2")
-	b.arrive(request(10, "warm-up", "a"))
-	b.arrive(request(2, "taken", "a"))
-	b.arrive(request(3, "taken-2", "a"))
-	b.arrive(request(4, "free", "a"))
-	holder.arrive(request(5, "taken-2", "a"))
+	b.submit(request(10, "warm-up", "a"))
+	b.submit(request(2, "taken", "a"))
+	b.submit(request(3, "taken-2", "a"))
+	b.submit(request(4, "free", "a"))
+	holder.submit(request(5, "taken-2", "a"))
 	holder.pass(time.Second)
 	holder.serve()
 	b.serve()
@@ -185,11 +185,11 @@
 func TestKeyReusedWithAnotherBodyIsRefused(t *testing.T) {
 	mem := memtable.NewMemory()
 	b := newBench(t, mem, "s1")
-	b.arrive(request(1, "k", "a"))
-	b.arrive(request(2, "k", "b"))
+	b.submit(request(1, "k", "a"))
+	b.submit(request(2, "k", "b"))
 	b.serve()
 	other := newBench(t, mem, "s2")
-	other.arrive(request(3, "k", "b"))
+	other.submit(request(3, "k", "b"))
 	other.serve()
 	b.want(map[uint64][]string{1: {"start"}, 2: {"idempotency-key-reused"}})
 	other.want(map[uint64][]string{3: {"idempotency-key-reused"}})
@@ -199,7 +199,7 @@
 // the same operation is sent again and answers as the first time.
 func TestLostAnswerIsSettledByTheSameOperation(t *testing.T) {
 	b := newBench(t, memtable.NewMemory(), "s1")
-	b.arrive(request(1, "k", "a"))
+	b.submit(request(1, "k", "a"))
 	lost := b.lose()
 	if _, err := b.mem.Apply(lost); err != nil {
 		t.Fatal(err)
@@ -214,7 +214,7 @@
 // empty transaction takes its place, so that the original, arriving very late, claims nothing.
 func TestLateOriginalIsFenced(t *testing.T) {
 	b := newBench(t, memtable.NewMemory(), "s1")
-	b.arrive(request(1, "k", "a"))
+	b.submit(request(1, "k", "a"))
 	late := b.lose()
 	b.pass(11 * time.Second)
 	b.want(map[uint64][]string{1: {"deadline-cannot-be-met"}})
@@ -227,7 +227,7 @@
 	}
 	again := request(2, "k", "a")
 	again.Deadline = b.now.Add(time.Second)
-	b.arrive(again)
+	b.submit(again)
 	b.serve()
 	b.want(map[uint64][]string{1: {"deadline-cannot-be-met"}, 2: {"start"}})
 }
@@ -236,17 +236,17 @@
 // after the deadline; the row is deleted, since its attempt will never start.
 func TestClaimWrittenAfterItsDeadlineIsReleased(t *testing.T) {
 	b := newBench(t, memtable.NewMemory(), "s1")
-	b.arrive(request(1, "k", "a"))
+	b.submit(request(1, "k", "a"))
 	if _, err := b.mem.Apply(b.lose()); err != nil {
 		t.Fatal(err)
 	}
 	b.pass(11 * time.Second)
 	again := request(2, "k", "a")
 	again.Deadline = b.now.Add(time.Hour)
-	b.arrive(again)
+	b.submit(again)
 	b.settle()
 	again.Attempt.Seq = 3
-	b.arrive(again)
+	b.submit(again)
 	b.settle()
 	b.want(map[uint64][]string{1: {"deadline-cannot-be-met"}, 2: {"store-unavailable"}, 3: {"start"}})
 }
@@ -255,18 +255,18 @@
 // when the first was refused by the upstream after the claim.
 func TestLateCopyOfARefusedAttemptStaysRefused(t *testing.T) {
 	b := newBench(t, memtable.NewMemory(), "s1")
-	b.arrive(request(1, "k", "a"))
+	b.submit(request(1, "k", "a"))
 	txn := b.pop()
 	down := &platform.UnavailableError{Op: "commit"}
 	b.take(b.ledger.Committed(b.now, txn.Operation, platform.Result{}, down))
-	b.arrive(request(1, "k", "a"))
+	b.submit(request(1, "k", "a"))
 	b.pass(time.Second)
-	b.arrive(request(2, "k2", "a"))
+	b.submit(request(2, "k2", "a"))
 	b.serve()
 	b.take(b.ledger.NotStarted(b.now, ids.Attempt{Entry: "e", Seq: 2}))
 	b.settle()
 	b.now = start.Add(8 * time.Second)
-	b.arrive(request(2, "k2", "a"))
+	b.submit(request(2, "k2", "a"))
 	b.want(map[uint64][]string{
 		1: {"store-unavailable", "store-unavailable"},
 		2: {"start", "no-upstream"},
@@ -278,16 +278,16 @@
 // must not be taken for leave to start.
 func TestLateCopyOfAFinishedAttemptDoesNotStart(t *testing.T) {
 	b := newBench(t, memtable.NewMemory(), "s1")
-	b.arrive(request(1, "k", "a"))
+	b.submit(request(1, "k", "a"))
 	b.serve()
 	b.take(b.ledger.Finished(b.now, ids.Attempt{Entry: "e", Seq: 1}, Outcome{Status: 200, Body: []byte("x")}))
 	b.pass(time.Second)
 	b.serve()
-	b.arrive(request(1, "k", "a"))
+	b.submit(request(1, "k", "a"))
 	b.pass(time.Minute)
 	late := request(1, "k", "a")
 	late.Deadline = b.now.Add(time.Second)
-	b.arrive(late)
+	b.submit(late)
 	b.serve()
 	b.want(map[uint64][]string{1: {"start", "outcome-unknown", "outcome x"}})
 }
@@ -297,15 +297,15 @@
 func TestSlotThatDiedLeavesOutcomeUnknown(t *testing.T) {
 	mem := memtable.NewMemory()
 	dead := newBench(t, mem, "s1")
-	dead.arrive(request(1, "k", "a"))
+	dead.submit(request(1, "k", "a"))
 	dead.serve()
 	b := newBench(t, mem, "s1-restarted")
-	b.arrive(request(2, "k", "a"))
+	b.submit(request(2, "k", "a"))
 	b.serve()
 	b.now = start.Add(time.Minute)
 	late := request(3, "k", "a")
 	late.Deadline = b.now.Add(time.Minute)
-	b.arrive(late)
+	b.submit(late)
 	b.serve()
 	b.want(map[uint64][]string{2: {"running"}, 3: {"outcome-unknown"}})
 }
@@ -315,10 +315,10 @@
 	mem := memtable.NewMemory()
 	b := newBench(t, mem, "s1")
 	b.ledger.opts.MaxOutcomeBytes = 3
-	b.arrive(request(1, "lost", "a"))
+	b.submit(request(1, "lost", "a"))
 	b.serve()
 	b.pass(time.Second)
-	b.arrive(request(2, "large", "a"))
+	b.submit(request(2, "large", "a"))
 	b.serve()
 	b.take(b.ledger.Lost(b.now, ids.Attempt{Entry: "e", Seq: 1}))
 	b.take(b.ledger.Finished(b.now, ids.Attempt{Entry: "e", Seq: 2}, Outcome{Status: 200, Body: []byte("long")}))
@@ -339,7 +339,7 @@
 func TestClaimsShareTransactions(t *testing.T) {
 	b := newBench(t, memtable.NewMemory(), "s1")
 	for i := range uint64(300) {
-		b.arrive(request(i, fmt.Sprint("k", i), "a"))
+		b.submit(request(i, fmt.Sprint("k", i), "a"))
 	}
 	b.settle()
 	// The first claim goes alone, the other 299 in batches of 128.
@@ -352,7 +352,7 @@
 // of the table was on its way and woke up after the deadline, with the answer the first thing it read.
 func TestPausedSlotDoesNotStartAfterTheDeadline(t *testing.T) {
 	b := newBench(t, memtable.NewMemory(), "s1")
-	b.arrive(request(1, "k", "a"))
+	b.submit(request(1, "k", "a"))
 	b.now = b.now.Add(11 * time.Second)
 	b.serve()
 	b.want(map[uint64][]string{1: {"deadline-cannot-be-met"}})
@@ -364,14 +364,14 @@
 func TestConflictAfterALostAnswerIsFenced(t *testing.T) {
 	mem := memtable.NewMemory()
 	b := newBench(t, mem, "s1")
-	b.arrive(request(1, "warm-up", "a"))
-	b.arrive(request(2, "k1", "a"))
-	b.arrive(request(3, "k2", "a"))
+	b.submit(request(1, "warm-up", "a"))
+	b.submit(request(2, "k1", "a"))
+	b.submit(request(3, "k2", "a"))
 	b.serve()
 	b.pass(time.Second)
 	late := b.lose()
 	other := newBench(t, mem, "s2")
-	other.arrive(request(10, "k1", "a"))
+	other.submit(request(10, "k1", "a"))
 	other.serve()
 	b.settle()
 	b.want(map[uint64][]string{1: {"start"}, 2: {"running"}, 3: {"start"}})
--- a/internal/state/claims/metrics.go
+++ b/internal/state/claims/metrics.go
@@ -42,8 +42,8 @@
 	o.counter(`cardamomyoke_claim_transactions_total{result="` + result + `"}`).Inc()
 }
 
-func (o *Options) countSwept(done Swept, err error) {
-	o.counter(`cardamomyoke_claims_swept_total`).Add(done.Claims)
+func (o *Options) countSwept(result SweepResult, err error) {
+	o.counter(`cardamomyoke_claims_swept_total`).Add(result.Claims)
 	if err != nil {
 		o.counter(`cardamomyoke_claim_sweep_errors_total`).Inc()
 	}
--- a/internal/state/claims/options.go
+++ b/internal/state/claims/options.go
@@ -28,9 +28,9 @@
 	ResendDelay time.Duration
 	// Margin is the largest difference between two hosts' clocks that is allowed for.
 	Margin time.Duration
-	// SweepEvery is how often a Store removes expired claims; 0 for never. SweepWrites bounds each time.
-	SweepEvery  time.Duration
-	SweepWrites int
+	// SweepInterval is how often a Store removes expired claims; 0 for never. SweepWrites bounds each time.
+	SweepInterval time.Duration
+	SweepWrites   int
 	// Metrics gets the counters of a Store; nil for the default set.
 	Metrics *metrics.Set
 	// NewOperation draws the id of a transaction.
@@ -50,7 +50,7 @@
 		MaxLive:         4096,
 		ResendDelay:     50 * time.Millisecond,
 		Margin:          5 * time.Second,
-		SweepEvery:      time.Minute,
+		SweepInterval:   time.Minute,
 		SweepWrites:     5,
 		NewOperation:    ids.NewOperation,
 	}
--- a/internal/state/claims/random_test.go
+++ b/internal/state/claims/random_test.go
@@ -99,7 +99,7 @@
 	s := w.slots[w.rng.IntN(len(w.slots))]
 	switch w.rng.IntN(12) {
 	case 0, 1, 2:
-		w.arrive(s)
+		w.submit(s)
 	case 3, 4, 5:
 		w.answerTable(s)
 	case 6:
@@ -118,13 +118,13 @@
 	}
 }
 
-// arrive sends a new attempt or a late copy of an old one to a slot.
-func (w *world) arrive(s *worldSlot) {
+// submit sends a new attempt or a late copy of an old one to a slot.
+func (w *world) submit(s *worldSlot) {
 	if len(w.sent) > 0 && w.rng.IntN(4) == 0 {
 		old := w.sent[w.rng.IntN(len(w.sent))]
 		if w.sentTo[old.Attempt] == s.name {
 			s.owed++
-			w.take(s, s.ledger.Arrive(w.now, old))
+			w.take(s, s.ledger.Submit(w.now, old))
 		}
 		return
 	}
@@ -134,7 +134,7 @@
 	w.sent = append(w.sent, r)
 	w.sentTo[r.Attempt] = s.name
 	s.owed++
-	w.take(s, s.ledger.Arrive(w.now, r))
+	w.take(s, s.ledger.Submit(w.now, r))
 }
 
 func (w *world) answerTable(s *worldSlot) {
--- a/internal/state/claims/store.go
+++ b/internal/state/claims/store.go
@@ -47,8 +47,8 @@
 // that a resend gets "running" and, after the deadline, "outcome unknown". Call Drain first for an orderly exit.
 func (s *Store) Run(ctx context.Context) {
 	defer close(s.done)
-	if s.opts.SweepEvery > 0 {
-		go s.sweeper().Run(ctx, s.opts.SweepEvery, s.opts.countSwept)
+	if s.opts.SweepInterval > 0 {
+		go s.sweeper().Run(ctx, s.opts.SweepInterval, s.opts.countSwept)
 	}
 	o := &owner{ledger: NewLedger(s.opts), waiting: map[ids.Attempt]chan Verdict{}}
 	timer := time.NewTimer(time.Hour)
@@ -82,7 +82,7 @@
 // follow. If ctx ends first, the attempt is refused as cancelled and never starts.
 func (s *Store) Claim(ctx context.Context, r Request) Verdict {
 	answer := make(chan Verdict, 1)
-	s.post(func(o *owner, now time.Time) []Effect { return o.arrive(now, r, answer) })
+	s.post(func(o *owner, now time.Time) []Effect { return o.submit(now, r, answer) })
 	select {
 	case v := <-answer:
 		return v
@@ -90,7 +90,7 @@
 		return refusal(failure.CodeStopping, nil)
 	case <-ctx.Done():
 	}
-	s.post(func(o *owner, now time.Time) []Effect { return o.ledger.GiveUp(now, r.Attempt) })
+	s.post(func(o *owner, now time.Time) []Effect { return o.ledger.Cancel(now, r.Attempt) })
 	select {
 	case v := <-answer:
 		return s.tooLate(r.Attempt, v)
@@ -144,14 +144,14 @@
 	}
 }
 
-func (o *owner) arrive(now time.Time, r Request, answer chan Verdict) []Effect {
+func (o *owner) submit(now time.Time, r Request, answer chan Verdict) []Effect {
 	// A copy of an attempt that still waits must not take the verdict of the original.
 	if o.waiting[r.Attempt] != nil {
 		answer <- refusal(failure.CodeRunning, nil)
 		return nil
 	}
 	o.waiting[r.Attempt] = answer
-	return o.ledger.Arrive(now, r)
+	return o.ledger.Submit(now, r)
 }
 
 func (o *owner) checkDrained() {
--- a/internal/state/claims/store_test.go
+++ b/internal/state/claims/store_test.go
@@ -115,7 +115,7 @@
 		s.Finished(ids.Attempt{Entry: "e", Seq: 11}, Outcome{Status: 200})
 		s.Drain(t.Context())
 		sweeper := &Sweeper{Table: table, MaxWrites: 4, NewOperation: ids.NewOperation}
-		if got, err := sweeper.Sweep(t.Context(), time.Now().Add(30*time.Second)); err != nil || got != (Swept{}) {
+		if got, err := sweeper.Sweep(t.Context(), time.Now().Add(30*time.Second)); err != nil || got != (SweepResult{}) {
 			t.Errorf("early sweep: %+v, %v", got, err)
 		}
 		total := 0
--- a/internal/state/claims/sweep.go
+++ b/internal/state/claims/sweep.go
@@ -27,32 +27,32 @@
 	NewOperation func() ids.Operation
 }
 
-// Swept tells what a Sweep did.
-type Swept struct {
+// SweepResult tells what a Sweep did.
+type SweepResult struct {
 	// Writes counts transactions, Claims the claims that they removed.
 	Writes, Claims int
 }
 
 // Sweep removes up to MaxWrites lists of expired claims, the oldest first. Errors are those of the table; what was
 // removed before an error stays removed, and the rest waits for the next Sweep.
-func (s *Sweeper) Sweep(ctx context.Context, now time.Time) (Swept, error) {
-	var done Swept
+func (s *Sweeper) Sweep(ctx context.Context, now time.Time) (SweepResult, error) {
+	var result SweepResult
 	lists, err := s.Table.List(ctx, BatchPrefix, "", s.MaxWrites)
 	if err != nil {
-		return done, fmt.Errorf("list expired claims: %w", err)
+		return result, fmt.Errorf("list expired claims: %w", err)
 	}
 	for _, list := range lists {
 		if !expired(now, list.Key, s.Margin) {
-			return done, nil
+			return result, nil
 		}
 		n, err := s.remove(ctx, now, list)
 		if err != nil {
-			return done, err
+			return result, err
 		}
-		done.Writes++
-		done.Claims += n
+		result.Writes++
+		result.Claims += n
 	}
-	return done, nil
+	return result, nil
 }
 
 // expired reads the time out of a list's key. A key that cannot be read never expires.
@@ -101,7 +101,7 @@
 }
 
 // Run sweeps every interval until ctx ends and calls report with what each Sweep did.
-func (s *Sweeper) Run(ctx context.Context, interval time.Duration, report func(Swept, error)) {
+func (s *Sweeper) Run(ctx context.Context, interval time.Duration, report func(SweepResult, error)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
--- a/internal/state/lease/doc.go
+++ b/internal/state/lease/doc.go
@@ -16,9 +16,9 @@
 //
 // Its check Held(now) fails as soon as it is made. A deed that was under way is stopped where it lands:
 //
-//   - a write of the table names Guard, a check on the version of `fences/DUTY`: the table refuses it in the same
+//   - a write of the table names FenceCheck, a check on the version of `fences/DUTY`: the table refuses it in the same
 //     transaction once there is a new holder;
-//   - an order to a slot carries the fencing number: Gate refuses one that is lower than any seen; a restarted slot
+//   - an order to a slot carries the fencing number: FenceFilter refuses one that is lower than any seen; a restarted slot
 //     reads the row of its orders first, whose number is at least that of any order given out;
 //   - a proposal of an expert map needs every rank's acknowledgement, whatever the lease says (docs/design of the map);
 //   - an object is named by its content's number and never overwritten.
--- a/internal/state/lease/ended_test.go
+++ b/internal/state/lease/ended_test.go
@@ -27,29 +27,29 @@
 		effects = effects[1:]
 		switch e := e.(type) {
 		case *lease.Read:
-			effects = append(effects, h.OnRead(now, h.Call(), r.Row, true)...)
+			effects = append(effects, h.OnRead(now, h.CallID(), r.Row, true)...)
 		case *lease.Write:
-			effects = append(effects, h.OnWrite(now, h.Call(), r.write(e))...)
+			effects = append(effects, h.OnWrite(now, h.CallID(), r.write(e))...)
 		}
 	}
 }
 
-func (r *row) write(w *lease.Write) lease.Written {
+func (r *row) write(w *lease.Write) lease.WriteResult {
 	if w.Version != r.Version || w.Fence != r.Fence {
-		return lease.Written{Conflict: true}
+		return lease.WriteResult{Conflict: true}
 	}
 	r.next++
 	r.Lease, r.Version = w.Lease, r.next
 	if w.NewFence {
 		r.Fence = r.next
 	}
-	return lease.Written{OK: true, Version: r.Version, Fence: r.Fence}
+	return lease.WriteResult{OK: true, Version: r.Version, Fence: r.Fence}
 }
 
 // node is a holder that takes all others for ended.
 func node(name string, seed uint64) *lease.Holder {
 	h := lease.NewHolder("duty", name, ids.Incarnation(name), testLength, rand.New(rand.NewPCG(seed, 1)))
-	h.SetEnded(func(holder string, _ ids.Incarnation) bool { return holder != name })
+	h.SetHolderDead(func(holder string, _ ids.Incarnation) bool { return holder != name })
 	return h
 }
 
@@ -58,13 +58,13 @@
 	now := time.Unix(1000, 0)
 	r := &row{}
 	a, b := node("a", 1), node("b", 2)
-	r.carryOut(now, a, a.Want(now, true))
+	r.carryOut(now, a, a.SetWanted(now, true))
 	fences := map[uint64]bool{}
 	for i := range 400 {
 		now = now.Add(testTick)
 		r.carryOut(now, a, a.Tick(now))
 		if i == 20 {
-			r.carryOut(now, b, b.Want(now, true))
+			r.carryOut(now, b, b.SetWanted(now, true))
 		}
 		if i > 20 {
 			r.carryOut(now, b, b.Tick(now))
@@ -81,14 +81,14 @@
 	now := time.Unix(1000, 0)
 	r := &row{}
 	a, b := node("a", 1), node("b", 2)
-	r.carryOut(now, a, a.Want(now, true))
+	r.carryOut(now, a, a.SetWanted(now, true))
 	for range 30 {
 		now = now.Add(testTick)
 		r.carryOut(now, a, a.Tick(now))
 	}
 	died := now
-	r.carryOut(now, b, b.Want(now, true))
-	for !b.Held().At(now) {
+	r.carryOut(now, b, b.SetWanted(now, true))
+	for !b.Held().ValidAt(now) {
 		now = now.Add(testTick)
 		r.carryOut(now, b, b.Tick(now))
 	}
--- a/internal/state/lease/keeper/keeper.go
+++ b/internal/state/lease/keeper/keeper.go
@@ -24,7 +24,7 @@
 
 const listLimit = 1000
 
-// Config is what a Keeper is built from.
+// Config is what a Manager is built from.
 type Config struct {
 	Name        string
 	Incarnation ids.Incarnation
@@ -33,108 +33,108 @@
 	Loop        *control.Loop
 	Rand        *rand.Rand
 	Logger      log.Logger
-	// Ended reports whether a holder is known to have ended; see lease.Holder.SetEnded. It may be nil.
-	Ended func(holder string, life ids.Incarnation) bool
-	// Taken is called on the loop when this node has taken a duty, for the audit; it may be nil.
-	Taken func(now time.Time, h lease.Held)
+	// HolderDead reports whether a holder is known to have ended; see lease.Holder.SetHolderDead. It may be nil.
+	HolderDead func(holder string, life ids.Incarnation) bool
+	// OnAcquired is called on the loop when this node has taken a duty, for the audit; it may be nil.
+	OnAcquired func(now time.Time, h lease.HeldLease)
 }
 
-// Keeper holds duties for one process. Want and Tick are called on the control loop; Held from anywhere.
-type Keeper struct {
+// Manager holds duties for one process. SetWanted and Tick are called on the control loop; Held from anywhere.
+type Manager struct {
 	config  Config
 	holders map[lease.Duty]*lease.Holder
-	view    atomic.Pointer[map[lease.Duty]lease.Held]
+	view    atomic.Pointer[map[lease.Duty]lease.HeldLease]
 }
 
-// New returns a keeper that wants nothing yet.
-func New(c Config) *Keeper {
+// New returns a manager that wants nothing yet.
+func New(c Config) *Manager {
 	if c.Length == 0 {
 		c.Length = DefaultLength
 	}
 	if c.Logger == nil {
 		c.Logger = log.NewNopLogger()
 	}
-	k := &Keeper{config: c, holders: map[lease.Duty]*lease.Holder{}}
-	k.view.Store(&map[lease.Duty]lease.Held{})
-	return k
+	m := &Manager{config: c, holders: map[lease.Duty]*lease.Holder{}}
+	m.view.Store(&map[lease.Duty]lease.HeldLease{})
+	return m
 }
 
-// Held returns what this node holds of a duty. Ask its At before each deed, and name lease.Guard in each write.
-func (k *Keeper) Held(d lease.Duty) lease.Held { return (*k.view.Load())[d] }
+// Held returns what this node holds of a duty. Ask its ValidAt before each deed, and name lease.FenceCheck in each write.
+func (m *Manager) Held(d lease.Duty) lease.HeldLease { return (*m.view.Load())[d] }
 
-// SeenOfOthers returns the newest fencing number of a duty that this node has read; 0 if the duty's holder is this node, or
+// NewestFenceOfOthers returns the newest fencing number of a duty that this node has read; 0 if the duty's holder is this node, or
 // none was read. It is called on the control loop.
-func (k *Keeper) SeenOfOthers(d lease.Duty) ids.Fence {
-	if h := k.holders[d]; h != nil {
-		return h.SeenOfOthers()
+func (m *Manager) NewestFenceOfOthers(d lease.Duty) ids.Fence {
+	if h := m.holders[d]; h != nil {
+		return h.NewestFenceOfOthers()
 	}
 	return 0
 }
 
-// Unanswered returns for how long the table has not answered the present call for a duty; 0 if there is none. It is called
+// PendingFor returns for how long the table has not answered the present call for a duty; 0 if there is none. It is called
 // on the control loop.
-func (k *Keeper) Unanswered(now time.Time, d lease.Duty) time.Duration {
-	if h := k.holders[d]; h != nil {
-		return h.Unanswered(now)
+func (m *Manager) PendingFor(now time.Time, d lease.Duty) time.Duration {
+	if h := m.holders[d]; h != nil {
+		return h.PendingFor(now)
 	}
 	return 0
 }
 
-// Want says whether this node wants a duty; see lease.Candidates.
-func (k *Keeper) Want(now time.Time, d lease.Duty, want bool) {
-	h := k.holders[d]
+// SetWanted says whether this node wants a duty; see lease.Candidates.
+func (m *Manager) SetWanted(now time.Time, d lease.Duty, want bool) {
+	h := m.holders[d]
 	if h == nil {
-		h = lease.NewHolder(d, k.config.Name, k.config.Incarnation, k.config.Length, k.config.Rand)
-		h.SetEnded(k.config.Ended)
-		k.holders[d] = h
+		h = lease.NewHolder(d, m.config.Name, m.config.Incarnation, m.config.Length, m.config.Rand)
+		h.SetHolderDead(m.config.HolderDead)
+		m.holders[d] = h
 	}
-	k.run(now, d, h, h.Want(now, want))
+	m.run(now, d, h, h.SetWanted(now, want))
 }
 
 // Tick lets time pass; the control loop calls it.
-func (k *Keeper) Tick(now time.Time) {
-	for d, h := range k.holders {
-		k.run(now, d, h, h.Tick(now))
+func (m *Manager) Tick(now time.Time) {
+	for d, h := range m.holders {
+		m.run(now, d, h, h.Tick(now))
 	}
 }
 
-func (k *Keeper) run(now time.Time, d lease.Duty, h *lease.Holder, effects []lease.Effect) {
+func (m *Manager) run(now time.Time, d lease.Duty, h *lease.Holder, effects []lease.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case *lease.Read:
-			go k.read(d, h, h.Call())
+			go m.read(d, h, h.CallID())
 		case *lease.Write:
-			go k.write(d, h, h.Call(), e)
+			go m.write(d, h, h.CallID(), e)
 		}
 	}
-	k.publish(now, d, h.Held())
+	m.publish(now, d, h.Held())
 }
 
-func (k *Keeper) publish(now time.Time, d lease.Duty, held lease.Held) {
-	old := *k.view.Load()
+func (m *Manager) publish(now time.Time, d lease.Duty, held lease.HeldLease) {
+	old := *m.view.Load()
 	if old[d] == held {
 		return
 	}
-	next := make(map[lease.Duty]lease.Held, len(old)+1)
+	next := make(map[lease.Duty]lease.HeldLease, len(old)+1)
 	for key, v := range old {
 		next[key] = v
 	}
 	next[d] = held
-	k.view.Store(&next)
+	m.view.Store(&next)
 	if held.Fence == old[d].Fence {
 		return
 	}
-	_ = level.Info(k.config.Logger).Log("msg", "lease changed", "duty", d, "fence", held.Fence, "held", held.At(now))
-	if held.At(now) && k.config.Taken != nil {
-		k.config.Taken(now, held)
+	_ = level.Info(m.config.Logger).Log("msg", "lease changed", "duty", d, "fence", held.Fence, "held", held.ValidAt(now))
+	if held.ValidAt(now) && m.config.OnAcquired != nil {
+		m.config.OnAcquired(now, held)
 	}
 }
 
-func (k *Keeper) read(d lease.Duty, h *lease.Holder, call uint64) {
-	ctx, cancel := context.WithTimeout(context.Background(), k.config.Length/2)
+func (m *Manager) read(d lease.Duty, h *lease.Holder, call uint64) {
+	ctx, cancel := context.WithTimeout(context.Background(), m.config.Length/2)
 	defer cancel()
-	row, err := readRow(ctx, k.config.Table, d)
-	k.config.Loop.Post(func(now time.Time) { k.run(now, d, h, h.OnRead(now, call, row, err == nil)) })
+	row, err := readRow(ctx, m.config.Table, d)
+	m.config.Loop.Post(func(now time.Time) { m.run(now, d, h, h.OnRead(now, call, row, err == nil)) })
 }
 
 func readRow(ctx context.Context, table platform.Table, d lease.Duty) (lease.Row, error) {
@@ -161,17 +161,17 @@
 // Unwrap returns the cause.
 func (e *RowError) Unwrap() error { return e.Cause }
 
-func (k *Keeper) write(d lease.Duty, h *lease.Holder, call uint64, w *lease.Write) {
-	ctx, cancel := context.WithTimeout(context.Background(), k.config.Length/2)
+func (m *Manager) write(d lease.Duty, h *lease.Holder, call uint64, w *lease.Write) {
+	ctx, cancel := context.WithTimeout(context.Background(), m.config.Length/2)
 	defer cancel()
-	out := commit(ctx, k.config.Table, d, w)
-	k.config.Loop.Post(func(now time.Time) { k.run(now, d, h, h.OnWrite(now, call, out)) })
+	out := commit(ctx, m.config.Table, d, w)
+	m.config.Loop.Post(func(now time.Time) { m.run(now, d, h, h.OnWrite(now, call, out)) })
 }
 
-func commit(ctx context.Context, table platform.Table, d lease.Duty, w *lease.Write) lease.Written {
+func commit(ctx context.Context, table platform.Table, d lease.Duty, w *lease.Write) lease.WriteResult {
 	value, err := proto.Marshal(w.Lease)
 	if err != nil {
-		return lease.Written{Conflict: true}
+		return lease.WriteResult{Conflict: true}
 	}
 	t := platform.Txn{
 		Operation: ids.NewOperation(),
@@ -185,11 +185,11 @@
 	var conflict *platform.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		return lease.Written{Conflict: true}
+		return lease.WriteResult{Conflict: true}
 	case err != nil:
-		return lease.Written{}
+		return lease.WriteResult{}
 	}
-	out := lease.Written{OK: true, Version: res.Versions[0], Fence: w.Fence}
+	out := lease.WriteResult{OK: true, Version: res.Versions[0], Fence: w.Fence}
 	if w.NewFence {
 		out.Fence = res.Versions[1]
 	}
--- a/internal/state/lease/keeper/keeper_test.go
+++ b/internal/state/lease/keeper/keeper_test.go
@@ -22,16 +22,16 @@
 const duty lease.Duty = "map/desk-model"
 
 type process struct {
-	keeper *keeper.Keeper
-	client *standin.Client
-	paused chan chan struct{}
-	stop   func()
+	manager *keeper.Manager
+	client  *standin.Client
+	paused  chan chan struct{}
+	stop    func()
 }
 
 func start(s *standin.Store, name string, seed uint64) *process {
 	p := &process{client: s.Client(name), paused: make(chan chan struct{}, 1)}
 	loop := control.New()
-	p.keeper = keeper.New(keeper.Config{
+	p.manager = keeper.New(keeper.Config{
 		Name: name, Incarnation: ids.NewIncarnation(), Table: platform.NewClient(p.client, platform.Options{}), Loop: loop,
 		Rand: rand.New(rand.NewPCG(seed, 3)),
 	})
@@ -46,15 +46,15 @@
 				now = time.Now()
 			default:
 			}
-			p.keeper.Tick(now)
+			p.manager.Tick(now)
 		})
 	}()
-	loop.Post(func(now time.Time) { p.keeper.Want(now, duty, true) })
+	loop.Post(func(now time.Time) { p.manager.SetWanted(now, duty, true) })
 	p.stop = func() { cancel(); <-ended }
 	return p
 }
 
-func (p *process) held() lease.Held { return p.keeper.Held(duty) }
+func (p *process) held() lease.HeldLease { return p.manager.Held(duty) }
 
 // run lets three processes want one duty while f makes trouble. At each moment at most one holds it, and its fencing
 // number is larger than that of each other holder before.
@@ -96,7 +96,7 @@
 		holders := 0
 		for i, p := range ps {
 			h := p.held()
-			if !h.At(time.Now()) {
+			if !h.ValidAt(time.Now()) {
 				continue
 			}
 			holders++
@@ -117,7 +117,7 @@
 	t.Helper()
 	for range 600 {
 		for _, p := range ps {
-			if p != except && p.held().At(time.Now()) {
+			if p != except && p.held().ValidAt(time.Now()) {
 				return p
 			}
 		}
@@ -137,23 +137,23 @@
 		old.paused <- resume
 		next := wait(t, ps, old)
 		after := next.held()
-		if before.At(time.Now()) {
+		if before.ValidAt(time.Now()) {
 			t.Fatal("the old holder's check passes")
 		}
 		var conflict *platform.ConflictError
 		_, err := s.Commit(context.Background(), platform.Txn{
-			Operation: "late", Checks: []platform.Check{lease.Guard(duty, before.Fence)},
+			Operation: "late", Checks: []platform.Check{lease.FenceCheck(duty, before.Fence)},
 			Puts: []platform.Put{{Key: "maps/1", Value: []byte("old")}},
 		})
 		if !errors.As(err, &conflict) {
 			t.Fatalf("the table takes the old holder's write: %v", err)
 		}
-		var gate lease.Gate
-		var late *lease.OldFenceError
-		if err := gate.Admit(after.Fence); err != nil {
+		var filter lease.FenceFilter
+		var late *lease.StaleFenceError
+		if err := filter.Admit(after.Fence); err != nil {
 			t.Fatal(err)
 		}
-		if err := gate.Admit(before.Fence); !errors.As(err, &late) {
+		if err := filter.Admit(before.Fence); !errors.As(err, &late) {
 			t.Fatalf("the gate takes the old holder's order: %v", err)
 		}
 		close(resume)
@@ -194,7 +194,7 @@
 		s.SetFaults(standin.PartTable, standin.Faults{Outage: true})
 		time.Sleep(time.Minute)
 		for _, p := range ps {
-			if p.held().At(time.Now()) {
+			if p.held().ValidAt(time.Now()) {
 				t.Fatal("held without the table")
 			}
 		}
@@ -234,8 +234,8 @@
 		for i := range 4 {
 			client := s.Client(fmt.Sprint("gateway-", i))
 			wait.Go(func() {
-				n, err := keeper.Draw(context.Background(), client, duty)
-				var drawn *keeper.DrawError
+				n, err := keeper.AllocateFence(context.Background(), client, duty)
+				var drawn *keeper.AllocationConflictError
 				if errors.As(err, &drawn) {
 					return
 				}
@@ -262,19 +262,19 @@
 func TestOwnLeaseIsNoOthers(t *testing.T) {
 	h := lease.NewHolder(duty, "a", "life-1", time.Second, rand.New(rand.NewPCG(1, 1)))
 	now := time.Unix(0, 0)
-	h.Want(now, true)
+	h.SetWanted(now, true)
 	read := func(name, life string, fence uint64) {
 		h.Tick(now)
 		row := lease.Row{Lease: &cardamomyokev1.Lease{Holder: name, Incarnation: life, LengthMs: 1000}, Version: fence, Fence: fence}
-		h.OnRead(now, h.Call(), row, true)
+		h.OnRead(now, h.CallID(), row, true)
 		now = now.Add(400 * time.Millisecond)
 	}
 	read("a", "life-1", 7)
-	if got := h.SeenOfOthers(); got != 0 || h.Seen() != 7 {
-		t.Fatalf("saw %d of others, %d in all", got, h.Seen())
+	if got := h.NewestFenceOfOthers(); got != 0 || h.NewestFence() != 7 {
+		t.Fatalf("saw %d of others, %d in all", got, h.NewestFence())
 	}
 	read("a", "life-0", 8)
-	if got := h.SeenOfOthers(); got != 8 {
+	if got := h.NewestFenceOfOthers(); got != 8 {
 		t.Fatalf("saw %d of an earlier life, want 8", got)
 	}
 }
--- a/internal/state/lease/keeper/number.go
+++ b/internal/state/lease/keeper/number.go
@@ -9,9 +9,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// Draw returns a number for the duty that nobody else gets and that is larger than each one drawn before. A node may draw
-// one before it holds the duty. Errors: *DrawError, or the table's.
-func Draw(ctx context.Context, table platform.Table, d lease.Duty) (ids.Fence, error) {
+// AllocateFence returns a number for the duty that nobody else gets and that is larger than each one drawn before. A node may draw
+// one before it holds the duty. Errors: *AllocationConflictError, or the table's.
+func AllocateFence(ctx context.Context, table platform.Table, d lease.Duty) (ids.Fence, error) {
 	op := ids.NewOperation()
 	key := d.NumberKey()
 	_, err := table.Commit(ctx, platform.Txn{Operation: op, Puts: []platform.Put{{Key: key, Value: []byte(op)}}})
@@ -24,15 +24,15 @@
 		return 0, fmt.Errorf("read the drawn number: %w", err)
 	}
 	if string(rows[0].Value) != string(op) {
-		return 0, &DrawError{d}
+		return 0, &AllocationConflictError{d}
 	}
 	return ids.Fence(rows[0].Version), nil
 }
 
-// DrawError says that another node has drawn a number before this one's could be read. It may be tried again.
-type DrawError struct{ Duty lease.Duty }
+// AllocationConflictError says that another node has drawn a number before this one's could be read. It may be tried again.
+type AllocationConflictError struct{ Duty lease.Duty }
 
 // Error implements error.
-func (e *DrawError) Error() string {
+func (e *AllocationConflictError) Error() string {
 	return "another node has drawn a later number for " + string(e.Duty)
 }
--- a/internal/state/lease/lease.go
+++ b/internal/state/lease/lease.go
@@ -33,7 +33,7 @@
 const (
 	prefixLease = "leases/"
 	prefixFence = "fences/"
-	// prefixNumber is that of rows whose versions are numbers drawn for a duty; see keeper.Draw.
+	// prefixNumber is that of rows whose versions are numbers drawn for a duty; see keeper.AllocateFence.
 	prefixNumber = "numbers/"
 	// renewals are the tries that fit into one length.
 	renewals = 3
@@ -55,8 +55,8 @@
 // NumberKey returns the key of the row whose versions are the numbers drawn for the duty.
 func (d Duty) NumberKey() string { return prefixNumber + string(d) }
 
-// Guard returns the check that a table write of the duty must name: it fails once there is a later holder.
-func Guard(d Duty, f ids.Fence) platform.Check {
+// FenceCheck returns the check that a table write of the duty must name: it fails once there is a later holder.
+func FenceCheck(d Duty, f ids.Fence) platform.Check {
 	return platform.Check{Key: d.FenceKey(), Version: uint64(f)}
 }
 
@@ -94,16 +94,16 @@
 func (*Read) effect()  {}
 func (*Write) effect() {}
 
-// Held is a duty that a node holds. The zero value is none.
-type Held struct {
+// HeldLease is a duty that a node holds. The zero value is none.
+type HeldLease struct {
 	Duty  Duty
 	Fence ids.Fence
 	// Until is the deadline on the node's own monotonic clock.
 	Until time.Time
 }
 
-// At reports whether the duty is held at the given time. It is asked before each deed.
-func (h Held) At(now time.Time) bool { return now.Before(h.Until) }
+// ValidAt reports whether the duty is held at the given time. It is asked before each deed.
+func (h HeldLease) ValidAt(now time.Time) bool { return now.Before(h.Until) }
 
 // Holder is one node's part in one lease. It does no I/O, reads no clock, and is not safe for concurrent use.
 type Holder struct {
@@ -117,48 +117,50 @@
 
 	row    Row
 	seenAt time.Time // when row was first seen as it is
-	held   Held
+	held   HeldLease
 	count  uint64
 
 	callAt   time.Time // when the call under way began; zero if none is
 	nextAt   time.Time
-	call     uint64 // counts calls, so that an answer given up on is known
+	callID   uint64 // counts calls, so that an answer given up on is known
 	released bool   // the call under way gives the duty back
-	// ended tells of a holder that is known to have ended; nil if that is never known.
-	ended func(holder string, life ids.Incarnation) bool
+	// holderDead tells of a holder that is known to have ended; nil if that is never known.
+	holderDead func(holder string, life ids.Incarnation) bool
 	// readAt is when the row was known last, changedAt when another holder was last seen to have written it.
 	readAt, changedAt time.Time
 }
 
-// SetEnded lets the duty be taken over before the lease is over from a holder that is known to have ended. It is for
+// SetHolderDead lets the duty be taken over before the lease is over from a holder that is known to have ended. It is for
 // duties whose safety does not rest on the lease: a holder that only seems to have ended is doubled until it hears.
-func (h *Holder) SetEnded(ended func(holder string, life ids.Incarnation) bool) { h.ended = ended }
+func (h *Holder) SetHolderDead(ended func(holder string, life ids.Incarnation) bool) {
+	h.holderDead = ended
+}
 
 // NewHolder returns a holder that does not want the duty yet.
 func NewHolder(d Duty, name string, life ids.Incarnation, length time.Duration, rng *rand.Rand) *Holder {
 	return &Holder{duty: d, name: name, life: life, length: length, rng: rng, machine: chart.Start()}
 }
 
-// Held returns what this node holds; ask its At with the time of each deed.
-func (h *Holder) Held() Held { return h.held }
+// Held returns what this node holds; ask its ValidAt with the time of each deed.
+func (h *Holder) Held() HeldLease { return h.held }
 
-// Seen returns the newest fencing number that the rows were seen to have.
-func (h *Holder) Seen() ids.Fence { return ids.Fence(h.row.Fence) }
+// NewestFence returns the newest fencing number that the rows were seen to have.
+func (h *Holder) NewestFence() ids.Fence { return ids.Fence(h.row.Fence) }
 
-// SeenOfOthers is Seen unless the rows name this very life as the holder; then it is 0.
-func (h *Holder) SeenOfOthers() ids.Fence {
+// NewestFenceOfOthers is NewestFence unless the rows name this very life as the holder; then it is 0.
+func (h *Holder) NewestFenceOfOthers() ids.Fence {
 	if h.own(h.row.Lease) {
 		return 0
 	}
-	return h.Seen()
+	return h.NewestFence()
 }
 
 func (h *Holder) own(l *cardamomyokev1.Lease) bool {
 	return l.GetHolder() == h.name && l.GetIncarnation() == string(h.life)
 }
 
-// Unanswered returns for how long the call under way has waited for its answer; 0 if there is none.
-func (h *Holder) Unanswered(now time.Time) time.Duration {
+// PendingFor returns for how long the call under way has waited for its answer; 0 if there is none.
+func (h *Holder) PendingFor(now time.Time) time.Duration {
 	if h.callAt.IsZero() {
 		return 0
 	}
@@ -173,8 +175,8 @@
 	_, _ = h.machine.Fire(ev)
 }
 
-// Want says whether this node wants the duty. A duty that is held is given back at once.
-func (h *Holder) Want(now time.Time, want bool) []Effect {
+// SetWanted says whether this node wants the duty. A duty that is held is given back at once.
+func (h *Holder) SetWanted(now time.Time, want bool) []Effect {
 	if want == h.wanted {
 		return nil
 	}
@@ -185,7 +187,7 @@
 	}
 	wasHeld := h.machine.State() == stateHeld
 	h.fire(evUnwanted)
-	h.held = Held{}
+	h.held = HeldLease{}
 	if !wasHeld {
 		return nil
 	}
@@ -194,7 +196,7 @@
 
 // Tick lets time pass.
 func (h *Holder) Tick(now time.Time) []Effect {
-	if h.machine.State() == stateHeld && !h.held.At(now) {
+	if h.machine.State() == stateHeld && !h.held.ValidAt(now) {
 		h.lapse()
 	}
 	if !h.callAt.IsZero() && now.Sub(h.callAt) < h.length/answerLimit {
@@ -222,7 +224,7 @@
 }
 
 func (h *Holder) lapse() {
-	h.held = Held{}
+	h.held = HeldLease{}
 	h.seenAt = time.Time{}
 	h.fire(evLapsed)
 }
@@ -241,7 +243,7 @@
 	if h.row.Lease.GetHolder() == "" {
 		return true
 	}
-	if h.ended != nil && !h.livedLately(now) && h.ended(h.row.Lease.GetHolder(), ids.Incarnation(h.row.Lease.GetIncarnation())) {
+	if h.holderDead != nil && !h.livedLately(now) && h.holderDead(h.row.Lease.GetHolder(), ids.Incarnation(h.row.Lease.GetIncarnation())) {
 		return true
 	}
 	length := time.Duration(h.row.Lease.GetLengthMs()) * time.Millisecond
@@ -269,7 +271,7 @@
 
 func (h *Holder) start(now time.Time) {
 	h.callAt = now
-	h.call++
+	h.callID++
 	h.nextAt = now.Add(h.length/renewals - time.Duration(h.rng.Int64N(int64(h.length/renewals/marginPart)+1)))
 }
 
@@ -284,12 +286,12 @@
 	return []Effect{w}
 }
 
-// Call identifies the call that the last effect asked for; its answer must bring it back.
-func (h *Holder) Call() uint64 { return h.call }
+// CallID identifies the call that the last effect asked for; its answer must bring it back.
+func (h *Holder) CallID() uint64 { return h.callID }
 
 // OnRead takes the rows; ok is false if they could not be read.
 func (h *Holder) OnRead(now time.Time, call uint64, row Row, ok bool) []Effect {
-	if call != h.call {
+	if call != h.callID {
 		return nil
 	}
 	h.callAt = time.Time{}
@@ -321,12 +323,12 @@
 	if h.own(h.row.Lease) && h.row.Fence == uint64(h.held.Fence) {
 		return
 	}
-	h.held = Held{}
+	h.held = HeldLease{}
 	h.fire(evRefused)
 }
 
-// Written is the outcome of Write.
-type Written struct {
+// WriteResult is the outcome of Write.
+type WriteResult struct {
 	// OK: the write took effect, and these are the versions of the rows now.
 	OK             bool
 	Version, Fence uint64
@@ -335,8 +337,8 @@
 }
 
 // OnWrite takes the outcome of a Write. Neither OK nor Conflict means that it is not known.
-func (h *Holder) OnWrite(now time.Time, call uint64, w Written) []Effect {
-	if call != h.call {
+func (h *Holder) OnWrite(now time.Time, call uint64, w WriteResult) []Effect {
+	if call != h.callID {
 		return nil
 	}
 	started := h.callAt
@@ -350,8 +352,8 @@
 		h.seenAt = now
 		h.fire(evTaken)
 		// From before the write was sent: the others count from when they see it, which is later.
-		h.held = Held{h.duty, ids.Fence(w.Fence), started.Add(h.length - h.length/marginPart)}
-		if !h.held.At(now) {
+		h.held = HeldLease{h.duty, ids.Fence(w.Fence), started.Add(h.length - h.length/marginPart)}
+		if !h.held.ValidAt(now) {
 			h.lapse()
 		}
 	case h.machine.State() == stateHeld:
--- a/internal/state/liveness/detector.go
+++ b/internal/state/liveness/detector.go
@@ -14,8 +14,8 @@
 const (
 	// quietFor is for how long a member is taken to live after a sign of life; it is not asked in that time.
 	quietFor = 250 * time.Millisecond
-	// askEvery is the time between the first questions to two members.
-	askEvery = 100 * time.Millisecond
+	// probeInterval is the time between the first questions to two members.
+	probeInterval = 100 * time.Millisecond
 	// answerWithin is for how long an answer is waited for before helpers are asked: the way there and back, and a tenth of
 	// a second in which a host that has used up its processor time stands still.
 	answerWithin = 100 * time.Millisecond
@@ -35,34 +35,34 @@
 // Address is where a member takes datagrams, IP:PORT. It names the member.
 type Address string
 
-// Sign is a sign of life of a member.
-type Sign struct {
+// AliveMessage is a sign of life of a member.
+type AliveMessage struct {
 	Address     Address
 	Incarnation ids.Incarnation
 	// Sequence grows with each datagram of one incarnation.
 	Sequence uint64
-	// Answer says that it answers a question of this member.
-	Answer bool
+	// IsProbeReply says that it answers a question of this member.
+	IsProbeReply bool
 }
 
-// Ask is a question to send.
-type Ask struct {
+// Probe is a question to send.
+type Probe struct {
 	To Address
-	// About is whom the receiver is to ask in this member's place; empty if it is asked for itself only.
-	About Address
+	// Target is whom the receiver is to ask in this member's place; empty if it is asked for itself only.
+	Target Address
 }
 
 // Change is a member that has ended, or lives after all, by what is now known.
 type Change struct {
 	Address     Address
 	Incarnation ids.Incarnation
-	Ended       bool
+	Dead        bool
 	// Sequence is the newest of the member that was known.
 	Sequence uint64
 	// Silent is for how long it was not heard.
 	Silent time.Duration
-	// Told says that others found it out.
-	Told bool
+	// ByRumor says that others found it out.
+	ByRumor bool
 }
 
 // Detector is what one member knows of the others. It is not safe for concurrent use.
@@ -76,7 +76,7 @@
 	open map[Address]*inquiry
 	// alone says that nobody has answered the last inquiry, neither the member nor a helper.
 	alone    bool
-	askedAt  time.Time
+	probedAt time.Time
 	tickedAt time.Time
 	// waiting are those that have others ask for them, by whom they ask about.
 	waiting map[Address]map[Address]time.Time
@@ -90,13 +90,13 @@
 	incarnation ids.Incarnation
 	hash        uint32
 	sequence    uint64
-	heardAt     time.Time
-	ended       bool
+	lastSeen    time.Time
+	dead        bool
 }
 
 // inquiry is the question whether a member lives.
 type inquiry struct {
-	askedAt time.Time
+	probedAt time.Time
 	// helpedAt is when the helpers were asked, zero before that.
 	helpedAt time.Time
 	helpers  []Address
@@ -117,8 +117,8 @@
 	return uint32(xxhash.Sum64String(string(a) + "/" + string(life)))
 }
 
-// Heard takes in a sign that came from the member itself, and returns who waits to be told that it lives.
-func (d *Detector) Heard(now time.Time, s Sign) []Address {
+// ReceiveAlive takes in a sign that came from the member itself, and returns who waits to be told that it lives.
+func (d *Detector) ReceiveAlive(now time.Time, s AliveMessage) []Address {
 	m := d.members[s.Address]
 	if m == nil || m.incarnation != s.Incarnation {
 		m = d.join(s)
@@ -126,7 +126,7 @@
 		return nil
 	}
 	m.sequence = s.Sequence
-	if s.Answer {
+	if s.IsProbeReply {
 		d.alone = false
 		d.witness(s.Address)
 	}
@@ -134,7 +134,7 @@
 	return d.waitingFor(now, s.Address)
 }
 
-func (d *Detector) join(s Sign) *member {
+func (d *Detector) join(s AliveMessage) *member {
 	d.Forget(s.Address)
 	m := &member{incarnation: s.Incarnation, hash: hashOf(s.Address, s.Incarnation)}
 	d.members[s.Address] = m
@@ -154,14 +154,14 @@
 	delete(d.rumors, a)
 }
 
-// Ended reports whether a member is known to have ended.
-func (d *Detector) Ended(a Address) bool {
+// Dead reports whether a member is known to have ended.
+func (d *Detector) Dead(a Address) bool {
 	m := d.members[a]
-	return m != nil && m.ended
+	return m != nil && m.dead
 }
 
-// AskedFor takes in that another member wants to know of a third. The caller asks that one.
-func (d *Detector) AskedFor(now time.Time, by, about Address) {
+// ReceiveProbeRequest takes in that another member wants to know of a third. The caller asks that one.
+func (d *Detector) ReceiveProbeRequest(now time.Time, by, about Address) {
 	if d.waiting[about] == nil {
 		d.waiting[about] = map[Address]time.Time{}
 	}
@@ -172,31 +172,31 @@
 //
 // After this process has stood still, answers that came meanwhile may not be read yet: what it had asked before is not waited
 // for any more.
-func (d *Detector) Tick(now time.Time) []Ask {
+func (d *Detector) Tick(now time.Time) []Probe {
 	if now.Sub(d.tickedAt) >= ownPause {
 		clear(d.open)
 	}
 	d.tickedAt = now
 	d.expire(now)
-	var asks []Ask
+	var probes []Probe
 	for _, a := range slices.Sorted(maps.Keys(d.open)) {
-		asks = append(asks, d.advance(now, a, d.open[a])...)
+		probes = append(probes, d.advance(now, a, d.open[a])...)
 	}
-	if now.Sub(d.askedAt) >= askEvery {
-		d.askedAt = now
-		asks = append(asks, d.inquire(now)...)
+	if now.Sub(d.probedAt) >= probeInterval {
+		d.probedAt = now
+		probes = append(probes, d.inquire(now)...)
 	}
-	return asks
+	return probes
 }
 
 // inquire asks one more member that has not been heard lately.
-func (d *Detector) inquire(now time.Time) []Ask {
-	a, ok := d.pick(func(a Address, m *member) bool { return d.open[a] == nil && now.Sub(m.heardAt) >= quietFor })
+func (d *Detector) inquire(now time.Time) []Probe {
+	a, ok := d.pick(func(a Address, m *member) bool { return d.open[a] == nil && now.Sub(m.lastSeen) >= quietFor })
 	if !ok {
 		return nil
 	}
-	d.open[a] = &inquiry{askedAt: now}
-	return []Ask{{To: a}}
+	d.open[a] = &inquiry{probedAt: now}
+	return []Probe{{To: a}}
 }
 
 // advance takes an open inquiry on. One that is not answered starts another: where many end at once, asking one after the
@@ -205,19 +205,19 @@
 //
 // A member whose own link is broken hears no answer from anybody, but may be heard. So there is no verdict unless a helper has
 // answered.
-func (d *Detector) advance(now time.Time, a Address, q *inquiry) []Ask {
+func (d *Detector) advance(now time.Time, a Address, q *inquiry) []Probe {
 	switch {
-	case q.helpedAt.IsZero() && now.Sub(q.askedAt) >= answerWithin:
+	case q.helpedAt.IsZero() && now.Sub(q.probedAt) >= answerWithin:
 		q.helpedAt = now
 		q.helpers = d.choose(a)
-		asks := []Ask{{To: a}}
+		probes := []Probe{{To: a}}
 		for _, h := range q.helpers {
-			asks = append(asks, Ask{To: h, About: a})
+			probes = append(probes, Probe{To: h, Target: a})
 		}
 		if d.alone {
-			return asks
+			return probes
 		}
-		return append(asks, d.inquire(now)...)
+		return append(probes, d.inquire(now)...)
 	case !q.helpedAt.IsZero() && now.Sub(q.helpedAt) >= helpWithin:
 		delete(d.open, a)
 		d.alone = !q.reached
@@ -240,7 +240,7 @@
 func (d *Detector) candidates(wanted func(Address, *member) bool) []Address {
 	var out []Address
 	for _, a := range d.order {
-		if m := d.members[a]; !m.ended && wanted(a, m) {
+		if m := d.members[a]; !m.dead && wanted(a, m) {
 			out = append(out, a)
 		}
 	}
@@ -293,23 +293,23 @@
 
 // lives takes in that a member lives.
 func (d *Detector) lives(now time.Time, a Address, m *member, told bool) {
-	silent := now.Sub(m.heardAt)
-	m.heardAt = now
+	silent := now.Sub(m.lastSeen)
+	m.lastSeen = now
 	delete(d.open, a)
-	if !m.ended {
+	if !m.dead {
 		return
 	}
-	m.ended = false
+	m.dead = false
 	d.spread(now, a)
 	d.changes = append(d.changes, Change{a, m.incarnation, false, m.sequence, silent, told})
 }
 
 // ends takes in that a member has ended.
 func (d *Detector) ends(now time.Time, a Address, m *member, told bool) {
-	m.ended = true
+	m.dead = true
 	delete(d.open, a)
 	d.spread(now, a)
-	d.changes = append(d.changes, Change{a, m.incarnation, true, m.sequence, now.Sub(m.heardAt), told})
+	d.changes = append(d.changes, Change{a, m.incarnation, true, m.sequence, now.Sub(m.lastSeen), told})
 }
 
 // Changes returns what has changed since it was last called.
--- a/internal/state/liveness/detector_test.go
+++ b/internal/state/liveness/detector_test.go
@@ -17,7 +17,7 @@
 	first := map[[2]int]time.Time{}
 	for _, c := range n.changes {
 		for i := range ended {
-			if c.Ended && c.Address == addressOf(i) {
+			if c.Dead && c.Address == addressOf(i) {
 				if _, ok := first[[2]int{c.by, i}]; !ok {
 					first[[2]int{c.by, i}] = c.at
 				}
@@ -44,9 +44,9 @@
 func (n *network) falsely(ended map[int]bool) (verdicts, believed int) {
 	for _, c := range n.changes {
 		for i := range n.members {
-			if c.Ended && !ended[i] && c.Address == addressOf(i) {
+			if c.Dead && !ended[i] && c.Address == addressOf(i) {
 				believed++
-				if !c.Told {
+				if !c.ByRumor {
 					verdicts++
 				}
 			}
@@ -109,7 +109,7 @@
 		n.members[5].cut, n.members[5].deaf = c.cut, c.deaf
 		n.RunFor(4 * time.Second)
 		for _, s := range n.changes {
-			if s.Ended && s.Address != addressOf(5) {
+			if s.Dead && s.Address != addressOf(5) {
 				t.Errorf("%s: member %d takes %s for ended", c.name, s.by, s.Address)
 			}
 		}
@@ -149,7 +149,7 @@
 		n.RunFor(2 * time.Second)
 		before := n.members[lone].sequence
 		n.RunFor(4 * time.Second)
-		own, usual := n.members[lone].sequence-before, 4*uint64(time.Second/digestEvery)*toldEach
+		own, usual := n.members[lone].sequence-before, 4*uint64(time.Second/digestInterval)*toldEach
 		t.Logf("%d datagrams in 4 s while it reaches %d others, %d of them digests", own, near, usual)
 		if own > 2*usual {
 			t.Errorf("%d datagrams in 4 s while it reaches %d others, %d of them digests", own, near, usual)
@@ -162,23 +162,23 @@
 	d, now := four()
 	d.Tick(now)
 	now = now.Add(time.Second)
-	asks := d.Tick(now)
-	if len(asks) != 1 {
-		t.Fatalf("%d questions at once", len(asks))
+	probes := d.Tick(now)
+	if len(probes) != 1 {
+		t.Fatalf("%d questions at once", len(probes))
 	}
-	quiet := asks[0].To
+	quiet := probes[0].To
 	now = now.Add(200 * time.Millisecond)
 	helped := d.Tick(now)
-	for _, a := range helped {
-		if a.About == quiet {
-			d.Heard(now, liveness.Sign{Address: a.To, Incarnation: "a", Sequence: 2, Answer: true})
+	for _, p := range helped {
+		if p.Target == quiet {
+			d.ReceiveAlive(now, liveness.AliveMessage{Address: p.To, Incarnation: "a", Sequence: 2, IsProbeReply: true})
 		}
 	}
 	now = now.Add(100 * time.Millisecond)
-	known := d.Known(quiet)
-	d.Take(now, []liveness.Rumor{{Life: known.Life, Sequence: known.Sequence + 1}})
+	known := d.RumorOf(quiet)
+	d.MergeRumors(now, []liveness.Rumor{{IncarnationHash: known.IncarnationHash, Sequence: known.Sequence + 1}})
 	d.Tick(now.Add(time.Second))
-	if d.Ended(quiet) {
+	if d.Dead(quiet) {
 		t.Error("a member that answers others has ended")
 	}
 }
@@ -190,21 +190,21 @@
 		told  []liveness.Rumor
 		ended bool
 	}{
-		{"ended at the sign that is known", []liveness.Rumor{{Sequence: 1, Ended: true}}, true},
-		{"ended before it", []liveness.Rumor{{Sequence: 0, Ended: true}}, false},
-		{"lives after it", []liveness.Rumor{{Sequence: 1, Ended: true}, {Sequence: 2}}, false},
-		{"lived at it", []liveness.Rumor{{Sequence: 1, Ended: true}, {Sequence: 1}}, true},
-		{"of another life", []liveness.Rumor{{Life: 7, Sequence: 9, Ended: true}}, false},
+		{"ended at the sign that is known", []liveness.Rumor{{Sequence: 1, Dead: true}}, true},
+		{"ended before it", []liveness.Rumor{{Sequence: 0, Dead: true}}, false},
+		{"lives after it", []liveness.Rumor{{Sequence: 1, Dead: true}, {Sequence: 2}}, false},
+		{"lived at it", []liveness.Rumor{{Sequence: 1, Dead: true}, {Sequence: 1}}, true},
+		{"of another life", []liveness.Rumor{{IncarnationHash: 7, Sequence: 9, Dead: true}}, false},
 	} {
 		d, now := four()
 		for i := range c.told {
-			if c.told[i].Life == 0 {
-				c.told[i].Life = d.Known(a).Life
+			if c.told[i].IncarnationHash == 0 {
+				c.told[i].IncarnationHash = d.RumorOf(a).IncarnationHash
 			}
 		}
-		d.Take(now, c.told)
-		if d.Ended(a) != c.ended {
-			t.Errorf("%s: ended %v", c.name, d.Ended(a))
+		d.MergeRumors(now, c.told)
+		if d.Dead(a) != c.ended {
+			t.Errorf("%s: ended %v", c.name, d.Dead(a))
 		}
 	}
 }
@@ -212,9 +212,9 @@
 func TestANewLifeOfAMemberIsNotEnded(t *testing.T) {
 	const a = liveness.Address("10.1.0.1:1")
 	d, now := four()
-	d.Take(now, []liveness.Rumor{{Life: d.Known(a).Life, Sequence: 5, Ended: true}})
-	d.Heard(now, liveness.Sign{Address: a, Incarnation: "b", Sequence: 1})
-	if d.Ended(a) {
+	d.MergeRumors(now, []liveness.Rumor{{IncarnationHash: d.RumorOf(a).IncarnationHash, Sequence: 5, Dead: true}})
+	d.ReceiveAlive(now, liveness.AliveMessage{Address: a, Incarnation: "b", Sequence: 1})
+	if d.Dead(a) {
 		t.Error("the new life is taken for the old one")
 	}
 }
@@ -224,7 +224,7 @@
 	now := time.Unix(1000, 0)
 	d := liveness.New(rand.New(rand.NewPCG(1, 1)))
 	for _, a := range []liveness.Address{"10.1.0.1:1", "10.1.0.2:1", "10.1.0.3:1", "10.1.0.4:1"} {
-		d.Heard(now, liveness.Sign{Address: a, Incarnation: ids.Incarnation("a"), Sequence: 1})
+		d.ReceiveAlive(now, liveness.AliveMessage{Address: a, Incarnation: ids.Incarnation("a"), Sequence: 1})
 	}
 	return d, now
 }
--- a/internal/state/liveness/network_test.go
+++ b/internal/state/liveness/network_test.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// stepTime is the period of each member's loop, digestEvery that of its digests, toldEach how many others get one.
-	stepTime    = 50 * time.Millisecond
-	digestEvery = 200 * time.Millisecond
-	toldEach    = 20
-	mostRumors  = 80
+	// stepTime is the period of each member's loop, digestInterval that of its digests, toldEach how many others get one.
+	stepTime       = 50 * time.Millisecond
+	digestInterval = 200 * time.Millisecond
+	toldEach       = 20
+	maxRumors      = 80
 	// rumorBytes and plainBytes are sizes on the wire: of one rumor, and of a datagram without any, with its headers.
 	rumorBytes = 8
 	plainBytes = 190
@@ -23,7 +23,7 @@
 
 // network is members in virtual time: datagrams are late and lost, hosts stand still for moments.
 type network struct {
-	*agenda.Agenda
+	*agenda.Queue
 	rand    *rand.Rand
 	loss    float64
 	stall   time.Duration
@@ -57,9 +57,9 @@
 }
 
 type datagram struct {
-	liveness.Sign
-	ask    bool
-	about  liveness.Address
+	liveness.AliveMessage
+	probe  bool
+	target liveness.Address
 	rumors []liveness.Rumor
 }
 
@@ -69,7 +69,7 @@
 
 // newNetwork is of members that all know each other.
 func newNetwork(seed uint64, size int, loss float64) *network {
-	n := &network{Agenda: agenda.New(time.Unix(1000, 0)), rand: rand.New(rand.NewPCG(seed, 1)), loss: loss, stall: 70 * time.Millisecond, byAddress: map[liveness.Address]*node{}}
+	n := &network{Queue: agenda.New(time.Unix(1000, 0)), rand: rand.New(rand.NewPCG(seed, 1)), loss: loss, stall: 70 * time.Millisecond, byAddress: map[liveness.Address]*node{}}
 	for i := range size {
 		m := &node{net: n, index: i, turn: n.rand.IntN(size), detector: liveness.New(rand.New(rand.NewPCG(seed, uint64(i)+2)))}
 		n.members = append(n.members, m)
@@ -78,7 +78,7 @@
 	for _, m := range n.members {
 		for _, other := range n.members {
 			if other != m {
-				m.detector.Heard(n.Now(), other.sign(0, false))
+				m.detector.ReceiveAlive(n.Now(), other.aliveMessage(0, false))
 			}
 		}
 		n.In(n.upTo(stepTime), m.step)
@@ -88,21 +88,21 @@
 
 func (n *network) upTo(d time.Duration) time.Duration { return time.Duration(n.rand.Int64N(int64(d))) }
 
-func (m *node) sign(sequence uint64, answer bool) liveness.Sign {
-	return liveness.Sign{Address: addressOf(m.index), Incarnation: ids.Incarnation(fmt.Sprint("life-", m.index)), Sequence: sequence, Answer: answer}
+func (m *node) aliveMessage(sequence uint64, answer bool) liveness.AliveMessage {
+	return liveness.AliveMessage{Address: addressOf(m.index), Incarnation: ids.Incarnation(fmt.Sprint("life-", m.index)), Sequence: sequence, IsProbeReply: answer}
 }
 
 func (m *node) step() {
 	if m.dead {
 		return
 	}
-	for _, a := range m.detector.Tick(m.net.Now()) {
-		m.send(a.To, datagram{ask: true, about: a.About})
+	for _, p := range m.detector.Tick(m.net.Now()) {
+		m.send(p.To, datagram{probe: true, target: p.Target})
 	}
-	for _, a := range m.detector.Urgent() {
+	for _, a := range m.detector.UrgentTargets() {
 		m.send(a, datagram{})
 	}
-	if m.net.Now().Sub(m.toldAt) >= digestEvery {
+	if m.net.Now().Sub(m.toldAt) >= digestInterval {
 		m.tell()
 	}
 	m.note()
@@ -129,9 +129,9 @@
 
 func (m *node) send(to liveness.Address, d datagram) {
 	m.sequence++
-	answer := d.Answer
-	d.Sign = m.sign(m.sequence, answer)
-	d.rumors = append(d.rumors, m.detector.Rumors(mostRumors)...)
+	answer := d.IsProbeReply
+	d.AliveMessage = m.aliveMessage(m.sequence, answer)
+	d.rumors = append(d.rumors, m.detector.Rumors(maxRumors)...)
 	m.net.bytes += plainBytes + rumorBytes*len(d.rumors)
 	m.net.sent++
 	other := m.net.byAddress[to]
@@ -146,16 +146,16 @@
 		return
 	}
 	now := m.net.Now()
-	for _, asker := range m.detector.Heard(now, d.Sign) {
-		m.send(asker, datagram{rumors: []liveness.Rumor{m.detector.Known(d.Address)}})
+	for _, asker := range m.detector.ReceiveAlive(now, d.AliveMessage) {
+		m.send(asker, datagram{rumors: []liveness.Rumor{m.detector.RumorOf(d.Address)}})
 	}
-	m.detector.Take(now, d.rumors)
-	if d.ask {
-		m.send(d.Address, datagram{Sign: liveness.Sign{Answer: true}})
+	m.detector.MergeRumors(now, d.rumors)
+	if d.probe {
+		m.send(d.Address, datagram{AliveMessage: liveness.AliveMessage{IsProbeReply: true}})
 	}
-	if d.about != "" {
-		m.detector.AskedFor(now, d.Address, d.about)
-		m.send(d.about, datagram{ask: true})
+	if d.target != "" {
+		m.detector.ReceiveProbeRequest(now, d.Address, d.target)
+		m.send(d.target, datagram{probe: true})
 	}
 	m.note()
 }
--- a/internal/state/liveness/rumor.go
+++ b/internal/state/liveness/rumor.go
@@ -17,10 +17,10 @@
 // Rumor says that a life has ended or not, by the newest sign of it that is known. Of two rumors of one life the one with
 // the later sequence holds, and of two with one sequence the one that says that it has ended.
 type Rumor struct {
-	// Life is a hash of address and incarnation.
-	Life     uint32
-	Sequence uint64
-	Ended    bool
+	// IncarnationHash is a hash of address and incarnation.
+	IncarnationHash uint32
+	Sequence        uint64
+	Dead            bool
 }
 
 // rumor is one that is passed on.
@@ -32,8 +32,8 @@
 	d.urgent = urgentRounds
 }
 
-// Urgent returns whom to tell the rumors now, out of turn; nobody if there are no new ones.
-func (d *Detector) Urgent() []Address {
+// UrgentTargets returns whom to tell the rumors now, out of turn; nobody if there are no new ones.
+func (d *Detector) UrgentTargets() []Address {
 	if d.urgent == 0 {
 		return nil
 	}
@@ -51,40 +51,40 @@
 	d.rand.Shuffle(len(about), func(i, j int) { about[i], about[j] = about[j], about[i] })
 	var out []Rumor
 	for _, a := range about[:min(most, len(about))] {
-		out = append(out, d.Known(a))
+		out = append(out, d.RumorOf(a))
 	}
 	return out
 }
 
-// Known returns what is known of a member as a rumor; the zero Rumor if nothing is.
-func (d *Detector) Known(a Address) Rumor {
+// RumorOf returns what is known of a member as a rumor; the zero Rumor if nothing is.
+func (d *Detector) RumorOf(a Address) Rumor {
 	m := d.members[a]
 	if m == nil {
 		return Rumor{}
 	}
-	return Rumor{m.hash, m.sequence, m.ended}
+	return Rumor{m.hash, m.sequence, m.dead}
 }
 
-// Take takes in what another member tells. Lives that are not known are passed over.
+// MergeRumors takes in what another member tells. Lives that are not known are passed over.
 //
 // The last sign of a member reaches some others only, which must not refute the verdict of those that had an earlier one. So a
 // sign refutes nothing if it came before the member could have been asked.
-func (d *Detector) Take(now time.Time, told []Rumor) {
+func (d *Detector) MergeRumors(now time.Time, told []Rumor) {
 	for _, r := range told {
-		a, known := d.byHash[r.Life]
+		a, known := d.byHash[r.IncarnationHash]
 		if !known {
 			continue
 		}
 		m := d.members[a]
 		switch {
-		case r.Ended && (r.Sequence >= m.sequence || now.Sub(m.heardAt) >= inquiryTime):
+		case r.Dead && (r.Sequence >= m.sequence || now.Sub(m.lastSeen) >= inquiryTime):
 			m.sequence = max(m.sequence, r.Sequence)
-			if !m.ended {
+			if !m.dead {
 				d.ends(now, a, m, true)
 			}
-		case r.Ended && !m.ended:
+		case r.Dead && !m.dead:
 			d.refute(now, a)
-		case !r.Ended && r.Sequence > m.sequence:
+		case !r.Dead && r.Sequence > m.sequence:
 			m.sequence = r.Sequence
 			d.lives(now, a, m, true)
 		}
--- a/internal/state/membership/doc.go
+++ b/internal/state/membership/doc.go
@@ -10,5 +10,5 @@
 // life comes from its own digests alone, ordered by incarnation and sequence: a suspicion is refuted by any newer
 // digest, and a late one of an earlier life changes nothing.
 //
-// Table is pure; the control goroutine owns it.
+// MemberList is pure; the control goroutine owns it.
 package membership
--- a/internal/state/membership/large_test.go
+++ b/internal/state/membership/large_test.go
@@ -17,27 +17,27 @@
 	for i := range entries {
 		list = append(list, self(fmt.Sprintf("e%03d", i), entryRole, "a"))
 	}
-	table := membership.New(list[0], membership.Defaults(), t0)
-	table.SetRoster(list, t0)
+	members := membership.New(list[0], membership.Defaults(), t0)
+	members.SetRoster(list, t0)
 	now := t0
 	for seq := range uint64(600) {
 		now = now.Add(100 * time.Millisecond)
 		for i := range heard {
-			table.Hear(digest(fmt.Sprintf("e%03d", i+1), "1", seq+1, live), now)
+			members.Receive(digest(fmt.Sprintf("e%03d", i+1), "1", seq+1, live), now)
 		}
-		table.Tick(now)
+		members.Tick(now)
 	}
-	if got := table.Entries(); got != entries {
+	if got := members.Entries(); got != entries {
 		t.Errorf("%d entries counted, want %d", got, entries)
 	}
-	if got := len(table.OtherEntries()); got != entries-1 {
+	if got := len(members.OtherEntries()); got != entries-1 {
 		t.Errorf("%d other entries, want %d", got, entries-1)
 	}
-	table.Hear(digest("e001", "1", 1000, leaving), now)
-	if got := len(table.OtherEntries()); got != entries-2 {
+	members.Receive(digest("e001", "1", 1000, leaving), now)
+	if got := len(members.OtherEntries()); got != entries-2 {
 		t.Errorf("%d other entries after one leaves, want %d", got, entries-2)
 	}
-	if near, _ := table.Addresses(""); len(near) == 0 || near[0] != "h-e002" {
+	if near, _ := members.Addresses(""); len(near) == 0 || near[0] != "h-e002" {
 		t.Errorf("callers are sent to %v, want only live entries, by name", near)
 	}
 }
--- a/internal/state/membership/table.go
+++ b/internal/state/membership/memberlist.go
@@ -14,7 +14,7 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// Options are the settings of a Table.
+// Options are the settings of a MemberList.
 type Options struct {
 	// SlotEntries is how many entries a slot tells of itself; FarEntries of them are in other data centres.
 	SlotEntries, FarEntries int
@@ -22,8 +22,8 @@
 	Peers, FarPeers int
 	// SilentDigests is how many digests in a row may be missing before a node is suspect; LostDigests before it is gone.
 	SilentDigests, LostDigests int
-	// FirstEvery is the shortest time between two digests to one node, LastEvery the longest.
-	FirstEvery, LastEvery time.Duration
+	// MinInterval is the shortest time between two digests to one node, MaxInterval the longest.
+	MinInterval, MaxInterval time.Duration
 	// BytesPerSecond is what sending digests may cost; the time between digests grows to keep it.
 	BytesPerSecond float64
 }
@@ -34,7 +34,7 @@
 		SlotEntries: 8, FarEntries: 2,
 		Peers: 8, FarPeers: 2,
 		SilentDigests: 4, LostDigests: 20,
-		FirstEvery: 250 * time.Millisecond, LastEvery: 2 * time.Second,
+		MinInterval: 250 * time.Millisecond, MaxInterval: 2 * time.Second,
 		BytesPerSecond: 2000,
 	}
 }
@@ -58,7 +58,7 @@
 	HTTP        string
 	Incarnation ids.Incarnation
 	State       charts.State
-	HeardAt     time.Time
+	LastSeen    time.Time
 }
 
 // States of the member chart that others ask for.
@@ -66,7 +66,7 @@
 	StateLive    charts.State = "live"
 	StateSuspect charts.State = "suspect"
 	StateLeaving charts.State = "leaving"
-	StateGone    charts.State = "gone"
+	StateDead    charts.State = "gone"
 )
 
 const (
@@ -93,8 +93,8 @@
 	listed   bool
 }
 
-// Table knows the other nodes. It belongs to the control goroutine.
-type Table struct {
+// MemberList knows the other nodes. It belongs to the control goroutine.
+type MemberList struct {
 	opts    Options
 	self    Identity
 	members map[ids.Node]*member
@@ -109,8 +109,8 @@
 }
 
 // New returns a table that knows nobody.
-func New(self Identity, opts Options, now time.Time) *Table {
-	return &Table{
+func New(self Identity, opts Options, now time.Time) *MemberList {
+	return &MemberList{
 		opts: opts, self: self, members: map[ids.Node]*member{}, sent: map[string]time.Time{}, last: now, changed: true,
 		// Nodes that started together would otherwise all probe the same entry at the same time.
 		turn: int(xxhash.Sum64String(string(self.Name)) % math.MaxInt32),
@@ -118,16 +118,16 @@
 }
 
 // SetRoster replaces the nodes that are expected. A node that is no longer named stays for as long as it is heard.
-func (t *Table) SetRoster(list []Identity, now time.Time) {
-	t.changed = true
-	for _, m := range t.members {
+func (l *MemberList) SetRoster(list []Identity, now time.Time) {
+	l.changed = true
+	for _, m := range l.members {
 		m.listed = false
 	}
 	for _, r := range list {
-		if r.Name == t.self.Name || r.Digests == "" {
+		if r.Name == l.self.Name || r.Digests == "" {
 			continue
 		}
-		m := t.member(r.Name, now)
+		m := l.member(r.Name, now)
 		m.listed = true
 		if m.Incarnation == "" {
 			m.Role, m.DataCentre, m.Digests = r.Role, r.DataCentre, r.Digests
@@ -135,29 +135,29 @@
 	}
 }
 
-func (t *Table) member(name ids.Node, now time.Time) *member {
-	m, ok := t.members[name]
+func (l *MemberList) member(name ids.Node, now time.Time) *member {
+	m, ok := l.members[name]
 	if !ok {
 		m = &member{Node: Node{Name: name}, machine: chart.Start(), since: now}
-		t.members[name] = m
+		l.members[name] = m
 	}
 	return m
 }
 
-// Hear takes in a digest and reports whether it is news: a late or doubled one is not.
-func (t *Table) Hear(d *cardamomyokev1.Digest, now time.Time) bool {
+// Receive takes in a digest and reports whether it is news: a late or doubled one is not.
+func (l *MemberList) Receive(d *cardamomyokev1.Digest, now time.Time) bool {
 	name := ids.Node(d.GetNode())
-	if name == t.self.Name {
+	if name == l.self.Name {
 		return false
 	}
-	m := t.member(name, now)
+	m := l.member(name, now)
 	if !m.older(d) {
 		return false
 	}
 	if string(m.Incarnation) != d.GetIncarnation() {
 		// A new life owes nothing to the last one's state: a leaving node that was replaced under its name is live.
 		m.machine = chart.Start()
-		t.changed = true
+		l.changed = true
 	}
 	m.Incarnation = ids.Incarnation(d.GetIncarnation())
 	m.sequence = d.GetSequence()
@@ -165,11 +165,11 @@
 	m.DataCentre = ids.DataCentre(d.GetDataCentre())
 	m.Digests = d.GetDigestAddress()
 	m.HTTP = d.GetHttpAddress()
-	m.HeardAt = now
+	m.LastSeen = now
 	if d.GetState() == cardamomyokev1.NodeState_NODE_STATE_LEAVING {
-		t.fire(m, eventLeaving, now)
+		l.fire(m, eventLeaving, now)
 	} else {
-		t.fire(m, eventHeard, now)
+		l.fire(m, eventHeard, now)
 	}
 	return true
 }
@@ -183,47 +183,47 @@
 	return d.GetSequence() > m.sequence
 }
 
-func (t *Table) fire(m *member, ev charts.Event, now time.Time) {
+func (l *MemberList) fire(m *member, ev charts.Event, now time.Time) {
 	from := m.machine.State()
 	// The chart declares every event that this package fires, so Fire cannot fail.
 	_, _ = m.machine.Fire(ev)
 	to := m.machine.State()
 	m.State = to
 	if from != to {
-		t.changed = true
+		l.changed = true
 		m.since = now
-		t.changes = append(t.changes, Change{m.Name, from, to})
+		l.changes = append(l.changes, Change{m.Name, from, to})
 	}
 }
 
 // Tick judges silence and returns what changed since the last call.
-func (t *Table) Tick(now time.Time) []Change {
-	t.forgiveOwnPause(now)
-	every := t.opts.LastEvery
-	for name, m := range t.members {
-		quiet := now.Sub(m.heardOrSince())
-		if quiet > time.Duration(t.opts.SilentDigests)*every {
-			t.fire(m, eventSilent, now)
+func (l *MemberList) Tick(now time.Time) []Change {
+	l.forgiveOwnPause(now)
+	every := l.opts.MaxInterval
+	for name, m := range l.members {
+		quiet := now.Sub(m.lastSeenOrSince())
+		if quiet > time.Duration(l.opts.SilentDigests)*every {
+			l.fire(m, eventSilent, now)
 		}
-		if quiet > time.Duration(t.opts.LostDigests)*every {
-			t.fire(m, eventLost, now)
+		if quiet > time.Duration(l.opts.LostDigests)*every {
+			l.fire(m, eventLost, now)
 		}
-		if m.machine.State() == StateGone && !m.listed {
-			t.changed = true
-			delete(t.members, name)
+		if m.machine.State() == StateDead && !m.listed {
+			l.changed = true
+			delete(l.members, name)
 		}
 	}
-	t.last = now
-	out := t.changes
-	t.changes = nil
+	l.last = now
+	out := l.changes
+	l.changes = nil
 	return out
 }
 
-func (m *member) heardOrSince() time.Time {
-	if m.HeardAt.IsZero() {
+func (m *member) lastSeenOrSince() time.Time {
+	if m.LastSeen.IsZero() {
 		return m.since
 	}
-	return m.HeardAt
+	return m.LastSeen
 }
 
 // ownPause is a time between two ticks that means that this process itself stood still.
@@ -231,24 +231,24 @@
 
 // forgiveOwnPause moves what was heard by the time that this process stood still. Without it a node that was paused
 // wakes up, takes everybody for lost and sends callers nowhere, although it is the one that was away.
-func (t *Table) forgiveOwnPause(now time.Time) {
-	gap := now.Sub(t.last)
+func (l *MemberList) forgiveOwnPause(now time.Time) {
+	gap := now.Sub(l.last)
 	if gap < ownPause {
 		return
 	}
-	for _, m := range t.members {
+	for _, m := range l.members {
 		m.since = m.since.Add(gap)
-		if !m.HeardAt.IsZero() {
-			m.HeardAt = m.HeardAt.Add(gap)
+		if !m.LastSeen.IsZero() {
+			m.LastSeen = m.LastSeen.Add(gap)
 		}
 	}
 }
 
 // Nodes returns all known nodes, sorted by name.
-func (t *Table) Nodes() []Node {
-	out := make([]Node, 0, len(t.members))
-	for _, name := range slices.Sorted(maps.Keys(t.members)) {
-		out = append(out, t.members[name].Node)
+func (l *MemberList) Nodes() []Node {
+	out := make([]Node, 0, len(l.members))
+	for _, name := range slices.Sorted(maps.Keys(l.members)) {
+		out = append(out, l.members[name].Node)
 	}
 	return out
 }
@@ -256,23 +256,23 @@
 // Entries returns how many entries there are that do not leave, this one included if it is one. Those that the roster
 // names count even if they are not heard: of 360 entries one hears a few neighbours, and if it took the others for gone
 // it would grant clients, and itself, a part of everything that is ten times too large.
-func (t *Table) Entries() int {
+func (l *MemberList) Entries() int {
 	n := 0
-	for _, m := range t.members {
+	for _, m := range l.members {
 		state := m.machine.State()
 		if m.Role == cardamomyokev1.NodeRole_NODE_ROLE_ENTRY && state != StateLeaving {
 			n++
 		}
 	}
-	if t.self.Role == cardamomyokev1.NodeRole_NODE_ROLE_ENTRY {
+	if l.self.Role == cardamomyokev1.NodeRole_NODE_ROLE_ENTRY {
 		n++
 	}
 	return n
 }
 
 // Incarnation returns the life of the node that takes digests at address, if it was heard.
-func (t *Table) Incarnation(address string) ids.Incarnation {
-	for _, m := range t.members {
+func (l *MemberList) Incarnation(address string) ids.Incarnation {
+	for _, m := range l.members {
 		if m.Digests == address {
 			return m.Incarnation
 		}
--- a/internal/state/membership/membership_test.go
+++ b/internal/state/membership/membership_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-func stateOf(t *membership.Table, name string) charts.State {
-	for _, n := range t.Nodes() {
+func stateOf(l *membership.MemberList, name string) charts.State {
+	for _, n := range l.Nodes() {
 		if string(n.Name) == name {
 			return n.State
 		}
@@ -57,15 +57,15 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			table := membership.New(self("me", entryRole, "a"), membership.Defaults(), t0)
+			list := membership.New(self("me", entryRole, "a"), membership.Defaults(), t0)
 			var news []bool
 			for _, d := range tc.digests {
-				news = append(news, table.Hear(d, t0))
+				news = append(news, list.Receive(d, t0))
 			}
 			if diff := cmp.Diff(tc.news, news); diff != "" {
 				t.Fatal(diff)
 			}
-			if got := stateOf(table, tc.digests[0].GetNode()); got != tc.state {
+			if got := stateOf(list, tc.digests[0].GetNode()); got != tc.state {
 				t.Fatalf("state %q, want %q", got, tc.state)
 			}
 		})
@@ -73,12 +73,12 @@
 }
 
 // run lets time pass in ticks of 250 ms.
-func run(table *membership.Table, from time.Time, d time.Duration, each func(now time.Time)) time.Time {
+func run(list *membership.MemberList, from time.Time, d time.Duration, each func(now time.Time)) time.Time {
 	now := from
 	for now.Before(from.Add(d)) {
 		now = now.Add(250 * time.Millisecond)
 		each(now)
-		table.Tick(now)
+		list.Tick(now)
 	}
 	return now
 }
@@ -86,18 +86,18 @@
 // A caller is no longer given an address whose entry went silent, and is given it again once the entry is heard: a
 // suspicion is refuted by any newer digest, and a node that was long silent is forgotten.
 func TestASilentEntryIsSuspectUntilItIsHeard(t *testing.T) {
-	table := membership.New(self("me", entryRole, "a"), membership.Defaults(), t0)
-	table.Hear(digest("x", "1", 1, live), t0)
-	now := run(table, t0, 9*time.Second, func(time.Time) {})
-	if near, _ := table.Addresses(""); stateOf(table, "x") != membership.StateSuspect || len(near) != 0 {
-		t.Fatalf("state %s, addresses %v", stateOf(table, "x"), near)
+	list := membership.New(self("me", entryRole, "a"), membership.Defaults(), t0)
+	list.Receive(digest("x", "1", 1, live), t0)
+	now := run(list, t0, 9*time.Second, func(time.Time) {})
+	if near, _ := list.Addresses(""); stateOf(list, "x") != membership.StateSuspect || len(near) != 0 {
+		t.Fatalf("state %s, addresses %v", stateOf(list, "x"), near)
 	}
-	table.Hear(digest("x", "1", 2, live), now)
-	if near, _ := table.Addresses(""); len(near) != 1 {
+	list.Receive(digest("x", "1", 2, live), now)
+	if near, _ := list.Addresses(""); len(near) != 1 {
 		t.Fatalf("addresses %v", near)
 	}
-	run(table, now, 50*time.Second, func(time.Time) {})
-	if got := stateOf(table, "x"); got != "" {
+	run(list, now, 50*time.Second, func(time.Time) {})
+	if got := stateOf(list, "x"); got != "" {
 		t.Fatalf("a node that is long silent is still %s", got)
 	}
 }
@@ -105,11 +105,11 @@
 // The callers of an entry whose host was paused for a minute are not left without addresses when it wakes up: the
 // others were not silent, it did not listen.
 func TestAPausedNodeDoesNotTakeTheOthersForLost(t *testing.T) {
-	table := membership.New(self("me", entryRole, "a"), membership.Defaults(), t0)
-	table.Hear(digest("x", "1", 1, live), t0)
-	table.Tick(t0.Add(250 * time.Millisecond))
-	table.Tick(t0.Add(time.Minute))
-	if got := stateOf(table, "x"); got != membership.StateLive {
+	list := membership.New(self("me", entryRole, "a"), membership.Defaults(), t0)
+	list.Receive(digest("x", "1", 1, live), t0)
+	list.Tick(t0.Add(250 * time.Millisecond))
+	list.Tick(t0.Add(time.Minute))
+	if got := stateOf(list, "x"); got != membership.StateLive {
 		t.Fatalf("state %s", got)
 	}
 }
@@ -134,9 +134,9 @@
 	all := roster(360, 780, 6)
 	heardBy := map[string]int{}
 	for _, r := range all {
-		table := membership.New(r, membership.Defaults(), t0)
-		table.SetRoster(all, t0)
-		targets := table.Due(nil, t0, true)
+		list := membership.New(r, membership.Defaults(), t0)
+		list.SetRoster(all, t0)
+		targets := list.DueTargets(nil, t0, true)
 		if len(targets) > 24 {
 			t.Fatalf("%s tells %d nodes", r.Name, len(targets))
 		}
@@ -162,22 +162,22 @@
 	all := roster(60, 130, 1)
 	moved := 0
 	for _, r := range all[60:] {
-		table := membership.New(r, membership.Defaults(), t0)
-		table.SetRoster(all, t0)
-		before := addresses(table.Due(nil, t0, true))
-		table.Hear(&cardamomyokev1.Digest{Node: "entry-007", Incarnation: "1", Sequence: 1, Role: entryRole, DataCentre: "dc-0", DigestAddress: "d-entry-007"}, t0)
-		now := run(table, t0, 9*time.Second, func(now time.Time) {
+		list := membership.New(r, membership.Defaults(), t0)
+		list.SetRoster(all, t0)
+		before := addresses(list.DueTargets(nil, t0, true))
+		list.Receive(&cardamomyokev1.Digest{Node: "entry-007", Incarnation: "1", Sequence: 1, Role: entryRole, DataCentre: "dc-0", DigestAddress: "d-entry-007"}, t0)
+		now := run(list, t0, 9*time.Second, func(now time.Time) {
 			for _, e := range all[:60] {
 				if e.Name != "entry-007" {
-					table.Hear(&cardamomyokev1.Digest{
+					list.Receive(&cardamomyokev1.Digest{
 						Node: string(e.Name), Incarnation: "1", Sequence: uint64(now.Sub(t0)), Role: entryRole,
 						DataCentre: string(e.DataCentre), DigestAddress: e.Digests,
 					}, now)
 				}
 			}
 		})
-		table.Due(nil, now, true) // this one may hold a probe of the lost entry besides
-		after := addresses(table.Due(nil, now, true))
+		list.DueTargets(nil, now, true) // this one may hold a probe of the lost entry besides
+		after := addresses(list.DueTargets(nil, now, true))
 		changed := 0
 		for a := range before {
 			if !after[a] {
@@ -206,12 +206,12 @@
 // Its peers learn of it from its digests, and it tells the slots that it hears.
 func TestANodeThatNoRosterNamesIsTakenIn(t *testing.T) {
 	newcomer := membership.New(self("new", entryRole, "a"), membership.Defaults(), t0)
-	if got := addresses(newcomer.Due([]string{"d-x"}, t0, true)); !got["d-x"] {
+	if got := addresses(newcomer.DueTargets([]string{"d-x"}, t0, true)); !got["d-x"] {
 		t.Fatalf("tells %v", got)
 	}
 	peer := membership.New(self("x", entryRole, "a"), membership.Defaults(), t0)
-	peer.Hear(digest("new", "1", 1, live), t0)
-	if got := addresses(peer.Due(nil, t0, true)); !got["d-new"] {
+	peer.Receive(digest("new", "1", 1, live), t0)
+	if got := addresses(peer.DueTargets(nil, t0, true)); !got["d-new"] {
 		t.Fatalf("the peer tells %v", got)
 	}
 	if near, _ := peer.Addresses(""); len(near) != 1 {
@@ -223,11 +223,11 @@
 // after the network is whole: each side took the other for gone and would have told it nothing more.
 func TestPartedRegionsFindEachOtherAgain(t *testing.T) {
 	all := roster(6, 0, 2)
-	tables := map[string]*membership.Table{}
+	lists := map[string]*membership.MemberList{}
 	for _, r := range all {
-		table := membership.New(r, membership.Defaults(), t0)
-		table.SetRoster(all, t0)
-		tables[r.Digests] = table
+		list := membership.New(r, membership.Defaults(), t0)
+		list.SetRoster(all, t0)
+		lists[r.Digests] = list
 	}
 	cut := false
 	exchange := func(now time.Time) {
@@ -236,14 +236,14 @@
 				Node: string(r.Name), Incarnation: "1", Sequence: uint64(now.Sub(t0)), Role: entryRole, State: live,
 				DataCentre: string(r.DataCentre), DigestAddress: r.Digests, HttpAddress: "h-" + string(r.Name),
 			}
-			for _, to := range tables[r.Digests].Due(nil, now, false) {
+			for _, to := range lists[r.Digests].DueTargets(nil, now, false) {
 				if !cut || sameCentre(all, to.Address, r.DataCentre) {
-					tables[to.Address].Hear(d, now)
+					lists[to.Address].Receive(d, now)
 				}
 			}
 		}
-		for _, table := range tables {
-			table.Tick(now)
+		for _, list := range lists {
+			list.Tick(now)
 		}
 	}
 	turn := func(from time.Time, d time.Duration) time.Time {
@@ -255,7 +255,7 @@
 		return now
 	}
 	far := func() int {
-		_, list := tables["d-entry-000"].Addresses("")
+		_, list := lists["d-entry-000"].Addresses("")
 		return len(list)
 	}
 	now := turn(t0, 5*time.Second)
--- a/internal/state/membership/targets.go
+++ b/internal/state/membership/targets.go
@@ -26,28 +26,28 @@
 	Incarnation ids.Incarnation
 }
 
-// Due returns whom to send a digest now. now tells the time; all makes everybody due, for news that cannot wait.
-func (t *Table) Due(seeds []string, now time.Time, all bool) []Target {
-	chosen := t.choose(seeds)
-	every := t.every(chosen)
-	out := t.probe(now)
+// DueTargets returns whom to send a digest now. now tells the time; all makes everybody due, for news that cannot wait.
+func (l *MemberList) DueTargets(seeds []string, now time.Time, all bool) []Target {
+	chosen := l.choose(seeds)
+	every := l.interval(chosen)
+	out := l.probe(now)
 	for _, c := range chosen {
 		wait := time.Duration(float64(every) * c.factor)
-		if all || now.Sub(t.sent[c.Address]) >= wait {
-			t.sent[c.Address] = now
+		if all || now.Sub(l.sent[c.Address]) >= wait {
+			l.sent[c.Address] = now
 			out = append(out, c.Target)
 		}
 	}
-	t.forgetSent(chosen)
+	l.forgetSent(chosen)
 	return out
 }
 
-// Every returns the time between two digests to one node of the closest kind.
-func (t *Table) Every(seeds []string) time.Duration { return t.every(t.choose(seeds)) }
+// Interval returns the time between two digests to one node of the closest kind.
+func (l *MemberList) Interval(seeds []string) time.Duration { return l.interval(l.choose(seeds)) }
 
-// SlotEvery returns the time between two digests of a slot to one entry, which follows from the number of entries.
-func (t *Table) SlotEvery() time.Duration {
-	return t.every(make([]choice, min(t.Entries(), t.opts.SlotEntries)))
+// SlotInterval returns the time between two digests of a slot to one entry, which follows from the number of entries.
+func (l *MemberList) SlotInterval() time.Duration {
+	return l.interval(make([]choice, min(l.Entries(), l.opts.SlotEntries)))
 }
 
 type choice struct {
@@ -55,46 +55,46 @@
 	factor float64
 }
 
-// every keeps the budget: more receivers are told more rarely.
-func (t *Table) every(chosen []choice) time.Duration {
+// interval keeps the budget: more receivers are told more rarely.
+func (l *MemberList) interval(chosen []choice) time.Duration {
 	weight := 0.0
 	for _, c := range chosen {
 		weight += 1 / max(1, c.factor)
 	}
-	needed := time.Duration(weight * digestBytes / t.opts.BytesPerSecond * float64(time.Second))
-	return min(t.opts.LastEvery, max(t.opts.FirstEvery, needed))
+	needed := time.Duration(weight * digestBytes / l.opts.BytesPerSecond * float64(time.Second))
+	return min(l.opts.MaxInterval, max(l.opts.MinInterval, needed))
 }
 
 // choose returns whom to tell; it is worked out again only after a change.
-func (t *Table) choose(seeds []string) []choice {
-	if !t.changed {
-		return t.chosen
+func (l *MemberList) choose(seeds []string) []choice {
+	if !l.changed {
+		return l.chosen
 	}
-	t.changed = false
-	if t.self.Role == cardamomyokev1.NodeRole_NODE_ROLE_SLOT {
-		t.chosen = t.withSeeds(t.slotChoices(), seeds)
+	l.changed = false
+	if l.self.Role == cardamomyokev1.NodeRole_NODE_ROLE_SLOT {
+		l.chosen = l.withSeeds(l.slotChoices(), seeds)
 	} else {
-		t.chosen = t.withSeeds(t.entryChoices(), seeds)
+		l.chosen = l.withSeeds(l.entryChoices(), seeds)
 	}
-	return t.chosen
+	return l.chosen
 }
 
-// probeEvery is the time between two digests to nodes that are suspect or gone.
-const probeEvery = 2 * time.Second
+// probeInterval is the time between two digests to nodes that are suspect or gone.
+const probeInterval = 2 * time.Second
 
 // probe returns one node that the roster names and that is not heard, each in its turn. Two regions that lost each
 // other for minutes take each other for gone and tell each other nothing; without probes they would stay parted after
 // the network is whole again.
-func (t *Table) probe(now time.Time) []Target {
-	if now.Sub(t.probed) < probeEvery {
+func (l *MemberList) probe(now time.Time) []Target {
+	if now.Sub(l.probed) < probeInterval {
 		return nil
 	}
-	t.probed = now
+	l.probed = now
 	var lost []*member
-	for _, m := range t.members {
+	for _, m := range l.members {
 		state := m.machine.State()
 		entry := m.Role == cardamomyokev1.NodeRole_NODE_ROLE_ENTRY
-		if entry && m.listed && (state == StateGone || state == StateSuspect) {
+		if entry && m.listed && (state == StateDead || state == StateSuspect) {
 			lost = append(lost, m)
 		}
 	}
@@ -102,29 +102,29 @@
 		return nil
 	}
 	slices.SortFunc(lost, byName)
-	t.turn++
-	return []Target{{lost[t.turn%len(lost)].Digests, ""}}
+	l.turn++
+	return []Target{{lost[l.turn%len(lost)].Digests, ""}}
 }
 
 // slotChoices are the entries that this slot tells of itself: the first ones in the order of the rendezvous hash, so
 // that an entry that comes or goes moves few slots.
-func (t *Table) slotChoices() []choice {
-	near, far := t.entries()
-	t.rendezvous(near)
-	t.rendezvous(far)
-	far = far[:min(len(far), t.opts.FarEntries)]
-	near = near[:min(len(near), t.opts.SlotEntries-len(far))]
+func (l *MemberList) slotChoices() []choice {
+	near, far := l.entries()
+	l.rendezvous(near)
+	l.rendezvous(far)
+	far = far[:min(len(far), l.opts.FarEntries)]
+	near = near[:min(len(near), l.opts.SlotEntries-len(far))]
 	return choices(append(near, far...), 1)
 }
 
 // entryChoices are the neighbours on the ring of entries and the slots that this entry hears; as long as it hears none,
 // it tells some that the roster names, so that they learn of it.
-func (t *Table) entryChoices() []choice {
-	near, far := t.entries()
-	t.rendezvous(far)
-	far = far[:min(len(far), t.opts.FarPeers)]
-	near = t.ring(near, t.opts.Peers-len(far))
-	return append(choices(append(near, far...), 1), choices(t.slots(), slowFactor)...)
+func (l *MemberList) entryChoices() []choice {
+	near, far := l.entries()
+	l.rendezvous(far)
+	far = far[:min(len(far), l.opts.FarPeers)]
+	near = l.ring(near, l.opts.Peers-len(far))
+	return append(choices(append(near, far...), 1), choices(l.slots(), slowFactor)...)
 }
 
 func choices(list []*member, factor float64) []choice {
@@ -136,13 +136,13 @@
 }
 
 // entries returns the other entries that can be told, split by data centre and sorted by name.
-func (t *Table) entries() (near, far []*member) {
-	for _, m := range t.members {
+func (l *MemberList) entries() (near, far []*member) {
+	for _, m := range l.members {
 		state := m.machine.State()
-		if m.Role != cardamomyokev1.NodeRole_NODE_ROLE_ENTRY || state == StateGone || state == StateSuspect {
+		if m.Role != cardamomyokev1.NodeRole_NODE_ROLE_ENTRY || state == StateDead || state == StateSuspect {
 			continue
 		}
-		if m.DataCentre == t.self.DataCentre {
+		if m.DataCentre == l.self.DataCentre {
 			near = append(near, m)
 		} else {
 			far = append(far, m)
@@ -154,13 +154,13 @@
 }
 
 // slots returns the slots that this entry hears, or the first ones by rendezvous if it hears none.
-func (t *Table) slots() []*member {
+func (l *MemberList) slots() []*member {
 	var heard, expected []*member
-	for _, m := range t.members {
+	for _, m := range l.members {
 		state := m.machine.State()
 		switch {
-		case m.Role != cardamomyokev1.NodeRole_NODE_ROLE_SLOT || state == StateGone:
-		case m.HeardAt.IsZero():
+		case m.Role != cardamomyokev1.NodeRole_NODE_ROLE_SLOT || state == StateDead:
+		case m.LastSeen.IsZero():
 			expected = append(expected, m)
 		default:
 			heard = append(heard, m)
@@ -171,26 +171,26 @@
 		return heard
 	}
 	slices.SortFunc(expected, byName)
-	t.rendezvous(expected)
-	return expected[:min(len(expected), 2*t.opts.SlotEntries)]
+	l.rendezvous(expected)
+	return expected[:min(len(expected), 2*l.opts.SlotEntries)]
 }
 
 // rendezvous sorts list by the hash of each name with this node's.
-func (t *Table) rendezvous(list []*member) {
-	slices.SortStableFunc(list, func(a, b *member) int { return cmp.Compare(t.hash(b.Name), t.hash(a.Name)) })
+func (l *MemberList) rendezvous(list []*member) {
+	slices.SortStableFunc(list, func(a, b *member) int { return cmp.Compare(l.hash(b.Name), l.hash(a.Name)) })
 }
 
-func (t *Table) hash(other ids.Node) uint64 {
-	return xxhash.Sum64String(string(t.self.Name) + "\x00" + string(other))
+func (l *MemberList) hash(other ids.Node) uint64 {
+	return xxhash.Sum64String(string(l.self.Name) + "\x00" + string(other))
 }
 
 // ring returns the n nearest neighbours of this node in a ring of names, half of them on each side. On a ring each
 // entry is told by exactly as many as it tells, so callers are spread evenly.
-func (t *Table) ring(list []*member, n int) []*member {
+func (l *MemberList) ring(list []*member, n int) []*member {
 	if len(list) <= n {
 		return list
 	}
-	at, _ := slices.BinarySearchFunc(list, t.self.Name, func(m *member, name ids.Node) int { return cmp.Compare(m.Name, name) })
+	at, _ := slices.BinarySearchFunc(list, l.self.Name, func(m *member, name ids.Node) int { return cmp.Compare(m.Name, name) })
 	var out []*member
 	for i := range n {
 		step := i/2 + 1
@@ -204,13 +204,13 @@
 }
 
 // withSeeds adds the addresses from the settings as long as few nodes are known by other means.
-func (t *Table) withSeeds(list []choice, seeds []string) []choice {
-	known := map[string]bool{t.self.Digests: true}
+func (l *MemberList) withSeeds(list []choice, seeds []string) []choice {
+	known := map[string]bool{l.self.Digests: true}
 	for _, c := range list {
 		known[c.Address] = true
 	}
 	for _, s := range seeds {
-		if !known[s] && len(list) < t.opts.SlotEntries {
+		if !known[s] && len(list) < l.opts.SlotEntries {
 			known[s] = true
 			list = append(list, choice{Target{Address: s}, 1})
 		}
@@ -219,15 +219,15 @@
 }
 
 // forgetSent keeps the memory of sending times to those that are still told.
-func (t *Table) forgetSent(chosen []choice) {
-	if len(t.sent) <= 2*len(chosen)+t.opts.Peers {
+func (l *MemberList) forgetSent(chosen []choice) {
+	if len(l.sent) <= 2*len(chosen)+l.opts.Peers {
 		return
 	}
 	keep := make(map[string]time.Time, len(chosen))
 	for _, c := range chosen {
-		if at, ok := t.sent[c.Address]; ok {
+		if at, ok := l.sent[c.Address]; ok {
 			keep[c.Address] = at
 		}
 	}
-	t.sent = keep
+	l.sent = keep
 }
--- a/internal/state/platform/client.go
+++ b/internal/state/platform/client.go
@@ -172,17 +172,17 @@
 	return data, unavailable("get object", err)
 }
 
-// hostsAnswer carries the two results of Hosts through try.
-type hostsAnswer struct {
+// hostsResponse carries the two results of Hosts through try.
+type hostsResponse struct {
 	hosts []Host
 	age   time.Duration
 }
 
 // Hosts implements HostList.
 func (c *Client) Hosts(ctx context.Context) ([]Host, time.Duration, error) {
-	out, err := try(ctx, c.options, c.hosts, func() (hostsAnswer, error) {
+	out, err := try(ctx, c.options, c.hosts, func() (hostsResponse, error) {
 		hosts, age, err := c.next.Hosts(ctx)
-		return hostsAnswer{hosts, age}, err
+		return hostsResponse{hosts, age}, err
 	})
 	return out.hosts, out.age, unavailable("hosts", err)
 }
--- a/internal/state/platform/http.go
+++ b/internal/state/platform/http.go
@@ -119,7 +119,7 @@
 	case http.StatusOK:
 		return json.Unmarshal(r.body, out)
 	case http.StatusConflict:
-		var rows RowsAnswer
+		var rows RowsResponse
 		if err := json.Unmarshal(r.body, &rows); err != nil {
 			return err
 		}
@@ -148,7 +148,7 @@
 
 // Get implements Table.
 func (h *HTTP) Get(ctx context.Context, keys ...string) ([]Row, error) {
-	var out RowsAnswer
+	var out RowsResponse
 	if err := h.call(ctx, http.MethodPost, PathGet, GetRequest{keys}, &out); err != nil {
 		return nil, &UnavailableError{"get", err}
 	}
@@ -157,7 +157,7 @@
 
 // List implements Table.
 func (h *HTTP) List(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
-	var out RowsAnswer
+	var out RowsResponse
 	if err := h.call(ctx, http.MethodPost, PathList, ListRequest{prefix, after, limit}, &out); err != nil {
 		return nil, &UnavailableError{"list", err}
 	}
@@ -205,7 +205,7 @@
 
 // Hosts implements HostList.
 func (h *HTTP) Hosts(ctx context.Context) ([]Host, time.Duration, error) {
-	var out HostsAnswer
+	var out HostsResponse
 	if err := h.call(ctx, http.MethodGet, PathHosts, nil, &out); err != nil {
 		return nil, 0, &UnavailableError{"hosts", err}
 	}
@@ -214,7 +214,7 @@
 
 // Rate implements Weights.
 func (h *HTTP) Rate(ctx context.Context, group ids.Group) (uint64, error) {
-	var out RateAnswer
+	var out RateResponse
 	if err := h.call(ctx, http.MethodGet, PathWeights+string(group), nil, &out); err != nil {
 		return 0, &UnavailableError{"rate", err}
 	}
--- a/internal/state/platform/wire.go
+++ b/internal/state/platform/wire.go
@@ -2,17 +2,17 @@
 
 // The platform's protocol: JSON over HTTP, one POST for each call of the table, plain bodies for objects.
 const (
-	// PathGet takes GetRequest and answers RowsAnswer.
+	// PathGet takes GetRequest and answers RowsResponse.
 	PathGet = "/v1/table/get"
-	// PathList takes ListRequest and answers RowsAnswer.
+	// PathList takes ListRequest and answers RowsResponse.
 	PathList = "/v1/table/list"
-	// PathCommit takes Txn and answers Result, or 409 with RowsAnswer for a conflict.
+	// PathCommit takes Txn and answers Result, or 409 with RowsResponse for a conflict.
 	PathCommit = "/v1/table/commit"
 	// PathObjects is followed by the object's name; PUT stores and GET reads.
 	PathObjects = "/v1/objects/"
-	// PathHosts answers HostsAnswer.
+	// PathHosts answers HostsResponse.
 	PathHosts = "/v1/hosts"
-	// PathWeights is followed by the group's name and answers RateAnswer.
+	// PathWeights is followed by the group's name and answers RateResponse.
 	PathWeights = "/v1/weights/"
 )
 
@@ -28,18 +28,18 @@
 	Limit  int    `json:"limit"`
 }
 
-// RowsAnswer carries rows.
-type RowsAnswer struct {
+// RowsResponse carries rows.
+type RowsResponse struct {
 	Rows []Row `json:"rows"`
 }
 
-// HostsAnswer carries the host list and its age.
-type HostsAnswer struct {
+// HostsResponse carries the host list and its age.
+type HostsResponse struct {
 	Hosts []Host `json:"hosts"`
 	AgeMS int64  `json:"age_ms"`
 }
 
-// RateAnswer carries the rate of the weight store for one group.
-type RateAnswer struct {
+// RateResponse carries the rate of the weight store for one group.
+type RateResponse struct {
 	BytesPerSecond uint64 `json:"bytes_per_second"`
 }
--- a/internal/state/registry/finding.go
+++ b/internal/state/registry/finding.go
@@ -21,6 +21,6 @@
 	Version uint64
 	// Err says why the entry is Unreadable.
 	Err error
-	// Life and Before are the life that the entry names and the one before it, of Late and Restarted entries.
-	Life, Before ids.Life
+	// Incarnation and Previous are the life that the entry names and the one before it, of Late and Restarted entries.
+	Incarnation, Previous ids.UpstreamIncarnation
 }
--- a/internal/state/registry/registry.go
+++ b/internal/state/registry/registry.go
@@ -15,8 +15,8 @@
 type Registry struct {
 	decode  Decode
 	entries map[string]*entry
-	// disowned are lives whose address answered as another upstream.
-	disowned map[ids.Life]bool
+	// rejected are lives whose address answered as another upstream.
+	rejected map[ids.UpstreamIncarnation]bool
 }
 
 // entry is what is known of one row's key.
@@ -29,12 +29,12 @@
 	ended []int64
 }
 
-// keptLives is how many ended lives are remembered of one id: a late entry is of one of the last few.
-const keptLives = 8
+// keptIncarnations is how many ended lives are remembered of one id: a late entry is of one of the last few.
+const keptIncarnations = 8
 
 // New returns a registry without rows.
 func New(decode Decode) *Registry {
-	return &Registry{decode: decode, entries: map[string]*entry{}, disowned: map[ids.Life]bool{}}
+	return &Registry{decode: decode, entries: map[string]*entry{}, rejected: map[ids.UpstreamIncarnation]bool{}}
 }
 
 // Update takes in all rows that the registry has now, and returns the upstreams that may be used for the services. Rows that
@@ -63,28 +63,28 @@
 // An entry of a service that nobody configured, or one whose address answered as another upstream, may name the address of a
 // healthy one, which would get nothing: of two entries with one address the later counts.
 func (r *Registry) usable(e *entry, services map[ids.Service]*catalog.Service) bool {
-	return e.up != nil && services[e.up.Service] != nil && !r.disowned[e.up.Life()]
+	return e.up != nil && services[e.up.Service] != nil && !r.rejected[e.up.Incarnation()]
 }
 
-// Disown notes that the life's address answered as another upstream, which is proof that the entry is not the address's
+// Reject notes that the life's address answered as another upstream, which is proof that the entry is not the address's
 // owner's. It reports whether that is news.
 //
 // What is left: a false entry that is well formed costs each gateway one attempt, which did not run, for each id that it is
 // written under.
-func (r *Registry) Disown(l ids.Life) bool {
-	if r.disowned[l] {
+func (r *Registry) Reject(i ids.UpstreamIncarnation) bool {
+	if r.rejected[i] {
 		return false
 	}
-	r.disowned[l] = true
+	r.rejected[i] = true
 	return true
 }
 
 // forget drops what is known of lives whose entries are gone.
 func (r *Registry) forget() {
-	for l := range r.disowned {
-		e := r.entries[string(l.Upstream)]
-		if e == nil || e.up == nil || e.up.Life() != l {
-			delete(r.disowned, l)
+	for i := range r.rejected {
+		e := r.entries[string(i.Upstream)]
+		if e == nil || e.up == nil || e.up.Incarnation() != i {
+			delete(r.rejected, i)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 // without is an entry that cannot be read after one that could: what lives it named stays known.
 func (e *entry) without(old *entry) *entry {
 	if old != nil && old.up != nil {
-		e.end(old.up.Born)
+		e.end(old.up.StartedAtMS)
 	}
 	return e
 }
@@ -123,17 +123,17 @@
 // The last heartbeat of an ended life may come after the first of the next. Starts do not order lives, as a clock may have
 // been set back, but a life that was replaced never comes back.
 func (e *entry) after(old *entry) (*entry, *Finding) {
-	was, is := old.up.Life(), e.up.Life()
+	was, is := old.up.Incarnation(), e.up.Incarnation()
 	if was == is {
 		return e, nil
 	}
-	f := &Finding{Key: string(is.Upstream), Version: e.version, Life: is, Before: was, Kind: Restarted}
-	if is.Born == 0 || slices.Contains(e.ended, is.Born) {
+	f := &Finding{Key: string(is.Upstream), Version: e.version, Incarnation: is, Previous: was, Kind: Restarted}
+	if is.StartedAtMS == 0 || slices.Contains(e.ended, is.StartedAtMS) {
 		f.Kind = Late
 		e.up = old.up
 		return e, f
 	}
-	e.end(was.Born)
+	e.end(was.StartedAtMS)
 	return e, f
 }
 
@@ -141,5 +141,5 @@
 	if born == 0 {
 		return
 	}
-	e.ended = append(slices.Clone(e.ended[max(0, len(e.ended)+1-keptLives):]), born)
+	e.ended = append(slices.Clone(e.ended[max(0, len(e.ended)+1-keptIncarnations):]), born)
 }
--- a/internal/state/registry/registry_test.go
+++ b/internal/state/registry/registry_test.go
@@ -51,7 +51,7 @@
 var services = map[ids.Service]*catalog.Service{"s": {Name: "s"}}
 
 func up(address string, born int64, state catalog.State) *catalog.Upstream {
-	return &catalog.Upstream{Service: "s", Address: address, Slots: 1, State: state, Born: born}
+	return &catalog.Upstream{Service: "s", Address: address, Slots: 1, State: state, StartedAtMS: born}
 }
 
 // update returns the lives that may be used with their states, and the kinds of what was found.
@@ -59,7 +59,7 @@
 	list, findings := r.Update(w.rows, services)
 	lives = map[string]catalog.State{}
 	for _, u := range list.All() {
-		lives[u.Life().String()] = u.State
+		lives[u.Incarnation().String()] = u.State
 	}
 	for _, f := range findings {
 		found = append(found, f.Kind)
@@ -127,8 +127,8 @@
 	if got, _ := update(r, w); got["false@6"] == "" || len(got) != 1 {
 		t.Fatalf("used %v, want the later entry", got)
 	}
-	life := ids.Life{Upstream: "false", Born: 6}
-	if !r.Disown(life) || r.Disown(life) {
+	incarnation := ids.UpstreamIncarnation{Upstream: "false", StartedAtMS: 6}
+	if !r.Reject(incarnation) || r.Reject(incarnation) {
 		t.Fatal("proof is news once")
 	}
 	for range 2 {
@@ -141,7 +141,7 @@
 	// Once the entry is gone nothing is remembered of it.
 	w.rows = w.rows[:1]
 	update(r, w)
-	if !r.Disown(life) {
+	if !r.Reject(incarnation) {
 		t.Fatal("a life whose entry is gone is still remembered")
 	}
 }
--- a/internal/state/replica/follower.go
+++ b/internal/state/replica/follower.go
@@ -39,8 +39,8 @@
 	return fmt.Sprintf("table %s was read as of version %d, but %d is known", e.Table, e.Read, e.Known)
 }
 
-// Link is what is known of a node's way to the store.
-type Link struct {
+// StoreConnection is what is known of a node's way to the store.
+type StoreConnection struct {
 	// Up says that the last call succeeded.
 	Up bool
 	// Since is when that changed last.
@@ -51,11 +51,11 @@
 
 // Follower keeps a table's copy in step with the store.
 type Follower struct {
-	Feed  platform.Feed
-	Table *Table
-	// Changed is called after rows changed, LinkChanged after the way to the store was lost or found again.
-	Changed     func(t *Table)
-	LinkChanged func(t *Table, l Link)
+	Feed    platform.Feed
+	Replica *Replica
+	// Changed is called after rows changed, ConnectionChanged after the way to the store was lost or found again.
+	Changed           func(r *Replica)
+	ConnectionChanged func(r *Replica, c StoreConnection)
 	// Sentinel reports whether this node is one of the few that notice soon when the store no longer answers. Calls are
 	// priced, and the others hear of changes from their peers as well. Nil means that it is.
 	Sentinel func() bool
@@ -63,30 +63,30 @@
 	// of its own. Nil means that they are not.
 	Relayed func() bool
 	// FollowingChanged is called when the node begins or ceases to follow the table in the store itself; it may be nil.
-	FollowingChanged func(t *Table, following bool)
-	link             atomic.Pointer[Link]
+	FollowingChanged func(r *Replica, following bool)
+	connection       atomic.Pointer[StoreConnection]
 	following        atomic.Bool
 }
 
 // Following reports whether the node follows the table in the store itself, and its last call succeeded.
-func (f *Follower) Following() bool { return f.following.Load() && f.Link().Up }
+func (f *Follower) Following() bool { return f.following.Load() && f.Connection().Up }
 
 // relayed reports whether the table is followed through others: calls to the store would otherwise grow with the nodes.
 func (f *Follower) relayed() bool {
-	_, loaded := f.Table.Position()
+	_, loaded := f.Replica.Position()
 	relayed := loaded && f.Relayed != nil && f.Relayed()
 	if f.following.Swap(!relayed) == relayed && f.FollowingChanged != nil {
-		f.FollowingChanged(f.Table, !relayed)
+		f.FollowingChanged(f.Replica, !relayed)
 	}
 	return relayed
 }
 
-// Link returns what is known of the way to the store.
-func (f *Follower) Link() Link {
-	if l := f.link.Load(); l != nil {
-		return *l
+// Connection returns what is known of the way to the store.
+func (f *Follower) Connection() StoreConnection {
+	if c := f.connection.Load(); c != nil {
+		return *c
 	}
-	return Link{}
+	return StoreConnection{}
 }
 
 // Run follows the table until ctx ends.
@@ -113,11 +113,11 @@
 
 // step makes one call. A history that is no longer kept is no failure: the whole table is read.
 func (f *Follower) step(ctx context.Context) error {
-	after, loaded := f.Table.Position()
+	after, loaded := f.Replica.Position()
 	if !loaded {
 		return f.load(ctx)
 	}
-	changes, version, err := f.Feed.Changes(ctx, f.Table.Name(), after, f.wait())
+	changes, version, err := f.Feed.Changes(ctx, f.Replica.Name(), after, f.wait())
 	var lost *platform.HistoryLostError
 	if errors.As(err, &lost) {
 		return f.load(ctx)
@@ -125,8 +125,8 @@
 	if err != nil {
 		return err
 	}
-	if f.Table.Apply(changes, version) {
-		f.Changed(f.Table)
+	if f.Replica.Apply(changes, version) {
+		f.Changed(f.Replica)
 	}
 	return nil
 }
@@ -136,7 +136,7 @@
 // A store that was stuck never answers the calls that it accepted before. A call that does not wait fails soon, and the next
 // one is answered.
 func (f *Follower) wait() time.Duration {
-	if !f.Link().Up {
+	if !f.Connection().Up {
 		return 0
 	}
 	if f.Sentinel != nil && !f.Sentinel() {
@@ -146,27 +146,27 @@
 }
 
 func (f *Follower) load(ctx context.Context) error {
-	rows, version, err := f.Feed.Rows(ctx, f.Table.Name())
+	rows, version, err := f.Feed.Rows(ctx, f.Replica.Name())
 	if err != nil {
 		return err
 	}
-	if known, loaded := f.Table.Position(); loaded && version < known {
-		return &StaleError{f.Table.Name(), version, known}
+	if known, loaded := f.Replica.Position(); loaded && version < known {
+		return &StaleError{f.Replica.Name(), version, known}
 	}
-	if f.Table.Load(rows, version) {
-		f.Changed(f.Table)
+	if f.Replica.Load(rows, version) {
+		f.Changed(f.Replica)
 	}
 	return nil
 }
 
 func (f *Follower) note(err error) {
-	old := f.Link()
-	next := Link{Up: err == nil, Since: old.Since, Cause: err}
+	old := f.Connection()
+	next := StoreConnection{Up: err == nil, Since: old.Since, Cause: err}
 	if old.Up != next.Up || old.Since.IsZero() {
 		next.Since = time.Now()
 	}
-	f.link.Store(&next)
+	f.connection.Store(&next)
 	if old.Up != next.Up || old.Since.IsZero() {
-		f.LinkChanged(f.Table, next)
+		f.ConnectionChanged(f.Replica, next)
 	}
 }
--- a/internal/state/replica/follower_test.go
+++ b/internal/state/replica/follower_test.go
@@ -73,17 +73,17 @@
 		src := &source{rows: map[string]platform.Row{}}
 		src.put("config", "1")
 		f := &feed{src: src}
-		table := replica.NewTable("op")
+		replicated := replica.NewReplica("op")
 		var mu sync.Mutex
 		var changed time.Time
 		follower := &replica.Follower{
-			Feed: f, Table: table,
-			Changed: func(*replica.Table) {
+			Feed: f, Replica: replicated,
+			Changed: func(*replica.Replica) {
 				mu.Lock()
 				defer mu.Unlock()
 				changed = time.Now()
 			},
-			LinkChanged: func(*replica.Table, replica.Link) {},
+			ConnectionChanged: func(*replica.Replica, replica.StoreConnection) {},
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go follower.Run(ctx)
@@ -129,25 +129,25 @@
 		src := &source{rows: map[string]platform.Row{}}
 		src.put("config", "1")
 		f := &calls{feed: feed{src: src}}
-		table := replica.NewTable("op")
+		replicated := replica.NewReplica("op")
 		var relayed atomic.Bool
 		relayed.Store(true)
 		follower := &replica.Follower{
-			Feed: f, Table: table,
-			Changed:     func(*replica.Table) {},
-			LinkChanged: func(*replica.Table, replica.Link) {},
-			Relayed:     relayed.Load,
+			Feed: f, Replica: replicated,
+			Changed:           func(*replica.Replica) {},
+			ConnectionChanged: func(*replica.Replica, replica.StoreConnection) {},
+			Relayed:           relayed.Load,
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go follower.Run(ctx)
 		time.Sleep(10 * time.Second)
-		if n := f.count(); n > 0 || !follower.Link().Up || follower.Following() {
-			t.Fatalf("%d calls, up %v, following %v", n, follower.Link().Up, follower.Following())
+		if n := f.count(); n > 0 || !follower.Connection().Up || follower.Following() {
+			t.Fatalf("%d calls, up %v, following %v", n, follower.Connection().Up, follower.Following())
 		}
 		f.put("config", "2")
 		relayed.Store(false)
 		time.Sleep(500 * time.Millisecond)
-		if newest := table.Newest(); newest != 2 {
+		if newest := replicated.Newest(); newest != 2 {
 			t.Fatalf("version %d is known", newest)
 		}
 		cancel()
--- a/internal/state/replica/table.go
+++ b/internal/state/replica/replica.go
@@ -6,8 +6,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// Table is the copy of one table. It is safe for concurrent use.
-type Table struct {
+// Replica is the copy of one table. It is safe for concurrent use.
+type Replica struct {
 	name string
 	mu   sync.Mutex
 	rows map[string]platform.Change
@@ -24,44 +24,44 @@
 // table. It is some minutes of the registry's changes at the size that the system is built for.
 const maxRemoved = 1024
 
-// NewTable returns an empty copy that nothing was loaded into.
-func NewTable(name string) *Table {
-	return &Table{name: name, rows: map[string]platform.Change{}}
+// NewReplica returns an empty copy that nothing was loaded into.
+func NewReplica(name string) *Replica {
+	return &Replica{name: name, rows: map[string]platform.Change{}}
 }
 
 // Name returns the table's name in the store.
-func (t *Table) Name() string { return t.name }
+func (r *Replica) Name() string { return r.name }
 
 // Position returns the version up to which the copy is complete; ok is false before the first load.
-func (t *Table) Position() (version uint64, ok bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.version, t.loaded
+func (r *Replica) Position() (version uint64, ok bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.version, r.loaded
 }
 
 // Newest returns the version of the latest change that the copy holds.
-func (t *Table) Newest() uint64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.newest
+func (r *Replica) Newest() uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.newest
 }
 
 // Has reports whether the copy holds what was changed at a version: it has a later change, or is complete up to there.
 //
 // A copy that was read whole knows nothing of rows that were removed before. If the latest change of others is such a removal,
 // it would ask for it with each digest, for good.
-func (t *Table) Has(version uint64) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return version <= t.newest || t.loaded && version <= t.version
+func (r *Replica) Has(version uint64) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return version <= r.newest || r.loaded && version <= r.version
 }
 
 // Rows returns the rows that exist, in no order.
-func (t *Table) Rows() []platform.Row {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	out := make([]platform.Row, 0, len(t.rows))
-	for _, c := range t.rows {
+func (r *Replica) Rows() []platform.Row {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	out := make([]platform.Row, 0, len(r.rows))
+	for _, c := range r.rows {
 		if !c.Removed {
 			out = append(out, c.Row)
 		}
@@ -73,73 +73,73 @@
 // reports whether a row changed.
 //
 // A peer that is behind must not bring back a configuration that was replaced. Versions are the store's own and only grow.
-func (t *Table) Load(rows []platform.Row, version uint64) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.loaded && version < t.version {
+func (r *Replica) Load(rows []platform.Row, version uint64) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.loaded && version < r.version {
 		return false
 	}
-	first := !t.loaded
-	t.loaded = true
-	changed := t.removeMissing(rows, version)
-	for _, r := range rows {
-		changed = t.put(platform.Change{Row: r}) || changed
+	first := !r.loaded
+	r.loaded = true
+	changed := r.removeMissing(rows, version)
+	for _, row := range rows {
+		changed = r.put(platform.Change{Row: row}) || changed
 	}
 	// A row that came and went between two whole reads left no trace here.
-	t.removedSince = version
-	t.version = version
+	r.removedSince = version
+	r.version = version
 	return changed || first
 }
 
-func (t *Table) removeMissing(rows []platform.Row, version uint64) bool {
+func (r *Replica) removeMissing(rows []platform.Row, version uint64) bool {
 	present := make(map[string]bool, len(rows))
-	for _, r := range rows {
-		present[r.Key] = true
+	for _, row := range rows {
+		present[row.Key] = true
 	}
 	changed := false
-	for key, c := range t.rows {
+	for key, c := range r.rows {
 		if !present[key] && !c.Removed {
-			changed = t.put(platform.Change{Row: platform.Row{Key: key, Version: version}, Removed: true}) || changed
+			changed = r.put(platform.Change{Row: platform.Row{Key: key, Version: version}, Removed: true}) || changed
 		}
 	}
 	return changed
 }
 
 // Apply takes in changes that follow a version up to which the copy is complete. It reports whether a row changed.
-func (t *Table) Apply(changes []platform.Change, version uint64) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (r *Replica) Apply(changes []platform.Change, version uint64) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	changed := false
 	for _, c := range changes {
 		// What is not newer than the copy is in it already. An answer that comes late would bring back a row that was
 		// removed before the last whole read, of which nothing is remembered.
-		if c.Version > t.version {
-			changed = t.put(c) || changed
+		if c.Version > r.version {
+			changed = r.put(c) || changed
 		}
 	}
-	t.version = max(t.version, version)
-	t.forget()
+	r.version = max(r.version, version)
+	r.forget()
 	return changed
 }
 
 // put takes in one row unless the copy has a newer one.
-func (t *Table) put(c platform.Change) bool {
-	old, known := t.rows[c.Key]
+func (r *Replica) put(c platform.Change) bool {
+	old, known := r.rows[c.Key]
 	if known && c.Version <= old.Version {
 		return false
 	}
 	if c.Removed {
 		c.Value = nil
 	}
-	t.rows[c.Key] = c
-	t.newest = max(t.newest, c.Version)
+	r.rows[c.Key] = c
+	r.newest = max(r.newest, c.Version)
 	return known || !c.Removed
 }
 
 // forget drops the removed rows once there are too many.
-func (t *Table) forget() {
+func (r *Replica) forget() {
 	removed := 0
-	for _, c := range t.rows {
+	for _, c := range r.rows {
 		if c.Removed {
 			removed++
 		}
@@ -147,32 +147,32 @@
 	if removed <= maxRemoved {
 		return
 	}
-	for key, c := range t.rows {
+	for key, c := range r.rows {
 		if c.Removed {
-			delete(t.rows, key)
+			delete(r.rows, key)
 		}
 	}
-	t.removedSince = t.version
+	r.removedSince = r.version
 }
 
 // Delta is what one copy gives another that is complete up to an older version.
 type Delta struct {
-	// Whole says that Changes is the whole table.
-	Whole   bool
+	// Full says that Changes is the whole table.
+	Full    bool
 	Version uint64
 	Changes []platform.Change
 }
 
 // Since returns what a copy that is complete up to a version lacks.
-func (t *Table) Since(version uint64) Delta {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	d := Delta{Version: t.version, Whole: version < t.removedSince}
-	if !t.loaded {
+func (r *Replica) Since(version uint64) Delta {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	d := Delta{Version: r.version, Full: version < r.removedSince}
+	if !r.loaded {
 		return Delta{}
 	}
-	for _, c := range t.rows {
-		if d.Whole && !c.Removed || !d.Whole && c.Version > version {
+	for _, c := range r.rows {
+		if d.Full && !c.Removed || !d.Full && c.Version > version {
 			d.Changes = append(d.Changes, c)
 		}
 	}
@@ -183,20 +183,20 @@
 //
 // All changes from the beginning are the whole table. A gateway that got them from a peer has a complete copy: a peer gives a
 // delta only from one. Not counted as loaded, it would tell of news and have nothing for those that ask.
-func (t *Table) Merge(d Delta) bool {
-	if !d.Whole {
+func (r *Replica) Merge(d Delta) bool {
+	if !d.Full {
 		if d.Version == 0 {
 			return false
 		}
-		changed := t.Apply(d.Changes, d.Version)
-		t.mu.Lock()
-		defer t.mu.Unlock()
-		t.loaded = true
+		changed := r.Apply(d.Changes, d.Version)
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.loaded = true
 		return changed
 	}
 	rows := make([]platform.Row, 0, len(d.Changes))
 	for _, c := range d.Changes {
 		rows = append(rows, c.Row)
 	}
-	return t.Load(rows, d.Version)
+	return r.Load(rows, d.Version)
 }
--- a/internal/state/replica/table_test.go
+++ b/internal/state/replica/replica_test.go
@@ -50,10 +50,10 @@
 	return out
 }
 
-func content(t *replica.Table) map[string]string {
+func content(r *replica.Replica) map[string]string {
 	out := map[string]string{}
-	for _, r := range t.Rows() {
-		out[r.Key] = fmt.Sprintf("%s@%d", r.Value, r.Version)
+	for _, row := range r.Rows() {
+		out[row.Key] = fmt.Sprintf("%s@%d", row.Value, row.Version)
 	}
 	return out
 }
@@ -71,8 +71,8 @@
 func TestCopiesOnlyMoveForward(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		src := &source{rows: map[string]platform.Row{}}
-		copies := []*replica.Table{replica.NewTable("t"), replica.NewTable("t"), replica.NewTable("t")}
-		newest := map[*replica.Table]map[string]uint64{}
+		copies := []*replica.Replica{replica.NewReplica("t"), replica.NewReplica("t"), replica.NewReplica("t")}
+		newest := map[*replica.Replica]map[string]uint64{}
 		for range rapid.IntRange(5, 80).Draw(t, "steps") {
 			c := rapid.SampledFrom(copies).Draw(t, "copy")
 			key := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "key"))
@@ -115,7 +115,7 @@
 	})
 }
 
-func forward(t *rapid.T, c *replica.Table, newest map[*replica.Table]map[string]uint64) {
+func forward(t *rapid.T, c *replica.Replica, newest map[*replica.Replica]map[string]uint64) {
 	seen := newest[c]
 	if seen == nil {
 		seen = map[string]uint64{}
@@ -137,7 +137,7 @@
 	src := &source{rows: map[string]platform.Row{}}
 	src.put("kept", "v")
 	src.put("gone", "v")
-	behind, ahead := replica.NewTable("t"), replica.NewTable("t")
+	behind, ahead := replica.NewReplica("t"), replica.NewReplica("t")
 	behind.Load(src.all(), src.version)
 	ahead.Load(src.all(), src.version)
 	src.remove("gone")
@@ -149,7 +149,7 @@
 	ahead.Apply(src.since(after), src.version)
 	after, _ = behind.Position()
 	d := ahead.Since(after)
-	if !d.Whole {
+	if !d.Full {
 		t.Fatal("only the changes were given")
 	}
 	behind.Merge(d)
@@ -163,7 +163,7 @@
 // the second handles requests by the old configuration for as long as it believes the first.
 func TestACopyThatWasPulledCanBePulledFrom(t *testing.T) {
 	src := &source{rows: map[string]platform.Row{}}
-	first, second, third := replica.NewTable("t"), replica.NewTable("t"), replica.NewTable("t")
+	first, second, third := replica.NewReplica("t"), replica.NewReplica("t"), replica.NewReplica("t")
 	first.Load(src.all(), src.version)
 	src.put("a", "1")
 	src.put("b", "1")
@@ -187,7 +187,7 @@
 	src.put("gone", "v")
 	src.remove("gone")
 	removed := src.version
-	fresh := replica.NewTable("t")
+	fresh := replica.NewReplica("t")
 	if fresh.Has(removed) {
 		t.Fatal("an empty copy has a change")
 	}
--- a/internal/state/revision/accept.go
+++ b/internal/state/revision/accept.go
@@ -86,7 +86,7 @@
 // Each member that holds the entry puts it in force in time by itself. A member that is missing has stopped if it
 // cannot be fresh: a read of the table, begun after the entry was committed, would have shown the entry to it; and a
 // majority without it is impossible if the members that hold the entry leave too few others, in each roster that the
-// missing one may go by. What it knew before that has run out once Stale has passed since the last of them got hold
+// missing one may go by. What it knew before that has run out once StaleAfter has passed since the last of them got hold
 // of the entry.
 func (n *Node) acceptable(p *pending) bool {
 	missing := n.missingFor(p)
@@ -168,7 +168,7 @@
 // collect uses the table to put together the acknowledgements of nodes that do not reach each other.
 func (n *Node) collect() {
 	p := n.oldestPending()
-	if p == nil || n.now.Sub(p.since) < holdsAfter || n.now.Sub(n.holdsAt) < n.options.Beat*3/2 {
+	if p == nil || n.now.Sub(p.since) < holdsAfter || n.now.Sub(n.holdsAt) < n.options.HeartbeatInterval*3/2 {
 		return
 	}
 	held := n.holds()
--- a/internal/state/revision/agent/failure_test.go
+++ b/internal/state/revision/agent/failure_test.go
@@ -16,7 +16,7 @@
 
 const (
 	settle = 10 * time.Second
-	// deadLimit bounds acceptance while nodes are dead or isolated: Stale, an eighth for clocks, and some beats.
+	// deadLimit bounds acceptance while nodes are dead or isolated: StaleAfter, an eighth for clocks, and some beats.
 	deadLimit = 7 * time.Second
 )
 
--- a/internal/state/revision/beat.go
+++ b/internal/state/revision/beat.go
@@ -46,11 +46,11 @@
 	}
 	parents := n.roster().parents(n.self.GetName(), n.options.Fanout)
 	if len(parents) == 0 {
-		n.joinAt = n.now.Add(n.options.Beat)
+		n.joinAt = n.now.Add(n.options.HeartbeatInterval)
 		return
 	}
 	if n.parent != "" {
-		n.joinAt = n.now.Add(4*n.options.Beat + n.jitter(n.options.Beat))
+		n.joinAt = n.now.Add(4*n.options.HeartbeatInterval + n.jitter(n.options.HeartbeatInterval))
 		if best := parents[0]; n.parent != best {
 			n.sendAck(best)
 		}
@@ -163,7 +163,7 @@
 		n.startRound(n.incarnation, n.beats)
 		n.count(n.lastRound())
 		if !n.now.Before(n.beatAt) {
-			n.beatAt = n.now.Add(n.options.Beat)
+			n.beatAt = n.now.Add(n.options.HeartbeatInterval)
 		}
 		n.news = true
 	}
--- a/internal/state/revision/catchup.go
+++ b/internal/state/revision/catchup.go
@@ -28,7 +28,7 @@
 
 // catchUp asks a node for the whole state if entries alone cannot lead to what it holds.
 func (n *Node) catchUp(from string, theirs uint64) {
-	if n.staged() >= theirs || n.now.Sub(n.catching) < n.options.Beat {
+	if n.staged() >= theirs || n.now.Sub(n.catching) < n.options.HeartbeatInterval {
 		return
 	}
 	m := n.roster().Member(from)
--- a/internal/state/revision/doc.go
+++ b/internal/state/revision/doc.go
@@ -9,11 +9,11 @@
 //
 // # Freshness
 //
-// A node takes new work only until a deadline, FreshUntil of its View, which is Options.Stale after a moment at which
+// A node takes new work only until a deadline, FreshUntil of its View, which is Options.StaleAfter after a moment at which
 // one of two things was so: a read of the head row began, by this node or by one that it hears from, and the node holds
 // all that was committed then; or a majority of its data centre's members, or of all, answered a beat and held no later
 // entry. The second keeps traffic going while the table is down. A node that reaches neither stops by itself, so a dead
-// or isolated host holds acceptance back for Stale and an eighth; a part that is cut off but may serve on by a majority
+// or isolated host holds acceptance back for StaleAfter and an eighth; a part that is cut off but may serve on by a majority
 // holds it back until it is heard, or is removed from the roster.
 //
 // # Spread
--- a/internal/state/revision/join.go
+++ b/internal/state/revision/join.go
@@ -80,7 +80,7 @@
 	if !n.isOrigin() || len(n.states) == 0 || n.staged() < n.committed || n.now.Sub(n.editing) < editPause {
 		return
 	}
-	if n.now.Sub(n.tableBasis) > n.options.Stale {
+	if n.now.Sub(n.tableBasis) > n.options.StaleAfter {
 		return // the table does not answer
 	}
 	e := n.wishes()
