--- a/internal/state/revision/node.go
+++ b/internal/state/revision/node.go
@@ -122,7 +122,7 @@
 		counts:      map[string]uint64{},
 		originAt:    now,
 	}
-	n.beatAt = now.Add(n.jitter(n.options.Beat))
+	n.beatAt = now.Add(n.jitter(n.options.HeartbeatInterval))
 	n.nonces = []nonce{{rng.Uint64() >> 1, now}}
 	return n
 }
@@ -221,7 +221,7 @@
 	n.acceptAt = n.now
 	if seq == 0 {
 		// An open circuit fails at once; asking again at once would never end.
-		n.acceptAt = n.now.Add(n.options.Beat/2 + n.jitter(n.options.Beat))
+		n.acceptAt = n.now.Add(n.options.HeartbeatInterval/2 + n.jitter(n.options.HeartbeatInterval))
 	}
 	n.learn(nil, 0, seq)
 	return n.finish()
@@ -294,14 +294,14 @@
 }
 
 // advance puts in force what is accepted. It also puts in force what is held when the newest read of the table that
-// this node heard of is older than Force: otherwise a node that is cut off just before an entry is accepted would go
+// this node heard of is older than ForceAfter: otherwise a node that is cut off just before an entry is accepted would go
 // on without it for as long as it is cut off. A committed entry is never taken back, so this is early but not wrong.
 func (n *Node) advance() {
 	if len(n.states) == 0 || !n.recovered() {
 		return
 	}
 	target := min(n.accepted, n.staged())
-	if n.now.Sub(n.tableBasis) > n.options.Force {
+	if n.now.Sub(n.tableBasis) > n.options.ForceAfter {
 		target = n.staged()
 	}
 	if s := n.at(target); s != nil && (n.inForce == nil || s.Seq > n.inForce.Seq) {
@@ -321,7 +321,7 @@
 
 func (n *Node) putInForce(s *State) {
 	if n.inForce == nil || s.Revision() != n.inForce.Revision() {
-		n.floors = append(slices.Clip(n.floors), floor{ids.Revision(s.Revision()), n.now.Add(n.options.Force)})
+		n.floors = append(slices.Clip(n.floors), floor{ids.Revision(s.Revision()), n.now.Add(n.options.ForceAfter)})
 	}
 	if len(n.floors) > floorsKept {
 		n.floors = n.floors[len(n.floors)-floorsKept:]
@@ -339,11 +339,11 @@
 	}
 	basis := n.tableBasis
 	// A majority tells what is held, not what is accepted. While an entry is held but not in force only the table can
-	// tell that it is not accepted yet; else a node that is paused right after could serve without it for Force longer.
+	// tell that it is not accepted yet; else a node that is paused right after could serve without it for ForceAfter longer.
 	if n.vouchBasis.After(basis) && n.inForce.Seq == n.staged() {
 		basis = n.vouchBasis
 	}
-	return basis.Add(n.options.Stale)
+	return basis.Add(n.options.StaleAfter)
 }
 
 // covered takes a moment at which nothing after `seq` was committed, as far as a read of the table tells.
--- a/internal/state/revision/options.go
+++ b/internal/state/revision/options.go
@@ -4,13 +4,13 @@
 
 // Options are the times and sizes of a Node; a zero value stands for the default.
 type Options struct {
-	// Beat is the time between beats, and between reads of the table by a poller; default 1s.
-	Beat time.Duration
-	// Stale is for how long a node takes new work on what it knew at a moment; default 4s.
-	Stale time.Duration
-	// Force is for how long a node leaves an entry that it holds out of force when it does not hear that it is not
+	// HeartbeatInterval is the time between beats, and between reads of the table by a poller; default 1s.
+	HeartbeatInterval time.Duration
+	// StaleAfter is for how long a node takes new work on what it knew at a moment; default 4s.
+	StaleAfter time.Duration
+	// ForceAfter is for how long a node leaves an entry that it holds out of force when it does not hear that it is not
 	// accepted yet; default 2s. It is also the grace for work on the revision before.
-	Force time.Duration
+	ForceAfter time.Duration
 	// Fanout is how many nodes of its data centre hear from one; default 3.
 	Fanout int
 	// Pollers is how many nodes of a data centre read the table at each beat; default 2.
@@ -18,14 +18,14 @@
 }
 
 func (o Options) withDefaults() Options {
-	if o.Beat == 0 {
-		o.Beat = time.Second
+	if o.HeartbeatInterval == 0 {
+		o.HeartbeatInterval = time.Second
 	}
-	if o.Stale == 0 {
-		o.Stale = 4 * time.Second
+	if o.StaleAfter == 0 {
+		o.StaleAfter = 4 * time.Second
 	}
-	if o.Force == 0 {
-		o.Force = 2 * time.Second
+	if o.ForceAfter == 0 {
+		o.ForceAfter = 2 * time.Second
 	}
 	if o.Fanout == 0 {
 		o.Fanout = 3
@@ -36,15 +36,15 @@
 	return o
 }
 
-// wait is how long after the last acknowledgement a node that is missing has stopped; it is longer than Stale because
+// wait is how long after the last acknowledgement a node that is missing has stopped; it is longer than StaleAfter because
 // clocks may run at slightly different rates.
-func (o Options) wait() time.Duration { return o.Stale + o.Stale/8 }
+func (o Options) wait() time.Duration { return o.StaleAfter + o.StaleAfter/8 }
 
 // silence is how long a node may be silent before another is asked in its place.
-func (o Options) silence() time.Duration { return o.Beat * 8 / 5 }
+func (o Options) silence() time.Duration { return o.HeartbeatInterval * 8 / 5 }
 
 // forget is how long a node that is silent is still sent beats.
-func (o Options) forget() time.Duration { return o.Beat * 16 / 5 }
+func (o Options) forget() time.Duration { return o.HeartbeatInterval * 16 / 5 }
 
 // Times that do not depend on the deployment.
 const (
--- a/internal/state/revision/store/store.go
+++ b/internal/state/revision/store/store.go
@@ -28,9 +28,9 @@
 	prefixHolds = "config/holds/"
 	prefixState = "config/state/"
 
-	pageSize        = 500
-	checkpointEvery = 64
-	tries           = 20
+	pageSize           = 500
+	checkpointInterval = 64
+	tries              = 20
 )
 
 // Platform is what the store needs of the platform.
@@ -188,7 +188,7 @@
 			return h.GetAccepted(), nil
 		}
 		h.Accepted = st.Seq
-		if st.Seq-h.GetCheckpoint() >= checkpointEvery && s.keep(ctx, st) == nil {
+		if st.Seq-h.GetCheckpoint() >= checkpointInterval && s.keep(ctx, st) == nil {
 			h.Checkpoint = st.Seq
 		}
 		_, last = s.commit(ctx, ids.NewOperation(), h, nil)
--- a/internal/state/revision/table.go
+++ b/internal/state/revision/table.go
@@ -12,7 +12,7 @@
 		return
 	}
 	n.reading = n.now
-	n.pollAt = n.now.Add(n.options.Beat)
+	n.pollAt = n.now.Add(n.options.HeartbeatInterval)
 	if n.isOrigin() && n.beatAt.Add(-pollLead).After(n.now) {
 		n.pollAt = n.beatAt.Add(-pollLead)
 	}
@@ -26,7 +26,7 @@
 	if at, _ := n.roster().position(n.self.GetName()); at < n.options.Pollers {
 		return true
 	}
-	return n.now.Sub(n.tableBasis) > 2*n.options.Beat
+	return n.now.Sub(n.tableBasis) > 2*n.options.HeartbeatInterval
 }
 
 // OnHead takes the result of ReadHead.
@@ -34,7 +34,7 @@
 	n.begin(now)
 	n.reading = time.Time{}
 	if rd.Err != nil {
-		n.pollAt = n.now.Add(n.options.Beat/2 + n.jitter(n.options.Beat))
+		n.pollAt = n.now.Add(n.options.HeartbeatInterval/2 + n.jitter(n.options.HeartbeatInterval))
 		n.askSeed()
 		return n.finish()
 	}
@@ -52,7 +52,7 @@
 
 // askSeed has a node that holds nothing ask another one while the table is down.
 func (n *Node) askSeed() {
-	if len(n.states) > 0 || len(n.seeds) == 0 || n.now.Sub(n.catching) < n.options.Beat {
+	if len(n.states) > 0 || len(n.seeds) == 0 || n.now.Sub(n.catching) < n.options.HeartbeatInterval {
 		return
 	}
 	n.catching = n.now
--- a/internal/testing/bench/agenda/agenda.go
+++ b/internal/testing/bench/agenda/agenda.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Agenda is what will happen, in order of time and then of planning. It is not safe for concurrent use.
-type Agenda struct {
+// Queue is what will happen, in order of time and then of planning. It is not safe for concurrent use.
+type Queue struct {
 	now   time.Time
 	items items
 	count int
@@ -41,37 +41,37 @@
 	return last
 }
 
-// New returns an empty agenda whose clock shows start.
-func New(start time.Time) *Agenda { return &Agenda{now: start} }
+// New returns an empty queue whose clock shows start.
+func New(start time.Time) *Queue { return &Queue{now: start} }
 
 // Now returns the virtual time.
-func (a *Agenda) Now() time.Time { return a.now }
+func (q *Queue) Now() time.Time { return q.now }
 
 // In plans do after d.
-func (a *Agenda) In(d time.Duration, do func()) {
-	a.count++
-	heap.Push(&a.items, item{a.now.Add(d), a.count, do})
+func (q *Queue) In(d time.Duration, do func()) {
+	q.count++
+	heap.Push(&q.items, item{q.now.Add(d), q.count, do})
 }
 
 // Run does what is planned before end.
-func (a *Agenda) Run(end time.Time) {
-	for len(a.items) > 0 && a.items[0].at.Before(end) {
-		next := heap.Pop(&a.items).(item)
-		a.now = next.at
+func (q *Queue) Run(end time.Time) {
+	for len(q.items) > 0 && q.items[0].at.Before(end) {
+		next := heap.Pop(&q.items).(item)
+		q.now = next.at
 		next.do()
 	}
 }
 
 // RunFor does what is planned for the next d, and moves the clock by d.
-func (a *Agenda) RunFor(d time.Duration) {
-	end := a.now.Add(d)
-	a.Run(end.Add(1))
-	a.now = end
+func (q *Queue) RunFor(d time.Duration) {
+	end := q.now.Add(d)
+	q.Run(end.Add(1))
+	q.now = end
 }
 
 // RunAll does all that is planned.
-func (a *Agenda) RunAll() {
-	for len(a.items) > 0 {
-		a.Run(a.items[0].at.Add(1))
+func (q *Queue) RunAll() {
+	for len(q.items) > 0 {
+		q.Run(q.items[0].at.Add(1))
 	}
 }
--- a/internal/testing/bench/claims/world.go
+++ b/internal/testing/bench/claims/world.go
@@ -52,7 +52,7 @@
 }
 
 type world struct {
-	*agenda.Agenda
+	*agenda.Queue
 	sc      Scenario
 	rng     *rand.Rand
 	mem     *memtable.Memory
@@ -64,7 +64,7 @@
 // Run plays one scenario; the same seed gives the same result.
 func Run(sc Scenario, seed uint64) Found {
 	w := &world{
-		Agenda:  agenda.New(time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)),
+		Queue:   agenda.New(time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)),
 		sc:      sc,
 		rng:     rand.New(rand.NewPCG(seed, 5)),
 		mem:     memtable.NewMemory(),
@@ -118,7 +118,7 @@
 	}
 	w.arrived[r.Attempt] = w.Now()
 	w.found.Claims++
-	w.perform(s, s.ledger.Arrive(w.Now(), r))
+	w.perform(s, s.ledger.Submit(w.Now(), r))
 }
 
 func (w *world) perform(s *slot, effects []claims.Effect) {
--- a/internal/testing/bench/load/cost.go
+++ b/internal/testing/bench/load/cost.go
@@ -68,12 +68,12 @@
 		req.Header.SetHost("load")
 		return req
 	}}
-	answer, err := httpclient.New(httpclient.Options{}).Do(context.Background(), p.address, p.request())
+	res, err := httpclient.New(httpclient.Options{}).Do(context.Background(), p.address, p.request())
 	if err != nil {
 		return 0, 0, fmt.Errorf("ask for addresses: %w", err)
 	}
-	size = answer.Header.ContentLength()
-	answer.Release(false)
+	size = res.Header.ContentLength()
+	res.Release(false)
 	err = c.each(requests, map[*time.Duration]path{&each: p})
 	return each, size, err
 }
--- a/internal/testing/bench/load/load.go
+++ b/internal/testing/bench/load/load.go
@@ -177,13 +177,13 @@
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Body) }
 
 func one(client *httpclient.Client, p path) error {
-	answer, err := client.Do(context.Background(), p.address, p.request())
+	res, err := client.Do(context.Background(), p.address, p.request())
 	if err != nil {
 		return err
 	}
-	body, err := io.ReadAll(answer.Body)
-	status := answer.Header.StatusCode()
-	answer.Release(err == nil)
+	body, err := io.ReadAll(res.Body)
+	status := res.Header.StatusCode()
+	res.Release(err == nil)
 	if err != nil {
 		return fmt.Errorf("read answer: %w", err)
 	}
--- a/internal/testing/bench/load/stub.go
+++ b/internal/testing/bench/load/stub.go
@@ -9,8 +9,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/digest"
 )
 
-// announceEvery is the time between two digests of the stub.
-const announceEvery = 250 * time.Millisecond
+// announceInterval is the time between two digests of the stub.
+const announceInterval = 250 * time.Millisecond
 
 // announce tells the entry of the stub until the returned function is called.
 func announce(address, digests, entry string, o Options) (func(), error) {
@@ -32,7 +32,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		tick := time.NewTicker(announceEvery)
+		tick := time.NewTicker(announceInterval)
 		defer tick.Stop()
 		for {
 			select {
--- a/internal/testing/bench/policy/admit.go
+++ b/internal/testing/bench/policy/admit.go
@@ -19,7 +19,7 @@
 
 // admitter stands before the attempts of an entry.
 type admitter interface {
-	offer(req *request, now time.Time)
+	submit(req *request, now time.Time)
 	done(req *request, now time.Time)
 	tick(now time.Time)
 }
@@ -41,9 +41,9 @@
 // openDoor admits everything.
 type openDoor struct{ entry *entry }
 
-func (d *openDoor) offer(req *request, _ time.Time) { d.entry.start(req.id, nil) }
-func (d *openDoor) done(*request, time.Time)        {}
-func (d *openDoor) tick(time.Time)                  {}
+func (d *openDoor) submit(req *request, _ time.Time) { d.entry.start(req.id, nil) }
+func (d *openDoor) done(*request, time.Time)         {}
+func (d *openDoor) tick(time.Time)                   {}
 
 // fixedLimit is the usual limit of each entry: so many requests at once, the rest waits in one queue, in order.
 type fixedLimit struct {
@@ -53,7 +53,7 @@
 	queue   []uint64
 }
 
-func (l *fixedLimit) offer(req *request, _ time.Time) {
+func (l *fixedLimit) submit(req *request, _ time.Time) {
 	if len(l.queue) >= queueLimit {
 		l.entry.start(req.id, failure.New(failure.CodeOverloaded, nil))
 		return
@@ -98,8 +98,8 @@
 
 func newFairQueue(e *entry) *fairQueue {
 	classes := []admission.Class{{Name: classFirst, Rank: 0, QueueLimit: queueLimit}, {Name: classSecond, Rank: 1, QueueLimit: queueLimit}}
-	share := func(c ids.Client) float64 { return max(leastWeight, e.usage.Part(c, e.world.clock.now)) }
-	opts := admission.Options{Classes: classes, Reserve: admission.DefaultReserve, MostWait: admission.DefaultMostWait, Share: share}
+	share := func(c ids.Client) float64 { return max(minWeight, e.usage.Part(c, e.world.clock.now)) }
+	opts := admission.Options{Classes: classes, Reserve: admission.DefaultReserve, MaxWait: admission.DefaultMaxWait, Share: share}
 
 	return &fairQueue{entry: e, queue: admission.NewQueue(opts, admission.Capacity{Places: places, TokensPerSecond: expectedRate})}
 }
@@ -107,12 +107,12 @@
 const (
 	// expectedRate stands in until the queue has measured its own, in tokens a second.
 	expectedRate = 10_000
-	// leastWeight keeps the weight of a client above 0 where next to none of its demand was seen.
-	leastWeight = 0.01
+	// minWeight keeps the weight of a client above 0 where next to none of its demand was seen.
+	minWeight = 0.01
 )
 
-func (f *fairQueue) offer(req *request, now time.Time) {
-	f.settle(f.queue.Offer(admission.Request{
+func (f *fairQueue) submit(req *request, now time.Time) {
+	f.settle(f.queue.Submit(admission.Request{
 		ID: req.id, Client: req.client, Class: req.class, Tokens: workOf(outputMean),
 		Run: f.run.Estimate(), Deadline: f.entry.deadline(req),
 	}, now))
--- a/internal/testing/bench/policy/entry.go
+++ b/internal/testing/bench/policy/entry.go
@@ -38,7 +38,7 @@
 
 const (
 	retryPercent = 10
-	mostAttempts = 3
+	maxAttempts  = 3
 	tableBlocks  = 2 * cacheBlocks
 )
 
@@ -91,7 +91,7 @@
 	}
 	e.budget = retry.NewBudget(retryPercent)
 	if w.setup.retries == retriesAlways {
-		e.budget = retry.NewBudget(100 * mostAttempts)
+		e.budget = retry.NewBudget(100 * maxAttempts)
 	}
 	e.admit = newAdmitter(w.setup, e)
 	for i, r := range w.runners {
@@ -163,12 +163,12 @@
 	return distanceFar
 }
 
-// offer takes in a request from its caller.
-func (e *entry) offer(req *request) {
+// submit takes in a request from its caller.
+func (e *entry) submit(req *request) {
 	e.world.result.offered(req)
-	_ = e.usage.Take(req.client, workOf(outputMean), e.world.clock.now) // No client of the trace has a limit.
+	_ = e.usage.Consume(req.client, workOf(outputMean), e.world.clock.now) // No client of the trace has a limit.
 	e.waiting[req.id] = req
-	e.admit.offer(req, e.world.clock.now)
+	e.admit.submit(req, e.world.clock.now)
 }
 
 // start sends an admitted request, or answers its caller with the refusal.
@@ -195,7 +195,7 @@
 
 func (e *entry) rules() retry.Rules {
 	rules := retry.DefaultRules(true, true)
-	rules.MaxAttempts = mostAttempts
+	rules.MaxAttempts = maxAttempts
 	if e.world.setup.retries == retriesNone {
 		rules.MaxAttempts = 1
 	}
--- a/internal/testing/bench/policy/policy_test.go
+++ b/internal/testing/bench/policy/policy_test.go
@@ -153,7 +153,7 @@
 	var out bytes.Buffer
 	ok, err := r.Write(&out)
 	if err != nil || ok {
-		t.Fatalf("a policy equal to its baseline cannot meet a ratio of %v: %v, %v", mostSharedRatio, ok, err)
+		t.Fatalf("a policy equal to its baseline cannot meet a ratio of %v: %v, %v", maxSharedRatio, ok, err)
 	}
 	text := out.String()
 	for _, want := range []string{
--- a/internal/testing/bench/policy/subset.go
+++ b/internal/testing/bench/policy/subset.go
@@ -25,9 +25,9 @@
 	// stayMean is how long a request is at its runner: 207 tokens of 20 ms.
 	stayMean = 4140 * time.Millisecond
 
-	subsetRun    = 40 * time.Second
-	subsetWarmup = 15 * time.Second
-	sampleEvery  = 250 * time.Millisecond
+	subsetRun      = 40 * time.Second
+	subsetWarmup   = 15 * time.Second
+	sampleInterval = 250 * time.Millisecond
 
 	// digestBytes is one report on the wire; digestBudget is what an entry may take in of them a second, half of the
 	// 6 KB/s that a node may spend for control.
@@ -102,7 +102,7 @@
 		offset := time.Duration(w.rng.Float64() * float64(w.result.every))
 		w.clock.after(offset, func() { w.clock.every(w.result.every, func() { w.tell(i) }) })
 	}
-	w.clock.every(sampleEvery, w.sample)
+	w.clock.every(sampleInterval, w.sample)
 	w.arrive()
 	w.clock.run(epoch.Add(subsetRun))
 	return w.result
--- a/internal/testing/bench/policy/trace.go
+++ b/internal/testing/bench/policy/trace.go
@@ -17,7 +17,7 @@
 	promptTokens  = (prefixBlocks + suffixBlocks) * blockTokens
 	families      = 48
 	zipfExponent  = 1.0
-	driftEvery    = 5 * time.Second
+	driftInterval = 5 * time.Second
 	outputMean    = 96
 	outputSigma   = 0.6
 	outputMost    = 400
@@ -142,7 +142,7 @@
 		x -= s.weights[rank]
 		rank++
 	}
-	shift := int(at.Sub(epoch) / driftEvery)
+	shift := int(at.Sub(epoch) / driftInterval)
 	return uint64((rank + shift) % families)
 }
 
--- a/internal/testing/bench/policy/world.go
+++ b/internal/testing/bench/policy/world.go
@@ -33,19 +33,19 @@
 	runners     = 16
 	dataCentres = 3
 
-	reportEvery  = 100 * time.Millisecond
-	reportLagMin = 50 * time.Millisecond
-	reportLagMax = 250 * time.Millisecond
-	reportLoss   = 0.02
+	reportInterval = 100 * time.Millisecond
+	reportLagMin   = 50 * time.Millisecond
+	reportLagMax   = 250 * time.Millisecond
+	reportLoss     = 0.02
 
-	eventsEvery  = 200 * time.Millisecond
-	eventsLagMin = 200 * time.Millisecond
-	eventsLagMax = time.Second
-	eventsLoss   = 0.1
+	eventsInterval = 200 * time.Millisecond
+	eventsLagMin   = 200 * time.Millisecond
+	eventsLagMax   = time.Second
+	eventsLoss     = 0.1
 
-	usageEvery = time.Second
+	usageInterval = time.Second
 
-	controlEvery = 50 * time.Millisecond
+	controlInterval = 50 * time.Millisecond
 
 	distanceNear = 100 * time.Microsecond
 	distanceFar  = 500 * time.Microsecond
@@ -78,13 +78,13 @@
 	}
 	w.breakRunners()
 	for i := range w.runners {
-		w.clock.every(reportEvery, func() { w.report(i) })
-		w.clock.every(eventsEvery, func() { w.publish(i) })
+		w.clock.every(reportInterval, func() { w.report(i) })
+		w.clock.every(eventsInterval, func() { w.publish(i) })
 	}
 	for _, e := range w.entries {
-		w.clock.every(controlEvery, e.control)
+		w.clock.every(controlInterval, e.control)
 	}
-	w.clock.every(usageEvery, w.exchangeUsage)
+	w.clock.every(usageInterval, w.exchangeUsage)
 	w.arrive(w.source.draw(epoch, s.rate))
 	w.clock.run(epoch.Add(s.run))
 	return w.result
@@ -93,7 +93,7 @@
 // arrive hands an arrival to its entry when its time comes, and draws the next.
 func (w *world) arrive(a arrival) {
 	w.clock.at(a.at, func() {
-		w.entries[a.entryOf(entries)].offer(&request{arrival: a})
+		w.entries[a.entryOf(entries)].submit(&request{arrival: a})
 		w.arrive(w.source.draw(a.at, w.setup.rate))
 	})
 }
@@ -153,7 +153,7 @@
 			if to == from {
 				continue
 			}
-			w.clock.after(w.lag(reportLagMin, reportLagMax), func() { to.usage.Gather(from.name(), report, w.clock.now) })
+			w.clock.after(w.lag(reportLagMin, reportLagMax), func() { to.usage.MergeReport(from.name(), report, w.clock.now) })
 		}
 	}
 }
--- a/internal/testing/bench/policy/write.go
+++ b/internal/testing/bench/policy/write.go
@@ -14,12 +14,12 @@
 
 // The limits of the claims.
 const (
-	mostSharedRatio = 0.7
-	mostRatio       = 1.05
-	leastGoodput    = 0.95
-	mostFirstClass  = 1.25
-	leastShare      = 0.95
-	mostRetries     = 0.1
+	maxSharedRatio = 0.7
+	maxRatio       = 1.05
+	minGoodput     = 0.95
+	maxFirstClass  = 1.25
+	minShare       = 0.95
+	maxRetries     = 0.1
 )
 
 func milliseconds(h *hdrhistogram.Histogram, q float64) float64 {
@@ -125,16 +125,16 @@
 	for _, v := range []string{retriesBudget, retriesBlind} {
 		claims = append(claims, report.Claim{
 			Text:    "attempts added by retries with a third failing, " + v,
-			Reached: slices.Max(r.values(retryCell(v), added)), Bound: report.AtMost, Limit: mostRetries,
+			Reached: slices.Max(r.values(retryCell(v), added)), Bound: report.AtMost, Limit: maxRetries,
 		})
 	}
 	return claims
 }
 
 func (r *Results) routingClaims(trace string) []report.Claim {
-	limit := mostRatio
+	limit := maxRatio
 	if trace == traceShared {
-		limit = mostSharedRatio
+		limit = maxSharedRatio
 	}
 	var claims []report.Claim
 	for _, load := range routingLoads {
@@ -157,11 +157,11 @@
 	claims := []report.Claim{
 		{
 			Text:    "goodput at 3 times load over that at 1, " + trace,
-			Reached: mean(r.ratios(at(3), at(1), (*result).goodput)), Bound: report.AtLeast, Limit: leastGoodput,
+			Reached: mean(r.ratios(at(3), at(1), (*result).goodput)), Bound: report.AtLeast, Limit: minGoodput,
 		},
 		{
 			Text:    "first class p99 at 3 times load over that at 0.7, " + trace,
-			Reached: mean(r.ratios(at(3), at(0.7), first99)), Bound: report.AtMost, Limit: mostFirstClass,
+			Reached: mean(r.ratios(at(3), at(0.7), first99)), Bound: report.AtMost, Limit: maxFirstClass,
 		},
 	}
 	for _, load := range []float64{1.5, 3} {
@@ -169,11 +169,11 @@
 		claims = append(claims,
 			report.Claim{
 				Text:    "worst-off small client's share of fair, mean over seeds, " + place,
-				Reached: r.worstOff(at(load)), Bound: report.AtLeast, Limit: leastShare,
+				Reached: r.worstOff(at(load)), Bound: report.AtLeast, Limit: minShare,
 			},
 			report.Claim{
 				Text:    "worst-off small client's share of fair in any seed, " + place,
-				Reached: slices.Min(r.values(at(load), (*result).smallShare)), Bound: report.AtLeast, Limit: leastShare,
+				Reached: slices.Min(r.values(at(load), (*result).smallShare)), Bound: report.AtLeast, Limit: minShare,
 			},
 		)
 	}
--- a/internal/testing/bench/quarantine/slot.go
+++ b/internal/testing/bench/quarantine/slot.go
@@ -15,51 +15,51 @@
 		w.later(r)
 		return
 	}
-	turn := u.guard.Ask(w.Now(), quarantine.Running{Fingerprint: r.print}, r.level)
-	if turn.Admission != quarantine.Wait {
-		w.turn(r, u, turn)
+	decision := u.guard.Submit(w.Now(), quarantine.Running{Fingerprint: r.print}, r.level)
+	if decision.Admission != quarantine.Wait {
+		w.turn(r, u, decision)
 		return
 	}
-	u.waits[turn.Ticket] = r
+	u.waits[decision.Ticket] = r
 	w.In(max(0, r.deadline.Sub(w.Now())), func() {
-		if u.waits[turn.Ticket] == r {
-			delete(u.waits, turn.Ticket)
-			w.turns(u, u.guard.GiveUp(turn.Ticket))
+		if u.waits[decision.Ticket] == r {
+			delete(u.waits, decision.Ticket)
+			w.turns(u, u.guard.Cancel(decision.Ticket))
 			w.answer(r, false)
 		}
 	})
 }
 
-func (w *world) turns(u *upstream, turns []quarantine.Turn) {
-	for _, t := range turns {
-		if r := u.waits[t.Ticket]; r != nil {
-			delete(u.waits, t.Ticket)
-			w.turn(r, u, t)
+func (w *world) turns(u *upstream, decisions []quarantine.Decision) {
+	for _, d := range decisions {
+		if r := u.waits[d.Ticket]; r != nil {
+			delete(u.waits, d.Ticket)
+			w.turn(r, u, d)
 		}
 	}
 }
 
-func (w *world) turn(r *request, u *upstream, t quarantine.Turn) {
+func (w *world) turn(r *request, u *upstream, d quarantine.Decision) {
 	switch {
-	case t.Admission == quarantine.Enter:
-		w.start(r, u, t)
-	case t.Level == quarantine.Refused:
+	case d.Admission == quarantine.Enter:
+		w.start(r, u, d)
+	case d.Level == quarantine.Refused:
 		w.refused(r)
 	default:
 		w.later(r)
 	}
 }
 
-func (w *world) start(r *request, u *upstream, t quarantine.Turn) {
+func (w *world) start(r *request, u *upstream, d quarantine.Decision) {
 	if !u.up {
-		w.turns(u, u.guard.Leave(w.Now(), t.Ticket, quarantine.Stopped))
+		w.turns(u, u.guard.Release(w.Now(), d.Ticket, quarantine.Stopped))
 		w.later(r)
 		return
 	}
-	if t.Level == quarantine.Alone && r.number != poison {
+	if d.Level == quarantine.Alone && r.number != poison {
 		w.found.RanAlone++
 	}
-	u.runs[t.Ticket] = r
+	u.runs[d.Ticket] = r
 	life := u.life
 	if r.number == poison {
 		after := poisonMin + time.Duration(w.rng.Float64()*float64(poisonSpread))
@@ -75,9 +75,9 @@
 		if u.life != life {
 			return
 		}
-		delete(u.runs, t.Ticket)
+		delete(u.runs, d.Ticket)
 		r.entry.tracker.Completed(w.Now(), r.print)
-		w.turns(u, u.guard.Leave(w.Now(), t.Ticket, quarantine.Whole))
+		w.turns(u, u.guard.Release(w.Now(), d.Ticket, quarantine.Whole))
 		w.answer(r, !w.Now().After(r.deadline))
 	})
 }
@@ -89,8 +89,8 @@
 	u.up = false
 	w.In(restartTime, func() { u.up = true })
 	if !w.sc.Off {
-		turns, _ := u.guard.Died(w.Now())
-		w.turns(u, turns)
+		decisions, _ := u.guard.Died(w.Now())
+		w.turns(u, decisions)
 		w.tellEntries(u)
 	} else {
 		u.guard = quarantine.NewGuard(ids.Incarnation(u.id), period)
@@ -126,7 +126,7 @@
 
 func (w *world) slotDigest(u *upstream) {
 	w.tellEntries(u)
-	w.In(digestEvery, func() { w.slotDigest(u) })
+	w.In(digestInterval, func() { w.slotDigest(u) })
 }
 
 func (w *world) tellEntries(u *upstream) {
@@ -148,7 +148,7 @@
 		}
 	}
 	for _, u := range w.upstreams {
-		w.deliver(func() { w.turns(u, u.guard.Learn(w.Now(), news...)) })
+		w.deliver(func() { w.turns(u, u.guard.Merge(w.Now(), news...)) })
 	}
-	w.In(digestEvery, func() { w.entryDigest(e) })
+	w.In(digestInterval, func() { w.entryDigest(e) })
 }
--- a/internal/testing/bench/quarantine/world.go
+++ b/internal/testing/bench/quarantine/world.go
@@ -13,21 +13,21 @@
 
 // Times and sizes that all scenarios share.
 const (
-	runShortest  = time.Second
-	runLongest   = 3 * time.Second
-	runMean      = (runShortest + runLongest) / 2
-	patience     = 10 * time.Second
-	retryAfter   = 300 * time.Millisecond
-	restartTime  = 15 * time.Second
-	digestEvery  = 250 * time.Millisecond
-	digestLate   = 100 * time.Millisecond
-	digestLoss   = 0.1
-	digestLimit  = 32
-	poisonResend = 500 * time.Millisecond
-	poisonMin    = 50 * time.Millisecond
-	poisonSpread = 450 * time.Millisecond
-	period       = time.Hour
-	poison       = -1
+	runShortest    = time.Second
+	runLongest     = 3 * time.Second
+	runMean        = (runShortest + runLongest) / 2
+	patience       = 10 * time.Second
+	retryAfter     = 300 * time.Millisecond
+	restartTime    = 15 * time.Second
+	digestInterval = 250 * time.Millisecond
+	digestLate     = 100 * time.Millisecond
+	digestLoss     = 0.1
+	digestLimit    = 32
+	poisonResend   = 500 * time.Millisecond
+	poisonMin      = 50 * time.Millisecond
+	poisonSpread   = 450 * time.Millisecond
+	period         = time.Hour
+	poison         = -1
 )
 
 // Scenario is one run.
@@ -80,7 +80,7 @@
 }
 
 type world struct {
-	*agenda.Agenda
+	*agenda.Queue
 	sc        Scenario
 	rng       *rand.Rand
 	entries   []*entry
@@ -91,7 +91,7 @@
 // Run plays one scenario; the same seed gives the same result.
 func Run(sc Scenario, seed uint64) Found {
 	begin := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	w := &world{Agenda: agenda.New(begin), sc: sc, rng: rand.New(rand.NewPCG(seed, 9))}
+	w := &world{Queue: agenda.New(begin), sc: sc, rng: rand.New(rand.NewPCG(seed, 9))}
 	for i := range sc.Upstreams {
 		id := ids.Upstream(fmt.Sprintf("u%d", i))
 		w.upstreams = append(w.upstreams, &upstream{
@@ -127,7 +127,9 @@
 	}
 }
 
-func (w *world) phase() time.Duration { return time.Duration(w.rng.Float64() * float64(digestEvery)) }
+func (w *world) phase() time.Duration {
+	return time.Duration(w.rng.Float64() * float64(digestInterval))
+}
 
 func (w *world) exp(mean time.Duration) time.Duration {
 	return time.Duration(w.rng.ExpFloat64() * float64(mean))
@@ -190,7 +192,7 @@
 	if r.level == quarantine.Clear {
 		return byID[ready[w.rng.IntN(len(ready))]]
 	}
-	return byID[quarantine.Home(r.print, ready)]
+	return byID[quarantine.AssignedUpstream(r.print, ready)]
 }
 
 func (w *world) later(r *request) { w.In(retryAfter, func() { w.route(r) }) }
--- a/internal/testing/bench/slopes/digests.go
+++ b/internal/testing/bench/slopes/digests.go
@@ -28,7 +28,7 @@
 // digestNode is one node of the exchange of digests.
 type digestNode struct {
 	id    membership.Identity
-	table *membership.Table
+	table *membership.MemberList
 	// sent and received count messages and their bytes in the measured span.
 	sent, received, sentBytes, receivedBytes float64
 	sequence                                 uint64
@@ -101,7 +101,7 @@
 				if (step+i)%5 == 0 {
 					nodes[i].table.Tick(now)
 				}
-				due[i] = nodes[i].table.Due(nil, now, false)
+				due[i] = nodes[i].table.DueTargets(nil, now, false)
 			}
 		})
 	}
@@ -116,7 +116,7 @@
 	d := digestOf(n.id, n.sequence)
 	size := float64(proto.Size(d) + datagramHeader)
 	for _, to := range due {
-		at[to.Address].table.Hear(d, now)
+		at[to.Address].table.Receive(d, now)
 		if counted {
 			n.sent++
 			n.sentBytes += size
@@ -155,10 +155,10 @@
 func (n *digestNode) slotsKnown(now time.Time) (fresh, stale float64) {
 	const newest = 3 * time.Second
 	for _, m := range n.table.Nodes() {
-		if m.Role != cardamomyokev1.NodeRole_NODE_ROLE_SLOT || m.HeardAt.IsZero() || m.State == membership.StateGone {
+		if m.Role != cardamomyokev1.NodeRole_NODE_ROLE_SLOT || m.LastSeen.IsZero() || m.State == membership.StateDead {
 			continue
 		}
-		if now.Sub(m.HeardAt) <= newest {
+		if now.Sub(m.LastSeen) <= newest {
 			fresh++
 		} else {
 			stale++
--- a/internal/testing/bench/slopes/duties.go
+++ b/internal/testing/bench/slopes/duties.go
@@ -40,17 +40,17 @@
 		}
 		for now := begin; now.Sub(begin) < span; now = now.Add(50 * time.Millisecond) {
 			for _, h := range holders {
-				effects := append(h.Want(now, true), h.Tick(now)...)
+				effects := append(h.SetWanted(now, true), h.Tick(now)...)
 				for len(effects) > 0 {
 					e := effects[0]
 					effects = effects[1:]
 					switch e := e.(type) {
 					case *lease.Read:
 						reads++
-						effects = append(effects, h.OnRead(now, h.Call(), row, true)...)
+						effects = append(effects, h.OnRead(now, h.CallID(), row, true)...)
 					case *lease.Write:
 						writes++
-						effects = append(effects, h.OnWrite(now, h.Call(), applyLease(&row, e))...)
+						effects = append(effects, h.OnWrite(now, h.CallID(), applyLease(&row, e))...)
 					}
 				}
 			}
@@ -60,16 +60,16 @@
 }
 
 // applyLease is the table's conditional write of the lease's two rows.
-func applyLease(row *lease.Row, w *lease.Write) lease.Written {
+func applyLease(row *lease.Row, w *lease.Write) lease.WriteResult {
 	if w.Version != row.Version || w.Fence != row.Fence {
-		return lease.Written{Conflict: true}
+		return lease.WriteResult{Conflict: true}
 	}
 	row.Lease = w.Lease
 	row.Version++
 	if w.NewFence {
 		row.Fence++
 	}
-	return lease.Written{OK: true, Version: row.Version, Fence: row.Fence}
+	return lease.WriteResult{OK: true, Version: row.Version, Fence: row.Fence}
 }
 
 // claimFigures runs the ledgers of 100 slots in virtual time.
--- a/internal/testing/bench/slopes/state.go
+++ b/internal/testing/bench/slopes/state.go
@@ -71,7 +71,7 @@
 	}
 	l.SetLimits(set)
 	for i := range clients {
-		_ = l.Take(ids.Client(clientName(i)), float64(10+i%500), begin)
+		_ = l.Consume(ids.Client(clientName(i)), float64(10+i%500), begin)
 	}
 	return l
 }
@@ -82,7 +82,7 @@
 	i := 0
 	take := timeOf(func() {
 		i++
-		_ = l.Take(ids.Client(clientName(i%clients)), 200, begin)
+		_ = l.Consume(ids.Client(clientName(i%clients)), 200, begin)
 	})
 	report := timeOf(func() { l.Report(begin) })
 	return []float64{held, take, report, float64(len(l.Report(begin)))}, nil
@@ -113,16 +113,16 @@
 		status.Nodes = append(status.Nodes, &cardamomyokev1.NodeStatus{Member: m})
 	}
 	identities := membership.FromRevision(list)
-	build := func() *membership.Table {
-		t := membership.New(identities[0], membership.Defaults(), begin)
-		t.SetRoster(identities, begin)
-		return t
+	build := func() *membership.MemberList {
+		l := membership.New(identities[0], membership.Defaults(), begin)
+		l.SetRoster(identities, begin)
+		return l
 	}
 	held := heapOf(func() any { return []any{build(), revision.NewRoster(members(n))} })
-	t := build()
-	tick := timeOf(func() { t.Tick(begin) })
+	l := build()
+	tick := timeOf(func() { l.Tick(begin) })
 	adopt := timeOf(func() { build() })
-	addresses := timeOf(func() { t.Addresses("") })
+	addresses := timeOf(func() { l.Addresses("") })
 	return []float64{encoded, float64(proto.Size(status)), held, tick, addresses, adopt}, nil
 }
 
--- a/internal/testing/bench/slopes/usage.go
+++ b/internal/testing/bench/slopes/usage.go
@@ -31,7 +31,7 @@
 	now := begin
 	for range requests {
 		now = now.Add(span / time.Duration(requests))
-		_ = l.Take(ids.Client(clientName(rng.IntN(targetClients))), 207, now)
+		_ = l.Consume(ids.Client(clientName(rng.IntN(targetClients))), 207, now)
 	}
 	told := limits.NewRing(names).Address(names[0], l.Report(now))
 	bytes := 0
--- a/internal/testing/faulttest/caller.go
+++ b/internal/testing/faulttest/caller.go
@@ -73,7 +73,7 @@
 func (c *caller) send(entry string, req *fasthttp.Request, s Send, read func(io.Reader, *Send)) (Send, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), callerPatience)
 	defer cancel()
-	answer, err := c.client.Do(ctx, entry, req)
+	res, err := c.client.Do(ctx, entry, req)
 	var dial *httpclient.DialError
 	if errors.As(err, &dial) {
 		return s, false
@@ -81,12 +81,12 @@
 	if err != nil {
 		return s, true
 	}
-	defer answer.Release(false)
-	if len(answer.Header.Peek(httpserver.HeaderFailure)) > 0 {
-		readFailure(answer.Body, &s)
+	defer res.Release(false)
+	if len(res.Header.Peek(httpserver.HeaderFailure)) > 0 {
+		readFailure(res.Body, &s)
 		return s, true
 	}
-	read(answer.Body, &s)
+	read(res.Body, &s)
 	return s, true
 }
 
--- a/internal/testing/standin/platform/handler.go
+++ b/internal/testing/standin/platform/handler.go
@@ -34,15 +34,15 @@
 func Handler(s *Store) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+api.PathGet, func(w http.ResponseWriter, r *http.Request) {
-		serveJSON(w, r, func(in api.GetRequest) (api.RowsAnswer, error) {
+		serveJSON(w, r, func(in api.GetRequest) (api.RowsResponse, error) {
 			rows, err := s.Get(r.Context(), in.Keys...)
-			return api.RowsAnswer{Rows: rows}, err
+			return api.RowsResponse{Rows: rows}, err
 		})
 	})
 	mux.HandleFunc("POST "+api.PathList, func(w http.ResponseWriter, r *http.Request) {
-		serveJSON(w, r, func(in api.ListRequest) (api.RowsAnswer, error) {
+		serveJSON(w, r, func(in api.ListRequest) (api.RowsResponse, error) {
 			rows, err := s.List(r.Context(), in.Prefix, in.After, in.Limit)
-			return api.RowsAnswer{Rows: rows}, err
+			return api.RowsResponse{Rows: rows}, err
 		})
 	})
 	mux.HandleFunc("POST "+api.PathCommit, func(w http.ResponseWriter, r *http.Request) {
@@ -85,7 +85,7 @@
 	var missing *api.NotFoundError
 	switch {
 	case errors.As(err, &conflict):
-		writeJSON(w, http.StatusConflict, api.RowsAnswer{Rows: conflict.Rows})
+		writeJSON(w, http.StatusConflict, api.RowsResponse{Rows: conflict.Rows})
 	case errors.As(err, &unknown):
 		panic(http.ErrAbortHandler) // closes the connection without an answer, as a lost one looks to the client
 	case errors.As(err, &missing):
@@ -101,7 +101,7 @@
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, api.HostsAnswer{Hosts: hosts, AgeMS: age.Milliseconds()})
+	writeJSON(w, http.StatusOK, api.HostsResponse{Hosts: hosts, AgeMS: age.Milliseconds()})
 }
 
 func (s *Store) serveRate(w http.ResponseWriter, r *http.Request) {
@@ -110,7 +110,7 @@
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, api.RateAnswer{BytesPerSecond: bps})
+	writeJSON(w, http.StatusOK, api.RateResponse{BytesPerSecond: bps})
 }
 
 func (s *Store) serveGetObject(w http.ResponseWriter, r *http.Request) {
--- a/internal/tool/ctl/ctl_test.go
+++ b/internal/tool/ctl/ctl_test.go
@@ -69,7 +69,7 @@
 		d.address = serve(t, nil, d.losing(mux))
 	} else {
 		mux.Handle(operator.Handler(server, connect.WithInterceptors(keys.Interceptor{})))
-		d.address = serve(t, source, keys.Guard(mux))
+		d.address = serve(t, source, keys.RequireNodeRole(mux))
 	}
 	t.Cleanup(func() {
 		a.Close()
--- a/internal/tool/ctl/explain.go
+++ b/internal/tool/ctl/explain.go
@@ -72,7 +72,7 @@
 	if len(own) == 0 {
 		return &RequestError{request}
 	}
-	return s.printStory(own)
+	return s.printExplanation(own)
 }
 
 // readLogs reads files, or in if there are none. Errors: *FileError.
@@ -104,7 +104,7 @@
 	return story.Read(file)
 }
 
-func (s *session) printStory(lines []*story.Line) error {
+func (s *session) printExplanation(lines []*story.Line) error {
 	if s.output == outputJSON {
 		return s.printJSON(lines)
 	}
