--- a/cmd/cardamomyoke-bench/main.go
+++ b/cmd/cardamomyoke-bench/main.go
@@ -9,9 +9,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/claims"
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/config"
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/demo"
+	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/htmlreport"
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/load"
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/mapswitch"
-	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/pages"
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/policy"
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/quarantine"
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/rebalance"
@@ -30,6 +30,6 @@
 	mapswitch.Register(app)
 	policy.Register(app)
 	slopes.Register(app)
-	pages.Register(app)
+	htmlreport.Register(app)
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 }
--- a/internal/base/httpserver/conn.go
+++ b/internal/base/httpserver/conn.go
@@ -9,7 +9,7 @@
 	"github.com/panjf2000/gnet/v2"
 
 	"github.com/cardamomyoke/cardamomyoke/internal/base/failure"
-	"github.com/cardamomyoke/cardamomyoke/internal/base/steady"
+	"github.com/cardamomyoke/cardamomyoke/internal/base/monotonic"
 )
 
 // maxPipelined is how many bytes a caller may send ahead while a request runs.
@@ -24,13 +24,13 @@
 	told bool
 	// running is set while a request runs on its goroutine.
 	running atomic.Bool
-	// partialSince is when the first byte of an unfinished request came, by steady.Nanos; 0 if there is none.
+	// partialSince is when the first byte of an unfinished request came, by monotonic.Nanos; 0 if there is none.
 	partialSince atomic.Int64
 	idleSince    atomic.Int64
 	// unread is how many written bytes the caller had not taken when the loop last looked.
 	unread      atomic.Int64
 	unreadSince atomic.Int64
-	// refusedAt is when bytes of this connection were refused, by steady.Nanos; 0 if they were not.
+	// refusedAt is when bytes of this connection were refused, by monotonic.Nanos; 0 if they were not.
 	refusedAt atomic.Int64
 	gone      atomic.Bool
 	out       outbox
@@ -78,7 +78,7 @@
 // wait notes that a request has begun to arrive.
 func (c *conn) wait(p parsed) gnet.Action {
 	c.need = p.need
-	c.partialSince.CompareAndSwap(0, steady.Nanos())
+	c.partialSince.CompareAndSwap(0, monotonic.Nanos())
 	if p.interim && !c.told {
 		c.told = true
 		if _, err := c.gc.Write(interimRes); err != nil {
@@ -91,7 +91,7 @@
 // expire answers a request that is past the read timeout and still not whole. It runs on the event loop, like begin:
 // from the sweeper's goroutine the refusal, which promises "not run", could race with the last bytes' arrival.
 func (c *conn) expire() gnet.Action {
-	if !past(steady.Nanos(), c.partialSince.Load(), c.srv.limits.Load().ReadTimeout.Std()) {
+	if !past(monotonic.Nanos(), c.partialSince.Load(), c.srv.limits.Load().ReadTimeout.Std()) {
 		return gnet.None
 	}
 	e := failure.New(failure.CodeMalformed, nil)
@@ -125,7 +125,7 @@
 		_ = c.gc.Close()
 		return
 	}
-	c.idleSince.Store(steady.Nanos())
+	c.idleSince.Store(monotonic.Nanos())
 	c.running.Store(false)
 	// Bytes of the next request may have come meanwhile; without a wake-up the loop would not look at them again.
 	_ = c.gc.Wake(nil)
@@ -154,7 +154,7 @@
 	case n == 0:
 		c.unreadSince.Store(0)
 	case before == 0 || int64(n) < before:
-		c.unreadSince.Store(steady.Nanos())
+		c.unreadSince.Store(monotonic.Nanos())
 	}
 }
 
--- a/internal/base/httpserver/server.go
+++ b/internal/base/httpserver/server.go
@@ -13,7 +13,7 @@
 
 	"github.com/cardamomyoke/cardamomyoke/internal/base/failure"
 	"github.com/cardamomyoke/cardamomyoke/internal/base/gnetlog"
-	"github.com/cardamomyoke/cardamomyoke/internal/base/steady"
+	"github.com/cardamomyoke/cardamomyoke/internal/base/monotonic"
 )
 
 // Handler answers one request. It must call Respond once, or Stream and then End; ctx ends when the caller goes away.
@@ -119,7 +119,7 @@
 		return nil, gnet.Close
 	}
 	c := &conn{srv: s, gc: gc}
-	c.idleSince.Store(steady.Nanos())
+	c.idleSince.Store(monotonic.Nanos())
 	gc.SetContext(c)
 	s.conns.Store(c, struct{}{})
 	return nil, gnet.None
@@ -148,7 +148,7 @@
 
 // OnTick implements gnet.EventHandler: it ends connections that are past a timeout.
 func (s *Server) OnTick() (time.Duration, gnet.Action) {
-	now := steady.Nanos()
+	now := monotonic.Nanos()
 	s.conns.Range(func(key, _ any) bool {
 		key.(*conn).sweep(now)
 		return true
@@ -178,7 +178,7 @@
 // it is refused; what still comes is read and dropped until it has had time to read.
 func (s *Server) refuse(c *conn, err error) {
 	c.running.Store(true) // no request is read from this connection any more
-	c.refusedAt.Store(steady.Nanos())
+	c.refusedAt.Store(monotonic.Nanos())
 	x := &Exchange{conn: c, close: true}
 	x.Fail(failure.From(err))
 }
--- a/internal/base/steady/steady.go
+++ b/internal/base/monotonic/monotonic.go
@@ -1,8 +1,8 @@
-// Package steady tells the time that has passed in this process, for fields that are read and written as integers.
+// Package monotonic tells the time that has passed in this process, for fields that are read and written as integers.
 //
 // The host's time of day may be set forward by seconds: idle connections would be closed under their callers' next requests,
 // and counts of the last seconds start anew. The monotonic clock is not set.
-package steady
+package monotonic
 
 import (
 	"context"
--- a/internal/base/steady/pausedetector.go
+++ b/internal/base/monotonic/pausedetector.go
@@ -1,4 +1,4 @@
-package steady
+package monotonic
 
 import (
 	"sync"
--- a/internal/base/steady/pausedetector_test.go
+++ b/internal/base/monotonic/pausedetector_test.go
@@ -1,10 +1,10 @@
-package steady_test
+package monotonic_test
 
 import (
 	"testing"
 	"time"
 
-	"github.com/cardamomyoke/cardamomyoke/internal/base/steady"
+	"github.com/cardamomyoke/cardamomyoke/internal/base/monotonic"
 )
 
 // Failure: a frozen host wakes and sends on what its callers have given up.
@@ -24,7 +24,7 @@
 		"a second standstill":   {[]time.Duration{0, 4 * time.Second, 4050 * time.Millisecond, 5 * time.Second}, 950 * time.Millisecond},
 		"one after a long time": {[]time.Duration{0, time.Second, 1050 * time.Millisecond, time.Hour}, time.Hour - 1050*time.Millisecond},
 	} {
-		var p steady.PauseDetector
+		var p monotonic.PauseDetector
 		var got time.Duration
 		for _, d := range c.beats {
 			got = p.Observe(begin.Add(d))
--- a/internal/experts/rebalance/runner.go
+++ b/internal/experts/rebalance/runner.go
@@ -16,7 +16,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/audit"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/config"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/lease"
-	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/keeper"
+	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/manager"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
@@ -34,7 +34,7 @@
 	Node      ids.Node
 	Config    config.Source
 	Directory *Directory
-	Leases    *keeper.Manager
+	Leases    *manager.Manager
 	Hub       *node.Hub
 	Loop      *control.Loop
 	Objects   platform.Objects
--- a/internal/node/agent/agent_test.go
+++ b/internal/node/agent/agent_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"github.com/cardamomyoke/cardamomyoke/internal/base/steady"
+	"github.com/cardamomyoke/cardamomyoke/internal/base/monotonic"
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/lockstep"
 	"github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1/cardamomyokev1connect"
 	"github.com/cardamomyoke/cardamomyoke/internal/node/agent"
@@ -59,7 +59,7 @@
 
 func (r *rank) Order(ctx context.Context, _ *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
 	if r.loses(o) {
-		steady.Sleep(ctx, r.silent)
+		monotonic.Sleep(ctx, r.silent)
 		return lockstep.ReplyLost, errLost
 	}
 	r.mu.Lock()
--- a/internal/node/agent/server.go
+++ b/internal/node/agent/server.go
@@ -8,7 +8,7 @@
 
 	"connectrpc.com/connect"
 
-	"github.com/cardamomyoke/cardamomyoke/internal/base/steady"
+	"github.com/cardamomyoke/cardamomyoke/internal/base/monotonic"
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/lockstep"
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 	"github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1/cardamomyokev1connect"
@@ -120,7 +120,7 @@
 		if r, rerr := s.ranks.Report(ctx, s.rank); rerr == nil && r.Prepared == o.Version {
 			return lockstep.ReplyPrepared, nil
 		}
-		steady.Sleep(ctx, preparedPoll)
+		monotonic.Sleep(ctx, preparedPoll)
 	}
 	return reply, err
 }
--- a/internal/node/daemon/entrymain/entrymain.go
+++ b/internal/node/daemon/entrymain/entrymain.go
@@ -20,7 +20,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/node/daemon"
 	"github.com/cardamomyoke/cardamomyoke/internal/node/entry"
 	"github.com/cardamomyoke/cardamomyoke/internal/node/operator"
-	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/keeper"
+	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/manager"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision"
 )
 
@@ -87,7 +87,7 @@
 func withDuties(set *entry.Settings, n *daemon.Node, tick func(time.Time), logger log.Logger) func(time.Time) {
 	hub := node.NewHub()
 	n.Mux.Handle(cardamomyokev1connect.NewExpertMapServiceHandler(hub))
-	leases := keeper.New(keeper.Config{
+	leases := manager.New(manager.Config{
 		Name:        set.Name,
 		Incarnation: n.Incarnation,
 		Table:       n.Platform,
--- a/internal/node/gateway/candidates.go
+++ b/internal/node/gateway/candidates.go
@@ -13,7 +13,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/lease"
-	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/keeper"
+	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/manager"
 )
 
 const (
@@ -126,7 +126,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(e.ctx, allocateTimeout)
 		defer cancel()
-		n, err := keeper.AllocateFence(ctx, e.table, expertsDuty)
+		n, err := manager.AllocateFence(ctx, e.table, expertsDuty)
 		e.g.loop.Post(func(time.Time) {
 			e.allocating = false
 			if err != nil {
--- a/internal/node/gateway/experts.go
+++ b/internal/node/gateway/experts.go
@@ -15,7 +15,7 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/lease"
-	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/keeper"
+	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/manager"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
@@ -44,7 +44,7 @@
 	g      *Gateway
 	ctx    context.Context
 	ranks  lockstep.RankClient
-	leases *keeper.Manager
+	leases *manager.Manager
 	table  platform.Table
 	// number is what this gateway leads under, for the controllers; 0 while it does not lead.
 	number atomic.Uint64
@@ -62,7 +62,7 @@
 func newExperts(ctx context.Context, g *Gateway, client lockstep.RankClient, table platform.Table) *experts {
 	return &experts{
 		g: g, ctx: ctx, ranks: client, table: table, running: map[ids.Service]*lockstep.Running{},
-		leases: keeper.New(keeper.Config{
+		leases: manager.New(manager.Config{
 			Name: g.Settings().Name, Incarnation: g.incarnation, Length: leaseLength, Table: table, Loop: g.loop,
 			Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Logger: g.logger, HolderDead: g.peers.ended,
 		}),
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -13,8 +13,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/httpclient"
 	"github.com/cardamomyoke/cardamomyoke/internal/base/httpserver"
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
+	"github.com/cardamomyoke/cardamomyoke/internal/base/monotonic"
 	"github.com/cardamomyoke/cardamomyoke/internal/base/settings"
-	"github.com/cardamomyoke/cardamomyoke/internal/base/steady"
 	"github.com/cardamomyoke/cardamomyoke/internal/base/tracing"
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/lockstep"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
@@ -60,7 +60,7 @@
 	logger      log.Logger
 	requests    *requestLogs
 	starting    *starting
-	pauses      steady.PauseDetector
+	pauses      monotonic.PauseDetector
 	incarnation ids.Incarnation
 	loop        *control.Loop
 	metrics     *gatewayMetrics
--- a/internal/node/gateway/groupwatch.go
+++ b/internal/node/gateway/groupwatch.go
@@ -12,7 +12,7 @@
 
 	"github.com/cardamomyoke/cardamomyoke/internal/base/httpclient"
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
-	"github.com/cardamomyoke/cardamomyoke/internal/base/steady"
+	"github.com/cardamomyoke/cardamomyoke/internal/base/monotonic"
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/lockstep"
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/dispatch"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
@@ -86,7 +86,7 @@
 	began := time.Now()
 	for !w.opened(ctx, w.look(ctx), reason) {
 		w.gate.SetClosed(true)
-		steady.Sleep(ctx, watchInterval)
+		monotonic.Sleep(ctx, watchInterval)
 	}
 	_ = level.Info(w.logger).Log("msg", "group closed to requests", "reason", reason, "for", time.Since(began))
 }
--- a/internal/node/gateway/rankwatch.go
+++ b/internal/node/gateway/rankwatch.go
@@ -7,7 +7,7 @@
 
 	"github.com/go-kit/log/level"
 
-	"github.com/cardamomyoke/cardamomyoke/internal/base/steady"
+	"github.com/cardamomyoke/cardamomyoke/internal/base/monotonic"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
@@ -33,7 +33,7 @@
 		w.survey(ctx, reason)
 	}
 	for w.listed(u) && ctx.Err() == nil && !verdict.opens(time.Since(began)) {
-		steady.Sleep(ctx, pause)
+		monotonic.Sleep(ctx, pause)
 		pause = min(2*pause, rankWatchMost)
 		verdict = w.ask(ctx, u)
 	}
--- a/internal/node/operator/operator.go
+++ b/internal/node/operator/operator.go
@@ -20,7 +20,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/audit"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/config"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/lease"
-	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/keeper"
+	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/manager"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision/agent"
@@ -288,7 +288,7 @@
 	if duty == "" {
 		return &config.FieldError{Field: "release_lease.duty", Want: "the name of a duty"}
 	}
-	fence, err := keeper.Release(ctx, s.o.Table, lease.Duty(duty), ids.Operation("release-"+meta.GetOperationId()))
+	fence, err := manager.Release(ctx, s.o.Table, lease.Duty(duty), ids.Operation("release-"+meta.GetOperationId()))
 	if err != nil {
 		return err
 	}
--- a/internal/node/operator/status.go
+++ b/internal/node/operator/status.go
@@ -10,7 +10,7 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/audit"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/config"
-	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/keeper"
+	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/manager"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision/store"
@@ -42,7 +42,7 @@
 			out.Nodes = append(out.Nodes, &cardamomyokev1.NodeStatus{Member: m, Pending: slices.Contains(v.Pending, m.GetName())})
 		}
 	}
-	leases, err := keeper.List(ctx, s.o.Table)
+	leases, err := manager.List(ctx, s.o.Table)
 	if err != nil {
 		out.Unavailable = append(out.Unavailable, "leases: "+err.Error())
 	}
--- a/internal/policy/dispatch/replay_test.go
+++ b/internal/policy/dispatch/replay_test.go
@@ -9,13 +9,13 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/dispatch"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
-	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/agenda"
+	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/eventqueue"
 )
 
 // replay plays a load against a pool: upstreams serve each request in the same time as long as they have slots, and
 // callers leave when they have waited for too long. Time is a variable.
 type replay struct {
-	*agenda.Queue
+	*eventqueue.Queue
 	pool    *dispatch.Pool
 	service time.Duration
 	// onTime, late, refused and left count requests by their end; retryAfter collects what refused callers were told.
@@ -35,7 +35,7 @@
 
 func newReplay(o dispatch.Options, n, slots int, service time.Duration) *replay {
 	r := &replay{
-		pool: dispatch.NewPool(o, rand.New(rand.NewPCG(1, 2))), Queue: agenda.New(time.Unix(0, 0)), service: service,
+		pool: dispatch.NewPool(o, rand.New(rand.NewPCG(1, 2))), Queue: eventqueue.New(time.Unix(0, 0)), service: service,
 		waiting: map[*dispatch.Ticket]dispatch.Request{},
 	}
 	r.decide(r.pool.SetUpstreams(upstreams(n, slots), r.Now()))
--- a/internal/state/lease/doc.go
+++ b/internal/state/lease/doc.go
@@ -23,5 +23,5 @@
 //   - a proposal of an expert map needs every rank's acknowledgement, whatever the lease says (docs/design of the map);
 //   - an object is named by its content's number and never overwritten.
 //
-// Holder is pure; package keeper runs it against the table.
+// Holder is pure; package manager runs it against the table.
 package lease
--- a/internal/state/lease/lease.go
+++ b/internal/state/lease/lease.go
@@ -33,7 +33,7 @@
 const (
 	prefixLease = "leases/"
 	prefixFence = "fences/"
-	// prefixNumber is that of rows whose versions are numbers drawn for a duty; see keeper.AllocateFence.
+	// prefixNumber is that of rows whose versions are numbers drawn for a duty; see manager.AllocateFence.
 	prefixNumber = "numbers/"
 	// renewals are the tries that fit into one length.
 	renewals = 3
--- a/internal/state/lease/keeper/number.go
+++ b/internal/state/lease/manager/fence.go
@@ -1,4 +1,4 @@
-package keeper
+package manager
 
 import (
 	"context"
--- a/internal/state/lease/keeper/keeper.go
+++ b/internal/state/lease/manager/manager.go
@@ -1,5 +1,5 @@
-// Package keeper runs lease holders against the platform's table.
-package keeper
+// Package manager runs lease holders against the platform's table.
+package manager
 
 import (
 	"context"
--- a/internal/state/lease/keeper/keeper_test.go
+++ b/internal/state/lease/manager/manager_test.go
@@ -1,4 +1,4 @@
-package keeper_test
+package manager_test
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/lease"
-	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/keeper"
+	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/manager"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 	standin "github.com/cardamomyoke/cardamomyoke/internal/testing/standin/platform"
 )
@@ -22,7 +22,7 @@
 const duty lease.Duty = "map/desk-model"
 
 type process struct {
-	manager *keeper.Manager
+	manager *manager.Manager
 	client  *standin.Client
 	paused  chan chan struct{}
 	stop    func()
@@ -31,7 +31,7 @@
 func start(s *standin.Store, name string, seed uint64) *process {
 	p := &process{client: s.Client(name), paused: make(chan chan struct{}, 1)}
 	loop := control.New()
-	p.manager = keeper.New(keeper.Config{
+	p.manager = manager.New(manager.Config{
 		Name: name, Incarnation: ids.NewIncarnation(), Table: platform.NewClient(p.client, platform.Options{}), Loop: loop,
 		Rand: rand.New(rand.NewPCG(seed, 3)),
 	})
@@ -207,7 +207,7 @@
 func TestForcedReleaseRaisesFence(t *testing.T) {
 	run(t, 3, true, func(s *standin.Store, ps []*process, _ *rand.Rand) {
 		before := wait(t, ps, nil).held()
-		fence, err := keeper.Release(context.Background(), s, duty, "op-1")
+		fence, err := manager.Release(context.Background(), s, duty, "op-1")
 		if err != nil || fence <= before.Fence {
 			t.Fatalf("fence %d, err %v", fence, err)
 		}
@@ -215,7 +215,7 @@
 		if after := wait(t, ps, nil).held(); after.Fence <= fence {
 			t.Fatalf("fence %d after %d", after.Fence, fence)
 		}
-		list, err := keeper.List(context.Background(), s)
+		list, err := manager.List(context.Background(), s)
 		if err != nil || len(list) != 1 || list[0].GetDuty() != string(duty) || list[0].GetHolder() == "" {
 			t.Fatalf("list %v, err %v", list, err)
 		}
@@ -234,8 +234,8 @@
 		for i := range 4 {
 			client := s.Client(fmt.Sprint("gateway-", i))
 			wait.Go(func() {
-				n, err := keeper.AllocateFence(context.Background(), client, duty)
-				var drawn *keeper.AllocationConflictError
+				n, err := manager.AllocateFence(context.Background(), client, duty)
+				var drawn *manager.AllocationConflictError
 				if errors.As(err, &drawn) {
 					return
 				}
--- a/internal/state/liveness/network_test.go
+++ b/internal/state/liveness/network_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/liveness"
-	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/agenda"
+	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/eventqueue"
 )
 
 const (
@@ -23,7 +23,7 @@
 
 // network is members in virtual time: datagrams are late and lost, hosts stand still for moments.
 type network struct {
-	*agenda.Queue
+	*eventqueue.Queue
 	rand    *rand.Rand
 	loss    float64
 	stall   time.Duration
@@ -69,7 +69,7 @@
 
 // newNetwork is of members that all know each other.
 func newNetwork(seed uint64, size int, loss float64) *network {
-	n := &network{Queue: agenda.New(time.Unix(1000, 0)), rand: rand.New(rand.NewPCG(seed, 1)), loss: loss, stall: 70 * time.Millisecond, byAddress: map[liveness.Address]*node{}}
+	n := &network{Queue: eventqueue.New(time.Unix(1000, 0)), rand: rand.New(rand.NewPCG(seed, 1)), loss: loss, stall: 70 * time.Millisecond, byAddress: map[liveness.Address]*node{}}
 	for i := range size {
 		m := &node{net: n, index: i, turn: n.rand.IntN(size), detector: liveness.New(rand.New(rand.NewPCG(seed, uint64(i)+2)))}
 		n.members = append(n.members, m)
--- a/internal/state/replica/follower.go
+++ b/internal/state/replica/follower.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cardamomyoke/cardamomyoke/internal/base/steady"
+	"github.com/cardamomyoke/cardamomyoke/internal/base/monotonic"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
@@ -95,7 +95,7 @@
 	for ctx.Err() == nil {
 		if f.relayed() {
 			f.note(nil)
-			steady.Sleep(ctx, relayCheck)
+			monotonic.Sleep(ctx, relayCheck)
 			continue
 		}
 		began := time.Now()
@@ -103,10 +103,10 @@
 		f.note(err)
 		if err == nil {
 			pause = firstPause
-			steady.Sleep(ctx, spacing-time.Since(began))
+			monotonic.Sleep(ctx, spacing-time.Since(began))
 			continue
 		}
-		steady.Sleep(ctx, pause/2+rand.N(pause/2))
+		monotonic.Sleep(ctx, pause/2+rand.N(pause/2))
 		pause = min(lastPause, 2*pause)
 	}
 }
--- a/internal/testing/bench/claims/world.go
+++ b/internal/testing/bench/claims/world.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/claims"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
-	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/agenda"
+	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/eventqueue"
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/faulttest/memtable"
 )
 
@@ -52,7 +52,7 @@
 }
 
 type world struct {
-	*agenda.Queue
+	*eventqueue.Queue
 	sc      Scenario
 	rng     *rand.Rand
 	mem     *memtable.Memory
@@ -64,7 +64,7 @@
 // Run plays one scenario; the same seed gives the same result.
 func Run(sc Scenario, seed uint64) Found {
 	w := &world{
-		Queue:   agenda.New(time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)),
+		Queue:   eventqueue.New(time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)),
 		sc:      sc,
 		rng:     rand.New(rand.NewPCG(seed, 5)),
 		mem:     memtable.NewMemory(),
--- a/internal/testing/bench/agenda/agenda.go
+++ b/internal/testing/bench/eventqueue/eventqueue.go
@@ -1,5 +1,5 @@
-// Package agenda runs what an experiment has planned, in the order of a virtual clock.
-package agenda
+// Package eventqueue runs what an experiment has planned, in the order of a virtual clock.
+package eventqueue
 
 import (
 	"container/heap"
--- a/internal/testing/bench/pages/command.go
+++ b/internal/testing/bench/htmlreport/command.go
@@ -1,4 +1,4 @@
-package pages
+package htmlreport
 
 import (
 	"fmt"
--- a/internal/testing/bench/quarantine/world.go
+++ b/internal/testing/bench/quarantine/world.go
@@ -8,7 +8,7 @@
 
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/quarantine"
-	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/agenda"
+	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/eventqueue"
 )
 
 // Times and sizes that all scenarios share.
@@ -80,7 +80,7 @@
 }
 
 type world struct {
-	*agenda.Queue
+	*eventqueue.Queue
 	sc        Scenario
 	rng       *rand.Rand
 	entries   []*entry
@@ -91,7 +91,7 @@
 // Run plays one scenario; the same seed gives the same result.
 func Run(sc Scenario, seed uint64) Found {
 	begin := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	w := &world{Queue: agenda.New(begin), sc: sc, rng: rand.New(rand.NewPCG(seed, 9))}
+	w := &world{Queue: eventqueue.New(begin), sc: sc, rng: rand.New(rand.NewPCG(seed, 9))}
 	for i := range sc.Upstreams {
 		id := ids.Upstream(fmt.Sprintf("u%d", i))
 		w.upstreams = append(w.upstreams, &upstream{
--- a/internal/testing/bench/slopes/duties.go
+++ b/internal/testing/bench/slopes/duties.go
@@ -14,7 +14,7 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 	ledger "github.com/cardamomyoke/cardamomyoke/internal/state/claims"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/lease"
-	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/keeper"
+	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/manager"
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/claims"
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/mapswitch"
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/rebalance"
@@ -36,7 +36,7 @@
 		var holders []*lease.Holder
 		for i := range leaseCandidates {
 			rng := rand.New(rand.NewPCG(uint64(d), uint64(i)))
-			holders = append(holders, lease.NewHolder(duty, fmt.Sprint(i), incarnation, keeper.DefaultLength, rng))
+			holders = append(holders, lease.NewHolder(duty, fmt.Sprint(i), incarnation, manager.DefaultLength, rng))
 		}
 		for now := begin; now.Sub(begin) < span; now = now.Add(50 * time.Millisecond) {
 			for _, h := range holders {
--- a/internal/tool/ctl/explain.go
+++ b/internal/tool/ctl/explain.go
@@ -11,7 +11,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"github.com/cardamomyoke/cardamomyoke/internal/tool/story"
+	"github.com/cardamomyoke/cardamomyoke/internal/tool/explain"
 )
 
 // explainFlags are the flags and arguments of explain.
@@ -66,9 +66,9 @@
 		return err
 	}
 	if f.worst {
-		return s.printCauses(story.Worst(lines), f.most)
+		return s.printCauses(explain.Worst(lines), f.most)
 	}
-	own := story.Of(lines, request, f.before, f.after)
+	own := explain.Of(lines, request, f.before, f.after)
 	if len(own) == 0 {
 		return &RequestError{request}
 	}
@@ -76,15 +76,15 @@
 }
 
 // readLogs reads files, or in if there are none. Errors: *FileError.
-func readLogs(files []string, in io.Reader) ([]*story.Line, error) {
+func readLogs(files []string, in io.Reader) ([]*explain.Line, error) {
 	if len(files) == 0 {
-		lines, err := story.Read(in)
+		lines, err := explain.Read(in)
 		if err != nil {
 			return nil, &FileError{"standard input", err}
 		}
 		return lines, nil
 	}
-	var out []*story.Line
+	var out []*explain.Line
 	for _, name := range files {
 		lines, err := readLog(name)
 		if err != nil {
@@ -95,16 +95,16 @@
 	return out, nil
 }
 
-func readLog(name string) ([]*story.Line, error) {
+func readLog(name string) ([]*explain.Line, error) {
 	file, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = file.Close() }()
-	return story.Read(file)
+	return explain.Read(file)
 }
 
-func (s *session) printExplanation(lines []*story.Line) error {
+func (s *session) printExplanation(lines []*explain.Line) error {
 	if s.output == outputJSON {
 		return s.printJSON(lines)
 	}
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (s *session) printCauses(causes []*story.Cause, most int) error {
+func (s *session) printCauses(causes []*explain.Cause, most int) error {
 	causes = causes[:min(max(0, most), len(causes))]
 	if s.output == outputJSON {
 		return s.printJSON(causes)
--- a/internal/tool/story/story.go
+++ b/internal/tool/explain/explain.go
@@ -1,5 +1,5 @@
-// Package story finds in the logs of many processes what became of one request, and sums up what went wrong.
-package story
+// Package explain finds in the logs of many processes what became of one request, and sums up what went wrong.
+package explain
 
 import (
 	"bufio"
--- a/internal/tool/story/story_test.go
+++ b/internal/tool/explain/explain_test.go
@@ -1,4 +1,4 @@
-package story_test
+package explain_test
 
 import (
 	"errors"
@@ -9,17 +9,17 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"github.com/cardamomyoke/cardamomyoke/internal/tool/story"
+	"github.com/cardamomyoke/cardamomyoke/internal/tool/explain"
 )
 
-func day(t *testing.T) []*story.Line {
+func day(t *testing.T) []*explain.Line {
 	t.Helper()
 	file, err := os.Open("testdata/day.log")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = file.Close() }()
-	lines, err := story.Read(file)
+	lines, err := explain.Read(file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,8 +51,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var messages []string
-			var last *story.Line
-			for _, l := range story.Of(lines, c.id, 1500*time.Millisecond, time.Second) {
+			var last *explain.Line
+			for _, l := range explain.Of(lines, c.id, 1500*time.Millisecond, time.Second) {
 				messages = append(messages, l.Message)
 				if l.Request == c.id {
 					last = l
@@ -68,14 +68,14 @@
 			}
 		})
 	}
-	if got := story.Of(lines, "unknown", time.Second, time.Second); got != nil {
+	if got := explain.Of(lines, "unknown", time.Second, time.Second); got != nil {
 		t.Fatalf("a story of nothing: %v", got)
 	}
 }
 
 // Requests that failed alike are one cause, whatever their ids, addresses and times.
 func TestWorstCountsByCause(t *testing.T) {
-	causes := story.Worst(day(t))
+	causes := explain.Worst(day(t))
 	if causes[0].Code != "overloaded" || causes[0].Count < 2 || causes[0].Example == "" || causes[0].Last.Before(causes[0].First) {
 		t.Fatalf("got %+v", causes[0])
 	}
@@ -88,8 +88,8 @@
 
 // A log that was cut off in the middle of a line is refused with the line's number, and nothing is told by halves.
 func TestALineThatCannotBeRead(t *testing.T) {
-	_, err := story.Read(strings.NewReader("level=info msg=started\nlevel=info ts=yesterday msg=x\n"))
-	var bad *story.ReadError
+	_, err := explain.Read(strings.NewReader("level=info msg=started\nlevel=info ts=yesterday msg=x\n"))
+	var bad *explain.ReadError
 	if !errors.As(err, &bad) || bad.Line != 2 {
 		t.Fatalf("got %v", err)
 	}
