--- a/internal/base/httpserver/server.go
+++ b/internal/base/httpserver/server.go
@@ -13,14 +13,14 @@
 
 	"github.com/cardamomyoke/cardamomyoke/internal/base/failure"
 	"github.com/cardamomyoke/cardamomyoke/internal/base/gnetlog"
-	"github.com/cardamomyoke/cardamomyoke/internal/base/steady"
+	"github.com/cardamomyoke/cardamomyoke/internal/base/monotonic"
 )
 
 // Handler answers one request. It must call Respond once, or Stream and then End; ctx ends when the caller goes away.
 type Handler func(ctx context.Context, x *Exchange)
 
-// sweepEvery is how often connections are checked against the timeouts of Limits.
-const sweepEvery = 250 * time.Millisecond
+// sweepInterval is how often connections are checked against the timeouts of Limits.
+const sweepInterval = 250 * time.Millisecond
 
 // Server is one listener. Create it with Start.
 type Server struct {
@@ -119,7 +119,7 @@
 		return nil, gnet.Close
 	}
 	c := &conn{srv: s, gc: gc}
-	c.idleSince.Store(steady.Nanos())
+	c.idleSince.Store(monotonic.Nanos())
 	gc.SetContext(c)
 	s.conns.Store(c, struct{}{})
 	return nil, gnet.None
@@ -148,12 +148,12 @@
 
 // OnTick implements gnet.EventHandler: it ends connections that are past a timeout.
 func (s *Server) OnTick() (time.Duration, gnet.Action) {
-	now := steady.Nanos()
+	now := monotonic.Nanos()
 	s.conns.Range(func(key, _ any) bool {
 		key.(*conn).sweep(now)
 		return true
 	})
-	return sweepEvery, gnet.None
+	return sweepInterval, gnet.None
 }
 
 // run serves one request on a goroutine of its own.
@@ -178,7 +178,7 @@
 // it is refused; what still comes is read and dropped until it has had time to read.
 func (s *Server) refuse(c *conn, err error) {
 	c.running.Store(true) // no request is read from this connection any more
-	c.refusedAt.Store(steady.Nanos())
+	c.refusedAt.Store(monotonic.Nanos())
 	x := &Exchange{conn: c, close: true}
 	x.Fail(failure.From(err))
 }
--- a/internal/node/operator/operator.go
+++ b/internal/node/operator/operator.go
@@ -20,7 +20,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/audit"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/config"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/lease"
-	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/keeper"
+	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/manager"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision/agent"
@@ -51,8 +51,8 @@
 	Committed()
 	// Record takes in a fact that is not in the log; it does not wait.
 	Record(now time.Time, r *cardamomyokev1.AuditRow)
-	// Settle writes what it can of all that this node knows of.
-	Settle(ctx context.Context)
+	// FlushAll writes what it can of all that this node knows of.
+	FlushAll(ctx context.Context)
 }
 
 // noAudit keeps nothing.
@@ -60,7 +60,7 @@
 
 func (noAudit) Committed()                                 {}
 func (noAudit) Record(time.Time, *cardamomyokev1.AuditRow) {}
-func (noAudit) Settle(context.Context)                     {}
+func (noAudit) FlushAll(context.Context)                   {}
 
 // Server implements the RPC. It is safe for concurrent use.
 type Server struct{ o Options }
@@ -288,7 +288,7 @@
 	if duty == "" {
 		return &config.FieldError{Field: "release_lease.duty", Want: "the name of a duty"}
 	}
-	fence, err := keeper.Release(ctx, s.o.Table, lease.Duty(duty), ids.Operation("release-"+meta.GetOperationId()))
+	fence, err := manager.Release(ctx, s.o.Table, lease.Duty(duty), ids.Operation("release-"+meta.GetOperationId()))
 	if err != nil {
 		return err
 	}
--- a/internal/testing/bench/slopes/duties.go
+++ b/internal/testing/bench/slopes/duties.go
@@ -14,7 +14,7 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 	ledger "github.com/cardamomyoke/cardamomyoke/internal/state/claims"
 	"github.com/cardamomyoke/cardamomyoke/internal/state/lease"
-	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/keeper"
+	"github.com/cardamomyoke/cardamomyoke/internal/state/lease/manager"
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/claims"
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/mapswitch"
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/rebalance"
@@ -36,21 +36,21 @@
 		var holders []*lease.Holder
 		for i := range leaseCandidates {
 			rng := rand.New(rand.NewPCG(uint64(d), uint64(i)))
-			holders = append(holders, lease.NewHolder(duty, fmt.Sprint(i), incarnation, keeper.DefaultLength, rng))
+			holders = append(holders, lease.NewHolder(duty, fmt.Sprint(i), incarnation, manager.DefaultLength, rng))
 		}
 		for now := begin; now.Sub(begin) < span; now = now.Add(50 * time.Millisecond) {
 			for _, h := range holders {
-				effects := append(h.Want(now, true), h.Tick(now)...)
+				effects := append(h.SetWanted(now, true), h.Tick(now)...)
 				for len(effects) > 0 {
 					e := effects[0]
 					effects = effects[1:]
 					switch e := e.(type) {
 					case *lease.Read:
 						reads++
-						effects = append(effects, h.OnRead(now, h.Call(), row, true)...)
+						effects = append(effects, h.OnRead(now, h.CallID(), row, true)...)
 					case *lease.Write:
 						writes++
-						effects = append(effects, h.OnWrite(now, h.Call(), applyLease(&row, e))...)
+						effects = append(effects, h.OnWrite(now, h.CallID(), applyLease(&row, e))...)
 					}
 				}
 			}
@@ -60,16 +60,16 @@
 }
 
 // applyLease is the table's conditional write of the lease's two rows.
-func applyLease(row *lease.Row, w *lease.Write) lease.Written {
+func applyLease(row *lease.Row, w *lease.Write) lease.WriteResult {
 	if w.Version != row.Version || w.Fence != row.Fence {
-		return lease.Written{Conflict: true}
+		return lease.WriteResult{Conflict: true}
 	}
 	row.Lease = w.Lease
 	row.Version++
 	if w.NewFence {
 		row.Fence++
 	}
-	return lease.Written{OK: true, Version: row.Version, Fence: row.Fence}
+	return lease.WriteResult{OK: true, Version: row.Version, Fence: row.Fence}
 }
 
 // claimFigures runs the ledgers of 100 slots in virtual time.
