--- a/internal/policy/dispatch/choice.go
+++ b/internal/policy/dispatch/choice.go
@@ -2,52 +2,55 @@
 
 import "time"
 
-// Sharing is what is known of the gateways that place requests at the same upstreams.
+// Sharing describes the gateways that place requests at the same upstreams.
 type Sharing struct {
-	// Gateways counts them, this one among them; 0 and 1 both stand for none beside it.
+	// Gateways is the number of gateways, including this one; 0 and 1 both mean that there are no others.
 	Gateways int
-	// Interval is the time between two tellings of one of the others.
+	// Interval is the time between two work reports of another gateway.
 	Interval time.Duration
 }
 
-// minChoices is how many upstreams a placement compares at least: two drawn at random spread requests far better than one.
+// minChoices is the minimum number of upstreams that a placement compares: two random choices spread requests far
+// better than one.
 const minChoices = 2
 
-// choices is how many of the upstreams a placement compares, drawn at random.
+// choices returns how many randomly chosen upstreams a placement compares, out of n that can take the request.
 //
-// Many gateways that place by the same old news all choose the same upstream, and requests wait there beside free slots. So a
-// placement compares as many upstreams as there are for each placement that was not heard of yet, at least two, and all of
-// them if no other gateway places.
-func (p *Pool) choices(able int, now time.Time) int {
-	unheard := p.unheard(now)
-	if unheard <= 0 || p.opts.Off[FewChoices] {
-		return able
+// If many gateways place requests by the same outdated reports, they all choose the same upstream, and requests queue
+// there while other slots are free. So the number of upstreams that a placement compares is n divided by one plus the
+// number of unreported placements, but at least minChoices. If no other gateway places requests, it compares all of
+// them.
+func (p *Pool) choices(n int, now time.Time) int {
+	unreported := p.unreported(now)
+	if unreported <= 0 || p.opts.Off[FewChoices] {
+		return n
 	}
-	return min(able, max(minChoices, int(float64(able)/(1+unheard))))
+	return min(n, max(minChoices, int(float64(n)/(1+unreported))))
 }
 
-// unheard is how many placements of others this gateway has not heard of, on average: callers go to all gateways alike.
+// unreported estimates the number of placements by other gateways that this gateway has no report of. It assumes that
+// clients spread their requests evenly over all gateways.
 //
-// When a group has formed again all gateways place at once what has waited. The rate of the last seconds does not tell of it;
-// what this gateway has placed since the last telling does.
-func (p *Pool) unheard(now time.Time) float64 {
+// After a group has re-formed, all gateways place their waiting requests at the same time. The rate of the last seconds
+// does not show this; the number of placements that this gateway made since the last report does.
+func (p *Pool) unreported(now time.Time) float64 {
 	p.placed.roll(now)
-	p.lately.roll(now)
-	each := max(p.placed.perSecond()*p.sharing.Interval.Seconds(), float64(p.lately.events()))
-	return each * float64(p.sharing.Gateways-1)
+	p.placedSinceReport.roll(now)
+	perGateway := max(p.placed.perSecond()*p.sharing.Interval.Seconds(), float64(p.placedSinceReport.events()))
+	return perGateway * float64(p.sharing.Gateways-1)
 }
 
-// notePlaced counts a placement.
-func (p *Pool) notePlaced(now time.Time) {
+// recordPlacement counts a placement.
+func (p *Pool) recordPlacement(now time.Time) {
 	p.placed.count(now)
-	p.lately.count(now)
+	p.placedSinceReport.count(now)
 }
 
-// beyondShare reports whether this gateway must leave the few slots that seem to be free to others: those with less than
-// their part of all slots in use.
+// beyondShare reports whether this gateway must leave the few slots that seem to be free to gateways that use less than
+// their share of all slots.
 //
-// Near the limit a slot that one gateway takes for free is taken for free by others as well, and who is late waits in the
-// upstream's queue, where nothing can be done for the request.
+// Near the limit, several gateways see the same slot as free. The request that comes second then waits in the
+// upstream's queue, where the gateway can no longer move or refuse it.
 func (p *Pool) beyondShare(now time.Time) bool {
 	if p.sharing.Gateways < 2 || p.opts.Off[SlotShare] {
 		return false
@@ -62,21 +65,21 @@
 		own += float64(c.own.Requests)
 		free += max(0, limit-float64(c.own.Requests+c.others.Requests))
 	}
-	return free < p.unheard(now) && own >= slots/float64(p.sharing.Gateways)
+	return free < p.unreported(now) && own >= slots/float64(p.sharing.Gateways)
 }
 
-// leastLoaded returns the least loaded of n of the targets, drawn at random. It changes their order.
-func (p *Pool) leastLoaded(able []*target, n int) *target {
-	var best *target
+// leastLoaded returns the least loaded of n randomly chosen upstreams. It reorders its argument.
+func (p *Pool) leastLoaded(candidates []*upstreamState, n int) *upstreamState {
+	var best *upstreamState
 	least := 0.0
 	for i := range n {
-		if n < len(able) {
-			j := i + p.rng.IntN(len(able)-i)
-			able[i], able[j] = able[j], able[i]
+		if n < len(candidates) {
+			j := i + p.rng.IntN(len(candidates)-i)
+			candidates[i], candidates[j] = candidates[j], candidates[i]
 		}
-		score := p.load(able[i]) + tieBreak*p.rng.Float64()
+		score := p.load(candidates[i]) + tieBreak*p.rng.Float64()
 		if best == nil || score < least {
-			best, least = able[i], score
+			best, least = candidates[i], score
 		}
 	}
 	return best
--- a/internal/policy/dispatch/choice_test.go
+++ b/internal/policy/dispatch/choice_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// result sums up the streams of some seeds by their end.
+// result counts the streams of all seeds by how they ended. queued counts those that waited at their rank for a slot.
 type result struct{ onTime, late, refused, queued int }
 
 func (r result) all() int { return r.onTime + r.late + r.refused }
 
-// gatewaysAndRanks is a deployment, and how old what its gateways know of each other is.
-type gatewaysAndRanks struct {
+// deployment is a set of gateways and ranks; interval is the time between two reports of a gateway to the others.
+type deployment struct {
 	gateways, ranks, slots int
 	interval               time.Duration
 }
 
-// capacity is about how many streams a second the ranks can serve.
-func (d gatewaysAndRanks) capacity() float64 { return float64(d.ranks*d.slots) / 1.95 }
+// capacity is roughly the number of streams per second that the ranks can serve.
+func (d deployment) capacity() float64 { return float64(d.ranks*d.slots) / 1.95 }
 
-func (d gatewaysAndRanks) play(load float64, down outage, told bool) result {
+func (d deployment) play(load float64, down outage, sharing bool) result {
 	var r result
 	for seed := range uint64(3) {
-		g := newGroupReplay(seed, d.gateways, d.ranks, d.slots, d.interval, told)
+		g := newGroupReplay(seed, d.gateways, d.ranks, d.slots, d.interval, sharing)
 		g.play(load*d.capacity(), 12*time.Second, down)
 		r.onTime += g.onTime
 		r.late += g.late
@@ -32,58 +32,59 @@
 	return r
 }
 
-// Many gateways place requests by what they heard of each other a tenth of a second ago. Callers wait for their first token
-// although ranks stand idle: all gateways have found the same ranks the least loaded, and what they sent waits there for
-// slots. Below is what gateways that do not reckon with each other do, in the same run.
+// Many gateways place requests by reports that are a tenth of a second old or older. They all see the same ranks as the
+// least loaded, so streams queue there while other ranks are idle. The baseline in the same run ignores that other
+// gateways place requests too.
 func TestGatewaysDoNotAllChooseTheSameRank(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		d    gatewaysAndRanks
+		d    deployment
 		load float64
-		// least is the share of all streams that must be in time, most the share that may wait in ranks' queues.
-		least, most float64
+		// minOnTime is the minimum share of streams that must be on time, maxQueued the maximum share that may wait in
+		// the ranks' queues.
+		minOnTime, maxQueued float64
 	}{
-		{"few gateways", gatewaysAndRanks{7, 16, 12, 100 * time.Millisecond}, 0.8, 0.98, 0.05},
-		{"many gateways at half load", gatewaysAndRanks{41, 72, 10, 200 * time.Millisecond}, 0.5, 0.99, 0.01},
-		{"many gateways", gatewaysAndRanks{41, 72, 10, 200 * time.Millisecond}, 0.65, 0.98, 0.03},
+		{"few gateways", deployment{7, 16, 12, 100 * time.Millisecond}, 0.8, 0.98, 0.05},
+		{"many gateways at half load", deployment{41, 72, 10, 200 * time.Millisecond}, 0.5, 0.99, 0.01},
+		{"many gateways", deployment{41, 72, 10, 200 * time.Millisecond}, 0.65, 0.98, 0.03},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ours := c.d.play(c.load, outage{}, true)
 			baseline := c.d.play(c.load, outage{}, false)
 			t.Logf("ours %+v, least loaded of all %+v", ours, baseline)
-			if share := float64(ours.onTime) / float64(ours.all()); share < c.least {
-				t.Errorf("%.3f of the streams in time, want %.3f", share, c.least)
+			if share := float64(ours.onTime) / float64(ours.all()); share < c.minOnTime {
+				t.Errorf("%.3f of the streams in time, want %.3f", share, c.minOnTime)
 			}
-			if share := float64(ours.queued) / float64(ours.all()); share > c.most {
-				t.Errorf("%.3f of the streams waited at their rank, want %.3f at most", share, c.most)
+			if share := float64(ours.queued) / float64(ours.all()); share > c.maxQueued {
+				t.Errorf("%.3f of the streams waited at their rank, want %.3f at most", share, c.maxQueued)
 			}
 		})
 	}
 }
 
-// The ranks are nearly full, or have just formed a group again and all gateways send what has waited. What seems to be a
-// free slot is free for all gateways, and callers of those that come late wait in the rank's queue behind streams of two
-// seconds. Gateways with their part of the slots in use leave the last ones to others.
-func TestTheLastSlotsAreLeftToGatewaysWithFewer(t *testing.T) {
-	many := gatewaysAndRanks{41, 72, 10, 200 * time.Millisecond}
+// When the ranks are nearly full, or all gateways send their waiting requests to a group that has just re-formed, every
+// gateway sees the same free slots. A stream that comes too late for one waits at the rank behind streams of two
+// seconds. Gateways that use their share of the slots leave the last ones to others.
+func TestLastSlotsAreLeftToGatewaysBelowTheirShare(t *testing.T) {
+	many := deployment{41, 72, 10, 200 * time.Millisecond}
 	for _, c := range []struct {
-		name  string
-		d     gatewaysAndRanks
-		load  float64
-		down  outage
-		gains float64
+		name    string
+		d       deployment
+		load    float64
+		down    outage
+		minGain float64
 	}{
-		{"few gateways, overload", gatewaysAndRanks{7, 16, 12, 100 * time.Millisecond}, 1.2, outage{}, 1.1},
+		{"few gateways, overload", deployment{7, 16, 12, 100 * time.Millisecond}, 1.2, outage{}, 1.1},
 		{"many gateways, nearly full", many, 0.9, outage{}, 1.3},
 		{"many gateways, overload", many, 1.2, outage{}, 1.5},
-		{"many gateways, the group forms again", many, 0.8, outage{4 * time.Second, 1600 * time.Millisecond}, 1.2},
+		{"many gateways, the group re-forms", many, 0.8, outage{4 * time.Second, 1600 * time.Millisecond}, 1.2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ours := c.d.play(c.load, c.down, true)
 			baseline := c.d.play(c.load, c.down, false)
-			t.Logf("ours %+v, without shares %+v", ours, baseline)
-			if float64(ours.onTime) < c.gains*float64(baseline.onTime) {
-				t.Errorf("%d in time, want %.2f times the %d of the baseline", ours.onTime, c.gains, baseline.onTime)
+			t.Logf("ours %+v, without slot shares %+v", ours, baseline)
+			if float64(ours.onTime) < c.minGain*float64(baseline.onTime) {
+				t.Errorf("%d in time, want %.2f times the %d of the baseline", ours.onTime, c.minGain, baseline.onTime)
 			}
 			if ours.queued > baseline.queued {
 				t.Errorf("%d waited at their rank, %d of the baseline's", ours.queued, baseline.queued)
--- a/internal/policy/dispatch/gate.go
+++ b/internal/policy/dispatch/gate.go
@@ -9,16 +9,16 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// Gate is a Pool for the goroutines of requests. It is safe for concurrent use.
+// Gate wraps a Pool for concurrent use by the goroutines of requests.
 type Gate struct {
 	mu   sync.Mutex
 	pool *Pool
 }
 
-// NewGate wraps a pool, which must not be used otherwise.
+// NewGate wraps a pool. The caller must not use the pool directly any more.
 func NewGate(p *Pool) *Gate { return &Gate{pool: p} }
 
-// Wait offers a request and waits until it is placed. Errors: *NoUpstreamError, *OverloadedError, or ctx's.
+// Wait submits a request and waits until it is placed. Errors: *NoUpstreamError, *OverloadedError, or the error of ctx.
 func (g *Gate) Wait(ctx context.Context, r Request) (*Ticket, error) {
 	g.mu.Lock()
 	t := g.pool.Submit(r, time.Now())
@@ -36,98 +36,99 @@
 	}
 }
 
-// abandon withdraws a ticket, unless it was placed meanwhile; then the slot is given back.
+// abandon cancels a ticket. If the ticket was placed in the meantime, its slot is released.
 func (g *Gate) abandon(ctx context.Context, t *Ticket) (*Ticket, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pool.Cancel(t)
-	wake(g.pool.Done(t, OutcomeNone, time.Now()))
+	notifyDecided(g.pool.Done(t, OutcomeNone, time.Now()))
 	return t, ctx.Err()
 }
 
-// Answered notes that the answer, or a stream's first event, is there.
+// Responded records that the response, or the first event of a stream, has arrived.
 func (g *Gate) Answered(t *Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pool.Answered(t, time.Now())
+	g.pool.Responded(t, time.Now())
 }
 
-// Done ends a placed request.
+// Done releases the slot of a placed request and records its outcome.
 func (g *Gate) Done(t *Ticket, o Outcome) {
-	g.change(func(p *Pool, now time.Time) []*Ticket { return p.Done(t, o, now) })
+	g.update(func(p *Pool, now time.Time) []*Ticket { return p.Done(t, o, now) })
 }
 
 // SetUpstreams replaces the list of upstreams.
 func (g *Gate) SetUpstreams(list []*catalog.Upstream) {
-	g.change(func(p *Pool, now time.Time) []*Ticket { return p.SetUpstreams(list, now) })
+	g.update(func(p *Pool, now time.Time) []*Ticket { return p.SetUpstreams(list, now) })
 }
 
-// SetOptions follows a change of the configuration.
+// SetOptions applies a change of the configuration.
 func (g *Gate) SetOptions(o Options) {
-	g.change(func(p *Pool, now time.Time) []*Ticket {
+	g.update(func(p *Pool, now time.Time) []*Ticket {
 		p.SetOptions(o)
 		return p.Tick(now)
 	})
 }
 
-// SetClosed says whether all upstreams are known to refuse what is sent to them.
+// SetClosed sets whether all upstreams are known to refuse requests.
 func (g *Gate) SetClosed(closed bool) {
-	g.change(func(p *Pool, now time.Time) []*Ticket { return p.SetClosed(closed, now) })
+	g.update(func(p *Pool, now time.Time) []*Ticket { return p.SetClosed(closed, now) })
 }
 
-// SetUpstreamClosed says whether one upstream is known to refuse what is sent to it.
+// SetUpstreamClosed sets whether one upstream is known to refuse requests.
 func (g *Gate) SetUpstreamClosed(i ids.UpstreamIncarnation, closed bool) {
-	g.change(func(p *Pool, now time.Time) []*Ticket { return p.SetUpstreamClosed(i, closed, now) })
+	g.update(func(p *Pool, now time.Time) []*Ticket { return p.SetUpstreamClosed(i, closed, now) })
 }
 
-// SetOthers replaces what the other gateways have in flight; at is when the oldest of their digests came.
+// SetOthersWork replaces the work that the other gateways have in flight; at is the time at which the oldest of their
+// digests arrived.
 func (g *Gate) SetOthers(work map[ids.UpstreamIncarnation]Work, at time.Time) {
-	g.change(func(p *Pool, now time.Time) []*Ticket { return p.SetOthers(work, at, now) })
+	g.update(func(p *Pool, now time.Time) []*Ticket { return p.SetOthersWork(work, at, now) })
 }
 
-// SetSharing says who else places requests at the same upstreams.
+// SetSharing sets how many gateways place requests at the same upstreams, and how often they report.
 func (g *Gate) SetSharing(s Sharing) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pool.SetSharing(s)
 }
 
-// SetPaces replaces what is known of upstreams that are slower than usual.
+// SetSlowdowns replaces the slowdown factors of upstreams that are slower than normal.
 func (g *Gate) SetPaces(paces map[ids.UpstreamIncarnation]float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pool.SetPaces(paces)
+	g.pool.SetSlowdowns(paces)
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (g *Gate) Waiting() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.pool.Waiting()
 }
 
-// TakeEjections returns what was ejected since the last call.
+// TakeEjections returns the ejections since the last call.
 func (g *Gate) TakeEjections() []Ejection {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.pool.TakeEjections()
 }
 
-// Own returns what this gateway has in flight at each upstream.
+// OwnWork returns the work that this gateway has in flight, by upstream.
 func (g *Gate) Own() map[ids.UpstreamIncarnation]Work {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.pool.Own()
+	return g.pool.OwnWork()
 }
 
-func (g *Gate) change(f func(p *Pool, now time.Time) []*Ticket) {
+func (g *Gate) update(f func(p *Pool, now time.Time) []*Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	wake(f(g.pool, time.Now()))
+	notifyDecided(f(g.pool, time.Now()))
 }
 
-func wake(settled []*Ticket) {
-	for _, t := range settled {
+func notifyDecided(tickets []*Ticket) {
+	for _, t := range tickets {
 		close(t.decided)
 	}
 }
--- a/internal/policy/dispatch/group_replay_test.go
+++ b/internal/policy/dispatch/group_replay_test.go
@@ -10,19 +10,20 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// The groups that these tests play: ranks in lock-step, whose passes take a base and what the rank with most to read reads.
+// Parameters of the simulated groups. Ranks work in lock-step: a pass takes passBase plus the reading time of the rank
+// with the most prompt tokens to read.
 const (
 	passBase   = 60 * time.Millisecond
 	readPerMS  = 61.2
 	passChunk  = 512
 	passStride = 5
-	// streamEvents is the mean length of an answer; one event comes in a pass.
-	streamEvents = 23
-	meanPrompt   = 700.0
-	maxPrompt    = 2800
-	aimFirst     = 400 * time.Millisecond
-	aimPause     = 120 * time.Millisecond
-	leavesAfter  = 2 * time.Second
+	// streamEvents is about the mean number of events in a response; a stream gets one event per pass.
+	streamEvents        = 23
+	meanPrompt          = 700.0
+	maxPrompt           = 2800
+	streamTarget        = 400 * time.Millisecond
+	maxEventGap         = 120 * time.Millisecond
+	streamCallerTimeout = 2 * time.Second
 )
 
 // stream is a request that is at a rank.
@@ -30,55 +31,57 @@
 	gateway *gatewayReplay
 	ticket  *dispatch.Ticket
 	request dispatch.Request
-	// due is until when its caller wants the first event.
+	// due is the time by which the caller wants the first event.
 	due    time.Time
 	unread int
 	events int
 	late   bool
 }
 
-// caller is a request and until when its caller wants the first event.
+// caller is a request and the time by which its caller wants the first event.
 type caller struct {
 	request dispatch.Request
 	due     time.Time
 }
 
-// gatewayReplay is one of the gateways before the group, with its own pool.
+// gatewayReplay is one of the gateways in front of the group, with its own pool.
 type gatewayReplay struct {
 	pool    *dispatch.Pool
 	waiting map[*dispatch.Ticket]caller
-	// told is what the others were told last of what this gateway has in flight, tellAt when they are told next.
-	told   map[ids.UpstreamIncarnation]dispatch.Work
-	tellAt time.Time
+	// reported is the work in flight of this gateway as last reported to the others, reportAt the time of the next
+	// report.
+	reported map[ids.UpstreamIncarnation]dispatch.Work
+	reportAt time.Time
 }
 
-// groupReplay plays a group of ranks behind some gateways. Time is a variable.
+// groupReplay simulates a group of ranks behind several gateways on a virtual clock.
 type groupReplay struct {
 	now      time.Time
 	rng      *rand.Rand
 	gateways []*gatewayReplay
 	order    []ids.Upstream
 	slots    int
-	// at are the streams at each rank, in order of arrival: the first ones run, the others wait for a slot.
+	// at holds the streams at each rank in order of arrival: the first ones run, the others wait for a slot.
 	at map[ids.Upstream][]*stream
-	// interval is the time between two tellings of a gateway.
+	// interval is the time between two reports of a gateway.
 	interval time.Duration
 	closed   bool
-	// openedAt is when the group formed last. For firstMap after that its passes take firstMapSlow times as long, as its map
-	// knows nothing of the demand.
-	openedAt     time.Time
-	firstMap     time.Duration
-	firstMapSlow float64
-	// stall is for how long streams stand still before they are cut; their callers come back then.
-	stall     time.Duration
-	returning []caller
-	returnAt  time.Time
-	// The counts are of requests by their end, queued of those that waited in an engine for a slot.
+	// openedAt is when the group last formed. Its passes take initialMapSlowdown times as long for the first initialMap
+	// after that, because its initial expert map is not based on the demand.
+	openedAt           time.Time
+	initialMap         time.Duration
+	initialMapSlowdown float64
+	// resendDelay is how long streams of a broken group are paused before they are truncated; their callers then send
+	// the request again.
+	resendDelay time.Duration
+	toResend    []caller
+	resendAt    time.Time
+	// The counters count requests by how they ended; queued counts those that waited at their rank for a slot.
 	onTime, late, refused, queued int
 }
 
-// newGroupReplay returns a group that is idle; the pools know of each other's placing only if told.
-func newGroupReplay(seed uint64, gateways, ranks, slots int, interval time.Duration, told bool, off ...dispatch.Mechanism) *groupReplay {
+// newGroupReplay returns an idle group. The pools take each other's placements into account only if sharing is set.
+func newGroupReplay(seed uint64, gateways, ranks, slots int, interval time.Duration, sharing bool, off ...dispatch.Mechanism) *groupReplay {
 	g := &groupReplay{
 		now: time.Unix(0, 0), rng: rand.New(rand.NewPCG(seed, 3)), slots: slots,
 		at: map[ids.Upstream][]*stream{}, interval: interval,
@@ -87,20 +90,20 @@
 	for _, u := range list {
 		g.order = append(g.order, u.ID)
 	}
-	switched := dispatch.Off{}
+	disabled := dispatch.Off{}
 	for _, m := range off {
-		switched[m] = true
+		disabled[m] = true
 	}
 	engine := &catalog.Engine{Chunk: passChunk, Stride: passStride}
 	for i := range gateways {
 		gw := &gatewayReplay{
 			pool: dispatch.NewPool(
-				dispatch.Options{Engine: engine, Fill: 1, LateFill: 0.6, Off: switched}, rand.New(rand.NewPCG(seed, uint64(10+i)))),
-			waiting: map[*dispatch.Ticket]caller{},
-			tellAt:  g.now.Add(time.Duration(g.rng.Int64N(int64(interval)))),
+				dispatch.Options{Engine: engine, Fill: 1, LateFill: 0.6, Off: disabled}, rand.New(rand.NewPCG(seed, uint64(10+i)))),
+			waiting:  map[*dispatch.Ticket]caller{},
+			reportAt: g.now.Add(time.Duration(g.rng.Int64N(int64(interval)))),
 		}
 		gw.pool.SetUpstreams(list, g.now)
-		if told {
+		if sharing {
 			gw.pool.SetSharing(dispatch.Sharing{Gateways: gateways, Interval: interval})
 		}
 		g.gateways = append(g.gateways, gw)
@@ -108,17 +111,17 @@
 	return g
 }
 
-// prompt draws a length as callers' are: many short, some several times the mean.
+// prompt returns a random prompt length from a realistic distribution: many are short, some are several times the mean.
 func (g *groupReplay) prompt() int {
 	return int(min(maxPrompt, max(40, meanPrompt*math.Exp(0.8*g.rng.NormFloat64()-0.32))))
 }
 
 func (g *groupReplay) arrive() {
-	due := g.now.Add(aimFirst)
-	g.submit(caller{dispatch.Request{Arrived: g.now, Aim: due, Latest: g.now.Add(leavesAfter), PromptTokens: g.prompt()}, due})
+	due := g.now.Add(streamTarget)
+	g.submit(caller{dispatch.Request{Arrived: g.now, Aim: due, Latest: g.now.Add(streamCallerTimeout), PromptTokens: g.prompt()}, due})
 }
 
-// submit sends a request to any of the gateways.
+// submit sends a request to a random gateway.
 func (g *groupReplay) submit(c caller) {
 	gw := g.gateways[g.rng.IntN(len(g.gateways))]
 	t := gw.pool.Submit(c.request, g.now)
@@ -146,39 +149,40 @@
 	}
 }
 
-// read has each rank read prompts for one pass. It returns the streams that are read and the most that one rank read.
-func (g *groupReplay) read() (first []*stream, most int) {
+// readPrompts has each rank read prompts for one pass. It returns the streams whose prompt is now read and the maximum
+// number of tokens that a rank read.
+func (g *groupReplay) readPrompts() (first []*stream, maxTokens int) {
 	for _, u := range g.order {
-		room := passChunk * passStride
+		capacity := passChunk * passStride
 		for _, s := range g.at[u][:min(g.slots, len(g.at[u]))] {
-			n := min(room, s.unread)
+			n := min(capacity, s.unread)
 			if n == 0 {
 				continue
 			}
 			s.unread -= n
-			room -= n
+			capacity -= n
 			if s.unread == 0 {
 				first = append(first, s)
 			}
 		}
-		most = max(most, passChunk*passStride-room)
+		maxTokens = max(maxTokens, passChunk*passStride-capacity)
 	}
-	return first, most
+	return first, maxTokens
 }
 
-// pass plays one pass and returns its length.
+// pass simulates one pass and returns its length.
 func (g *groupReplay) pass() time.Duration {
-	first, most := g.read()
-	length := passBase + time.Duration(float64(most)/readPerMS*float64(time.Millisecond))
-	if g.hasFirstMap() {
-		length = time.Duration(float64(length) * g.firstMapSlow)
+	first, maxTokens := g.readPrompts()
+	length := passBase + time.Duration(float64(maxTokens)/readPerMS*float64(time.Millisecond))
+	if g.usesInitialMap() {
+		length = time.Duration(float64(length) * g.initialMapSlowdown)
 	}
 	g.now = g.now.Add(length)
 	for _, s := range first {
 		s.late = g.now.After(s.due)
-		s.gateway.pool.Answered(s.ticket, g.now)
+		s.gateway.pool.Responded(s.ticket, g.now)
 	}
-	for _, s := range g.write(length) {
+	for _, s := range g.writeEvents(length) {
 		if s.late {
 			g.late++
 		} else {
@@ -189,32 +193,33 @@
 	return length
 }
 
-// write has each stream whose prompt is read write an event, and returns those that end.
-func (g *groupReplay) write(length time.Duration) (ended []*stream) {
+// writeEvents adds an event to each stream whose prompt is read, and returns the streams that are done.
+func (g *groupReplay) writeEvents(length time.Duration) (done []*stream) {
 	for _, u := range g.order {
 		var rest []*stream
 		for i, s := range g.at[u] {
 			if i < g.slots && s.unread == 0 {
 				s.events--
-				s.late = s.late || length > aimPause
+				s.late = s.late || length > maxEventGap
 			}
 			if i < g.slots && s.unread == 0 && s.events <= 0 {
-				ended = append(ended, s)
+				done = append(done, s)
 			} else {
 				rest = append(rest, s)
 			}
 		}
 		g.at[u] = rest
 	}
-	return ended
+	return done
 }
 
-// tell has the gateways that are due tell the others what they have in flight.
-func (g *groupReplay) tell() {
+// exchangeReports updates the reports of the gateways that are due, and gives each gateway the sum of the others'
+// reports.
+func (g *groupReplay) exchangeReports() {
 	for _, gw := range g.gateways {
-		if !g.now.Before(gw.tellAt) {
-			gw.told = gw.pool.Own()
-			gw.tellAt = gw.tellAt.Add(g.interval)
+		if !g.now.Before(gw.reportAt) {
+			gw.reported = gw.pool.OwnWork()
+			gw.reportAt = gw.reportAt.Add(g.interval)
 		}
 	}
 	for _, gw := range g.gateways {
@@ -223,15 +228,15 @@
 			if o == gw {
 				continue
 			}
-			for u, w := range o.told {
+			for u, w := range o.reported {
 				sum[u] = dispatch.Work{Requests: sum[u].Requests + w.Requests, PromptTokens: sum[u].PromptTokens + w.PromptTokens}
 			}
 		}
-		g.decide(gw, gw.pool.SetOthers(sum, g.now, g.now))
+		g.decide(gw, gw.pool.SetOthersWork(sum, g.now, g.now))
 	}
 }
 
-// setClosed breaks the group off with all that it runs, or lets it work again.
+// setClosed breaks the group and truncates all its streams, or lets it work again.
 func (g *groupReplay) setClosed(closed bool) {
 	g.closed = closed
 	for _, gw := range g.gateways {
@@ -242,38 +247,38 @@
 		return
 	}
 	for _, u := range g.order {
-		cut := g.at[u]
+		truncated := g.at[u]
 		g.at[u] = nil
-		for _, s := range cut {
+		for _, s := range truncated {
 			s.gateway.pool.Done(s.ticket, dispatch.OutcomeNone, g.now)
-			g.returning = append(g.returning, caller{s.request, s.due})
+			g.toResend = append(g.toResend, caller{s.request, s.due})
 		}
 	}
-	g.returnAt = g.now.Add(g.stall)
-	g.comeBack()
+	g.resendAt = g.now.Add(g.resendDelay)
+	g.resend()
 }
 
-// comeBack offers the requests of streams that were cut once more, when it is time.
-func (g *groupReplay) comeBack() {
-	if g.now.Before(g.returnAt) {
+// resend submits the requests of truncated streams again once resendAt is reached.
+func (g *groupReplay) resend() {
+	if g.now.Before(g.resendAt) {
 		return
 	}
-	for _, c := range g.returning {
-		// A gateway takes it for a new one, though its caller counts from the first request.
-		c.request.Arrived, c.request.Aim, c.request.Latest = g.now, g.now.Add(aimFirst), g.now.Add(leavesAfter)
+	for _, c := range g.toResend {
+		// The gateway treats it as a new request, but the caller's time still counts from the first one.
+		c.request.Arrived, c.request.Aim, c.request.Latest = g.now, g.now.Add(streamTarget), g.now.Add(streamCallerTimeout)
 		g.submit(c)
 	}
-	g.returning = nil
+	g.toResend = nil
 }
 
-func (g *groupReplay) hasFirstMap() bool {
-	return !g.openedAt.IsZero() && g.now.Sub(g.openedAt) < g.firstMap
+func (g *groupReplay) usesInitialMap() bool {
+	return !g.openedAt.IsZero() && g.now.Sub(g.openedAt) < g.initialMap
 }
 
-// outage is a time in which the group does not work.
+// outage is a period in which the group does not work.
 type outage struct{ from, length time.Duration }
 
-// play runs the group for some time under a load, in requests a second.
+// play runs the group for some time under a load in requests per second.
 func (g *groupReplay) play(perSecond float64, length time.Duration, down outage) {
 	begin := g.now
 	next := begin
@@ -283,20 +288,20 @@
 		if inOutage != g.closed {
 			g.setClosed(inOutage)
 		}
-		began := g.now
+		passStart := g.now
 		if g.closed {
 			g.now = g.now.Add(passBase)
 		} else {
 			g.pass()
 		}
 		end := g.now
-		for g.now = began; next.Before(end); next = next.Add(time.Duration(g.rng.ExpFloat64() / perSecond * float64(time.Second))) {
+		for g.now = passStart; next.Before(end); next = next.Add(time.Duration(g.rng.ExpFloat64() / perSecond * float64(time.Second))) {
 			g.now = next
 			g.arrive()
 		}
 		g.now = end
-		g.comeBack()
-		g.tell()
+		g.resend()
+		g.exchangeReports()
 		for _, gw := range g.gateways {
 			g.decide(gw, gw.pool.Tick(g.now))
 		}
--- a/internal/policy/dispatch/mechanism.go
+++ b/internal/policy/dispatch/mechanism.go
@@ -1,29 +1,30 @@
 package dispatch
 
-// Mechanism names a part of the policy that can be switched off, to see what it is worth or while it does harm.
+// Mechanism names an optional rule of the policy. Operators disable one to measure its effect or while it does harm.
 type Mechanism string
 
 const (
-	// FewChoices compares some upstreams drawn at random where other gateways place as well, and not all.
+	// FewChoices compares a random sample of the upstreams, instead of all of them, while other gateways place requests
+	// too.
 	FewChoices Mechanism = "few-choices"
-	// SlotShare leaves the last free slots to gateways with fewer requests.
+	// SlotShare leaves the last free slots to gateways that use fewer than their share.
 	SlotShare Mechanism = "slot-share"
-	// LateFill gives late requests a part of the slots only.
+	// LateFill limits late requests to a share of the slots.
 	LateFill Mechanism = "late-fill"
-	// LateReading has the prompts of late requests read a part of a pass at a time.
+	// LateReading limits how much of a pass may be spent on the prompts of late requests.
 	LateReading Mechanism = "late-reading"
-	// SlowRanks gives fewer requests to upstreams that are slower than usual.
+	// SlowRanks sends fewer requests to upstreams that are slower than normal.
 	SlowRanks Mechanism = "slow-ranks"
-	// EjectFailing keeps requests away from upstreams that break connections or refuse.
+	// EjectFailing ejects upstreams whose connections fail or that refuse requests.
 	EjectFailing Mechanism = "ejection"
-	// FirstAnswerTime takes the time to the first answer off what is left until the target.
-	FirstAnswerTime Mechanism = "first-answer-time"
+	// FirstResponseTime subtracts the expected time to the first response from the time left until the target.
+	FirstResponseTime Mechanism = "first-answer-time"
 )
 
-// Mechanisms lists all of them.
+// Mechanisms lists all mechanisms of the pool.
 func Mechanisms() []Mechanism {
-	return []Mechanism{FewChoices, SlotShare, LateFill, LateReading, SlowRanks, EjectFailing, FirstAnswerTime}
+	return []Mechanism{FewChoices, SlotShare, LateFill, LateReading, SlowRanks, EjectFailing, FirstResponseTime}
 }
 
-// Off are the mechanisms that are switched off.
+// Off is the set of mechanisms that are switched off.
 type Off map[Mechanism]bool
--- a/internal/policy/dispatch/outlier.go
+++ b/internal/policy/dispatch/outlier.go
@@ -6,21 +6,21 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// Outcome is how a placed request ended, as far as it speaks for or against its upstream.
+// Outcome is the result of a placed request, as far as it is evidence for or against its upstream.
 type Outcome int
 
 const (
-	// OutcomeNone says nothing: the caller left, or the deadline passed while the upstream worked.
+	// OutcomeNone is no evidence: the client disconnected, or the deadline passed while the upstream worked.
 	OutcomeNone Outcome = iota
-	// OutcomeOK is a whole answer.
+	// OutcomeOK is a complete response.
 	OutcomeOK
-	// OutcomeFailed is an answer that says that the upstream failed.
+	// OutcomeFailed is a response that reports a failure of the upstream.
 	OutcomeFailed
-	// OutcomeBroken is a connection that could not be made or broke off.
+	// OutcomeBroken is a connection that could not be established or that broke.
 	OutcomeBroken
-	// OutcomeRefused is a refusal before the start.
+	// OutcomeRefused is a refusal before the request was started.
 	OutcomeRefused
-	// OutcomeGone says that another life has the upstream's address.
+	// OutcomeReplaced means that another incarnation has the upstream's address.
 	OutcomeGone
 )
 
@@ -34,93 +34,98 @@
 }
 
 const (
-	// brokenThreshold connections that break one after the other eject an upstream: one alone may be a lost answer.
+	// brokenThreshold is the number of consecutive broken connections that ejects an upstream; a single one may be just
+	// a lost response.
 	brokenThreshold = 2
-	// refusedThreshold refusals eject an upstream that is full or failing, so that requests go elsewhere meanwhile.
+	// refusedThreshold is the number of consecutive refusals that ejects an upstream. An upstream that refuses is full
+	// or failing, so requests go to others for a while.
 	refusedThreshold = 2
-	// refusedFor is how long a refusal keeps requests away; an engine's request ends every few tens of milliseconds.
+	// refusedFor is how long refusals eject an upstream. A full engine finishes a request every few tens of
+	// milliseconds.
 	refusedFor = 100 * time.Millisecond
-	// firstEjection doubles with each further one up to maxEjection: a restart takes seconds.
+	// firstEjection is the first ejection after broken connections. Each further one lasts twice as long, up to
+	// maxEjection; a restart takes seconds.
 	firstEjection = 500 * time.Millisecond
 	maxEjection   = 4 * time.Second
 )
 
-// outlier follows one upstream's failures.
+// outlier tracks the failures of one upstream.
 type outlier struct {
 	consecutiveBroken, consecutiveRefused int
 	ejections                             int
-	until                                 time.Time
-	gone                                  bool
+	ejectedUntil                          time.Time
+	replaced                              bool
 }
 
-// usable reports whether requests may go to the upstream.
-func (o *outlier) usable(now time.Time) bool { return !o.gone && !now.Before(o.until) }
+// usable reports whether the upstream is neither ejected nor replaced.
+func (o *outlier) usable(now time.Time) bool { return !o.replaced && !now.Before(o.ejectedUntil) }
 
-// chosen notes that a request is sent; after an ejection it is the probe, and others wait for its outcome a little.
+// chosen records that a request is being sent. The first request after an ejection is a probe: the upstream stays
+// ejected for others until the outcome is known, or for firstEjection.
 func (o *outlier) chosen(now time.Time) {
 	if o.consecutiveBroken >= brokenThreshold {
-		o.until = now.Add(firstEjection)
+		o.ejectedUntil = now.Add(firstEjection)
 	}
 }
 
-// note takes in an outcome and reports whether the upstream is ejected by it.
+// note records an outcome and reports whether it ejects the upstream.
 func (o *outlier) note(outcome Outcome, now time.Time) bool {
 	switch outcome {
 	case OutcomeOK, OutcomeFailed:
-		*o = outlier{gone: o.gone}
+		*o = outlier{replaced: o.replaced}
 	case OutcomeBroken:
 		o.consecutiveBroken++
 		if o.consecutiveBroken >= brokenThreshold {
-			o.until = now.Add(min(maxEjection, firstEjection<<min(o.ejections, 8)))
+			o.ejectedUntil = now.Add(min(maxEjection, firstEjection<<min(o.ejections, 8)))
 			o.ejections++
 			return true
 		}
 	case OutcomeRefused:
 		o.consecutiveRefused++
 		if o.consecutiveRefused >= refusedThreshold {
-			o.until = now.Add(refusedFor)
+			o.ejectedUntil = now.Add(refusedFor)
 			return true
 		}
 	case OutcomeGone:
-		o.gone = true
+		o.replaced = true
 		return true
 	}
 	return false
 }
 
-// Ejection says that requests are kept away from an upstream for some time.
+// Ejection reports that an upstream gets no requests for some time.
 type Ejection struct {
 	Upstream ids.Upstream
-	// Cause is the outcome of the last request there, Consecutive how many of its kind came one after the other.
+	// Cause is the outcome of the last request, Consecutive the number of consecutive outcomes of that kind.
 	Cause       Outcome
 	Consecutive int
-	// For is how long requests are kept away; 0 for good.
+	// For is the duration of the ejection; 0 means for good.
 	For time.Duration
 }
 
-func (t *target) ejection(cause Outcome, now time.Time) Ejection {
-	e := Ejection{Upstream: t.up.ID, Cause: cause, Consecutive: 1}
+func (t *upstreamState) ejection(cause Outcome, now time.Time) Ejection {
+	e := Ejection{Upstream: t.entry.ID, Cause: cause, Consecutive: 1}
 	switch cause {
 	case OutcomeBroken:
 		e.Consecutive = t.health.consecutiveBroken
 	case OutcomeRefused:
 		e.Consecutive = t.health.consecutiveRefused
 	}
-	if !t.health.gone {
-		e.For = t.health.until.Sub(now)
+	if !t.health.replaced {
+		e.For = t.health.ejectedUntil.Sub(now)
 	}
 	return e
 }
 
-// spare lets requests go to ejected upstreams again if no other is left: a gateway that sees all upstreams fail is more
-// likely to be at fault itself, and a request that is tried may succeed.
-func (p *Pool) spare(now time.Time) {
+// readmitIfNoneUsable ends all ejections if no upstream is usable. A gateway that sees every upstream fail is probably
+// at fault itself, and a request that is tried anyway may succeed.
+func (p *Pool) readmitIfNoneUsable(now time.Time) {
 	for _, t := range p.order {
 		if t.usable(now) {
 			return
 		}
 	}
 	for _, t := range p.order {
-		t.health.until = time.Time{}
+		t.health.ejectedUntil = time.Time{}
 	}
 }
--- a/internal/policy/dispatch/pool.go
+++ b/internal/policy/dispatch/pool.go
@@ -9,23 +9,24 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// Request is what the pool knows of a request.
+// Request is the input of a placement.
 type Request struct {
-	// Arrived is when the request was read from the caller.
+	// Arrived is when the request was read from the client.
 	Arrived time.Time
-	// Aim is until when the answer, or a stream's first event, counts as in time.
+	// Target is the time by which the response, or the first event of a stream, counts as on time.
 	Aim time.Time
-	// Latest is when the caller leaves unless the first answer has come.
+	// Latest is when the caller times out unless the first response has arrived.
 	Latest time.Time
-	// Priority is the rank among waiting requests; 0 goes first.
+	// Priority orders waiting requests; 0 goes first.
 	Priority int
-	// PromptTokens are read before the first token; 0 for plain services.
+	// PromptTokens is the number of tokens to read before the first token is generated; 0 for plain services.
 	PromptTokens int
-	// Exclude names upstreams that must not get the request, whatever their life: one that failed it may fail it again.
+	// Exclude lists upstreams that must not get the request, in any incarnation: an upstream that failed it may fail it
+	// again.
 	Exclude []ids.Upstream
 }
 
-// Work is what some sender has in flight at one upstream.
+// Work is the work that one or more gateways have in flight at one upstream.
 type Work struct {
 	Requests     int
 	PromptTokens int
@@ -35,68 +36,70 @@
 	return Work{w.Requests + o.Requests, w.PromptTokens + o.PromptTokens}
 }
 
-// Options are what a pool needs to know of its service.
+// Options configures a pool for its service.
 type Options struct {
 	// Engine is nil for a plain service.
 	Engine *catalog.Engine
-	// Fill is how many requests may be in flight at an upstream for each of its slots; LateFill is the same for a request
-	// that can no longer be answered in time.
+	// Fill is the maximum number of requests in flight for each slot of an upstream; LateFill is the same limit for
+	// requests that can no longer meet their target.
 	Fill, LateFill float64
-	// Off are mechanisms that are switched off.
+	// Off lists the mechanisms that are switched off.
 	Off Off
 }
 
 // Pool places the requests of one service. It is not safe for concurrent use.
 type Pool struct {
 	opts    Options
-	targets map[ids.UpstreamIncarnation]*target
-	// order lists the targets by id, so that equal inputs give equal decisions.
-	order   []*target
+	targets map[ids.UpstreamIncarnation]*upstreamState
+	// order lists the upstreams in the order in which SetUpstreams got them, so that equal inputs give equal decisions.
+	order   []*upstreamState
 	waiting []*Ticket
 	rng     *rand.Rand
-	// othersAt is when the oldest digest came by which others' work is counted.
+	// othersAt is the arrival time of the oldest digest that others' work was counted from.
 	othersAt time.Time
-	// ejected collects what was ejected since TakeEjections.
+	// ejected collects the ejections since the last call of TakeEjections.
 	ejected []Ejection
 	drained rate
-	// placed counts placements, lately those since others were last told of them; sharing is what is known of the gateways
-	// that place at the same upstreams.
-	placed  rate
-	lately  rate
-	sharing Sharing
+	// placed counts placements over rateWindow, placedSinceReport over the report interval of the other gateways.
+	// sharing describes the gateways that place at the same upstreams.
+	placed            rate
+	placedSinceReport rate
+	sharing           Sharing
 	// scratch is reused by each placement.
-	scratch []*target
-	// closed says that no upstream can start anything now; requests wait.
+	scratch []*upstreamState
+	// closed is set while no upstream can start a request; requests wait in the meantime.
 	closed             bool
 	closedAt, openedAt time.Time
-	// lateUnread are the prompt tokens of late requests that were placed by this gateway and are not read yet.
+	// lateUnread is the number of prompt tokens of late requests that this gateway has placed and that are not read
+	// yet.
 	lateUnread int
-	// first is the mean time from placing a request to its first answer; 0 if none was measured.
-	first time.Duration
+	// firstResponse is the mean time from the placement of a request to its first response; 0 if none was measured.
+	firstResponse time.Duration
 }
 
 // NewPool returns a pool without upstreams.
 func NewPool(o Options, rng *rand.Rand) *Pool {
-	return &Pool{opts: o, targets: map[ids.UpstreamIncarnation]*target{}, rng: rng}
+	return &Pool{opts: o, targets: map[ids.UpstreamIncarnation]*upstreamState{}, rng: rng}
 }
 
-// SetOptions follows a change of the configuration.
+// SetOptions applies a change of the configuration.
 func (p *Pool) SetOptions(o Options) { p.opts = o }
 
-// SetUpstreams replaces the list of upstreams; what is known of lives that stay is kept. It returns the tickets that
-// are settled by it.
+// SetUpstreams replaces the list of upstreams and returns the tickets that this decides. The state of incarnations that
+// remain is kept, and so is that of unlisted upstreams with requests in flight.
 //
-// An entry may lapse while the store is away, with its upstream at work. Taken for a new one when it is back, the upstream
-// would get as many requests again as it has slots.
+// An upstream's entry may expire while the store is unavailable, although the upstream is still working. If the
+// upstream were treated as new when its entry returns, it would get a second full set of requests on top of those in
+// flight.
 func (p *Pool) SetUpstreams(list []*catalog.Upstream, now time.Time) []*Ticket {
-	next := make(map[ids.UpstreamIncarnation]*target, len(list))
+	next := make(map[ids.UpstreamIncarnation]*upstreamState, len(list))
 	p.order = p.order[:0]
 	for _, u := range list {
 		t := p.targets[u.Incarnation()]
 		if t == nil {
-			t = &target{}
+			t = &upstreamState{}
 		}
-		t.up = u
+		t.entry = u
 		next[u.Incarnation()] = t
 		p.order = append(p.order, t)
 	}
@@ -109,10 +112,11 @@
 	return p.decide(now)
 }
 
-// SetClosed says whether all upstreams are known to refuse what is sent to them, as the ranks of a broken group do.
+// SetClosed sets whether all upstreams are known to refuse requests, as the ranks of a broken group do. It returns the
+// tickets that this decides.
 //
-// A group forms again within seconds; requests that are sent meanwhile use up their attempts and the retry budget. Held back
-// here they are served as soon as it works.
+// A group re-forms within seconds. Requests sent in the meantime would use up their attempts and the retry budget; held
+// back, they are served as soon as the group works again.
 func (p *Pool) SetClosed(closed bool, now time.Time) []*Ticket {
 	switch {
 	case p.closed && !closed:
@@ -124,9 +128,9 @@
 	return p.decide(now)
 }
 
-// SetUpstreamClosed says whether one upstream is known to refuse what is sent to it.
+// SetUpstreamClosed sets whether one upstream is known to refuse requests. It returns the tickets that this decides.
 //
-// Ranks that no group takes refuse all they get, seem idle for it, and would get the next request, too.
+// A rank that belongs to no group refuses every request. Because it appears idle, it would otherwise be chosen again.
 func (p *Pool) SetUpstreamClosed(i ids.UpstreamIncarnation, closed bool, now time.Time) []*Ticket {
 	if t := p.targets[i]; t != nil {
 		t.closed = closed
@@ -134,43 +138,45 @@
 	return p.decide(now)
 }
 
-// SetOthers replaces what the other gateways have in flight; at is when the oldest of their digests came.
-func (p *Pool) SetOthers(work map[ids.UpstreamIncarnation]Work, at, now time.Time) []*Ticket {
+// SetOthersWork replaces the work that the other gateways have in flight and returns the tickets that this decides; at
+// is the time at which the oldest of their digests arrived.
+func (p *Pool) SetOthersWork(work map[ids.UpstreamIncarnation]Work, at, now time.Time) []*Ticket {
 	p.othersAt = at
 	for _, t := range p.order {
-		t.others = work[t.up.Incarnation()]
+		t.others = work[t.entry.Incarnation()]
 	}
 	return p.decide(now)
 }
 
-// SetSharing says who else places requests at the same upstreams.
+// SetSharing sets how many gateways place requests at the same upstreams, and how often they report.
 func (p *Pool) SetSharing(s Sharing) {
 	p.sharing = s
-	p.lately.window = s.Interval
+	p.placedSinceReport.window = s.Interval
 }
 
-// SetPaces replaces what is known of upstreams that are slower than usual; all others are as usual.
-func (p *Pool) SetPaces(paces map[ids.UpstreamIncarnation]float64) {
+// SetSlowdowns replaces the slowdown factors of upstreams that are slower than normal. Upstreams without a factor are
+// normal.
+func (p *Pool) SetSlowdowns(paces map[ids.UpstreamIncarnation]float64) {
 	for _, t := range p.order {
-		t.pace = paces[t.up.Incarnation()]
+		t.slowdown = paces[t.entry.Incarnation()]
 		if p.opts.Off[SlowRanks] {
-			t.pace = 0
+			t.slowdown = 0
 		}
 	}
 }
 
-// Own returns what this gateway has in flight at each upstream.
-func (p *Pool) Own() map[ids.UpstreamIncarnation]Work {
+// OwnWork returns the work that this gateway has in flight, by upstream.
+func (p *Pool) OwnWork() map[ids.UpstreamIncarnation]Work {
 	out := make(map[ids.UpstreamIncarnation]Work, len(p.order))
 	for _, t := range p.order {
 		if t.own.Requests > 0 {
-			out[t.up.Incarnation()] = t.own
+			out[t.entry.Incarnation()] = t.own
 		}
 	}
 	return out
 }
 
-// Submit takes in a request. The ticket is settled at once, or by a later call that returns it.
+// Submit adds a request. Its ticket is decided on return, or waits until a later call returns it.
 func (p *Pool) Submit(r Request, now time.Time) *Ticket {
 	t := &Ticket{request: r}
 	if p.place(t, now) {
@@ -188,7 +194,7 @@
 	return t
 }
 
-// overloaded is the refusal of a request that cannot be started in time.
+// overloaded returns the refusal of a request that cannot be started in time.
 func (p *Pool) overloaded(r Request, wait time.Duration, now time.Time) *OverloadedError {
 	return &OverloadedError{
 		Waiting:    len(p.waiting),
@@ -198,65 +204,67 @@
 	}
 }
 
-// Cancel takes a waiting ticket out, because its caller left.
+// Cancel removes a waiting ticket whose caller has disconnected or timed out.
 func (p *Pool) Cancel(t *Ticket) {
 	p.waiting = slices.DeleteFunc(p.waiting, func(w *Ticket) bool { return w == t })
 }
 
-// Answered notes that the upstream has read the prompt: the answer or its first event is there.
-func (p *Pool) Answered(t *Ticket, now time.Time) {
-	if t.target == nil || t.answered {
+// Responded records that the upstream has read the prompt: the response or its first event has arrived.
+func (p *Pool) Responded(t *Ticket, now time.Time) {
+	if t.assigned == nil || t.responded {
 		return
 	}
-	p.noteFirst(now.Sub(t.placedAt))
-	p.unread(t)
+	p.recordFirstResponse(now.Sub(t.placedAt))
+	p.markRead(t)
 }
 
-// unread takes the request's prompt off what the upstream has still to read.
-func (p *Pool) unread(t *Ticket) {
-	if t.answered {
+// markRead subtracts the request's prompt from the upstream's unread tokens.
+func (p *Pool) markRead(t *Ticket) {
+	if t.responded {
 		return
 	}
-	t.answered = true
-	t.target.own.PromptTokens -= t.request.PromptTokens
+	t.responded = true
+	t.assigned.own.PromptTokens -= t.request.PromptTokens
 	if t.late {
 		p.lateUnread -= t.request.PromptTokens
 	}
 }
 
-// Done takes in the end of a placed request and returns the tickets that are settled by it.
+// Done records the outcome of a placed request and returns the tickets that are decided as a result.
 func (p *Pool) Done(t *Ticket, o Outcome, now time.Time) []*Ticket {
-	if t.target == nil || t.done {
+	if t.assigned == nil || t.done {
 		return nil
 	}
-	p.unread(t)
+	p.markRead(t)
 	t.done = true
-	t.target.own.Requests--
+	t.assigned.own.Requests--
 	p.drained.count(now)
-	if p.ejects(o) && t.target.health.note(o, now) {
-		p.ejected = append(p.ejected, t.target.ejection(o, now))
-		p.spare(now)
+	if p.ejects(o) && t.assigned.health.note(o, now) {
+		p.ejected = append(p.ejected, t.assigned.ejection(o, now))
+		p.readmitIfNoneUsable(now)
 	}
 	return p.decide(now)
 }
 
-// ejects reports whether an outcome may keep requests away from its upstream.
+// ejects reports whether an outcome may eject its upstream.
 func (p *Pool) ejects(o Outcome) bool { return o == OutcomeGone || !p.opts.Off[EjectFailing] }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (p *Pool) Waiting() int { return len(p.waiting) }
 
-// TakeEjections returns what was ejected since the last call.
+// TakeEjections returns the ejections since the last call.
 func (p *Pool) TakeEjections() []Ejection {
 	out := p.ejected
 	p.ejected = nil
 	return out
 }
 
-// Tick lets time pass: it refuses what has waited too long and places what has become free.
+// Tick advances the pool to now: it refuses requests that have waited too long and places requests where slots have
+// become free.
 func (p *Pool) Tick(now time.Time) []*Ticket { return p.decide(now) }
 
-// decide places waiting requests, the best first, and refuses those that are past their latest time.
+// decide places waiting requests in order and refuses those that are past the time by which they must start. It returns
+// the decided tickets.
 func (p *Pool) decide(now time.Time) []*Ticket {
 	if len(p.waiting) == 0 {
 		return nil
@@ -280,37 +288,37 @@
 	return out
 }
 
-// sortWaiting puts the requests first that can still be answered in time, by priority and then by how soon they must
-// be; those that are late already come after them, the oldest first. Under overload this serves as many as possible in
-// time, where serving in order of arrival would make all of them late.
+// sortWaiting sorts requests by priority. Within a priority, those that can still meet their target come first, by
+// target; the late ones follow, oldest target first. Under overload this serves as many requests as possible on time,
+// whereas serving them in order of arrival would make all of them late.
 func (p *Pool) sortWaiting(now time.Time) {
 	slices.SortStableFunc(p.waiting, func(a, b *Ticket) int {
 		if a.request.Priority != b.request.Priority {
 			return a.request.Priority - b.request.Priority
 		}
-		la, lb := p.late(a.request, now), p.late(b.request, now)
+		aLate, bLate := p.late(a.request, now), p.late(b.request, now)
 		switch {
-		case la != lb && la:
+		case aLate != bLate && aLate:
 			return 1
-		case la != lb:
+		case aLate != bLate:
 			return -1
 		}
 		return a.request.Aim.Compare(b.request.Aim)
 	})
 }
 
-// place gives the ticket an upstream if one has room.
+// place assigns the ticket to an upstream and reports whether one had a free slot.
 func (p *Pool) place(t *Ticket, now time.Time) bool {
 	if p.closed || p.beyondShare(now) {
 		return false
 	}
-	able := p.able(t.request, now)
-	if len(able) == 0 {
+	candidates := p.candidates(t.request, now)
+	if len(candidates) == 0 {
 		return false
 	}
-	best := p.leastLoaded(able, p.choices(len(able), now))
-	p.notePlaced(now)
-	t.decision = Decision{Load: p.load(best), Usable: len(able), Waiting: len(p.waiting)}
+	best := p.leastLoaded(candidates, p.choices(len(candidates), now))
+	p.recordPlacement(now)
+	t.decision = Decision{Load: p.load(best), Usable: len(candidates), Waiting: len(p.waiting)}
 	if !p.othersAt.IsZero() {
 		t.decision.OthersAge = now.Sub(p.othersAt)
 	}
@@ -319,15 +327,15 @@
 		p.lateUnread += t.request.PromptTokens
 	}
 	best.health.chosen(now)
-	t.target = best
-	t.up = best.up
+	t.assigned = best
+	t.upstream = best.entry
 	t.placedAt = now
 	t.state = placed
 	return true
 }
 
-// able are the targets that may take the request now.
-func (p *Pool) able(r Request, now time.Time) []*target {
+// candidates returns the upstreams that may take the request now. The result is valid until the next call.
+func (p *Pool) candidates(r Request, now time.Time) []*upstreamState {
 	fill := p.opts.Fill
 	p.scratch = p.scratch[:0]
 	if p.late(r, now) {
@@ -339,20 +347,22 @@
 		}
 	}
 	for _, c := range p.order {
-		if c.usable(now) && !slices.Contains(r.Exclude, c.up.ID) && c.room(fill) {
+		if c.usable(now) && !slices.Contains(r.Exclude, c.entry.ID) && c.hasFreeSlot(fill) {
 			p.scratch = append(p.scratch, c)
 		}
 	}
 	return p.scratch
 }
 
-// tieBreak spreads requests over upstreams with equal load, so that gateways with equal views do not all pick the same.
+// tieBreak is the maximum random addition to an upstream's load. It spreads requests over upstreams with equal load, so
+// that gateways with equal state do not all choose the same one.
 const tieBreak = 0.01
 
-// load compares upstreams: the part of the slots in use, and the passes that reading the waiting prompts takes.
-func (p *Pool) load(t *target) float64 {
+// load returns the value by which upstreams are compared: the fraction of the slots in use plus the number of passes
+// needed to read the waiting prompts.
+func (p *Pool) load(t *upstreamState) float64 {
 	all := t.own.plus(t.others)
-	load := float64(all.Requests) / float64(max(1, t.up.Slots))
+	load := float64(all.Requests) / float64(max(1, t.entry.Slots))
 	if e := p.opts.Engine; e != nil && e.Chunk > 0 {
 		load += float64(all.PromptTokens) / float64(e.Chunk*e.Stride)
 	}
--- a/internal/policy/dispatch/pool_test.go
+++ b/internal/policy/dispatch/pool_test.go
@@ -23,10 +23,10 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// send offers a request, ends it with an outcome, and returns where it went.
+// send submits a request, ends it with the given outcome, and returns the upstream it was placed at.
 func send(t *testing.T, p *dispatch.Pool, now time.Time, o dispatch.Outcome) ids.Upstream {
 	t.Helper()
-	ticket := p.Submit(timed(now), now)
+	ticket := p.Submit(timedRequest(now), now)
 	if ticket.Upstream() == nil {
 		t.Fatalf("not placed: %v", ticket.Err())
 	}
@@ -34,9 +34,9 @@
 	return ticket.Upstream().ID
 }
 
-// An upstream's host has died: each connection to it breaks. After two in a row requests keep away from it, one is sent
-// half a second later to find out, and after its success the upstream takes its share again.
-func TestBrokenUpstreamIsLeftAloneAndProbed(t *testing.T) {
+// An upstream's host has crashed, and each connection to it breaks. After two consecutive failures the upstream is
+// ejected. Half a second later a single request probes it, and after a success it gets its share again.
+func TestBrokenUpstreamIsEjectedAndProbed(t *testing.T) {
 	p := newPool(1, 4)
 	send(t, p, at(0), dispatch.OutcomeBroken)
 	send(t, p, at(0), dispatch.OutcomeBroken)
@@ -44,13 +44,13 @@
 	if diff := cmp.Diff(want, p.TakeEjections()); diff != "" {
 		t.Fatal(diff)
 	}
-	// No other upstream is left, so it is tried all the same.
+	// No other upstream is left, so this one is tried in spite of its ejection.
 	send(t, p, at(0), dispatch.OutcomeOK)
 
 	p = newPool(2, 4)
 	var broken ids.Upstream
 	for broken == "" {
-		ticket := p.Submit(timed(at(0)), at(0))
+		ticket := p.Submit(timedRequest(at(0)), at(0))
 		if ticket.Upstream().ID == "u-00" {
 			p.Done(ticket, dispatch.OutcomeBroken, at(0))
 			if len(p.TakeEjections()) > 0 {
@@ -67,7 +67,7 @@
 	}
 	probed := 0
 	for range 4 {
-		ticket := p.Submit(timed(at(600*time.Millisecond)), at(600*time.Millisecond))
+		ticket := p.Submit(timedRequest(at(600*time.Millisecond)), at(600*time.Millisecond))
 		if ticket.Upstream().ID == broken {
 			probed++
 		}
@@ -77,27 +77,27 @@
 	}
 }
 
-// An upstream that reported that it leaves takes nothing new, also while others are full.
-func TestDrainingUpstreamTakesNothing(t *testing.T) {
+// An upstream that reports that it is draining must get no new requests, even when all others are full.
+func TestDrainingUpstreamGetsNoRequests(t *testing.T) {
 	p := newPool(2, 1)
 	list := upstreams(2, 1)
 	list[0].State = catalog.StateDraining
 	p.SetUpstreams(list, start)
-	first := p.Submit(timed(start), start)
+	first := p.Submit(timedRequest(start), start)
 	if first.Upstream().ID != "u-01" {
 		t.Fatalf("placed at %s", first.Upstream().ID)
 	}
-	if second := p.Submit(timed(start), start); second.Upstream() != nil {
+	if second := p.Submit(timedRequest(start), start); second.Upstream() != nil {
 		t.Fatalf("placed at %s", second.Upstream().ID)
 	}
 }
 
-// What the other gateways have in flight counts as much as what this one has, and the placement says how old it was.
-func TestOthersWorkCounts(t *testing.T) {
+// The work of other gateways counts as much as this gateway's own, and the decision reports how old it was.
+func TestWorkOfOtherGatewaysCounts(t *testing.T) {
 	p := newPool(2, 4)
-	p.SetOthers(map[ids.UpstreamIncarnation]dispatch.Work{{Upstream: "u-00"}: {Requests: 3}}, at(0), at(0))
+	p.SetOthersWork(map[ids.UpstreamIncarnation]dispatch.Work{{Upstream: "u-00"}: {Requests: 3}}, at(0), at(0))
 	for range 3 {
-		ticket := p.Submit(timed(at(0)), at(150*time.Millisecond))
+		ticket := p.Submit(timedRequest(at(0)), at(150*time.Millisecond))
 		if ticket.Upstream().ID != "u-01" {
 			t.Fatalf("placed at the busier %s", ticket.Upstream().ID)
 		}
@@ -107,58 +107,59 @@
 	}
 }
 
-// A service has no upstream at all: callers are told at once, as no wait can help them.
+// A service has no upstream. Callers are refused immediately because waiting cannot help them.
 func TestNoUpstream(t *testing.T) {
 	p := newPool(0, 0)
 	var none *dispatch.NoUpstreamError
-	if err := p.Submit(timed(start), start).Err(); !errors.As(err, &none) || none.RetryAfter <= 0 {
+	if err := p.Submit(timedRequest(start), start).Err(); !errors.As(err, &none) || none.RetryAfter <= 0 {
 		t.Fatalf("got %v", err)
 	}
 }
 
-// One rank of a group is slow. Every pass of the group lasts as long as that rank's own work, so all callers would wait for
-// the few whose requests it has: it gets fewer the slower it is, and none if it is much slower. Others are used as before.
+// One rank of a group is slow. Every pass lasts as long as that rank's work, so all callers would wait for the few
+// requests placed there. The slower the rank, the fewer requests it gets, down to none; other ranks are used as before.
 func TestSlowRankGetsFewRequests(t *testing.T) {
 	for _, c := range []struct {
-		pace float64
-		want int
+		slowdown float64
+		want     int
 	}{{0, 12}, {1.6, 4}, {2.5, 1}, {12, 0}} {
 		p := newPool(2, 12)
-		p.SetPaces(map[ids.UpstreamIncarnation]float64{{Upstream: "u-00"}: c.pace})
+		p.SetSlowdowns(map[ids.UpstreamIncarnation]float64{{Upstream: "u-00"}: c.slowdown})
 		placed := map[ids.Upstream]int{}
 		for range 30 {
-			if u := p.Submit(timed(start), start).Upstream(); u != nil {
+			if u := p.Submit(timedRequest(start), start).Upstream(); u != nil {
 				placed[u.ID]++
 			}
 		}
 		if placed["u-00"] != c.want || placed["u-01"] != 12 {
-			t.Errorf("pace %.1f: %d requests at the slow rank and %d at the other", c.pace, placed["u-00"], placed["u-01"])
+			t.Errorf("slowdown %.1f: %d requests at the slow rank and %d at the other", c.slowdown, placed["u-00"], placed["u-01"])
 		}
 	}
 }
 
-// So many ranks are gone that the group cannot form again. At first requests wait for it, since it may be back within a
-// second or two; later a caller that is kept waiting only loses the time in which it could do something else, so it is
-// refused at once. When the group opens after all, requests are placed as before.
-func TestRequestsDoNotWaitForAGroupThatIsLost(t *testing.T) {
+// So many ranks have failed that the group cannot re-form. At first requests wait, since the group may be back within a
+// second or two. Later they are refused immediately, because waiting only costs the caller time in which it could do
+// something else. If the group opens after all, requests are placed as before.
+func TestRequestsDoNotWaitForALostGroup(t *testing.T) {
 	p := newPool(1, 4)
 	p.SetClosed(true, at(0))
-	if ticket := p.Submit(timed(at(0)), at(0)); ticket.Err() != nil {
+	if ticket := p.Submit(timedRequest(at(0)), at(0)); ticket.Err() != nil {
 		t.Fatalf("refused at once: %v", ticket.Err())
 	}
 	long := at(9 * time.Second)
 	var overloaded *dispatch.OverloadedError
-	if ticket := p.Submit(timed(long), long); !errors.As(ticket.Err(), &overloaded) || overloaded.RetryAfter <= 0 {
-		t.Fatalf("got %v, want a refusal with the time to come back", ticket.Err())
+	if ticket := p.Submit(timedRequest(long), long); !errors.As(ticket.Err(), &overloaded) || overloaded.RetryAfter <= 0 {
+		t.Fatalf("got %v, want a refusal with a Retry-After", ticket.Err())
 	}
 	p.SetClosed(false, long)
-	if ticket := p.Submit(timed(long), long); ticket.Upstream() == nil {
+	if ticket := p.Submit(timedRequest(long), long); ticket.Upstream() == nil {
 		t.Fatalf("not placed: %v", ticket.Err())
 	}
 }
 
-// A rank that is known to refuse everything has the fewest requests and would be chosen first; it gets none.
-func TestAClosedUpstreamTakesNothing(t *testing.T) {
+// A rank that refuses everything has the fewest requests and would be chosen first. Once it is known to refuse, it must
+// get none.
+func TestClosedUpstreamGetsNoRequests(t *testing.T) {
 	p := newPool(2, 4)
 	p.SetUpstreamClosed(ids.UpstreamIncarnation{Upstream: "u-00"}, true, at(0))
 	for range 4 {
--- a/internal/policy/dispatch/reading.go
+++ b/internal/policy/dispatch/reading.go
@@ -1,13 +1,14 @@
 package dispatch
 
-// lateReading is the part of what ranks can read in a pass that late requests may take.
+// lateReading is the maximum share of a pass's prompt capacity that the prompts of late requests may use.
 const lateReading = 0.5
 
-// beyondLateReading reports whether this gateway must not have more prompts of late requests read now.
+// beyondLateReading reports whether this gateway must not place more late requests that have a prompt to read.
 //
-// When a group has formed again, many requests wait that are late whatever is done. If all of their prompts were read at once,
-// passes would be long for some rounds, and whoever asks meanwhile would be late as well. So late prompts are read half a
-// pass at a time. Each gateway counts what it has placed itself and has its part: news of others are older than a pass.
+// After a group has re-formed, many waiting requests can no longer meet their target. If all their prompts were read
+// immediately, passes would be long for several rounds and requests that arrive in the meantime would become late too.
+// So the unread prompts of late requests are limited to half a pass. Each gateway counts only its own placements
+// against its share of that limit, because reports from other gateways are older than a pass.
 func (p *Pool) beyondLateReading() bool {
 	e := p.opts.Engine
 	if p.opts.Off[LateReading] || e == nil || e.Chunk <= 0 || p.lateUnread <= 0 {
--- a/internal/policy/dispatch/replay_test.go
+++ b/internal/policy/dispatch/replay_test.go
@@ -12,16 +12,17 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/eventqueue"
 )
 
-// replay plays a load against a pool: upstreams serve each request in the same time as long as they have slots, and
-// callers leave when they have waited for too long. Time is a variable.
+// replay simulates a load on a pool. Upstreams serve every request in the same time, within their slots, and callers
+// time out after callerTimeout. It runs on a virtual clock.
 type replay struct {
 	*eventqueue.Queue
 	pool    *dispatch.Pool
 	service time.Duration
-	// onTime, late, refused and left count requests by their end; retryAfter collects what refused callers were told.
-	onTime, late, refused, left int
-	retryAfter                  []time.Duration
-	waiting                     map[*dispatch.Ticket]dispatch.Request
+	// onTime, late, refused and timedOut count requests by how they ended; retryAfter collects the Retry-After of
+	// refusals.
+	onTime, late, refused, timedOut int
+	retryAfter                      []time.Duration
+	waiting                         map[*dispatch.Ticket]dispatch.Request
 }
 
 func upstreams(n, slots int) []*catalog.Upstream {
@@ -42,7 +43,7 @@
 	return r
 }
 
-// at plans what happens at a time, with a tick of the pool after it.
+// at schedules run at a time, followed by a tick of the pool.
 func (r *replay) at(t time.Time, run func()) {
 	r.In(t.Sub(r.Now()), func() {
 		run()
@@ -76,17 +77,17 @@
 func (r *replay) finish(t *dispatch.Ticket, q dispatch.Request) {
 	switch {
 	case r.Now().After(q.Latest):
-		r.left++
+		r.timedOut++
 	case r.Now().After(q.Aim):
 		r.late++
 	default:
 		r.onTime++
 	}
-	r.pool.Answered(t, r.Now())
+	r.pool.Responded(t, r.Now())
 	r.decide(r.pool.Done(t, dispatch.OutcomeOK, r.Now()))
 }
 
-// arrivals offers requests at a rate for a while; aim is what the pool is told of the target.
+// arrivals schedules requests at a rate for a while; shape builds the request for an arrival time.
 func (r *replay) arrivals(from time.Time, length time.Duration, perSecond float64, shape func(arrived time.Time) dispatch.Request) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for at := from; at.Before(from.Add(length)); at = at.Add(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))) {
@@ -95,26 +96,26 @@
 }
 
 const (
-	target   = 300 * time.Millisecond
-	patience = 1500 * time.Millisecond
+	upstreamState = 300 * time.Millisecond
+	callerTimeout = 1500 * time.Millisecond
 )
 
-func timed(arrived time.Time) dispatch.Request {
-	return dispatch.Request{Arrived: arrived, Aim: arrived.Add(target), Latest: arrived.Add(patience)}
+func timedRequest(arrived time.Time) dispatch.Request {
+	return dispatch.Request{Arrived: arrived, Aim: arrived.Add(upstreamState), Latest: arrived.Add(callerTimeout)}
 }
 
-// A burst brings twice what the upstreams can serve, for four seconds, and load is usual before and after. In order of
-// arrival all requests of the burst and of the seconds after it are late. With those first that still can be in time,
-// most of what the upstreams can serve is served in time.
-func TestABurstLeavesMostInTime(t *testing.T) {
+// A burst brings twice the load that the upstreams can serve for four seconds, with normal load before and after. In
+// order of arrival, all requests of the burst and of the seconds after it are late. If requests that can still meet
+// their target go first, most of the capacity serves requests on time.
+func TestBurstIsMostlyServedOnTime(t *testing.T) {
 	const capacity = 4 * 6 / 0.06 // requests a second of 4 upstreams with 6 slots and 60 ms each
-	play := func(fill, late float64, inOrder bool) *replay {
+	play := func(fill, late float64, byArrival bool) *replay {
 		r := newReplay(dispatch.Options{Fill: fill, LateFill: late}, 4, 6, 60*time.Millisecond)
-		shape := timed
-		if inOrder {
-			// Without a target the pool serves in order of arrival.
+		shape := timedRequest
+		if byArrival {
+			// With a target that has already passed, the pool serves in order of arrival.
 			shape = func(arrived time.Time) dispatch.Request {
-				q := timed(arrived)
+				q := timedRequest(arrived)
 				q.Aim = arrived
 				return q
 			}
@@ -128,20 +129,21 @@
 	}
 	ours := play(1, 0.6, false)
 	baseline := play(1, 1, true)
-	// The baseline's requests carry no target, so those in time are counted by the wait that is left to it.
-	t.Logf("ours: %d in time, %d late, %d refused, %d left", ours.onTime, ours.late, ours.refused, ours.left)
-	t.Logf("in order: %d answered, %d refused, %d left", baseline.late+baseline.onTime, baseline.refused, baseline.left)
+	// The baseline's requests have no usable target, so their counts show only how many were answered, refused or timed
+	// out.
+	t.Logf("ours: %d in time, %d late, %d refused, %d timed out", ours.onTime, ours.late, ours.refused, ours.timedOut)
+	t.Logf("by arrival: %d answered, %d refused, %d timed out", baseline.late+baseline.onTime, baseline.refused, baseline.timedOut)
 	possible := int(10 * capacity * 0.8)
 	if ours.onTime < possible*9/10 {
 		t.Fatalf("%d in time of about %d that could be", ours.onTime, possible)
 	}
-	if ours.left > 0 {
-		t.Fatalf("%d were served for callers that had left", ours.left)
+	if ours.timedOut > 0 {
+		t.Fatalf("%d were served for callers that had timed out", ours.timedOut)
 	}
 }
 
-// A group of ranks is broken for two seconds. Requests wait at the gateway, as each that was sent would be refused and
-// come back; when it works again they are served, and what arrives after it is not held up behind them.
+// A group of ranks is broken for two seconds. Requests wait at the gateway, because each one sent would be refused and
+// come back. Once the group works again they are served, and later arrivals are not held up behind them.
 func TestRequestsWaitForABrokenGroup(t *testing.T) {
 	r := newReplay(dispatch.Options{Fill: 1, LateFill: 0.6}, 4, 10, 100*time.Millisecond)
 	begin := r.Now()
@@ -152,34 +154,34 @@
 	r.at(begin.Add(2*time.Second), func() { r.decide(r.pool.SetClosed(true, r.Now())) })
 	r.at(begin.Add(4*time.Second), func() { r.decide(r.pool.SetClosed(false, r.Now())) })
 	r.RunAll()
-	if r.refused > 0 || r.left > 0 {
-		t.Fatalf("%d refused and %d left of a group that was back soon", r.refused, r.left)
+	if r.refused > 0 || r.timedOut > 0 {
+		t.Fatalf("%d refused and %d timed out although the group was back soon", r.refused, r.timedOut)
 	}
-	// What arrived in the two seconds, and a few after it, is late; all else is in time.
+	// Requests that arrived during the two seconds of the outage, and a few after it, are late; all others are on time.
 	if most := 150 * 2 * 13 / 10; r.late > most {
 		t.Fatalf("%d late, want %d at most", r.late, most)
 	}
 }
 
-// Load stays at twice of what can be served. Callers who cannot be served are told at once, and to come back at unlike
-// times, so that they do not collide.
-func TestRefusedCallersComeBackApart(t *testing.T) {
+// Load stays at twice the capacity. Callers that cannot be served are refused with different Retry-After times, so that
+// they do not all come back at the same time.
+func TestRefusedCallersRetryAtDifferentTimes(t *testing.T) {
 	r := newReplay(dispatch.Options{Fill: 1, LateFill: 0.6}, 2, 4, 80*time.Millisecond)
-	r.arrivals(r.Now(), 6*time.Second, 200, timed)
+	r.arrivals(r.Now(), 6*time.Second, 200, timedRequest)
 	r.RunAll()
 	if r.refused == 0 {
-		t.Fatal("nobody was refused at twice the load")
+		t.Fatal("no request was refused at twice the load")
 	}
-	told := map[time.Duration]int{}
+	retries := map[time.Duration]int{}
 	for _, d := range r.retryAfter {
 		if d <= 0 {
-			t.Fatal("a refusal does not say when to come back")
+			t.Fatal("a refusal has no Retry-After")
 		}
-		told[d.Truncate(20*time.Millisecond)]++
+		retries[d.Truncate(20*time.Millisecond)]++
 	}
-	for d, n := range told {
+	for d, n := range retries {
 		if n > len(r.retryAfter)/4 {
-			t.Fatalf("%d of %d are told to come back after %s", n, len(r.retryAfter), d)
+			t.Fatalf("%d of %d refusals have a Retry-After of about %s", n, len(r.retryAfter), d)
 		}
 	}
 }
--- a/internal/policy/dispatch/target.go
+++ b/internal/policy/dispatch/target.go
@@ -7,35 +7,36 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// target is one upstream in the pool.
-type target struct {
-	up *catalog.Upstream
-	// own is what this gateway has in flight there, others what the other gateways last told.
+// upstreamState is the pool's state for one upstream.
+type upstreamState struct {
+	entry *catalog.Upstream
+	// own is the work that this gateway has in flight there, others the work last reported by the other gateways.
 	own, others Work
 	health      outlier
-	// pace is how many times as long as usual its work takes; 0 if it is as usual.
-	pace float64
-	// closed says that it is known to refuse what is sent to it.
+	// slowdown is how many times longer than normal its work takes; 0 means normal.
+	slowdown float64
+	// closed is set while the upstream is known to refuse all requests.
 	closed bool
 }
 
-func (t *target) usable(now time.Time) bool {
-	return t.up.State == catalog.StateReady && !t.closed && t.health.usable(now)
+func (t *upstreamState) usable(now time.Time) bool {
+	return t.entry.State == catalog.StateReady && !t.closed && t.health.usable(now)
 }
 
-// room reports whether the upstream may take another request: it has a slot for it.
-//
-// Each request at a slow rank makes every pass of its group longer. The rank gets the part of the slots that it can serve in
-// the time of the others, by the square of its pace, as a stream that has begun stays.
-func (t *target) room(fill float64) bool {
+// hasFreeSlot reports whether the upstream may get another request, with fill as the limit for each of its slots.
+func (t *upstreamState) hasFreeSlot(fill float64) bool {
 	return float64(t.own.Requests+t.others.Requests) < t.limit(fill)
 }
 
-// limit is how many requests the upstream may have.
-func (t *target) limit(fill float64) float64 {
-	limit := fill * float64(max(1, t.up.Slots))
-	if t.pace > 1 {
-		return math.Floor(limit / (t.pace * t.pace))
+// limit returns the maximum number of requests in flight at the upstream.
+//
+// Each request at a slow rank lengthens every pass of its group. A slow rank therefore gets only the share of its slots
+// that it can serve in the time that the other ranks take. The limit is divided by the square of the slowdown factor
+// because a stream stays at its rank once it has begun.
+func (t *upstreamState) limit(fill float64) float64 {
+	limit := fill * float64(max(1, t.entry.Slots))
+	if t.slowdown > 1 {
+		return math.Floor(limit / (t.slowdown * t.slowdown))
 	}
 	return limit
 }
--- a/internal/policy/dispatch/ticket.go
+++ b/internal/policy/dispatch/ticket.go
@@ -15,39 +15,40 @@
 	refused
 )
 
-// Ticket is a request in a pool.
+// Ticket tracks one request in a pool.
 type Ticket struct {
-	request Request
-	state   ticketState
-	target  *target
-	// up is the target's upstream when the request was placed.
-	up       *catalog.Upstream
-	placedAt time.Time
-	err      error
-	answered bool
-	done     bool
-	// late says that it could no longer be answered in time when it was placed.
+	request  Request
+	state    ticketState
+	assigned *upstreamState
+	// upstream is the entry of the assigned upstream at the time of placement.
+	upstream  *catalog.Upstream
+	placedAt  time.Time
+	err       error
+	responded bool
+	done      bool
+	// late is set if the request could no longer meet its target when it was placed.
 	late     bool
 	decision Decision
-	// decided is closed once the ticket is placed or refused; it is the Gate's.
+	// decided is closed once the ticket is placed or refused. Only Gate uses it.
 	decided chan struct{}
 }
 
-// Upstream returns where the request was placed, or nil.
-func (t *Ticket) Upstream() *catalog.Upstream { return t.up }
+// Upstream returns the upstream that the request was assigned to, or nil if it was not placed.
+func (t *Ticket) Upstream() *catalog.Upstream { return t.upstream }
 
-// Decision returns what the ticket's placement rested on; its zero value if it was not placed.
+// Decision returns the inputs of the ticket's placement; it is the zero value if the request was not placed.
 func (t *Ticket) Decision() Decision { return t.decision }
 
-// Decision is what a placement rested on.
+// Decision holds the inputs of a placement.
 type Decision struct {
-	// Load is the chosen upstream's: the part of its slots in use, and the passes that reading waiting prompts takes.
+	// Load is the load of the chosen upstream: the fraction of its slots in use plus the number of passes needed to
+	// read the waiting prompts.
 	Load float64
-	// Usable is how many upstreams could have taken the request.
+	// Usable is the number of upstreams that could have taken the request.
 	Usable int
-	// Waiting is how many requests waited at this gateway.
+	// Waiting is the number of requests that waited at this gateway.
 	Waiting int
-	// OthersAge is how old the oldest digest was by which the other gateways' requests were counted; 0 if there is none.
+	// OthersAge is the age of the oldest digest that the other gateways' work was counted from; 0 if there is none.
 	OthersAge time.Duration
 }
 
@@ -59,21 +60,23 @@
 	t.err = err
 }
 
-// NoUpstreamError says that the service has no upstream that could take the request.
+// NoUpstreamError reports that the service has no registered upstream.
 type NoUpstreamError struct{ RetryAfter time.Duration }
 
 // Error implements error.
 func (e *NoUpstreamError) Error() string { return "no upstream is registered" }
 
-// noUpstreamRetry is when a caller may come back whose service has no upstream: news of a new one take half of it.
+// noUpstreamRetry is the Retry-After of a service without upstreams. A new upstream becomes known to the gateways in
+// half that time.
 const noUpstreamRetry = 500 * time.Millisecond
 
-// OverloadedError says that the request cannot be started in time.
+// OverloadedError reports that the request cannot be started in time.
 type OverloadedError struct {
-	// Waiting is how many requests wait, PerSecond how many ended a second lately; 0 if that is not known.
+	// Waiting is the number of waiting requests, PerSecond the recent number of requests that finished per second; 0 if
+	// unknown.
 	Waiting   int
 	PerSecond float64
-	// Waited is for how long the request waited before it was refused; 0 if it was refused at once.
+	// Waited is how long the request waited before it was refused; close to 0 if it was refused on arrival.
 	Waited     time.Duration
 	RetryAfter time.Duration
 }
--- a/internal/policy/dispatch/wait.go
+++ b/internal/policy/dispatch/wait.go
@@ -6,51 +6,52 @@
 )
 
 const (
-	// rateWindow is the time over which the pool's throughput is measured: some answers of the slowest service.
+	// rateWindow is the window over which the pool's throughput is measured: long enough for several responses of the
+	// slowest service.
 	rateWindow = 2 * time.Second
-	// minRetry and maxRetry bound what refused callers are told; maxRetry is what a caller with a deadline of six
-	// seconds honours.
+	// minRetry and maxRetry bound the Retry-After of refusals. A caller with a deadline of six seconds honours up to
+	// maxRetry.
 	minRetry = 200 * time.Millisecond
 	maxRetry = 2 * time.Second
 )
 
-// rate counts events over the last window in two halves.
+// rate counts events over a sliding window of two halves.
 type rate struct {
-	// window is rateWindow if it is not set.
-	window        time.Duration
-	began         time.Time
-	before, since int
+	// window is the length of the window; 0 means rateWindow.
+	window            time.Duration
+	halfStart         time.Time
+	previous, current int
 }
 
 func (r *rate) length() time.Duration { return cmp.Or(r.window, rateWindow) }
 
 func (r *rate) count(now time.Time) {
 	r.roll(now)
-	r.since++
+	r.current++
 }
 
 func (r *rate) roll(now time.Time) {
 	switch half := r.length() / 2; {
-	case r.began.IsZero() || now.Sub(r.began) > 2*half:
-		r.began, r.before, r.since = now, 0, 0
-	case now.Sub(r.began) > half:
-		r.began, r.before, r.since = r.began.Add(half), r.since, 0
+	case r.halfStart.IsZero() || now.Sub(r.halfStart) > 2*half:
+		r.halfStart, r.previous, r.current = now, 0, 0
+	case now.Sub(r.halfStart) > half:
+		r.halfStart, r.previous, r.current = r.halfStart.Add(half), r.current, 0
 	}
 }
 
-// perSecond returns the rate; 0 if it was not counted for long enough.
+// perSecond returns the rate; 0 if there were no events in the window.
 func (r *rate) perSecond() float64 {
 	return float64(r.events()) / r.length().Seconds()
 }
 
-// events returns how many there were in the window.
-func (r *rate) events() int { return r.before + r.since }
+// events returns the number of events in the window.
+func (r *rate) events() int { return r.previous + r.current }
 
-// expectedWait is how long a request that joins the queue now waits, by the measured throughput; 0 if none is known, so
-// that nothing is refused on a guess.
+// expectedWait estimates from the measured throughput how long a request that joins the queue now waits. It returns 0
+// if the throughput is unknown, so that no request is refused on a guess.
 //
-// Measured over a time in which the pool was closed the throughput is next to nothing, and requests would be refused beside
-// free slots. It is not known until the window has passed that time.
+// The throughput measured while the pool was closed is close to zero and would cause requests to be refused while slots
+// are free. It therefore counts as unknown until a full window has passed since the pool opened.
 func (p *Pool) expectedWait(now time.Time) time.Duration {
 	perSecond := p.drained.perSecond()
 	if perSecond == 0 || p.closed || now.Sub(p.openedAt) < rateWindow {
@@ -59,21 +60,22 @@
 	return time.Duration(float64(len(p.waiting)) / perSecond * float64(time.Second))
 }
 
-// closedRetry is what callers are told whose group is broken: a rank that crashed is back within seconds, and callers
-// honour a third of the time that they have left.
+// closedRetry is the Retry-After of a broken group. A crashed rank is back within seconds, and callers honour up to a
+// third of their remaining time.
 const closedRetry = 2200 * time.Millisecond
 
-// lostAfter is how long a group may be closed before requests no longer wait for it: twice what a rank that crashed needs
-// to be back.
+// lostAfter is how long a group may be closed before requests no longer wait for it: twice the time that a crashed rank
+// needs to come back.
 const lostAfter = 8 * time.Second
 
-// lost reports whether the group has been closed for so long that nobody can say when it works again.
+// lost reports whether the group has been closed for so long that its recovery time is unknown.
 //
-// With so many ranks gone that the group cannot form, requests are refused at once, so that callers can do something else.
+// If so many ranks are missing that the group cannot form, requests are refused immediately so that callers can turn
+// elsewhere.
 func (p *Pool) lost(now time.Time) bool { return p.closed && now.Sub(p.closedAt) > lostAfter }
 
-// retryAfter spreads the callers that are refused over the time in which the queue drains, so that they do not come
-// back together.
+// retryAfter returns the Retry-After of a refusal. It spreads the refused callers over the time in which the queue
+// drains, so that they do not come back together.
 func (p *Pool) retryAfter(wait time.Duration) time.Duration {
 	if p.closed {
 		return closedRetry
@@ -83,43 +85,44 @@
 	return time.Duration(min(base, float64(maxRetry)/(1+retrySpread)) * spread)
 }
 
-// retrySpread is the part of the wait by which callers may come back later than the queue is expected to be drained.
+// retrySpread is the maximum random addition to the Retry-After, as a fraction of the expected wait.
 const retrySpread = 0.5
 
 const (
-	// firstGuess stands for the time to the first answer before any was measured.
-	firstGuess = 200 * time.Millisecond
-	// firstWeight is that of a new measurement in the mean.
-	firstWeight = 0.1
-	// firstMargin is the part of the mean time to the first answer that a request needs to be worth starting: callers
-	// leave if it comes later.
-	firstMargin = 1.5
+	// firstResponseGuess is the time to the first response that is assumed until one was measured.
+	firstResponseGuess = 200 * time.Millisecond
+	// firstResponseWeight is the weight of a new measurement in the moving average.
+	firstResponseWeight = 0.1
+	// firstResponseMargin is the multiple of the mean time to the first response that must be left before the caller
+	// times out for a request to be worth starting.
+	firstResponseMargin = 1.5
 )
 
-// noteFirst takes in how long a placed request waited for its first answer.
-func (p *Pool) noteFirst(d time.Duration) {
-	if p.first == 0 {
-		p.first = firstGuess
+// recordFirstResponse records the time from the placement of a request to its first response.
+func (p *Pool) recordFirstResponse(d time.Duration) {
+	if p.firstResponse == 0 {
+		p.firstResponse = firstResponseGuess
 	}
-	p.first += time.Duration(firstWeight * float64(d-p.first))
+	p.firstResponse += time.Duration(firstResponseWeight * float64(d-p.firstResponse))
 }
 
-// late reports whether a request that is started now would be answered after its target.
+// late reports whether a request that is started now would miss its target.
 //
-// Started just before their targets, requests are all answered just after them, and others that had time become late behind
-// them. So the time to the first answer is taken off.
+// The expected time to the first response is subtracted from the target. Otherwise requests would be started just
+// before their target and be answered just after it, and requests behind them that still had time would become late. At
+// most half of the time from arrival to target is subtracted.
 func (p *Pool) late(r Request, now time.Time) bool {
-	if p.opts.Off[FirstAnswerTime] {
+	if p.opts.Off[FirstResponseTime] {
 		return now.After(r.Aim)
 	}
-	return now.Add(min(p.first, r.Aim.Sub(r.Arrived)/2)).After(r.Aim)
+	return now.Add(min(p.firstResponse, r.Aim.Sub(r.Arrived)/2)).After(r.Aim)
 }
 
-// startBy is until when the request is worth starting.
+// startBy returns the latest time at which the request is worth starting.
 func (p *Pool) startBy(r Request) time.Time {
-	first := p.first
+	first := p.firstResponse
 	if first == 0 {
-		first = firstGuess
+		first = firstResponseGuess
 	}
-	return r.Latest.Add(-time.Duration(firstMargin * float64(first)))
+	return r.Latest.Add(-time.Duration(firstResponseMargin * float64(first)))
 }
