--- a/internal/policy/admission/classqueue.go
+++ b/internal/policy/admission/classqueue.go
@@ -9,34 +9,36 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// flow is one client's requests of one class that wait, and what the client has had of its share.
+// flow holds one client's waiting requests of one class, and the service the client has received.
 type flow struct {
 	client ids.Client
 	share  float64
 	items  []*item
-	// backlog is the work that waits, in tokens.
+	// backlog is the waiting work in tokens.
 	backlog float64
-	// served is the work that the client was given, divided by its share. The flow with the least goes next.
+	// served is the work the client was given, in tokens, divided by its share. The flow with the lowest value goes
+	// next.
 	served float64
-	// rate is the work that the client was given per second, and since is when it last began to wait without a pause.
-	rate  rateMeter
-	since time.Time
-	index int
+	// rate measures the work that the client was given, and backloggedSince is the start of the current period without
+	// an empty backlog.
+	rate            rateMeter
+	backloggedSince time.Time
+	index           int
 }
 
-// creditRequests is how many requests a client that comes back from being idle may be served ahead of the others. A
-// small client often has nothing waiting for a moment; without a credit it would lose its turn each time, and get
-// less than its share although it asks for more. With it, it can never be ahead by more than so many requests.
+// creditRequests is the number of requests by which a client that returns from idle may be served ahead of the others.
+// A small client often has an empty backlog for a moment. Without a credit it would lose its turn each time and get
+// less than its share although it asks for more. The credit also limits how far it can get ahead.
 const creditRequests = 4
 
-// classQueue shares the places of one class among clients.
+// classQueue shares the capacity of one class among clients.
 type classQueue struct {
 	class   Class
 	flows   map[ids.Client]*flow
 	backlog flowHeap
 	waiting int
 	rate    rateMeter
-	// level is the least served of the flows that wait, or what it was when the last one emptied.
+	// level is the lowest served value of the waiting flows at the time of the last pop.
 	level float64
 }
 
@@ -52,7 +54,7 @@
 	}
 	f.share = share
 	if len(f.items) == 0 {
-		f.since = it.submitted
+		f.backloggedSince = it.submitted
 	}
 	f.items = append(f.items, it)
 	f.backlog += it.req.Tokens
@@ -63,7 +65,7 @@
 	}
 }
 
-// pop takes the next request of the client that has had least. There must be one.
+// pop removes and returns the next request of the client with the lowest served value. The queue must not be empty.
 func (c *classQueue) pop(now time.Time) *item {
 	f := c.backlog[0]
 	c.level = f.served
@@ -72,32 +74,32 @@
 	f.served += it.req.Tokens / f.share
 	f.rate.add(it.req.Tokens, now)
 	c.rate.add(it.req.Tokens, now)
-	c.taken(f, it)
+	c.updateBacklog(f, it)
 	return it
 }
 
-// longest returns the flow with most work waiting for its share. There must be one.
+// longest returns the flow with the most waiting work relative to its share. The queue must not be empty.
 func (c *classQueue) longest() *flow {
 	return slices.MaxFunc(c.backlog, func(a, b *flow) int {
 		return cmp.Or(cmp.Compare(a.backlog/a.share, b.backlog/b.share), cmp.Compare(a.client, b.client))
 	})
 }
 
-// remove takes out a request that waits, without charging the client.
+// remove removes a waiting request without charging the client. It reports whether the request was waiting.
 func (c *classQueue) remove(id uint64) bool {
 	for _, f := range c.backlog {
 		i := slices.IndexFunc(f.items, func(it *item) bool { return it.req.ID == id })
 		if i >= 0 {
 			it := f.items[i]
 			f.items = slices.Delete(f.items, i, i+1)
-			c.taken(f, it)
+			c.updateBacklog(f, it)
 			return true
 		}
 	}
 	return false
 }
 
-func (c *classQueue) taken(f *flow, it *item) {
+func (c *classQueue) updateBacklog(f *flow, it *item) {
 	c.waiting--
 	f.backlog -= it.req.Tokens
 	if len(f.items) > 0 {
@@ -109,20 +111,22 @@
 	f.items = nil
 }
 
-// forget drops flows that have had nothing waiting for long, so that memory follows the clients that are active and
-// not all that ever were. A flow must not be dropped earlier: it would come back with its credit renewed.
+// forget deletes the flows that are idle and whose last backlog began more than idleAfter ago, so that memory grows
+// with the number of active clients and not of all clients ever seen. A flow that is deleted too early returns with its
+// credit renewed.
 func (c *classQueue) forget(now time.Time) {
 	for client, f := range c.flows {
-		if f.index < 0 && now.Sub(f.since) > idleAfter {
+		if f.index < 0 && now.Sub(f.backloggedSince) > idleAfter {
 			delete(c.flows, client)
 		}
 	}
 }
 
-// idleAfter is how long a client that sends nothing is remembered for what it had too much.
+// idleAfter is how long after the start of its last backlog an idle client is remembered, with the service that it
+// received beyond its share.
 const idleAfter = time.Minute
 
-// adjust charges a client for work that was estimated wrongly.
+// adjust charges a client for the difference between its real and its estimated work.
 func (c *classQueue) adjust(client ids.Client, tokens, share float64) {
 	f := c.flows[client]
 	if f == nil {
@@ -134,7 +138,7 @@
 	}
 }
 
-// flowHeap orders flows by what they were served.
+// flowHeap orders flows by the work they were served.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int { return len(h) }
--- a/internal/policy/admission/doc.go
+++ b/internal/policy/admission/doc.go
@@ -1,11 +1,11 @@
 // Package admission decides which requests an entry starts, in which order, and which it refuses.
 //
-// One Queue stands before each pool of upstreams. A request is started as long as the pool has a place for it, else
-// it waits in the bounded queue of its priority class. A lower rank goes first; within a class, clients take turns so
-// that each gets tokens of work in proportion to its share, whatever the others send. As soon as a request cannot be
-// done before its deadline with the present load, it is refused as "not run", with the time after which it is worth
-// coming back. It is refused then and not when the deadline comes, so that the caller can turn elsewhere.
+// There is one Queue for each pool of upstreams. A request is started if the pool has free capacity; otherwise it waits
+// in the bounded queue of its priority class. Lower ranks go first. Within a class, each client gets tokens of work in
+// proportion to its share, whatever load the other clients send. As soon as a request can no longer be done before its
+// deadline under the current load, it is refused as "not run" with a Retry-After. It is refused at that time, not at
+// the deadline, so that the caller can turn elsewhere.
 //
-// Queue is pure and belongs to one goroutine; Gate puts a mutex around it for traffic goroutines. Package limits
-// holds the clients' limits over all entries.
+// Queue is pure and not safe for concurrent use; Gate wraps it with a mutex. Package limits enforces the clients'
+// limits over all entries.
 package admission
--- a/internal/policy/admission/estimate.go
+++ b/internal/policy/admission/estimate.go
@@ -8,41 +8,42 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/failure"
 )
 
-// rateMeter measures work per second over a sliding window of two halves.
+// rateMeter measures work per second over a sliding window, from the current and the previous period of window length.
 type rateMeter struct {
-	window        time.Duration
-	since         time.Time
-	current, last float64
+	window            time.Duration
+	currentStart      time.Time
+	current, previous float64
 }
 
 func (m *rateMeter) add(tokens float64, now time.Time) {
-	m.turn(now)
+	m.rotate(now)
 	m.current += tokens
 }
 
-func (m *rateMeter) turn(now time.Time) {
-	switch age := now.Sub(m.since); {
+func (m *rateMeter) rotate(now time.Time) {
+	switch age := now.Sub(m.currentStart); {
 	case age < m.window:
 	case age < 2*m.window:
-		m.last, m.current, m.since = m.current, 0, m.since.Add(m.window)
+		m.previous, m.current, m.currentStart = m.current, 0, m.currentStart.Add(m.window)
 	default:
-		m.last, m.current, m.since = 0, 0, now
+		m.previous, m.current, m.currentStart = 0, 0, now
 	}
 }
 
-// perSecond returns the rate; the part of the window before the last turn counts as it fades out.
+// perSecond returns the rate. The previous period is weighted by the fraction of it that is still inside the sliding
+// window.
 func (m *rateMeter) perSecond(now time.Time) float64 {
-	m.turn(now)
-	done := float64(now.Sub(m.since)) / float64(m.window)
-	return (m.current + m.last*(1-done)) / m.window.Seconds()
+	m.rotate(now)
+	elapsed := float64(now.Sub(m.currentStart)) / float64(m.window)
+	return (m.current + m.previous*(1-elapsed)) / m.window.Seconds()
 }
 
-// refusal returns why a request is refused at once, or nil.
+// refusal returns why a request is refused on arrival, or nil.
 func (q *Queue) refusal(c *classQueue, it *item, now time.Time) error {
 	if it.req.Deadline.Sub(now) < it.req.Run {
 		return failure.New(failure.CodeDeadlineUnmet, nil)
 	}
-	if c.waiting == 0 && len(q.started) < q.places(slices.Index(q.classes, c), now) {
+	if c.waiting == 0 && len(q.started) < q.concurrency(slices.Index(q.classes, c), now) {
 		return nil
 	}
 	s := q.schedule(c, now)
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// sweep refuses what waits in a class and can no longer be done in time.
+// sweep refuses the waiting requests of a class that can no longer be done in time.
 func (q *Queue) sweep(c *classQueue, now time.Time) []Outcome {
 	if c.waiting == 0 {
 		return nil
@@ -82,34 +83,35 @@
 	return outcomes
 }
 
-// wait is the time until a client's work is served that has this much of its own ahead. The schedule is too hopeful
-// while the other clients go on sending; a client that has waited for long knows its pace from what it was given.
+// wait returns the time until a client's request is served that has the given work of the same client ahead of it. The
+// schedule is too optimistic while other clients keep sending, so for a client with a long-standing backlog the rate at
+// which it was actually served is a lower bound for the wait.
 func (q *Queue) wait(s schedule, f *flow, ahead float64, now time.Time) time.Duration {
 	wait := s.wait(ahead, f.share)
-	if f.index < 0 || now.Sub(f.since) < q.opts.RateWindow {
+	if f.index < 0 || now.Sub(f.backloggedSince) < q.opts.RateWindow {
 		return wait
 	}
-	pace := max(minRate, f.rate.perSecond(now))
-	return max(wait, time.Duration(ahead/pace*float64(time.Second)))
+	servedRate := max(minRate, f.rate.perSecond(now))
+	return max(wait, time.Duration(ahead/servedRate*float64(time.Second)))
 }
 
 func lateBy(it *item, wait time.Duration, now time.Time) time.Duration {
 	return now.Add(wait + it.req.Run).Sub(it.req.Deadline)
 }
 
-// atLeastSecond rounds up to what a Retry-After header can say.
+// atLeastSecond rounds up to whole seconds, the resolution of a Retry-After header, and to at least one second.
 func atLeastSecond(d time.Duration) time.Duration {
 	return max(time.Second, (d + time.Second - 1).Truncate(time.Second))
 }
 
-// schedule foretells when work of a class is served if nothing new arrives: fair queueing serves each client's
-// backlog in proportion to its share, so by the time that one client was served v tokens per share, each other one
-// was served as much per share or its whole backlog.
+// schedule predicts when the work of a class is served if nothing new arrives. Fair queueing serves each client's
+// backlog in proportion to its share. So by the time that one client was served v tokens per unit of share, each other
+// client was served the same per unit of share, or its complete backlog.
 type schedule struct {
 	rate float64
-	// levels are the backlogs per share, ascending; done and shares sum the backlogs up to a level and the shares
-	// beyond it.
-	levels, done, shares []float64
+	// levels holds the backlogs per unit of share in ascending order. For each level, cumulative is the sum of the
+	// backlogs up to it and shares the sum of the shares above it.
+	levels, cumulative, shares []float64
 }
 
 func (q *Queue) schedule(c *classQueue, now time.Time) schedule {
@@ -121,29 +123,29 @@
 	for _, f := range flows {
 		total += f.share
 	}
-	done := 0.0
+	cumulative := 0.0
 	for _, f := range flows {
-		done += f.backlog
+		cumulative += f.backlog
 		total -= f.share
 		s.levels = append(s.levels, f.backlog/f.share)
-		s.done = append(s.done, done)
+		s.cumulative = append(s.cumulative, cumulative)
 		s.shares = append(s.shares, total)
 	}
 	return s
 }
 
-// wait is the time until a client of the given share, with this much of its own work ahead, is served.
+// wait returns the time until a client with the given share and the given work ahead of its own is served.
 func (s schedule) wait(ahead, share float64) time.Duration {
 	v := ahead / share
 	i, _ := slices.BinarySearch(s.levels, v)
 	var work float64
 	switch {
 	case i == 0 && len(s.levels) > 0:
-		work = v * (s.shares[0] + s.done[0]/s.levels[0])
+		work = v * (s.shares[0] + s.cumulative[0]/s.levels[0])
 	case i == 0:
 		work = ahead
 	default:
-		work = s.done[i-1] + v*s.shares[i-1]
+		work = s.cumulative[i-1] + v*s.shares[i-1]
 	}
 	return time.Duration(work / s.rate * float64(time.Second))
 }
@@ -151,7 +153,7 @@
 // minRate keeps estimates finite when nothing was served for a while.
 const minRate = 1
 
-// rateFor is the work per second that is left to a class by those before it.
+// rateFor returns the work per second that the classes of higher priority leave to a class.
 func (q *Queue) rateFor(c *classQueue, now time.Time) float64 {
 	rate := q.capacity.TokensPerSecond
 	if !q.busySince.IsZero() && now.Sub(q.busySince) >= q.opts.RateWindow {
--- a/internal/policy/admission/gate.go
+++ b/internal/policy/admission/gate.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Gate lets many traffic goroutines use one Queue. A mutex is held for the microseconds of one decision only; nobody
-// waits for a place while holding it.
+// Gate makes a Queue safe for concurrent use. Its mutex is held only for the microseconds of one decision, never while
+// a request waits.
 type Gate struct {
 	mu      sync.Mutex
 	queue   *Queue
 	tickets map[uint64]*Ticket
 }
 
-// Ticket is one request's wait for its place.
+// Ticket tracks one request in a Gate.
 type Ticket struct {
 	gate    *Gate
 	id      uint64
@@ -21,10 +21,10 @@
 	err     error
 }
 
-// NewGate returns a gate around q, which must not be used otherwise any more.
+// NewGate returns a gate around q. The caller must not use q directly any more.
 func NewGate(q *Queue) *Gate { return &Gate{queue: q, tickets: make(map[uint64]*Ticket)} }
 
-// Submit takes in a request. The ticket is settled at once or later.
+// Submit adds a request. Its ticket is decided on return or later.
 func (g *Gate) Submit(req Request, now time.Time) *Ticket {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -41,14 +41,14 @@
 	g.decide(g.queue.Tick(now))
 }
 
-// SetCapacity passes a new capacity on; see Queue.SetCapacity.
+// SetCapacity changes the capacity; see Queue.SetCapacity.
 func (g *Gate) SetCapacity(c Capacity) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.queue.SetCapacity(c)
 }
 
-// Counts returns how many requests wait and how many are started.
+// Counts returns the numbers of waiting and of started requests.
 func (g *Gate) Counts() (waiting, started int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -64,14 +64,14 @@
 	}
 }
 
-// Decided is closed once the request may start or is refused.
+// Decided returns a channel that is closed once the request may start or is refused.
 func (t *Ticket) Decided() <-chan struct{} { return t.decided }
 
-// Err returns nil if the request may start, else *failure.Error. It may be called once Decided is closed.
+// Err returns nil if the request may start, else a *failure.Error. It must not be called before Decided is closed.
 func (t *Ticket) Err() error { return t.err }
 
-// Done frees the request's place, whatever became of it: waiting, started or refused. used is the work that it took,
-// in tokens. Further calls do nothing.
+// Done ends the request in any state (waiting, started or refused) and frees its capacity. used is the work that it
+// took, in tokens. Further calls do nothing.
 func (t *Ticket) Done(used float64, now time.Time) {
 	g := t.gate
 	g.mu.Lock()
--- a/internal/policy/admission/gate_test.go
+++ b/internal/policy/admission/gate_test.go
@@ -8,11 +8,11 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/admission"
 )
 
-// Many traffic goroutines share one gate. Each of them is settled once, and each place is given back, also by those
-// whose caller went away while they waited.
-func TestGateSettlesEveryTicket(t *testing.T) {
-	const callers, places = 50, 4
-	g := admission.NewGate(admission.NewQueue(options(), admission.Capacity{Places: places, TokensPerSecond: 1e9}))
+// Many goroutines share one gate. Each ticket must be decided exactly once, and all capacity must be freed, including
+// that of callers that disconnected while they waited.
+func TestGateDecidesEveryTicket(t *testing.T) {
+	const callers, concurrency = 50, 4
+	g := admission.NewGate(admission.NewQueue(options(), admission.Capacity{Places: concurrency, TokensPerSecond: 1e9}))
 	var wg sync.WaitGroup
 	for i := range uint64(callers) {
 		wg.Go(func() {
@@ -33,7 +33,7 @@
 	}
 	wg.Wait()
 	if waiting, started := g.Counts(); waiting != 0 || started != 0 {
-		t.Fatalf("%d wait and %d are started after all have ended", waiting, started)
+		t.Fatalf("%d wait and %d are started after all are done", waiting, started)
 	}
 }
 
--- a/internal/policy/admission/limits/book.go
+++ b/internal/policy/admission/limits/book.go
@@ -6,82 +6,83 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// told is what one entry told of one client, and when.
-type told struct {
+// report is the demand that one entry last reported for one client, and the time at which it arrived.
+type report struct {
 	demand Usage
 	at     time.Time
 }
 
-// book holds what other entries told.
-type book struct {
-	opts   Options
-	heard  map[ids.Node]time.Time
-	demand map[ids.Client]map[ids.Node]told
+// peerDemands holds the demand that other entries reported.
+type peerDemands struct {
+	opts       Options
+	lastReport map[ids.Node]time.Time
+	demand     map[ids.Client]map[ids.Node]report
 }
 
-func newBook(opts Options) book {
-	return book{opts: opts, heard: make(map[ids.Node]time.Time), demand: make(map[ids.Client]map[ids.Node]told)}
+func newPeerDemands(opts Options) peerDemands {
+	return peerDemands{opts: opts, lastReport: make(map[ids.Node]time.Time), demand: make(map[ids.Client]map[ids.Node]report)}
 }
 
-func (b *book) record(from ids.Node, records []Record, now time.Time) {
-	b.heard[from] = now
+func (p *peerDemands) record(from ids.Node, records []Record, now time.Time) {
+	p.lastReport[from] = now
 	for _, r := range records {
-		by := b.demand[r.Client]
-		if by == nil {
-			by = make(map[ids.Node]told)
-			b.demand[r.Client] = by
+		byEntry := p.demand[r.Client]
+		if byEntry == nil {
+			byEntry = make(map[ids.Node]report)
+			p.demand[r.Client] = byEntry
 		}
-		by[from] = told{r.Demand, now}
+		byEntry[from] = report{r.Demand, now}
 	}
 }
 
-// counts reports whether what an entry told still holds. An entry that goes on reporting but leaves a client out has
-// no demand of it any more. One that is not heard at all may only be cut off, and its callers still use it.
-func (b *book) counts(from ids.Node, t told, now time.Time) bool {
-	if b.heard[from].Sub(t.at) >= b.opts.Fresh {
+// valid reports whether a report still counts. If the entry sent reports without this client for Options.Fresh, the
+// client has no demand there any more. If the entry sends no reports at all, it may just be partitioned from this one
+// while callers still use it, so its last report counts for Options.Hold.
+func (p *peerDemands) valid(from ids.Node, r report, now time.Time) bool {
+	if p.lastReport[from].Sub(r.at) >= p.opts.Fresh {
 		return false
 	}
-	return now.Sub(t.at) < b.opts.Hold
+	return now.Sub(r.at) < p.opts.Hold
 }
 
-// sum adds up what all entries told of a client.
-func (b *book) sum(client ids.Client, now time.Time) (total Usage, known bool) {
-	for from, t := range b.demand[client] {
-		if b.counts(from, t, now) {
-			total = total.plus(t.demand)
+// sum returns the sum of the demand that all other entries reported for a client. known is false if no report counts.
+func (p *peerDemands) sum(client ids.Client, now time.Time) (total Usage, known bool) {
+	for from, r := range p.demand[client] {
+		if p.valid(from, r, now) {
+			total = total.plus(r.demand)
 			known = true
 		}
 	}
 	return total, known
 }
 
-// others returns the demand at the other entries, from what they told this one or from what the aggregator told,
-// whichever is more.
-func (b *book) others(client ids.Client, a *account, now time.Time) (Usage, bool) {
-	direct, known := b.sum(client, now)
-	if a.sumAt.IsZero() || now.Sub(a.sumAt) >= b.opts.Hold {
+// others returns the demand at the other entries: the larger of the sum of their reports and the sum that the
+// aggregator sent.
+func (p *peerDemands) others(client ids.Client, a *account, now time.Time) (Usage, bool) {
+	direct, known := p.sum(client, now)
+	if a.othersAt.IsZero() || now.Sub(a.othersAt) >= p.opts.Hold {
 		return direct, known
 	}
-	return Usage{max(direct.Requests, a.sum.Requests), max(direct.Tokens, a.sum.Tokens)}, true
+	return Usage{max(direct.Requests, a.othersSum.Requests), max(direct.Tokens, a.othersSum.Tokens)}, true
 }
 
-// expire drops what does not count any more.
-func (b *book) expire(now time.Time) {
-	for client, by := range b.demand {
-		for from, t := range by {
-			if !b.counts(from, t, now) {
-				delete(by, from)
+// expire deletes the reports that no longer count.
+func (p *peerDemands) expire(now time.Time) {
+	for client, byEntry := range p.demand {
+		for from, r := range byEntry {
+			if !p.valid(from, r, now) {
+				delete(byEntry, from)
 			}
 		}
-		if len(by) == 0 {
-			delete(b.demand, client)
+		if len(byEntry) == 0 {
+			delete(p.demand, client)
 		}
 	}
 }
 
-func (b *book) forget(node ids.Node) {
-	delete(b.heard, node)
-	for _, by := range b.demand {
-		delete(by, node)
+func (p *peerDemands) forget(node ids.Node) {
+	delete(p.lastReport, node)
+	for _, byEntry := range p.demand {
+		delete(byEntry, node)
 	}
 }
--- a/internal/policy/admission/limits/exchange.go
+++ b/internal/policy/admission/limits/exchange.go
@@ -12,23 +12,24 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// Record is one client's demand per second at one entry, or the sum over entries in an aggregator's answer.
+// Record is one client's demand per second at one entry, or a sum over entries in an aggregator's reply.
 type Record struct {
 	Client ids.Client
 	Demand Usage
 }
 
-// FullExchangeUpTo is the number of entries up to which each tells each other one. Beyond it, the messages would grow
-// with the square of the entries, and each client's records go to its aggregator only.
+// FullExchangeUpTo is the number of entries up to which each entry reports to every other one. With more entries, the
+// number of messages would grow with the square of the entries, so each client's records are sent to its aggregator
+// only.
 const FullExchangeUpTo = 16
 
-// Ring names the entries that a record is sent to.
+// Ring selects the entries that records are sent to.
 type Ring struct {
 	entries []ids.Node
-	table   *rendezvous.Rendezvous
+	hashing *rendezvous.Rendezvous
 }
 
-// NewRing returns the ring of the live entries, this one included.
+// NewRing returns the ring of the live entries, including this one.
 func NewRing(entries []ids.Node) *Ring {
 	sorted := slices.Sorted(slices.Values(entries))
 	names := make([]string, len(sorted))
@@ -38,16 +39,16 @@
 	return &Ring{sorted, rendezvous.New(names, xxhash.Sum64String)}
 }
 
-// Full reports whether each entry tells each other one.
+// FullExchange reports whether each entry reports to every other one.
 func (r *Ring) Full() bool { return len(r.entries) <= FullExchangeUpTo }
 
-// Aggregator returns the entry that sums up a client's demand if the exchange is not full.
+// Aggregator returns the entry that sums a client's demand if the exchange is not full.
 func (r *Ring) Aggregator(client ids.Client) ids.Node {
-	return ids.Node(r.table.Lookup(string(client)))
+	return ids.Node(r.hashing.Lookup(string(client)))
 }
 
-// Address sorts a report of the entry self by where it goes. In the full exchange an empty report goes out too,
-// because it says that there is no demand any more.
+// Recipients splits a report of the entry self by recipient. In the full exchange an empty report is sent too, because
+// it indicates that there is no demand any more.
 func (r *Ring) Address(self ids.Node, report []Record) map[ids.Node][]Record {
 	to := make(map[ids.Node][]Record)
 	if r.Full() {
@@ -65,22 +66,23 @@
 	return to
 }
 
-// minDemand is the fraction of an even part of the limit below which a client's demand is not told: it cannot matter.
+// minDemand is the fraction of an even share of the limit below which a client's demand is not reported, because it is
+// negligible.
 const minDemand = 0.1
 
-// Report returns the demand of this entry's clients, most first and no more than Options.MaxRecords. It is sent once
-// a second to where Ring.Address says.
+// Report returns the demand of this entry's clients in descending order of tokens, limited to Options.MaxRecords. It
+// also deletes expired state. It is called once per second, and the result is sent to Ring.Recipients.
 func (l *Limiter) Report(now time.Time) []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.book.expire(now)
+	l.peers.expire(now)
 	var records []Record
 	for client, a := range l.accounts {
 		demand := a.demand.rate(l.opts.Window, now)
 		switch {
 		case now.Sub(a.refilled) > l.opts.Hold:
 			delete(l.accounts, client)
-		case l.matters(demand, l.limits[client]):
+		case l.reportable(demand, l.limits[client]):
 			records = append(records, Record{client, demand})
 		}
 	}
@@ -90,7 +92,7 @@
 	return records[:min(len(records), l.opts.MaxRecords)]
 }
 
-func (l *Limiter) matters(d Usage, limit Limit) bool {
+func (l *Limiter) reportable(d Usage, limit Limit) bool {
 	if limit == (Limit{}) {
 		return d.Tokens >= 1
 	}
@@ -99,15 +101,16 @@
 		limit.TokensPerSecond > 0 && d.Tokens > even*limit.TokensPerSecond
 }
 
-// MergeReport takes in what another entry reported, and returns the sums over all entries but that one, this one included,
-// for the same clients. An aggregator sends them back; in the full exchange they are not needed.
+// MergeReport records the report of another entry. For each client in it, it returns the demand summed over all entries
+// except the reporting one, including this one. An aggregator sends these sums back; the full exchange does not need
+// them.
 func (l *Limiter) MergeReport(from ids.Node, records []Record, now time.Time) []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.book.record(from, records, now)
+	l.peers.record(from, records, now)
 	sums := make([]Record, 0, len(records))
 	for _, r := range records {
-		total, _ := l.book.sum(r.Client, now)
+		total, _ := l.peers.sum(r.Client, now)
 		total = total.minus(r.Demand)
 		if a := l.accounts[r.Client]; a != nil {
 			total = total.plus(a.demand.rate(l.opts.Window, now))
@@ -117,27 +120,28 @@
 	return sums
 }
 
-// MergeSums takes in what an aggregator returned for a report of this entry: the demand at the other entries.
+// MergeSums records an aggregator's reply to a report of this entry: the demand at the other entries.
 func (l *Limiter) MergeSums(sums []Record, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range sums {
 		if a := l.accounts[r.Client]; a != nil {
-			a.sum, a.sumAt = r.Demand, now
+			a.othersSum, a.othersAt = r.Demand, now
 		}
 	}
 }
 
-// Forget drops what an entry told that is known to be gone, because its callers have moved on.
+// Forget deletes the reports of a dead entry, whose callers have moved to other entries.
 func (l *Limiter) Forget(node ids.Node) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.book.forget(node)
+	l.peers.forget(node)
 }
 
-// Quota returns which part of the pool's places this entry needs, so that clients are served fairly over all entries:
-// the part of all clients' fair work, by max-min sharing of a capacity in tokens a second, that comes to this entry.
-// It needs the full exchange; without it, or without demand, the part is even.
+// Quota returns the fraction of the pool's capacity that this entry needs so that clients are served fairly over all
+// entries. It computes each client's fair work by max-min sharing of a capacity in tokens per second, and returns the
+// fraction of that work that arrives at this entry. Without the full exchange, or without demand, it returns an even
+// share.
 func (l *Limiter) Quota(capacity float64, share func(ids.Client) float64, now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,8 +171,8 @@
 		own := a.demand.rate(l.opts.Window, now).Tokens
 		byClient[client] = &clientDemand{own: own, total: own}
 	}
-	for client := range l.book.demand {
-		sum, _ := l.book.sum(client, now)
+	for client := range l.peers.demand {
+		sum, _ := l.peers.sum(client, now)
 		d := byClient[client]
 		if d == nil {
 			d = &clientDemand{}
@@ -187,8 +191,8 @@
 	return list
 }
 
-// fairLevel returns the tokens a second per unit of share at which the demands, each cut at its share of the level,
-// use up the capacity.
+// fairLevel returns the max-min fair level in tokens per second per unit of share: if each client gets the smaller of
+// its demand and the level times its share, the capacity is used up.
 func fairLevel(demands []clientDemand, capacity float64) float64 {
 	sorted := slices.SortedFunc(slices.Values(demands), func(a, b clientDemand) int {
 		return cmp.Compare(a.total/a.share, b.total/b.share)
--- a/internal/policy/admission/limits/limiter.go
+++ b/internal/policy/admission/limits/limiter.go
@@ -9,26 +9,29 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// Limit is what one client may use over all entries together; 0 means no limit.
+// Limit is the limit of one client over all entries together; 0 means no limit.
 type Limit struct {
 	RequestsPerSecond, TokensPerSecond float64
 }
 
-// Options are the settings of a Limiter.
+// Options configures a Limiter.
 type Options struct {
-	// Burst is the time whose worth of the limit may be used at once.
+	// Burst is the time whose worth of the limit may be used in one burst.
 	Burst time.Duration
-	// Window is the time over which demand is measured.
+	// Window is the time constant of the demand measurement.
 	Window time.Duration
-	// Fresh is how long a report of an entry that is still heard counts; three reports may be lost.
+	// Fresh is how long a report counts if its entry keeps sending reports without that client; three reports may be
+	// lost.
 	Fresh time.Duration
-	// Hold is how long the others' last demand counts when they, or the aggregator, are not heard any more.
+	// Hold is how long the last demand of the other entries counts after reports, or the aggregator's replies, stop
+	// arriving.
 	Hold time.Duration
-	// MaxRecords bounds a report, so that it fits one datagram beside a digest; the clients with most demand are told.
+	// MaxRecords bounds a report so that it fits into one datagram together with a digest. The clients with the most
+	// demand are reported.
 	MaxRecords int
 }
 
-// Defaults returns the settings in use.
+// Defaults returns the production options.
 func Defaults() Options {
 	return Options{
 		Burst: time.Second, Window: 2 * time.Second, Fresh: 3500 * time.Millisecond, Hold: 30 * time.Second,
@@ -36,7 +39,7 @@
 	}
 }
 
-// Usage is an amount of both kinds, or a rate of them per second.
+// Usage is a number of requests and of tokens, or a rate of both per second.
 type Usage struct{ Requests, Tokens float64 }
 
 func (u Usage) plus(v Usage) Usage { return Usage{u.Requests + v.Requests, u.Tokens + v.Tokens} }
@@ -45,14 +48,15 @@
 	return Usage{max(0, u.Requests-v.Requests), max(0, u.Tokens-v.Tokens)}
 }
 
-// Limiter holds the limits in one entry. It is safe for concurrent use; a mutex is held for well under a microsecond.
+// Limiter enforces the limits in one entry. It is safe for concurrent use; its mutex is held for well under a
+// microsecond.
 type Limiter struct {
 	mu       sync.Mutex
 	opts     Options
 	entries  int
 	limits   map[ids.Client]Limit
 	accounts map[ids.Client]*account
-	book     book
+	peers    peerDemands
 }
 
 // New returns a limiter for one of the given number of entries.
@@ -62,36 +66,37 @@
 		entries:  max(1, entries),
 		limits:   make(map[ids.Client]Limit),
 		accounts: make(map[ids.Client]*account),
-		book:     newBook(opts),
+		peers:    newPeerDemands(opts),
 	}
 }
 
-// SetLimits replaces all limits, which are configuration.
+// SetLimits replaces all limits with those of the configuration.
 func (l *Limiter) SetLimits(limits map[ids.Client]Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limits = limits
 }
 
-// SetEntries tells how many entries there are, those that are cut off included; a client that is new here gets that
-// part of its limit until the others' demand is known.
+// SetEntries sets the number of entries, including partitioned ones. A client without previous requests at this entry
+// gets an even share of its limit until the others' demand is known.
 func (l *Limiter) SetEntries(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entries = max(1, n)
 }
 
-// Consume counts a request of the given size in tokens; it returns *failure.Error with CodeOverLimit and the time after
-// which the client has allowance again. It counts the demand of clients without a limit too, for fair sharing.
+// Consume charges a client for a request of the given size in tokens. Over the limit it returns a *failure.Error with
+// CodeOverLimit and the time after which the client has allowance again. The demand of clients without a limit is
+// measured too, for Quota.
 func (l *Limiter) Consume(client ids.Client, tokens float64, now time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	limit := l.limits[client]
 	a := l.account(client, limit, now)
 	a.demand.add(Usage{1, tokens}, l.opts.Window, now)
-	part := l.part(client, a, now)
-	a.refill(part, limit, l.opts, now)
-	if wait := a.shortage(limit, part); wait > 0 {
+	share := l.localShare(client, a, now)
+	a.refill(share, limit, l.opts, now)
+	if wait := a.shortage(limit, share); wait > 0 {
 		return failure.New(failure.CodeOverLimit, nil).WithRetryAfter(wait)
 	}
 	a.allowance.Requests--
@@ -99,7 +104,7 @@
 	return nil
 }
 
-// Adjust corrects an earlier Consume by the difference between the real and the estimated tokens.
+// Adjust corrects an earlier Consume by the real tokens minus the estimated ones.
 func (l *Limiter) Adjust(client ids.Client, difference float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,7 +113,7 @@
 	}
 }
 
-// Part returns which part of a client's demand, in tokens, comes to this entry.
+// LocalShare returns the fraction of a client's token demand that arrives at this entry.
 func (l *Limiter) Part(client ids.Client, now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,27 +121,27 @@
 	if a == nil {
 		return 1 / float64(l.entries)
 	}
-	return l.part(client, a, now).Tokens
+	return l.localShare(client, a, now).Tokens
 }
 
 func (l *Limiter) account(client ids.Client, limit Limit, now time.Time) *account {
 	a := l.accounts[client]
 	if a == nil {
-		part := 1 / float64(l.entries)
-		a = &account{born: now, refilled: now, allowance: Usage{
-			max(1, part*limit.RequestsPerSecond*l.opts.Burst.Seconds()),
-			part * limit.TokensPerSecond * l.opts.Burst.Seconds(),
+		share := 1 / float64(l.entries)
+		a = &account{createdAt: now, refilled: now, allowance: Usage{
+			max(1, share*limit.RequestsPerSecond*l.opts.Burst.Seconds()),
+			share * limit.TokensPerSecond * l.opts.Burst.Seconds(),
 		}}
 		l.accounts[client] = a
 	}
 	return a
 }
 
-// part returns which part of each limit this entry may grant. A client that is new here has not been told of by the
-// others yet, so an even part is granted until a report could have come.
-func (l *Limiter) part(client ids.Client, a *account, now time.Time) Usage {
-	others, known := l.book.others(client, a, now)
-	if !known && l.entries > 1 && now.Sub(a.born) < l.opts.Window {
+// localShare returns the fraction of each limit that this entry may grant. The other entries may not have reported a
+// client that is new here yet, so it gets an even share until a report could have arrived.
+func (l *Limiter) localShare(client ids.Client, a *account, now time.Time) Usage {
+	others, known := l.peers.others(client, a, now)
+	if !known && l.entries > 1 && now.Sub(a.createdAt) < l.opts.Window {
 		return Usage{1 / float64(l.entries), 1 / float64(l.entries)}
 	}
 	own := a.demand.rate(l.opts.Window, now)
@@ -150,42 +155,43 @@
 	return own / (own + others)
 }
 
-// account is what one entry knows of one client.
+// account is an entry's state for one client.
 type account struct {
-	born      time.Time
+	createdAt time.Time
 	demand    meter
 	allowance Usage
 	refilled  time.Time
-	// sum is the demand at the other entries as the aggregator told it.
-	sum   Usage
-	sumAt time.Time
+	// othersSum is the demand at the other entries as last sent by the aggregator, at othersAt.
+	othersSum Usage
+	othersAt  time.Time
 }
 
-func (a *account) refill(part Usage, limit Limit, opts Options, now time.Time) {
-	past := now.Sub(a.refilled).Seconds()
+func (a *account) refill(share Usage, limit Limit, opts Options, now time.Time) {
+	elapsed := now.Sub(a.refilled).Seconds()
 	a.refilled = now
 	burst := opts.Burst.Seconds()
-	a.allowance.Requests = filled(a.allowance.Requests, part.Requests*limit.RequestsPerSecond, past, burst)
-	a.allowance.Tokens = filled(a.allowance.Tokens, part.Tokens*limit.TokensPerSecond, past, burst)
+	a.allowance.Requests = filled(a.allowance.Requests, share.Requests*limit.RequestsPerSecond, elapsed, burst)
+	a.allowance.Tokens = filled(a.allowance.Tokens, share.Tokens*limit.TokensPerSecond, elapsed, burst)
 }
 
-// filled adds what a rate yields in the time past, up to a burst's worth but always up to one request.
-func filled(level, rate, past, burst float64) float64 {
-	return min(level+rate*past, max(1, rate*burst))
+// filled adds the allowance accrued at a rate over the elapsed seconds. It is capped at one burst, but never below one
+// request.
+func filled(level, rate, elapsed, burst float64) float64 {
+	return min(level+rate*elapsed, max(1, rate*burst))
 }
 
 // minRate keeps waiting times finite.
 const minRate = 0.01
 
-// shortage returns how long the client must wait, 0 if it may go on. A token allowance may be overdrawn by the last
-// request, which is paid back before the next one; otherwise a request larger than a burst could never run.
-func (a *account) shortage(limit Limit, part Usage) time.Duration {
+// shortage returns how long the client must wait; 0 if it may go on. The token allowance may be overdrawn by one
+// request and must be paid back before the next one. Otherwise a request larger than a burst could never run.
+func (a *account) shortage(limit Limit, share Usage) time.Duration {
 	wait := 0.0
 	if limit.RequestsPerSecond > 0 && a.allowance.Requests < 1 {
-		wait = (1 - a.allowance.Requests) / max(minRate, part.Requests*limit.RequestsPerSecond)
+		wait = (1 - a.allowance.Requests) / max(minRate, share.Requests*limit.RequestsPerSecond)
 	}
 	if limit.TokensPerSecond > 0 && a.allowance.Tokens <= 0 {
-		wait = max(wait, (1-a.allowance.Tokens)/max(minRate, part.Tokens*limit.TokensPerSecond))
+		wait = max(wait, (1-a.allowance.Tokens)/max(minRate, share.Tokens*limit.TokensPerSecond))
 	}
 	return time.Duration(math.Ceil(wait)) * time.Second
 }
--- a/internal/policy/admission/limits/wire.go
+++ b/internal/policy/admission/limits/wire.go
@@ -11,7 +11,7 @@
 
 const centi = 100
 
-// Encode turns records into the message that goes between entries.
+// Encode converts records to the message that entries exchange.
 func Encode(records []Record) *cardamomyokev1.UsageReport {
 	report := &cardamomyokev1.UsageReport{}
 	for _, r := range records {
@@ -28,11 +28,11 @@
 
 func hashOf(c ids.Client) uint64 { return xxhash.Sum64String(string(c)) }
 
-// Names finds accounts by the hash that stands for them in messages. It is immutable and belongs to a configuration.
+// ClientsByHash maps the hashes in messages to clients. It is immutable and built for one configuration.
 type Names map[uint64]ids.Client
 
-// NewNames returns the names of the given accounts. Of two accounts with the same hash, which is not to be expected
-// among millions, one would be counted as the other.
+// NewClientsByHash returns the index of the given clients. If two clients have the same hash, one is counted as the
+// other; this is not expected even among millions.
 func NewNames(clients []ids.Client) Names {
 	names := make(Names, len(clients))
 	for _, c := range clients {
@@ -41,7 +41,7 @@
 	return names
 }
 
-// Decode turns a message into records. Accounts that this configuration does not know are left out.
+// Decode converts a message to records. Clients that are not in this configuration are skipped.
 func (n Names) Decode(report *cardamomyokev1.UsageReport) []Record {
 	var records []Record
 	for _, r := range report.GetRecords() {
--- a/internal/policy/admission/limits/wire_test.go
+++ b/internal/policy/admission/limits/wire_test.go
@@ -11,7 +11,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/admission/limits"
 )
 
-func TestReportsSurviveTheWire(t *testing.T) {
+func TestReportsRoundTrip(t *testing.T) {
 	records := []limits.Record{
 		{Client: "a", Demand: limits.Usage{Requests: 1.25, Tokens: 300}},
 		{Client: "removed", Demand: limits.Usage{Requests: 1}},
@@ -24,8 +24,9 @@
 	}
 }
 
-// The largest report must fit one datagram of 1,400 bytes beside the rest of a digest, which takes up to 190.
-func TestALargestReportFitsADatagram(t *testing.T) {
+// The largest report must fit into one datagram of 1,400 bytes together with the rest of a digest, which takes up to
+// 190.
+func TestLargestReportFitsADatagram(t *testing.T) {
 	var records []limits.Record
 	for i := range limits.Defaults().MaxRecords {
 		records = append(records, limits.Record{
--- a/internal/policy/admission/queue.go
+++ b/internal/policy/admission/queue.go
@@ -12,64 +12,66 @@
 // Class is a priority class of the configuration.
 type Class struct {
 	Name string
-	// Rank 0 goes first.
+	// Rank orders the classes; 0 goes first.
 	Rank int
-	// QueueLimit is the most requests that may wait.
+	// QueueLimit is the maximum number of waiting requests.
 	QueueLimit int
 }
 
-// Capacity is what an entry may use of a pool of upstreams.
+// Capacity is the share of a pool of upstreams that an entry may use.
 type Capacity struct {
-	// Places is how many requests the entry may have started at once.
+	// Concurrency is the maximum number of started requests that are not done.
 	Places int
-	// TokensPerSecond is the work that the pool is expected to do for this entry; it is used until the queue has
-	// measured its own rate.
+	// TokensPerSecond is the expected throughput of the pool for this entry. It is used until the queue has measured
+	// its own rate.
 	TokensPerSecond float64
 }
 
-// Options are the settings of a Queue.
+// Options configures a Queue.
 type Options struct {
 	Classes []Class
-	// Reserve is the fraction of the places that only the first class may use. It is kept while that class is asked
-	// for at all; a pool that serves other classes only has the use of all its places.
+	// Reserve is the fraction of the concurrency that only the first class may use. It applies only while requests of
+	// that class arrive, so that a pool that serves other classes only can use its full capacity.
 	Reserve float64
 	// RateWindow is the time over which the rate of started work is measured.
 	RateWindow time.Duration
-	// MaxWait is the longest expected wait that a request is queued for; 0 means until its deadline. A queue takes up
-	// bursts; under lasting overload a longer one serves no more requests, it only makes each of them wait.
+	// MaxWait is the maximum expected wait of a queued request; 0 means that only its deadline counts. A queue absorbs
+	// bursts. Under lasting overload a longer queue serves no more requests; each of them just waits longer.
 	MaxWait time.Duration
-	// Share returns a client's weight at this entry, above 0; nil means 1 for all.
+	// Share returns a client's weight at this entry, above 0; nil means 1 for every client.
 	Share func(ids.Client) float64
 }
 
-// DefaultReserve leaves three places in ten to the first class. It costs up to an eighth of the goodput under overload
-// and keeps the first class's time to the first token near what it is without; docs/measurements.md has the figures.
+// DefaultReserve reserves three tenths of the concurrency for the first class. It costs up to an eighth of the goodput
+// under overload and keeps the first class's time to the first token close to that without overload;
+// docs/measurements.md has the figures.
 const DefaultReserve = 0.3
 
-// DefaultMaxWait takes up bursts of half a second. What waits for longer gets its first token too late to be of use:
-// the aim is 1.1 seconds, of which a prompt and the way through a busy batch take the rest.
+// DefaultMaxWait lets the queue absorb bursts of half a second. A request that waits longer gets its first token too
+// late to be of use: the target is 1.1 seconds, and the rest of it is needed for reading the prompt and for the steps
+// of a busy batch.
 const DefaultMaxWait = 500 * time.Millisecond
 
 // DefaultRateWindow is long enough to even out single long requests.
 const DefaultRateWindow = 2 * time.Second
 
-// Request is what admission must know about a request.
+// Request is the input of an admission decision.
 type Request struct {
-	// ID is unique within the entry's life.
+	// ID is unique within the incarnation of the entry.
 	ID     uint64
 	Client ids.Client
 	Class  string
-	// Tokens is the estimated work, prompt and output together.
+	// Tokens is the estimated work: prompt and output tokens.
 	Tokens float64
-	// Run is the expected time from the start to what the deadline is about.
+	// Run is the expected time from the start to the event that Deadline applies to.
 	Run      time.Duration
 	Deadline time.Time
 }
 
-// Outcome is what became of a request.
+// Outcome is the decision on a request.
 type Outcome struct {
 	Request Request
-	// Err is nil if the request may start now, else *failure.Error of a "not run" code.
+	// Err is nil if the request may start now, else a *failure.Error with a "not run" code.
 	Err error
 }
 
@@ -78,16 +80,16 @@
 	submitted time.Time
 }
 
-// Queue admits the requests of one entry to one pool of upstreams. It belongs to one goroutine.
+// Queue admits the requests of one entry to one pool of upstreams. It is not safe for concurrent use.
 type Queue struct {
 	opts     Options
 	capacity Capacity
 	classes  []*classQueue
 	started  map[uint64]startedItem
 	rate     rateMeter
-	// firstAt is when the first class was last asked for.
-	firstAt time.Time
-	// busySince is when requests last began to wait without a pause; zero if none waits.
+	// firstClassAt is when the last request of the first class arrived.
+	firstClassAt time.Time
+	// busySince is the start of the current period with waiting requests; zero if none waits.
 	busySince time.Time
 }
 
@@ -110,10 +112,10 @@
 	return q
 }
 
-// SetCapacity changes the capacity, for example when upstreams leave or other entries need more.
+// SetCapacity changes the capacity, for example when upstreams drain or other entries need more.
 func (q *Queue) SetCapacity(c Capacity) { q.capacity = c }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int {
 	n := 0
 	for _, c := range q.classes {
@@ -122,18 +124,18 @@
 	return n
 }
 
-// Started returns how many requests were started and are not done.
+// Started returns the number of started requests that are not done.
 func (q *Queue) Started() int { return len(q.started) }
 
-// Submit takes in a request. It returns the outcomes that follow at once: the request's own, if it may start or is
-// refused, and none if it waits.
+// Submit adds a request. It returns the outcomes that are decided immediately: the request's own if it may start or is
+// refused, that of a request it displaces from a full queue, and none if it just waits.
 func (q *Queue) Submit(req Request, now time.Time) []Outcome {
 	c := q.class(req.Class)
 	if c == nil {
 		return []Outcome{{req, failure.New(failure.CodeInternal, &ClassError{req.Class})}}
 	}
 	if c == q.classes[0] {
-		q.firstAt = now
+		q.firstClassAt = now
 	}
 	it := &item{req: req, submitted: now}
 	if err := q.refusal(c, it, now); err != nil {
@@ -142,15 +144,15 @@
 	c.push(it, q.share(req.Client))
 	outcomes := q.start(now)
 	if c.waiting > c.class.QueueLimit {
-		outcomes = append(outcomes, q.crowdOut(c, now))
+		outcomes = append(outcomes, q.displace(c, now))
 	}
 	q.markBusy(now)
 	return outcomes
 }
 
-// crowdOut refuses the newest request of the client that has most waiting for its share. Were the newcomer refused
-// instead, one client that floods would fill the queue and keep all others out of it.
-func (q *Queue) crowdOut(c *classQueue, now time.Time) Outcome {
+// displace refuses the newest request of the client with the most waiting work relative to its share. If the arriving
+// request were refused instead, a single flooding client could fill the queue and lock out all others.
+func (q *Queue) displace(c *classQueue, now time.Time) Outcome {
 	f := c.longest()
 	it := f.items[len(f.items)-1]
 	c.remove(it.req.ID)
@@ -158,8 +160,8 @@
 	return Outcome{it.req, failure.New(failure.CodeOverloaded, nil).WithRetryAfter(atLeastSecond(wait))}
 }
 
-// Done frees the place of a request that was started. used is the work that it really took, in tokens; what was
-// estimated wrongly is settled with the client's share.
+// Done frees the capacity of a started request. used is the work that it really took, in tokens; the client is charged
+// for the difference from the estimate.
 func (q *Queue) Done(id uint64, used float64, now time.Time) []Outcome {
 	s, ok := q.started[id]
 	if !ok {
@@ -170,7 +172,7 @@
 	return q.start(now)
 }
 
-// Cancel takes back a request whose caller went away; it reports whether the request was waiting.
+// Cancel removes a waiting request whose caller has disconnected. It reports whether the request was waiting.
 func (q *Queue) Cancel(id uint64) bool {
 	for _, c := range q.classes {
 		if c.remove(id) {
@@ -180,7 +182,7 @@
 	return false
 }
 
-// Tick starts what can be started and refuses whatever can no longer be done in time.
+// Tick starts the requests that can be started and refuses those that can no longer be done in time.
 func (q *Queue) Tick(now time.Time) []Outcome {
 	outcomes := q.start(now)
 	for _, c := range q.classes {
@@ -216,17 +218,17 @@
 	return max(minShare, q.opts.Share(client))
 }
 
-// minShare is the weight of a client that has none, for example because its account was just removed.
+// minShare is the weight of a client without one, for example because its account was just removed.
 const minShare = 0.001
 
-// reserveFor is how long places are kept free after the first class was last asked for.
+// reserveFor is how long the reserve is kept after the last request of the first class.
 const reserveFor = 30 * time.Second
 
-// start takes requests out of the queue, best class first, as long as there is a place for them.
+// start starts waiting requests, best class first, while there is capacity for them.
 func (q *Queue) start(now time.Time) []Outcome {
 	var outcomes []Outcome
 	for i, c := range q.classes {
-		for c.waiting > 0 && len(q.started) < q.places(i, now) {
+		for c.waiting > 0 && len(q.started) < q.concurrency(i, now) {
 			it := c.pop(now)
 			q.started[it.req.ID] = startedItem{it.req, c}
 			q.rate.add(it.req.Tokens, now)
@@ -236,16 +238,17 @@
 	return outcomes
 }
 
-// places is how many places a class may fill. All but the first leave the reserve free: if they filled the pool, a
-// request of the first class would wait for a whole answer to end, however high its priority.
-func (q *Queue) places(index int, now time.Time) int {
-	if index == 0 || q.firstAt.IsZero() || now.Sub(q.firstAt) > reserveFor {
+// concurrency returns the number of started requests up to which a class may start more. All classes but the first
+// leave the reserve free. If they used the complete pool, a request of the first class would wait until some response
+// ends, however high its priority.
+func (q *Queue) concurrency(index int, now time.Time) int {
+	if index == 0 || q.firstClassAt.IsZero() || now.Sub(q.firstClassAt) > reserveFor {
 		return q.capacity.Places
 	}
 	return q.capacity.Places - int(q.opts.Reserve*float64(q.capacity.Places))
 }
 
-// ClassError says that a request names a class that is not configured.
+// ClassError reports that a request names a class that is not configured.
 type ClassError struct{ Class string }
 
 // Error implements error.
--- a/internal/policy/admission/queue_test.go
+++ b/internal/policy/admission/queue_test.go
@@ -26,8 +26,8 @@
 	return admission.Options{Classes: []admission.Class{{Name: letters, Rank: 1, QueueLimit: 50}, {Name: quotes, Rank: 0, QueueLimit: 50}}}
 }
 
-// engine drives a queue as an entry does: each started request ends after its run.
-type engine struct {
+// queueSim drives a queue as an entry does, on a virtual clock: each started request ends after its run time.
+type queueSim struct {
 	queue    *admission.Queue
 	now      time.Time
 	next     uint64
@@ -37,46 +37,46 @@
 	refusedN int
 }
 
-func newEngine(opts admission.Options, places int) *engine {
-	rate := float64(places) * tokens / run.Seconds()
-	return &engine{
-		queue: admission.NewQueue(opts, admission.Capacity{Places: places, TokensPerSecond: rate}),
+func newQueueSim(opts admission.Options, concurrency int) *queueSim {
+	rate := float64(concurrency) * tokens / run.Seconds()
+	return &queueSim{
+		queue: admission.NewQueue(opts, admission.Capacity{Places: concurrency, TokensPerSecond: rate}),
 		now:   begin, running: make(map[uint64]time.Time), refused: make(map[uint64]error),
 	}
 }
 
-func (e *engine) submit(client ids.Client, class string, deadline time.Duration) uint64 {
-	e.next++
-	e.take(e.queue.Submit(admission.Request{
-		ID: e.next, Client: client, Class: class, Tokens: tokens, Run: run, Deadline: e.now.Add(deadline),
-	}, e.now))
-	return e.next
+func (s *queueSim) submit(client ids.Client, class string, deadline time.Duration) uint64 {
+	s.next++
+	s.record(s.queue.Submit(admission.Request{
+		ID: s.next, Client: client, Class: class, Tokens: tokens, Run: run, Deadline: s.now.Add(deadline),
+	}, s.now))
+	return s.next
 }
 
-func (e *engine) take(outcomes []admission.Outcome) {
+func (s *queueSim) record(outcomes []admission.Outcome) {
 	for _, o := range outcomes {
 		if o.Err != nil {
-			e.refused[o.Request.ID] = o.Err
-			e.refusedN++
+			s.refused[o.Request.ID] = o.Err
+			s.refusedN++
 			continue
 		}
-		e.started = append(e.started, o.Request)
-		e.running[o.Request.ID] = e.now.Add(run)
+		s.started = append(s.started, o.Request)
+		s.running[o.Request.ID] = s.now.Add(run)
 	}
 }
 
-// pass lets time pass in steps of 10 ms.
-func (e *engine) pass(d time.Duration) {
+// advance advances the clock in steps of 10 ms.
+func (s *queueSim) advance(d time.Duration) {
 	const step = 10 * time.Millisecond
-	for end := e.now.Add(d); e.now.Before(end); {
-		e.now = e.now.Add(step)
-		for id := uint64(1); id <= e.next; id++ {
-			if at, ok := e.running[id]; ok && !at.After(e.now) {
-				delete(e.running, id)
-				e.take(e.queue.Done(id, tokens, e.now))
+	for end := s.now.Add(d); s.now.Before(end); {
+		s.now = s.now.Add(step)
+		for id := uint64(1); id <= s.next; id++ {
+			if at, ok := s.running[id]; ok && !at.After(s.now) {
+				delete(s.running, id)
+				s.record(s.queue.Done(id, tokens, s.now))
 			}
 		}
-		e.take(e.queue.Tick(e.now))
+		s.record(s.queue.Tick(s.now))
 	}
 }
 
@@ -88,16 +88,16 @@
 }
 
 func TestTheFirstClassGoesFirst(t *testing.T) {
-	e := newEngine(options(), 1)
+	s := newQueueSim(options(), 1)
 	for range 3 {
-		e.submit("a", letters, time.Minute)
+		s.submit("a", letters, time.Minute)
 	}
 	for range 2 {
-		e.submit("a", quotes, time.Minute)
+		s.submit("a", quotes, time.Minute)
 	}
-	e.pass(time.Second)
+	s.advance(time.Second)
 	var order []string
-	for _, r := range e.started {
+	for _, r := range s.started {
 		order = append(order, r.Class)
 	}
 	if diff := cmp.Diff([]string{letters, quotes, quotes, letters, letters}, order); diff != "" {
@@ -108,51 +108,52 @@
 func TestTheReserveIsForTheFirstClass(t *testing.T) {
 	opts := options()
 	opts.Reserve = 0.25
-	e := newEngine(opts, 8)
-	e.submit("a", quotes, time.Minute)
-	e.pass(2 * run)
-	e.started = nil
+	s := newQueueSim(opts, 8)
+	s.submit("a", quotes, time.Minute)
+	s.advance(2 * run)
+	s.started = nil
 	for range 10 {
-		e.submit("a", letters, time.Minute)
+		s.submit("a", letters, time.Minute)
 	}
-	if len(e.started) != 6 {
-		t.Fatalf("%d letters started in 8 places with a quarter reserved", len(e.started))
+	if len(s.started) != 6 {
+		t.Fatalf("%d of at most 8 letters started with a quarter reserved", len(s.started))
 	}
-	e.submit("a", quotes, time.Minute)
-	if got := e.started[len(e.started)-1].Class; got != quotes {
-		t.Fatalf("a quote waits although places are reserved for it")
+	s.submit("a", quotes, time.Minute)
+	if got := s.started[len(s.started)-1].Class; got != quotes {
+		t.Fatalf("a quote waits although capacity is reserved for it")
 	}
 }
 
-// A service whose requests are all of a lower class must not lose places to a class that never comes.
-func TestNothingIsReservedForAClassThatNobodyAsksFor(t *testing.T) {
+// A service whose requests are all of a lower class must not lose capacity to a class that sends no requests.
+func TestNothingIsReservedForAnUnusedClass(t *testing.T) {
 	opts := options()
 	opts.Reserve = 0.25
-	e := newEngine(opts, 8)
+	s := newQueueSim(opts, 8)
 	for range 10 {
-		e.submit("a", letters, time.Minute)
+		s.submit("a", letters, time.Minute)
 	}
-	if len(e.started) != 8 {
-		t.Fatalf("%d letters started in 8 places", len(e.started))
+	if len(s.started) != 8 {
+		t.Fatalf("%d letters started with a concurrency of 8", len(s.started))
 	}
 }
 
-// An account is removed while its requests wait; its weight is then 0, and dividing by it would stop the whole class.
-func TestAClientWithoutAShareDoesNotStopTheOthers(t *testing.T) {
+// An account is removed while its requests wait. Its weight is then 0, and a division by it would block the whole
+// class.
+func TestClientWithoutAShareDoesNotBlockOthers(t *testing.T) {
 	opts := options()
 	opts.Share = func(c ids.Client) float64 { return map[ids.Client]float64{"a": 1}[c] }
-	e := newEngine(opts, 1)
+	s := newQueueSim(opts, 1)
 	for range 5 {
-		e.submit("removed", letters, time.Minute)
-		e.submit("a", letters, time.Minute)
+		s.submit("removed", letters, time.Minute)
+		s.submit("a", letters, time.Minute)
 	}
-	e.pass(11 * run)
-	if len(e.started) != 10 {
-		t.Fatalf("%d of 10 started", len(e.started))
+	s.advance(11 * run)
+	if len(s.started) != 10 {
+		t.Fatalf("%d of 10 started", len(s.started))
 	}
 }
 
-func TestRefusalsComeAtOnceAndSayWhen(t *testing.T) {
+func TestRefusalOnSubmitHasRetryAfter(t *testing.T) {
 	tests := map[string]struct {
 		change   func(*admission.Options)
 		waiting  int
@@ -160,14 +161,14 @@
 		want     failure.Code
 		after    time.Duration
 	}{
-		"place free":                             {nil, 0, time.Minute, "", 0},
-		"waits":                                  {nil, 5, time.Minute, "", 0},
-		"deadline before the run":                {nil, 0, run / 2, failure.CodeDeadlineUnmet, 0},
-		"deadline before its turn":               {nil, 40, 2 * time.Second, failure.CodeDeadlineUnmet, 3 * time.Second},
-		"queue full":                             {nil, 50, time.Minute, failure.CodeOverloaded, 5 * time.Second},
-		"wait longer than it may be":             {func(o *admission.Options) { o.MaxWait = time.Second }, 15, time.Minute, failure.CodeOverloaded, time.Second},
-		"wait as long as it may be":              {func(o *admission.Options) { o.MaxWait = time.Second }, 10, time.Minute, "", 0},
-		"class that is not in the configuration": {func(o *admission.Options) { o.Classes = o.Classes[:1] }, 0, time.Minute, failure.CodeInternal, 0},
+		"free capacity":                      {nil, 0, time.Minute, "", 0},
+		"waits":                              {nil, 5, time.Minute, "", 0},
+		"deadline before the end of the run": {nil, 0, run / 2, failure.CodeDeadlineUnmet, 0},
+		"deadline before its turn":           {nil, 40, 2 * time.Second, failure.CodeDeadlineUnmet, 3 * time.Second},
+		"queue full":                         {nil, 50, time.Minute, failure.CodeOverloaded, 5 * time.Second},
+		"wait longer than MaxWait":           {func(o *admission.Options) { o.MaxWait = time.Second }, 15, time.Minute, failure.CodeOverloaded, time.Second},
+		"wait as long as MaxWait":            {func(o *admission.Options) { o.MaxWait = time.Second }, 10, time.Minute, "", 0},
+		"unknown class":                      {func(o *admission.Options) { o.Classes = o.Classes[:1] }, 0, time.Minute, failure.CodeInternal, 0},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -175,14 +176,14 @@
 			if tc.change != nil {
 				tc.change(&opts)
 			}
-			e := newEngine(opts, 1)
+			s := newQueueSim(opts, 1)
 			if tc.waiting > 0 {
-				e.submit("a", quotes, time.Hour)
+				s.submit("a", quotes, time.Hour)
 			}
 			for range tc.waiting {
-				e.submit("a", quotes, time.Hour)
+				s.submit("a", quotes, time.Hour)
 			}
-			err := e.refused[e.submit("a", quotes, tc.deadline)]
+			err := s.refused[s.submit("a", quotes, tc.deadline)]
 			if code(err) != tc.want {
 				t.Fatalf("got %v, want %q", err, tc.want)
 			}
@@ -197,63 +198,63 @@
 	}
 }
 
-// The caller's request waits and would just make its deadline. Then the pool loses half of its places. The request
-// can no longer be done in time; the caller is told now, seconds before the deadline, and can turn elsewhere.
-func TestAWaitingRequestIsRefusedAsSoonAsItIsHopeless(t *testing.T) {
-	e := newEngine(options(), 2)
+// A waiting request would just meet its deadline, but then the pool loses half of its capacity. The request must be
+// refused at that time, seconds before the deadline, so that the caller can turn elsewhere.
+func TestWaitingRequestIsRefusedOnceItCannotMeetItsDeadline(t *testing.T) {
+	s := newQueueSim(options(), 2)
 	for range 40 {
-		e.submit("a", letters, time.Minute)
+		s.submit("a", letters, time.Minute)
 	}
-	last := e.submit("a", letters, 3*time.Second)
-	if err := e.refused[last]; err != nil {
+	last := s.submit("a", letters, 3*time.Second)
+	if err := s.refused[last]; err != nil {
 		t.Fatalf("refused too early: %v", err)
 	}
-	e.queue.SetCapacity(admission.Capacity{Places: 1, TokensPerSecond: tokens / run.Seconds()})
-	e.pass(10 * time.Millisecond)
-	if code(e.refused[last]) != failure.CodeDeadlineUnmet {
-		t.Fatalf("got %v", e.refused[last])
+	s.queue.SetCapacity(admission.Capacity{Places: 1, TokensPerSecond: tokens / run.Seconds()})
+	s.advance(10 * time.Millisecond)
+	if code(s.refused[last]) != failure.CodeDeadlineUnmet {
+		t.Fatalf("got %v", s.refused[last])
 	}
 }
 
-// Quotes take half of the pool. A caller with many letters and a near deadline must be told at once which of them
-// cannot be done in the other half, instead of finding out one by one.
-func TestTheWorkOfClassesAheadCounts(t *testing.T) {
-	e := newEngine(options(), 1)
+// Quotes use half of the pool. A client with many letters and a near deadline must be told on submission which of them
+// cannot be done with the other half.
+func TestExpectedWaitIncludesHigherClasses(t *testing.T) {
+	s := newQueueSim(options(), 1)
 	for range 25 {
-		e.submit("a", quotes, time.Minute)
-		e.pass(2 * run)
+		s.submit("a", quotes, time.Minute)
+		s.advance(2 * run)
 	}
 	refused := 0
 	for range 11 {
-		refused += map[bool]int{true: 1}[e.refused[e.submit("b", letters, 12*run)] != nil]
+		refused += map[bool]int{true: 1}[s.refused[s.submit("b", letters, 12*run)] != nil]
 	}
 	if refused < 4 || refused > 6 {
 		t.Fatalf("%d of 11 letters were refused; about 6 of them can be done before their deadline", refused)
 	}
 }
 
-// One client floods, two others ask for less than their share or for just as much. What the flood takes must not be
-// theirs.
-func TestAFloodTakesOnlyItsShare(t *testing.T) {
+// One client floods while two others send less than their share or just as much. The flood must not take capacity from
+// them.
+func TestFloodGetsOnlyItsShare(t *testing.T) {
 	opts := options()
 	opts.Share = func(c ids.Client) float64 { return map[ids.Client]float64{"double": 2}[c] + 1 }
-	e := newEngine(opts, 2)
+	s := newQueueSim(opts, 2)
 	served := func() map[ids.Client]int {
 		n := make(map[ids.Client]int)
-		for _, r := range e.started {
+		for _, r := range s.started {
 			n[r.Client]++
 		}
 		return n
 	}
 	for i := range 400 {
 		for range 4 {
-			e.submit("flood", letters, time.Minute)
+			s.submit("flood", letters, time.Minute)
 		}
-		e.submit("double", letters, time.Minute)
+		s.submit("double", letters, time.Minute)
 		if i%10 == 0 {
-			e.submit("modest", letters, time.Minute)
+			s.submit("modest", letters, time.Minute)
 		}
-		e.pass(50 * time.Millisecond)
+		s.advance(50 * time.Millisecond)
 	}
 	got := served()
 	if got["modest"] < 39 {
@@ -264,22 +265,22 @@
 	}
 }
 
-func TestWorkEstimatedWronglyIsSettled(t *testing.T) {
-	e := newEngine(options(), 1)
+func TestWrongEstimateIsCharged(t *testing.T) {
+	s := newQueueSim(options(), 1)
 	for range 20 {
-		e.submit("long", letters, time.Minute)
-		e.submit("short", letters, time.Minute)
+		s.submit("long", letters, time.Minute)
+		s.submit("short", letters, time.Minute)
 	}
 	for range 20 {
-		id := e.started[len(e.started)-1].ID
+		id := s.started[len(s.started)-1].ID
 		used := tokens
-		if e.started[len(e.started)-1].Client == "long" {
+		if s.started[len(s.started)-1].Client == "long" {
 			used = 3 * tokens
 		}
-		e.take(e.queue.Done(id, used, e.now))
+		s.record(s.queue.Done(id, used, s.now))
 	}
 	n := make(map[ids.Client]int)
-	for _, r := range e.started {
+	for _, r := range s.started {
 		n[r.Client]++
 	}
 	if n["short"] < 14 || n["long"] > 7 {
@@ -287,48 +288,48 @@
 	}
 }
 
-// However requests come, end and are cancelled: each gets exactly one outcome, the places are never overdrawn, and
-// nothing waits while a place is free.
+// For any sequence of submissions, completions and cancellations, each request gets exactly one outcome, the
+// concurrency limit is never exceeded, and no request waits while there is capacity.
 func TestEveryRequestGetsOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const places = 3
-		e := newEngine(options(), places)
+		const concurrency = 3
+		s := newQueueSim(options(), concurrency)
 		cancelled := make(map[uint64]bool)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				client := ids.Client(fmt.Sprintf("c%d", rapid.IntRange(0, 3).Draw(t, "client")))
 				deadline := time.Duration(rapid.IntRange(0, 2000).Draw(t, "deadline")) * time.Millisecond
-				e.submit(client, rapid.SampledFrom([]string{quotes, letters}).Draw(t, "class"), deadline)
+				s.submit(client, rapid.SampledFrom([]string{quotes, letters}).Draw(t, "class"), deadline)
 			case 2:
-				e.pass(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
+				s.advance(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			case 3:
-				if e.next > 0 {
-					id := rapid.Uint64Range(1, e.next).Draw(t, "cancel")
-					if e.queue.Cancel(id) {
+				if s.next > 0 {
+					id := rapid.Uint64Range(1, s.next).Draw(t, "cancel")
+					if s.queue.Cancel(id) {
 						cancelled[id] = true
 					}
 				}
 			}
-			if n := e.queue.Started(); n > places {
-				t.Fatalf("%d started in %d places", n, places)
+			if n := s.queue.Started(); n > concurrency {
+				t.Fatalf("%d started with a concurrency of %d", n, concurrency)
 			}
-			if e.queue.Waiting() > 0 && e.queue.Started() < places {
-				t.Fatalf("%d wait while %d of %d places are taken", e.queue.Waiting(), e.queue.Started(), places)
+			if s.queue.Waiting() > 0 && s.queue.Started() < concurrency {
+				t.Fatalf("%d wait while %d are started with a concurrency of %d", s.queue.Waiting(), s.queue.Started(), concurrency)
 			}
 		}
-		e.pass(10 * time.Second)
+		s.advance(10 * time.Second)
 		outcomes := make(map[uint64]int)
-		for _, r := range e.started {
+		for _, r := range s.started {
 			outcomes[r.ID]++
 		}
-		for id := range e.refused {
+		for id := range s.refused {
 			outcomes[id]++
 		}
 		for id := range cancelled {
 			outcomes[id]++
 		}
-		for id := uint64(1); id <= e.next; id++ {
+		for id := uint64(1); id <= s.next; id++ {
 			if outcomes[id] != 1 {
 				t.Fatalf("request %d got %d outcomes", id, outcomes[id])
 			}
--- a/internal/policy/admission/runtime.go
+++ b/internal/policy/admission/runtime.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RunTime estimates how long a request of a service runs, from those that ended: the mean and twice the mean
-// deviation, so that most requests need no more. It belongs to one goroutine.
+// RunTime estimates the run time of a service's requests from those that are done. The estimate is the mean plus twice
+// the mean deviation, so that most requests do not exceed it. It is not safe for concurrent use.
 type RunTime struct {
 	mean, deviation float64
 }
@@ -13,7 +13,7 @@
 	deviationFactor = 2
 )
 
-// Observe takes in one request's time from its start to its end.
+// Observe records the time of one request from start to end.
 func (r *RunTime) Observe(d time.Duration) {
 	x := float64(d)
 	if r.mean == 0 {
@@ -24,7 +24,7 @@
 	r.deviation += meanWeight * (max(x-r.mean, r.mean-x) - r.deviation)
 }
 
-// Estimate returns the expected time, or 0 if nothing was observed.
+// Estimate returns the expected run time, or 0 if none was observed.
 func (r *RunTime) Estimate() time.Duration {
 	return time.Duration(r.mean + deviationFactor*r.deviation)
 }
