--- a/internal/policy/routing/expectedwait/expectedwait_test.go
+++ b/internal/policy/routing/expectedwait/expectedwait_test.go
@@ -30,7 +30,7 @@
 	return &routing.Request{Blocks: blocks, BlockTokens: blockTokens, PromptTokens: prompt, OutputTokens: 50}
 }
 
-// others gives u the work of other entries, in a report of the given age.
+// others reports work of other entries for u, in a report of the given age.
 func others(u *routing.Upstream, c routing.Counts, age time.Duration) {
 	u.Load.Total = c
 	u.Load.TakenAt = now.Add(-age)
@@ -42,15 +42,15 @@
 		want    string
 	}{
 		"cached prefix": {func(a, _ *routing.Upstream, _ *routing.Request) { a.Cached.Add(blocks...) }, "a"},
-		"affinity is given up for a long queue": {func(a, _ *routing.Upstream, _ *routing.Request) {
+		"long queue outweighs affinity": {func(a, _ *routing.Upstream, _ *routing.Request) {
 			a.Cached.Add(blocks...)
 			a.Work.Start(routing.Estimate{PromptTokens: 3 * prompt})
 		}, "b"},
-		"affinity is kept for a short one": {func(a, _ *routing.Upstream, _ *routing.Request) {
+		"affinity outweighs a short queue": {func(a, _ *routing.Upstream, _ *routing.Request) {
 			a.Cached.Add(blocks...)
 			a.Work.Start(routing.Estimate{PromptTokens: blockTokens})
 		}, "a"},
-		"own work that no report shows yet": {func(a, _ *routing.Upstream, _ *routing.Request) {
+		"own work that is not reported yet": {func(a, _ *routing.Upstream, _ *routing.Request) {
 			a.Work.Start(routing.Estimate{PromptTokens: 2 * prompt})
 		}, "b"},
 		"others' prompts in a fresh report": {func(a, _ *routing.Upstream, _ *routing.Request) {
@@ -63,12 +63,12 @@
 			others(a, routing.Counts{Running: 4, OutputTokens: 4}, 0)
 			others(b, routing.Counts{Waiting: 1, PromptTokens: 4 * prompt}, 0)
 		}, "a"},
-		"the first class passes others' prompts": {func(a, b *routing.Upstream, req *routing.Request) {
+		"the first class goes ahead of others' prompts": {func(a, b *routing.Upstream, req *routing.Request) {
 			req.First = true
 			others(a, routing.Counts{Waiting: 3, PromptTokens: 3 * prompt}, 0)
 			others(b, routing.Counts{Waiting: 1, PromptTokens: prompt, FirstWaiting: 1, FirstPromptTokens: prompt}, 0)
 		}, "a"},
-		"a far data centre": {func(a, _ *routing.Upstream, _ *routing.Request) { a.Distance = 60 * time.Millisecond }, "b"},
+		"a remote data centre": {func(a, _ *routing.Upstream, _ *routing.Request) { a.Distance = 60 * time.Millisecond }, "b"},
 		"a missing adapter": {func(_, b *routing.Upstream, req *routing.Request) {
 			req.Adapter = "grants"
 			b.Adapters = []string{"grants"}
@@ -99,8 +99,8 @@
 	}
 }
 
-// Several entries see the same report, in which one of eight upstreams is a little less busy. If all of them followed
-// it, that upstream would get all their requests until the next report, and its callers would wait for all of those.
+// Several entries get the same report, in which one of eight upstreams is slightly less busy. If all of them followed
+// it, that upstream would get all their requests until the next report, and all of these would wait there.
 func TestEntriesDoNotHerdOnTheSameReport(t *testing.T) {
 	const entries, perEntry, n = 6, 8, 8
 	sent := make(map[ids.Upstream]int)
@@ -125,14 +125,14 @@
 	}
 	for id, got := range sent {
 		if got != entries*perEntry/n {
-			t.Errorf("%s got %d requests, an even part is %d", id, got, entries*perEntry/n)
+			t.Errorf("%s got %d requests, an even share is %d", id, got, entries*perEntry/n)
 		}
 	}
 }
 
-// A report that is seconds old tells of prompts that were computed long ago; steering around them would send every
-// request to the other upstream.
-func TestAnOldReportIsNotBelieved(t *testing.T) {
+// The prompts in a report that is seconds old were computed long ago. If the report still counted, every request would
+// be sent to the other upstream.
+func TestOldReportIsDiscounted(t *testing.T) {
 	a, b := upstream("a"), upstream("b")
 	others(a, routing.Counts{Waiting: 1, PromptTokens: prompt}, 30*time.Second)
 	p := expectedwait.New([]*routing.Upstream{a, b}, expectedwait.Defaults())
--- a/internal/policy/routing/leastrequests/leastrequests.go
+++ b/internal/policy/routing/leastrequests/leastrequests.go
@@ -1,4 +1,4 @@
-// Package leastrequests is a baseline: the upstream where this entry has the fewest requests in flight.
+// Package leastrequests is a baseline policy: it picks the upstream with the fewest requests of this entry in flight.
 package leastrequests
 
 import (
@@ -13,7 +13,7 @@
 // New returns a picker.
 func New(upstreams []*routing.Upstream) *Picker { return &Picker{upstreams: upstreams} }
 
-// Pick implements routing.Picker. Ties are broken at random, so that several entries do not fall on the same one.
+// Pick implements routing.Picker. Ties are broken at random, so that several entries do not choose the same upstream.
 func (p *Picker) Pick(req *routing.Request, _ time.Time) (routing.Choice, error) {
 	usable, err := routing.Usable(p.upstreams, req, nil)
 	if err != nil {
--- a/internal/policy/routing/picker.go
+++ b/internal/policy/routing/picker.go
@@ -12,90 +12,92 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// Request is what a policy may know about a request.
+// Request is the input of a pick.
 type Request struct {
-	// First says that it is of the first class (rank 0), which engines serve before all others.
+	// FirstClass is set for requests of the first class (rank 0), which engines serve before all others.
 	First bool
 	// Blocks are the chained hashes of the prompt's leading blocks, from prefix.Hash; empty without a prompt.
 	Blocks []uint64
-	// BlockTokens is how many prompt tokens one block stands for.
+	// BlockTokens is the number of prompt tokens in a block.
 	BlockTokens int
 	// PromptTokens and OutputTokens are the estimated sizes.
 	PromptTokens, OutputTokens int
-	// Version names the model version that the request needs; empty means any.
+	// Version is the model version that the request needs; empty means any.
 	Version string
-	// Adapter names the adapter that the request needs; empty means none.
+	// Adapter is the adapter that the request needs; empty means none.
 	Adapter string
-	// Exclude names upstreams that failed earlier attempts of this request.
+	// Exclude lists the upstreams that failed earlier attempts of this request.
 	Exclude []ids.Upstream
-	// Rand is a random number drawn for this pick; policies take all their randomness from it.
+	// Rand is a random number generated for this pick. Policies derive all their randomness from it.
 	Rand uint64
 }
 
-// Estimate returns the sizes for Work.Start, with the part of the prompt that is believed to be cached.
+// Estimate returns the argument of Work.Start; cached is the number of prompt tokens that are probably cached.
 func (r *Request) Estimate(cached int) Estimate {
 	return Estimate{First: r.First, PromptTokens: r.PromptTokens, CachedTokens: cached, OutputTokens: r.OutputTokens}
 }
 
-// Choice is where a request goes.
+// Choice is the result of a pick.
 type Choice struct {
 	Upstream *Upstream
 	// Wait is the expected time to the first token; zero if the policy does not estimate it.
 	Wait time.Duration
-	// Ahead is the prompt tokens that the policy believes to be ahead of the request; see Overtaken.
+	// PromptAhead is the number of prompt tokens expected to be computed before those of the request; see Overtaken.
 	Ahead int
-	// Estimate is what Work.Start takes; its CachedTokens is the part of the prompt believed to be cached.
+	// Estimate is the argument of Work.Start; its CachedTokens are the prompt tokens that are probably cached.
 	Estimate Estimate
 }
 
-// The rule by which a slot sends a request of the first class back.
+// Limits of the rule by which a slot sends a request of the first class back.
 const (
-	// OvertakenTokens is how many more prompt tokens than believed may be ahead.
+	// OvertakenTokens is how many more prompt tokens than expected may be ahead.
 	OvertakenTokens = 500
 	// MaxOvertaken is how often one request may be sent back.
 	MaxOvertaken = 2
 )
 
-// Overtaken reports whether a slot should refuse a request before its start, with a fresh report, because other
-// entries' work came first. Entries learn of each other's requests after tens of milliseconds, about as long as a
-// prompt takes, so two of them often send to the same idle upstream; one more way to another is shorter than the wait.
-// believed is the Choice's Ahead, actual what the slot counts, times how often the request was sent back already.
-func Overtaken(first bool, believed, actual, times int) bool {
-	return first && times < MaxOvertaken && actual > believed+OvertakenTokens
+// Overtaken reports whether a slot should refuse a request before its start, with a fresh report, because requests of
+// other entries arrived first. Entries receive each other's counts after tens of milliseconds, about the time that a
+// prompt takes, so two of them often choose the same idle upstream. Sending the request on to another one then takes
+// less time than waiting. expected is the PromptAhead of the Choice, actual the slot's own count, and times is how
+// often the request was sent back before.
+func Overtaken(first bool, expected, actual, times int) bool {
+	return first && times < MaxOvertaken && actual > expected+OvertakenTokens
 }
 
 // Picker chooses an upstream for each request. It is immutable and safe for concurrent use.
 type Picker interface {
-	// Pick returns *failure.Error with CodeNoUpstream, wrapping *NoUpstreamError, if nothing is usable.
+	// Pick returns a *failure.Error with CodeNoUpstream, wrapping *NoUpstreamError, if no upstream is usable.
 	Pick(req *Request, now time.Time) (Choice, error)
 }
 
-// NoUpstreamError says why no upstream was usable.
+// NoUpstreamError describes why no upstream was usable.
 type NoUpstreamError struct {
-	// Known counts the upstreams of the picker.
+	// Known is the number of upstreams in the picker.
 	Known int
-	// Out counts those that health holds out.
-	Out int
-	// Excluded counts those that already failed the request.
+	// HeldOut is the number of upstreams that get no new requests because of their health.
+	HeldOut int
+	// Excluded is the number of upstreams that already failed the request.
 	Excluded int
-	// Unloaded counts those that lack the model version.
+	// Unloaded is the number of upstreams without the model version.
 	Unloaded int
 }
 
 // Error implements error.
 func (e *NoUpstreamError) Error() string {
 	return fmt.Sprintf("of %d upstreams %d are held out, %d already failed the request, %d lack the model version",
-		e.Known, e.Out, e.Excluded, e.Unloaded)
+		e.Known, e.HeldOut, e.Excluded, e.Unloaded)
 }
 
-// Usable returns the upstreams that may take the request, appended to buf.
+// Usable returns the upstreams that may take the request, appended to buf[:0].
 //
-// An upstream with a weight below 1 takes part in that fraction of the picks, so that one that returns after a fault
-// is filled slowly. If this leaves nothing, all that health allows take part: a thin share must not refuse callers.
+// An upstream with a weight below 1 is included in that fraction of the picks, so that load on an upstream that returns
+// after a fault rises slowly. If no upstream remains, all those with a weight above 0 are included: a request must not
+// be refused because of low weights.
 func Usable(all []*Upstream, req *Request, buf []*Upstream) ([]*Upstream, error) {
 	usable := buf[:0]
 	for i, u := range all {
-		if u.accepts(req) && admitted(u.Weight, req.Rand, i) {
+		if u.accepts(req) && sampled(u.Weight, req.Rand, i) {
 			usable = append(usable, u)
 		}
 	}
@@ -117,7 +119,7 @@
 	return u.Weight > 0 && u.hasVersion(req.Version) && !slices.Contains(req.Exclude, u.ID)
 }
 
-func admitted(weight float64, rand uint64, index int) bool {
+func sampled(weight float64, rand uint64, index int) bool {
 	if weight >= 1 {
 		return true
 	}
@@ -129,7 +131,7 @@
 	for _, u := range all {
 		switch {
 		case u.Weight <= 0:
-			e.Out++
+			e.HeldOut++
 		case slices.Contains(req.Exclude, u.ID):
 			e.Excluded++
 		case !u.hasVersion(req.Version):
@@ -139,7 +141,7 @@
 	return e
 }
 
-// Mix derives a further random number from one that was drawn for a pick.
+// Mix derives another random number from the one of a pick.
 func Mix(rand, salt uint64) uint64 {
 	var b [16]byte
 	for i := range 8 {
@@ -149,7 +151,7 @@
 	return xxhash.Sum64(b[:])
 }
 
-// Plain returns the choice of u by a policy that neither estimates a wait nor looks at caches.
+// Plain returns the choice of u for policies that neither estimate the wait nor use the prefix cache.
 func Plain(u *Upstream, req *Request) Choice {
 	return Choice{Upstream: u, Estimate: req.Estimate(0)}
 }
--- a/internal/policy/routing/picker_test.go
+++ b/internal/policy/routing/picker_test.go
@@ -24,18 +24,18 @@
 }
 
 func TestUsable(t *testing.T) {
-	all := []*routing.Upstream{upstream("out", 0), upstream("old", 1, "v1"), upstream("new", 1, "v2"), upstream("silent-on-versions", 1)}
+	all := []*routing.Upstream{upstream("out", 0), upstream("old", 1, "v1"), upstream("new", 1, "v2"), upstream("no-versions", 1)}
 	tests := map[string]struct {
 		req  routing.Request
 		want []ids.Upstream
 		err  *routing.NoUpstreamError
 	}{
-		"any":      {routing.Request{}, []ids.Upstream{"old", "new", "silent-on-versions"}, nil},
-		"version":  {routing.Request{Version: "v2"}, []ids.Upstream{"new", "silent-on-versions"}, nil},
-		"excluded": {routing.Request{Exclude: []ids.Upstream{"new"}}, []ids.Upstream{"old", "silent-on-versions"}, nil},
+		"any":      {routing.Request{}, []ids.Upstream{"old", "new", "no-versions"}, nil},
+		"version":  {routing.Request{Version: "v2"}, []ids.Upstream{"new", "no-versions"}, nil},
+		"excluded": {routing.Request{Exclude: []ids.Upstream{"new"}}, []ids.Upstream{"old", "no-versions"}, nil},
 		"none": {
-			routing.Request{Version: "v2", Exclude: []ids.Upstream{"new", "silent-on-versions"}}, nil,
-			&routing.NoUpstreamError{Known: 4, Out: 1, Excluded: 2, Unloaded: 1},
+			routing.Request{Version: "v2", Exclude: []ids.Upstream{"new", "no-versions"}}, nil,
+			&routing.NoUpstreamError{Known: 4, HeldOut: 1, Excluded: 2, Unloaded: 1},
 		},
 	}
 	for name, tc := range tests {
@@ -60,8 +60,8 @@
 	}
 }
 
-// A caller must not be refused because every upstream is returning from a fault at once: thin shares are relative.
-func TestUsableTakesThinSharesWhenThereIsNothingElse(t *testing.T) {
+// If every upstream is returning from a fault, all weights are low. Callers must not be refused because of that.
+func TestUsableFallsBackToLowWeights(t *testing.T) {
 	all := []*routing.Upstream{upstream("a", 0.01), upstream("b", 0.01)}
 	for seed := range uint64(100) {
 		if _, err := routing.Usable(all, &routing.Request{Rand: routing.Mix(seed, 0)}, nil); err != nil {
@@ -70,22 +70,22 @@
 	}
 }
 
-func TestAWeightIsThePartOfThePicks(t *testing.T) {
-	all := []*routing.Upstream{upstream("thin", 0.25), upstream("full", 1)}
+func TestWeightIsTheFractionOfPicks(t *testing.T) {
+	all := []*routing.Upstream{upstream("low", 0.25), upstream("full", 1)}
 	rng := rand.New(rand.NewPCG(1, 1))
 	const picks = 20_000
-	thin := 0
+	low := 0
 	for range picks {
 		usable, err := routing.Usable(all, &routing.Request{Rand: rng.Uint64()}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if usable[0].ID == "thin" {
-			thin++
+		if usable[0].ID == "low" {
+			low++
 		}
 	}
-	if part := float64(thin) / picks; part < 0.23 || part > 0.27 {
-		t.Fatalf("an upstream of weight 0.25 took part in %.3f of the picks", part)
+	if fraction := float64(low) / picks; fraction < 0.23 || fraction > 0.27 {
+		t.Fatalf("an upstream of weight 0.25 was usable in %.3f of the picks", fraction)
 	}
 }
 
@@ -99,7 +99,7 @@
 		for seed := range uint64(20) {
 			c, err := p.Pick(&routing.Request{Rand: routing.Mix(seed, 1)}, now)
 			if err != nil || c.Upstream != idle {
-				t.Fatalf("%s took %v (%v)", name, c.Upstream, err)
+				t.Fatalf("%s picked %v (%v)", name, c.Upstream, err)
 			}
 		}
 	}
@@ -108,17 +108,17 @@
 	for i := range 4 {
 		c, err := p.Pick(&routing.Request{}, now)
 		if err != nil || c.Upstream != all[i%2] {
-			t.Fatalf("round robin took %v in turn %d (%v)", c.Upstream, i, err)
+			t.Fatalf("round robin picked %v in turn %d (%v)", c.Upstream, i, err)
 		}
 	}
 }
 
-func TestNowReplacesThisEntrysPartOfALaggingReport(t *testing.T) {
+func TestCurrentCountsReplaceOwnShareOfAReport(t *testing.T) {
 	u := upstream("u", 1)
 	u.Load = routing.Load{Total: routing.Counts{Waiting: 5, Running: 7}, Yours: routing.Counts{Waiting: 2, Running: 9}}
 	u.Work.Start(routing.Estimate{PromptTokens: 10})
 	want := routing.Counts{Waiting: 4, PromptTokens: 10}
-	if diff := cmp.Diff(want, u.Now()); diff != "" {
+	if diff := cmp.Diff(want, u.CurrentCounts()); diff != "" {
 		t.Fatal(diff)
 	}
 }
--- a/internal/policy/routing/prefix/prefix.go
+++ b/internal/policy/routing/prefix/prefix.go
@@ -1,8 +1,9 @@
-// Package prefix remembers which prompt blocks an upstream has probably cached.
+// Package prefix tracks which prompt blocks an upstream has probably cached.
 //
-// Prompts are cut into blocks whose hashes are chained, so that a hash names the whole prefix up to its block.
-// Engines publish what they store and evict late and with gaps, so a Table is a belief and not a copy: it is bounded,
-// it takes in what the entry has just sent before any event tells, and it is corrected by what answers report.
+// Prompts are split into blocks whose hashes are chained, so that a hash identifies the complete prefix up to and
+// including its block. Engines report stored and evicted blocks late and with gaps, so a BlockSet is an estimate and
+// not an exact copy. It is bounded, the entry adds the blocks that it has just sent before any event reports them, and
+// the cached tokens in responses correct it.
 package prefix
 
 import (
@@ -12,8 +13,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash cuts prompt into whole blocks of size bytes and returns the chained hash of each. A last block that is not
-// full is left out, because engines cache whole blocks only.
+// Hash splits prompt into blocks of size bytes and returns the chained hash of each. An incomplete last block is
+// skipped because engines cache complete blocks only.
 func Hash(prompt []byte, size int) []uint64 {
 	if size <= 0 {
 		return nil
@@ -34,68 +35,68 @@
 
 const ways = 8
 
-// Table is a bounded set of block hashes. All methods are safe for concurrent use and none blocks; two writers at the
-// same place may lose one entry, which costs a cache hit and nothing else.
+// BlockSet is a bounded set of block hashes, organised as a set-associative cache. It is safe for concurrent use
+// without locks. Two concurrent writers may lose one block, which only costs a cache hit.
 type Table struct {
-	slots []atomic.Uint64
-	next  []atomic.Uint32
-	mask  uint64
+	hashes []atomic.Uint64
+	next   []atomic.Uint32
+	mask   uint64
 }
 
-// NewTable returns a table for at least the given number of blocks; it takes 8 bytes a block and half a byte more.
+// NewBlockSet returns a set for at least the given number of blocks. It uses 8.5 bytes per block.
 func NewTable(blocks int) *Table {
 	sets := 1
 	for sets*ways < blocks {
 		sets *= 2
 	}
-	return &Table{slots: make([]atomic.Uint64, sets*ways), next: make([]atomic.Uint32, sets), mask: uint64(sets - 1)}
+	return &Table{hashes: make([]atomic.Uint64, sets*ways), next: make([]atomic.Uint32, sets), mask: uint64(sets - 1)}
 }
 
-// Add puts blocks into the table; each set drops its oldest entry when it is full.
-func (t *Table) Add(blocks ...uint64) {
+// Add adds blocks. Each associative set overwrites its entries in turn.
+func (s *Table) Add(blocks ...uint64) {
 	for _, b := range blocks {
-		if t.find(b) >= 0 {
+		if s.find(b) >= 0 {
 			continue
 		}
-		set := b & t.mask
-		way := uint64(t.next[set].Add(1)) % ways
-		t.slots[set*ways+way].Store(b)
+		set := b & s.mask
+		way := uint64(s.next[set].Add(1)) % ways
+		s.hashes[set*ways+way].Store(b)
 	}
 }
 
-// Remove takes blocks out of the table.
-func (t *Table) Remove(blocks ...uint64) {
+// Remove removes blocks.
+func (s *Table) Remove(blocks ...uint64) {
 	for _, b := range blocks {
-		if i := t.find(b); i >= 0 {
-			t.slots[i].CompareAndSwap(b, 0)
+		if i := s.find(b); i >= 0 {
+			s.hashes[i].CompareAndSwap(b, 0)
 		}
 	}
 }
 
-// Clear empties the table.
-func (t *Table) Clear() {
-	for i := range t.slots {
-		t.slots[i].Store(0)
+// Clear removes all blocks.
+func (s *Table) Clear() {
+	for i := range s.hashes {
+		s.hashes[i].Store(0)
 	}
 }
 
-// Match returns how many leading blocks are in the table. A nil table holds nothing.
-func (t *Table) Match(blocks []uint64) int {
-	if t == nil {
+// Match returns how many leading blocks are in the set. It returns 0 for a nil set.
+func (s *Table) Match(blocks []uint64) int {
+	if s == nil {
 		return 0
 	}
 	for i, b := range blocks {
-		if t.find(b) < 0 {
+		if s.find(b) < 0 {
 			return i
 		}
 	}
 	return len(blocks)
 }
 
-func (t *Table) find(block uint64) int {
-	base := int(block&t.mask) * ways
+func (s *Table) find(block uint64) int {
+	base := int(block&s.mask) * ways
 	for i := range ways {
-		if t.slots[base+i].Load() == block {
+		if s.hashes[base+i].Load() == block {
 			return base + i
 		}
 	}
--- a/internal/policy/routing/prefix/prefix_test.go
+++ b/internal/policy/routing/prefix/prefix_test.go
@@ -27,57 +27,57 @@
 	})
 }
 
-func TestTable(t *testing.T) {
-	table := prefix.NewTable(64)
+func TestBlockSet(t *testing.T) {
+	set := prefix.NewTable(64)
 	blocks := prefix.Hash([]byte("the same long system prompt for every request of the desk"), 8)
-	table.Add(blocks...)
-	if got := table.Match(blocks); got != len(blocks) {
+	set.Add(blocks...)
+	if got := set.Match(blocks); got != len(blocks) {
 		t.Fatalf("matched %d of %d", got, len(blocks))
 	}
-	table.Remove(blocks[2])
-	if got := table.Match(blocks); got != 2 {
+	set.Remove(blocks[2])
+	if got := set.Match(blocks); got != 2 {
 		t.Fatalf("matched %d after block 2 was evicted", got)
 	}
-	table.Clear()
-	if got := table.Match(blocks); got != 0 {
+	set.Clear()
+	if got := set.Match(blocks); got != 0 {
 		t.Fatalf("matched %d after clear", got)
 	}
 	if got := (*prefix.Table)(nil).Match(blocks); got != 0 {
-		t.Fatalf("a nil table matched %d", got)
+		t.Fatalf("a nil set matched %d", got)
 	}
 }
 
-// An engine whose events of eviction are lost must not fill the entry's memory: the table forgets by itself.
-func TestTableIsBounded(t *testing.T) {
-	table := prefix.NewTable(64)
+// If an engine's eviction events are lost, the set must still stay bounded and drop old blocks by itself.
+func TestBlockSetIsBounded(t *testing.T) {
+	set := prefix.NewTable(64)
 	present := 0
 	for i := range uint64(10_000) {
-		table.Add(i + 1)
+		set.Add(i + 1)
 	}
 	for i := range uint64(10_000) {
-		present += table.Match([]uint64{i + 1})
+		present += set.Match([]uint64{i + 1})
 	}
 	if present > 64 || present < 32 {
-		t.Fatalf("a table for 64 blocks holds %d", present)
+		t.Fatalf("a set for 64 blocks holds %d", present)
 	}
 }
 
-func TestTableIsSafeForConcurrentUse(t *testing.T) {
-	table := prefix.NewTable(64)
+func TestBlockSetIsSafeForConcurrentUse(t *testing.T) {
+	set := prefix.NewTable(64)
 	var wg sync.WaitGroup
 	for g := range uint64(4) {
 		wg.Go(func() {
 			for i := range uint64(500) {
-				table.Add(g*1000 + i + 1)
-				table.Match([]uint64{i + 1})
-				table.Remove(g*1000 + i)
+				set.Add(g*1000 + i + 1)
+				set.Match([]uint64{i + 1})
+				set.Remove(g*1000 + i)
 			}
 		})
 	}
 	wg.Wait()
-	table.Clear()
-	table.Add(7)
-	if table.Match([]uint64{7}) != 1 {
-		t.Fatal("the table lost a block that nobody removed")
+	set.Clear()
+	set.Add(7)
+	if set.Match([]uint64{7}) != 1 {
+		t.Fatal("the set lost a block that was not removed")
 	}
 }
--- a/internal/policy/routing/randomtwo/randomtwo.go
+++ b/internal/policy/routing/randomtwo/randomtwo.go
@@ -1,5 +1,5 @@
-// Package randomtwo is a baseline: two upstreams drawn at random, and of these the one with fewer requests, counted
-// from the last report and this entry's own work.
+// Package randomtwo is a baseline policy: it picks two upstreams at random and of these the one with fewer requests, by
+// the last report and this entry's own live count.
 package randomtwo
 
 import (
@@ -20,16 +20,16 @@
 	if err != nil {
 		return routing.Choice{}, err
 	}
-	a, b := draw(len(usable), req.Rand)
+	a, b := twoIndexes(len(usable), req.Rand)
 	first, second := usable[a], usable[b]
-	if second.Now().Requests() < first.Now().Requests() {
+	if second.CurrentCounts().Requests() < first.CurrentCounts().Requests() {
 		first = second
 	}
 	return routing.Plain(first, req), nil
 }
 
-// draw returns two different indexes below n, or 0 twice if n is 1.
-func draw(n int, rand uint64) (int, int) {
+// twoIndexes returns two different indexes below n, or 0 twice if n is 1.
+func twoIndexes(n int, rand uint64) (int, int) {
 	if n == 1 {
 		return 0, 0
 	}
--- a/internal/policy/routing/roundrobin/roundrobin.go
+++ b/internal/policy/routing/roundrobin/roundrobin.go
@@ -1,4 +1,4 @@
-// Package roundrobin is a baseline: each usable upstream in turn.
+// Package roundrobin is a baseline policy: it picks the usable upstreams in turn.
 package roundrobin
 
 import (
@@ -14,7 +14,7 @@
 	turn      *atomic.Uint64
 }
 
-// New returns a picker; turn is shared by the pickers that follow each other.
+// New returns a picker. turn is shared by successive pickers of the same service.
 func New(upstreams []*routing.Upstream, turn *atomic.Uint64) *Picker {
 	return &Picker{upstreams: upstreams, turn: turn}
 }
--- a/internal/policy/routing/upstream.go
+++ b/internal/policy/routing/upstream.go
@@ -8,48 +8,50 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/routing/prefix"
 )
 
-// Upstream is the state of one upstream as one entry sees it. It is immutable once it is in a picker, but for Work
-// and Cached, which are shared by all pickers that name the same upstream.
+// Upstream is an entry's view of one upstream. It is immutable once it is in a picker, except for Work and Cached,
+// which are shared by all pickers with the same upstream.
 type Upstream struct {
 	ID         ids.Upstream
 	DataCentre ids.DataCentre
-	// Address is where its slot takes work, as IP:PORT.
+	// Address is the address at which the slot accepts requests, as IP:PORT.
 	Address string
-	// Weight is the part of its usual share that health allows: 0 means no new work, 1 all of it.
+	// Weight is the fraction of its normal share that the upstream's health allows: 0 means no new requests, 1 the full
+	// share.
 	Weight float64
-	// Batch is how many requests the upstream runs at once.
+	// Batch is how many requests the upstream runs concurrently.
 	Batch int
-	// Distance is the time of one way from this entry to the slot.
+	// Distance is the one-way network latency from this entry to the slot.
 	Distance time.Duration
 	// Load is the newest report of the slot.
 	Load Load
-	// Versions are the model versions loaded; empty means that the upstream does not tell.
+	// Versions lists the loaded model versions; empty means that the upstream does not report them.
 	Versions []string
-	// Adapters are the adapters loaded.
+	// Adapters lists the loaded adapters.
 	Adapters []string
-	// Work is what this entry has in flight there; it must not be nil.
+	// Work counts what this entry has in flight there; it must not be nil.
 	Work *Work
-	// Cached holds the prompt blocks that the upstream probably has cached; nil if it caches none.
+	// Cached holds the prompt blocks that the upstream has probably cached; nil if it caches none.
 	Cached *prefix.Table
 }
 
-// Counts is a number of requests, split by what they are doing, and the work that they still need.
+// Counts holds numbers of requests by state, and the work that they still need.
 type Counts struct {
-	// Waiting requests have no token yet; Running ones have their first.
+	// Waiting requests have not generated a token yet; Running ones have.
 	Waiting, Running int
-	// PromptTokens are the prompt tokens of the waiting requests that are not cached and not yet computed.
+	// PromptTokens is the number of prompt tokens of the waiting requests that are neither cached nor computed yet.
 	PromptTokens int
-	// FirstWaiting and FirstPromptTokens are the part of Waiting and PromptTokens that is of the first class, which
-	// engines serve before all others.
+	// FirstWaiting and FirstPromptTokens are the shares of Waiting and PromptTokens that belong to the first class,
+	// which engines serve before all others.
 	FirstWaiting, FirstPromptTokens int
-	// OutputTokens are the tokens that all requests are still expected to generate.
+	// OutputTokens is the number of tokens that all requests are still expected to generate.
 	OutputTokens int
 }
 
-// Requests returns all requests in flight.
+// Requests returns the number of requests in flight.
 func (c Counts) Requests() int { return c.Waiting + c.Running }
 
-// WaitingAhead returns the waiting requests that an engine which honours priorities serves before a new one.
+// WaitingAhead returns the number of waiting requests that an engine with priorities serves before a new one; first is
+// set for a new request of the first class.
 func (c Counts) WaitingAhead(first bool) int {
 	if first {
 		return c.FirstWaiting
@@ -77,36 +79,37 @@
 	}
 }
 
-func add(a, b int) int       { return a + b }
-func remainder(a, b int) int { return max(0, a-b) }
+func add(a, b int) int            { return a + b }
+func subtractToZero(a, b int) int { return max(0, a-b) }
 
-// Load is what a slot reports about its upstream to one entry.
+// Load is a slot's report about its upstream to one entry.
 type Load struct {
-	// TakenAt is when the slot took the counts, on this entry's clock; zero if there was no report yet.
+	// TakenAt is when the slot took the counts, on this entry's clock; zero if there is no report yet.
 	TakenAt time.Time
-	// Total counts what all entries have in flight there.
+	// Total counts the work that all entries have in flight there.
 	Total Counts
-	// Yours is the part of Total that came from the entry that the report is for. An entry replaces it by its live
-	// count, so that the lag touches only what other entries sent.
+	// Yours is the share of Total that came from the entry that receives the report. The entry replaces it by its own
+	// live count, so that only the other entries' work is outdated.
 	Yours Counts
-	// StepTime is the upstream's recent time per step, which is the time between two tokens of one request.
+	// StepTime is the upstream's recent time per step, which is the time between two tokens of a request.
 	StepTime time.Duration
 	// PromptTokenTime is its recent time to compute one prompt token that is not cached.
 	PromptTokenTime time.Duration
 }
 
-// Others returns the part of the report that other entries sent.
-func (l Load) Others() Counts { return combine(l.Total, l.Yours, remainder) }
+// Others returns the reported work of the other entries.
+func (l Load) Others() Counts { return combine(l.Total, l.Yours, subtractToZero) }
 
-// Now returns the load with the live count of this entry in place of the reported one.
-func (u *Upstream) Now() Counts { return combine(u.Work.Counts(), u.Load.Others(), add) }
+// CurrentCounts returns the reported work of the other entries plus the live count of this entry.
+func (u *Upstream) CurrentCounts() Counts { return combine(u.Work.Counts(), u.Load.Others(), add) }
 
-// HasAdapter reports whether the named adapter is loaded; the empty name always is.
+// HasAdapter reports whether the named adapter is loaded. It is true for the empty name.
 func (u *Upstream) HasAdapter(name string) bool {
 	return name == "" || slices.Contains(u.Adapters, name)
 }
 
-// hasVersion reports whether the named model version is loaded; an upstream that tells none is taken at its word.
+// hasVersion reports whether the named model version is loaded. It is true for the empty name and for an upstream that
+// reports no versions.
 func (u *Upstream) hasVersion(name string) bool {
 	return name == "" || len(u.Versions) == 0 || slices.Contains(u.Versions, name)
 }
--- a/internal/policy/routing/work.go
+++ b/internal/policy/routing/work.go
@@ -2,25 +2,26 @@
 
 import "sync/atomic"
 
-// Estimate is the size of one request as known when it is sent.
+// Estimate is the estimated size of a request at the time it is sent.
 type Estimate struct {
-	// First says that the request is of the first class.
+	// FirstClass is set for requests of the first class.
 	First        bool
 	PromptTokens int
-	// CachedTokens is the part of PromptTokens that the upstream is believed to have cached.
+	// CachedTokens is the number of PromptTokens that the upstream has probably cached.
 	CachedTokens int
 	OutputTokens int
 }
 
-// Work counts what one entry has in flight at one upstream. All methods are safe for concurrent use. The entry keeps
-// one for each upstream for as long as it knows it, whatever pickers come and go.
+// Work counts what one entry has in flight at one upstream. It is safe for concurrent use. The entry keeps it across
+// pickers for as long as it has state for the upstream.
 type Work struct {
 	waiting, prompt           atomic.Int64
 	firstWaiting, firstPrompt atomic.Int64
 	running, output           atomic.Int64
 }
 
-// Counts returns the present counts. They are read one by one, so they may be a request apart from each other.
+// Counts returns the current counts. They are read one after the other, so requests in between may make them
+// inconsistent by a few.
 func (w *Work) Counts() Counts {
 	return Counts{
 		Waiting:           int(w.waiting.Load()),
@@ -32,8 +33,8 @@
 	}
 }
 
-// wait adds a number of waiting requests and their prompt tokens; both may be negative.
-func (w *Work) wait(first bool, requests, tokens int64) {
+// addWaiting adds waiting requests and their prompt tokens; both numbers may be negative.
+func (w *Work) addWaiting(first bool, requests, tokens int64) {
 	w.waiting.Add(requests)
 	w.prompt.Add(tokens)
 	if first {
@@ -42,18 +43,18 @@
 	}
 }
 
-// Start counts a request that is about to be sent. The Flight must be ended, whatever becomes of the request.
+// Start counts a request that is about to be sent. The caller must call End on the Flight in every case.
 func (w *Work) Start(e Estimate) *Flight {
 	f := &Flight{
 		work: w, first: e.First,
 		prompt: int64(max(0, e.PromptTokens-e.CachedTokens)), output: int64(max(0, e.OutputTokens)),
 	}
-	w.wait(f.first, 1, f.prompt)
+	w.addWaiting(f.first, 1, f.prompt)
 	w.output.Add(f.output)
 	return f
 }
 
-// Flight is one request in flight. It belongs to the goroutine that owns the attempt.
+// Flight is one request in flight. It is not safe for concurrent use; the goroutine of the attempt owns it.
 type Flight struct {
 	work           *Work
 	first          bool
@@ -61,14 +62,14 @@
 	started, ended bool
 }
 
-// Token records n further tokens of the answer; the first call also records that the prompt has been computed.
+// Token records that the upstream generated n more tokens. The first call also records that the prompt was computed.
 func (f *Flight) Token(n int) {
 	if f.ended {
 		return
 	}
 	if !f.started {
 		f.started = true
-		f.work.wait(f.first, -1, -f.prompt)
+		f.work.addWaiting(f.first, -1, -f.prompt)
 		f.work.running.Add(1)
 	}
 	done := min(f.output, int64(n))
@@ -76,7 +77,7 @@
 	f.work.output.Add(-done)
 }
 
-// End records that the attempt is over. Further calls do nothing.
+// End records the end of the attempt. Further calls do nothing.
 func (f *Flight) End() {
 	if f.ended {
 		return
@@ -85,7 +86,7 @@
 	if f.started {
 		f.work.running.Add(-1)
 	} else {
-		f.work.wait(f.first, -1, -f.prompt)
+		f.work.addWaiting(f.first, -1, -f.prompt)
 	}
 	f.work.output.Add(-f.output)
 }
--- a/internal/policy/routing/work_test.go
+++ b/internal/policy/routing/work_test.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/routing"
 )
 
-func TestFlightMovesThroughTheCounts(t *testing.T) {
+func TestFlightUpdatesCounts(t *testing.T) {
 	w := &routing.Work{}
 	f := w.Start(routing.Estimate{First: true, PromptTokens: 100, CachedTokens: 64, OutputTokens: 3})
 	steps := []struct {
