--- a/internal/policy/attempt/event.go
+++ b/internal/policy/attempt/event.go
@@ -12,19 +12,19 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// Event is one token of a model's answer, or its end.
+// Event is one token of a model's response, or its end.
 type Event = cardamomyokev1.AttemptEvent
 
-// ContentType is that of a stream of events.
+// ContentType is the content type of a stream of events.
 const ContentType = "application/vnd.cardamomyoke.attempt"
 
-// maxEventBytes bounds one event on the wire.
+// maxEventBytes is the maximum encoded size of an event.
 const maxEventBytes = 256 << 10
 
-// Last reports whether no event follows e.
+// Last reports whether e is the last event of its stream.
 func Last(e *Event) bool { return e.GetFinish() != "" || e.GetFailure() != "" }
 
-// Write writes e to w, length-delimited.
+// Write writes e to w with a length prefix.
 func Write(w io.Writer, e *Event) error {
 	if _, err := protodelim.MarshalTo(w, e); err != nil {
 		return fmt.Errorf("write event: %w", err)
@@ -32,7 +32,8 @@
 	return nil
 }
 
-// MismatchError says that an answer is not the one to this attempt. Its connection must be closed, never reused.
+// MismatchError reports that a response does not belong to this attempt or is out of sequence. The connection must be
+// closed and never reused.
 type MismatchError struct {
 	Attempt ids.Attempt
 	Want    string
@@ -41,10 +42,10 @@
 
 // Error implements error.
 func (e *MismatchError) Error() string {
-	return fmt.Sprintf("attempt %s: answer has %s, want %s", e.Attempt, e.Got, e.Want)
+	return fmt.Sprintf("attempt %s: response has %s, want %s", e.Attempt, e.Got, e.Want)
 }
 
-// CutError says that a stream ended before its last event.
+// TruncatedError reports that a stream ended before its last event.
 type CutError struct {
 	Attempt ids.Attempt
 	Tokens  int
@@ -53,13 +54,14 @@
 
 // Error implements error.
 func (e *CutError) Error() string {
-	return fmt.Sprintf("attempt %s: answer cut off after %d tokens", e.Attempt, e.Tokens)
+	return fmt.Sprintf("attempt %s: response truncated after %d tokens", e.Attempt, e.Tokens)
 }
 
 // Unwrap returns the cause.
 func (e *CutError) Unwrap() error { return e.Cause }
 
-// Follower reads the events of one answer and checks that they belong to it and come in order, each once.
+// EventReader reads the events of one response and checks that they belong to the attempt and arrive in sequence, each
+// once.
 type Follower struct {
 	id    ids.Attempt
 	r     *bufio.Reader
@@ -68,14 +70,14 @@
 	ended bool
 }
 
-// NewFollower reads the answer to attempt a from r; token index next is expected first.
+// NewEventReader returns a reader of the response to attempt a from r. The index of its first token must be next.
 func NewFollower(a ids.Attempt, next int, r io.Reader) *Follower {
 	return &Follower{id: a, r: bufio.NewReader(r), next: next}
 }
 
 // Next returns the next event, which is valid until the following call, and io.EOF after the last one. Errors:
-// *CutError if the stream ends before its last event, *MismatchError for an event of another answer, a gap, a double,
-// or an event after the last.
+// *TruncatedError if the stream ends before its last event; *MismatchError for an event of another attempt, a gap, a
+// duplicate, or an event after the last one.
 func (f *Follower) Next() (*Event, error) {
 	f.event.Reset()
 	err := protodelim.UnmarshalOptions{MaxSize: maxEventBytes}.UnmarshalFrom(f.r, &f.event)
--- a/internal/policy/attempt/header.go
+++ b/internal/policy/attempt/header.go
@@ -34,17 +34,18 @@
 	HeaderTrace       = "Traceparent"
 )
 
-// Header is what an entry tells a slot about an attempt.
+// Header holds the metadata of an attempt that an entry sends to a slot.
 type Header struct {
 	Attempt ids.Attempt
-	// Incarnation is the life of the slot that the attempt is meant for: a slot that restarted has forgotten what it
-	// promised, so it refuses what was meant for its earlier life.
+	// Incarnation is the incarnation of the slot that the attempt is meant for. A slot that has restarted no longer has
+	// its promises and refuses attempts meant for an earlier incarnation.
 	Incarnation ids.Incarnation
 	Service     ids.Service
 	Client      ids.Client
-	// Revision is the configuration that the entry acted on.
+	// Revision is the configuration revision that the entry used.
 	Revision ids.Revision
-	// Remaining is the time left until the caller's deadline. A length and not a time of day, since clocks differ.
+	// Remaining is the time left until the caller's deadline. It is a duration and not a time of day because clocks
+	// differ.
 	Remaining time.Duration
 	// Rank is the rank of the priority class; 0 goes first.
 	Rank uint32
@@ -52,18 +53,18 @@
 	Key string
 	// Resume is how many tokens the caller already has.
 	Resume int
-	// Output is how many tokens the answer is expected to have; 0 for plain services.
+	// Output is the expected number of tokens in the response; 0 for plain services.
 	Output int
-	// Suspicion is how far the request is suspected of crashing its upstreams, a quarantine.Level.
+	// Suspicion is the level at which the request is suspected of crashing its upstreams, a quarantine.Level.
 	Suspicion int
-	// Method and Target are the caller's own, for plain services.
+	// Method and Target are those of the caller's request, for plain services.
 	Method string
 	Target string
 	// Trace is the W3C trace context.
 	Trace string
 }
 
-// FieldError says which header field of an attempt is wrong.
+// FieldError reports that a header field of an attempt is invalid.
 type FieldError struct {
 	Field string
 	Value string
@@ -72,13 +73,13 @@
 
 // Error implements error.
 func (e *FieldError) Error() string {
-	return fmt.Sprintf("field %s: %q is not valid", e.Field, e.Value)
+	return fmt.Sprintf("header field %s: invalid value %q", e.Field, e.Value)
 }
 
-// Unwrap returns the cause, if there is one.
+// Unwrap returns the cause, which may be nil.
 func (e *FieldError) Unwrap() error { return e.Cause }
 
-// Set writes h into a request.
+// Set writes h to the header of a request.
 func (h Header) Set(out *fasthttp.RequestHeader) {
 	out.Set(HeaderAttempt, h.Attempt.String())
 	out.Set(HeaderIncarnation, string(h.Incarnation))
@@ -91,22 +92,22 @@
 	if h.Output > 0 {
 		out.Set(HeaderOutput, strconv.Itoa(h.Output))
 	}
-	setIf(out, HeaderKey, h.Key)
-	setIf(out, HeaderMethod, h.Method)
-	setIf(out, HeaderTarget, h.Target)
-	setIf(out, HeaderTrace, h.Trace)
+	setNonEmpty(out, HeaderKey, h.Key)
+	setNonEmpty(out, HeaderMethod, h.Method)
+	setNonEmpty(out, HeaderTarget, h.Target)
+	setNonEmpty(out, HeaderTrace, h.Trace)
 	if h.Suspicion > 0 {
 		out.Set(HeaderSuspicion, strconv.Itoa(h.Suspicion))
 	}
 }
 
-func setIf(out *fasthttp.RequestHeader, name, value string) {
+func setNonEmpty(out *fasthttp.RequestHeader, name, value string) {
 	if value != "" {
 		out.Set(name, value)
 	}
 }
 
-// Read reads what Set wrote. Errors: *FieldError, *ids.AttemptError.
+// Read reads the fields that Set writes. Errors: *FieldError, *ids.AttemptError.
 func Read(in *fasthttp.RequestHeader) (Header, error) {
 	r := fieldReader{in: in}
 	h := Header{
@@ -135,7 +136,7 @@
 	return h, nil
 }
 
-// fieldReader keeps the first error.
+// fieldReader reads header fields and keeps the first error.
 type fieldReader struct {
 	in  *fasthttp.RequestHeader
 	err error
@@ -143,7 +144,7 @@
 
 func (r *fieldReader) text(name string) string { return string(r.in.Peek(name)) }
 
-// optional reads a number that is 0 if the field is missing.
+// optional returns 0 for a missing field.
 func (r *fieldReader) optional(name string) uint64 {
 	if r.text(name) == "" {
 		return 0
--- a/internal/policy/attempt/table.go
+++ b/internal/policy/attempt/table.go
@@ -9,9 +9,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// KeptFor is how long a finished or fenced attempt is remembered. It is longer than any deadline that a service may
-// have, so that a copy of the attempt that arrives later is past its own deadline.
-const KeptFor = 15 * time.Minute
+// Retention is the minimum time for which a finished or fenced attempt is remembered. It is longer than any deadline
+// that a service may have, so that a copy that arrives later is past its own deadline.
+const Retention = 15 * time.Minute
 
 var chart = charts.MustLoad("attempt")
 
@@ -24,7 +24,7 @@
 	actionFenced charts.Action = "promise"
 )
 
-// RefusedError says that an attempt was not started by this call.
+// RefusedError reports that an attempt was not started by this call.
 type RefusedError struct {
 	Attempt ids.Attempt
 	// State is the attempt's state: fenced, running or finished.
@@ -34,24 +34,25 @@
 // Error implements error.
 func (e *RefusedError) Error() string { return fmt.Sprintf("attempt %s is %s", e.Attempt, e.State) }
 
-// Table remembers the attempts that a slot started or promised never to start. It is safe for concurrent use.
+// Tracker remembers the attempts that a slot started or promised never to start. It is safe for concurrent use.
 type Table struct {
 	mu      sync.Mutex
 	records map[ids.Attempt]*record
-	// aged is the earlier of two generations of KeptFor each, so that forgetting costs one map a quarter of an hour.
+	// aged is the older of two generations that each cover Retention, so that expired records are dropped by replacing
+	// one map every quarter of an hour.
 	aged    map[ids.Attempt]*record
 	rotated time.Time
 }
 
 type record struct{ machine charts.Machine }
 
-// NewTable returns an empty table.
+// NewTracker returns an empty tracker.
 func NewTable(now time.Time) *Table {
 	return &Table{records: map[ids.Attempt]*record{}, aged: map[ids.Attempt]*record{}, rotated: now}
 }
 
-// Begin marks an attempt as started. It returns *RefusedError, and the attempt must not be started, if it was seen
-// before or fenced.
+// Begin marks an attempt as started. It returns *RefusedError if the attempt was started or fenced before; the caller
+// must not start it then.
 func (t *Table) Begin(a ids.Attempt, now time.Time) error {
 	actions, state := t.fire(a, eventBegin, now)
 	if !contains(actions, actionStart) {
@@ -66,7 +67,7 @@
 	return contains(actions, actionFenced)
 }
 
-// Finish marks a started attempt as ended.
+// Finish marks a started attempt as finished.
 func (t *Table) Finish(a ids.Attempt, now time.Time) { t.fire(a, eventFinish, now) }
 
 func (t *Table) fire(a ids.Attempt, ev charts.Event, now time.Time) ([]charts.Action, charts.State) {
@@ -81,7 +82,7 @@
 	return actions, r.machine.State()
 }
 
-// find returns the record of a, new or moved to the young generation.
+// find returns the record of a. It creates a missing record and moves an aged one to the current generation.
 func (t *Table) find(a ids.Attempt) *record {
 	if r, ok := t.records[a]; ok {
 		return r
@@ -95,7 +96,7 @@
 }
 
 func (t *Table) rotate(now time.Time) {
-	if now.Sub(t.rotated) < KeptFor {
+	if now.Sub(t.rotated) < Retention {
 		return
 	}
 	t.rotated = now
--- a/internal/policy/retry/budget.go
+++ b/internal/policy/retry/budget.go
@@ -12,10 +12,11 @@
 // The balance is kept in thousandths of a retry.
 const (
 	retryCost = 1000
-	// deposit is what a first attempt adds for each percent: a twentieth less than the percentage. What is kept back
-	// pays for the burst, so that at 10 percent the limit holds over any 2,000 first attempts with the burst included.
+	// deposit is what a first attempt adds to the balance for each percent. It is a twentieth below the nominal
+	// percentage: the difference pays for the burst, so that at 10 percent the limit holds over any 2,000 first
+	// attempts including the burst.
 	deposit = 9.5
-	// burst is the most that can be saved up, in retries. It lets a service with little traffic retry at all.
+	// burst is the maximum balance in retries. It allows a service with little traffic to retry at all.
 	burst = 10
 )
 
@@ -26,7 +27,8 @@
 	return b
 }
 
-// SetPercent changes the fraction, which is configuration.
+// SetPercent changes the percentage to that of the configuration. A budget that is enabled by it starts with a full
+// burst.
 func (b *Budget) SetPercent(percent int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -39,14 +41,14 @@
 	b.percent = percent
 }
 
-// First records a first attempt.
-func (b *Budget) First() {
+// RecordFirst records a first attempt.
+func (b *Budget) RecordFirst() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.balance = min(burst*retryCost, b.balance+int(deposit*float64(b.percent)))
 }
 
-// Allow pays for one retry; false if the budget is used up.
+// Allow consumes one retry and reports whether the budget allowed it.
 func (b *Budget) Allow() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/policy/retry/doc.go
+++ b/internal/policy/retry/doc.go
@@ -1,7 +1,8 @@
-// Package retry decides what follows a failed attempt: try again, resume the stream elsewhere, or give up.
+// Package retry decides what follows a failed attempt: another attempt, resuming the stream at another upstream, or
+// giving up.
 //
-// An attempt is repeated only if it is proved that it did not run, or if the service's requests may be repeated. Each
-// retry is paid from the service's Budget, which first attempts fill by a fixed fraction, so that retries cannot
-// multiply the load when many upstreams fail at once. The caller's deadline holds over all attempts together. Stream
-// keeps the books of a streamed answer over its attempts, so that no token is lost or delivered twice.
+// An attempt is repeated only if it is proved not to have run, or if the service's requests are repeatable. Each retry
+// is paid from the service's Budget, which first attempts fill by a fixed fraction, so that retries cannot multiply the
+// load when many upstreams fail together. The caller's deadline covers all attempts. Stream tracks a streamed response
+// over its attempts, so that no token is lost or delivered twice.
 package retry
--- a/internal/policy/retry/session.go
+++ b/internal/policy/retry/session.go
@@ -14,58 +14,58 @@
 
 // The actions.
 const (
-	// ActionRepeat: send the whole request again.
+	// ActionRepeat sends the complete request again.
 	ActionRepeat Action = "repeat"
-	// ActionResume: ask another upstream to go on after the tokens that were delivered.
+	// ActionResume asks another upstream to continue after the delivered tokens.
 	ActionResume Action = "resume"
-	// ActionGiveUp: answer the caller with the decision's error.
+	// ActionGiveUp returns the decision's error to the caller.
 	ActionGiveUp Action = "give-up"
 )
 
-// Rules say what a service allows.
+// Rules configures the retries of a service.
 type Rules struct {
-	// Repeatable: the request may run more than once.
+	// Repeatable is set if requests may run more than once.
 	Repeatable bool
-	// Resumable: the engine can go on with an answer after a given token.
+	// Resumable is set if the engine can continue a response after a given token.
 	Resumable bool
-	// MaxAttempts counts the first attempt too.
+	// MaxAttempts includes the first attempt.
 	MaxAttempts int
-	// Pause is the wait before the second attempt; it doubles with each further one.
-	Pause time.Duration
-	// MinRun is the least time that an attempt needs; with less left before the deadline none is begun.
+	// Backoff is the delay before the second attempt; it doubles with each further one.
+	Backoff time.Duration
+	// MinRun is the minimum time that an attempt needs. No attempt is started with less time left before the deadline.
 	MinRun time.Duration
 }
 
-// DefaultRules returns the rules for a service whose requests may or may not be repeated.
+// DefaultRules returns the rules for a service with or without repeatable and resumable requests.
 func DefaultRules(repeatable, resumable bool) Rules {
 	return Rules{
 		Repeatable: repeatable, Resumable: resumable, MaxAttempts: 3,
-		Pause: 5 * time.Millisecond, MinRun: 20 * time.Millisecond,
+		Backoff: 5 * time.Millisecond, MinRun: 20 * time.Millisecond,
 	}
 }
 
-// Attempt is how one attempt failed.
+// Attempt describes a failed attempt.
 type Attempt struct {
-	// Upstream is where it was sent; empty if none was chosen.
+	// Upstream is the upstream that the attempt was sent to; empty if none was chosen.
 	Upstream ids.Upstream
-	// Err is what happened. If it is a *failure.Error of a "not run" code, its Proof is what the decision rests on.
+	// Err is the failure. The decision depends on the Proof of a *failure.Error with a "not run" code.
 	Err error
 }
 
-// Decision is what to do now.
+// Decision is the result of Session.Failed.
 type Decision struct {
 	Action Action
-	// After is how long to wait first.
+	// After is the delay before the action.
 	After time.Duration
-	// Exclude names the upstreams not to use again for this request.
+	// Exclude lists the upstreams that must not be used again for this request.
 	Exclude []ids.Upstream
-	// From is the number of tokens already delivered, where ActionResume goes on.
+	// From is the number of tokens already delivered, after which ActionResume continues.
 	From int
-	// Err is what the caller gets with ActionGiveUp.
+	// Err is the error for the caller with ActionGiveUp.
 	Err *failure.Error
 }
 
-// ExhaustedError says why a request was not tried again; Cause is the last attempt's failure.
+// ExhaustedError describes why a request was not tried again; Cause is the failure of the last attempt.
 type ExhaustedError struct {
 	Reason   string
 	Attempts int
@@ -77,10 +77,11 @@
 	return fmt.Sprintf("given up after %d attempts, %s: %v", e.Attempts, e.Reason, e.Cause)
 }
 
-// Unwrap returns the last attempt's failure.
+// Unwrap returns the failure of the last attempt.
 func (e *ExhaustedError) Unwrap() error { return e.Cause }
 
-// Session follows one request over its attempts. It belongs to the goroutine that owns the request.
+// Session tracks one request over its attempts. It is not safe for concurrent use; the goroutine of the request owns
+// it.
 type Session struct {
 	rules    Rules
 	budget   *Budget
@@ -90,17 +91,17 @@
 	mayRun   bool
 }
 
-// NewSession begins a request with its first attempt, which fills the budget.
+// NewSession starts a session with the first attempt of a request, which is recorded in the budget.
 func NewSession(rules Rules, budget *Budget, deadline time.Time) *Session {
-	budget.First()
+	budget.RecordFirst()
 	return &Session{rules: rules, budget: budget, deadline: deadline, attempts: 1}
 }
 
-// Attempts returns how many attempts were begun.
+// Attempts returns the number of attempts that were started.
 func (s *Session) Attempts() int { return s.attempts }
 
-// Failed decides what follows an attempt that failed after the given number of tokens of the whole answer had been
-// delivered to the caller.
+// Failed decides what follows a failed attempt. delivered is the number of tokens of the whole response that the caller
+// has.
 func (s *Session) Failed(a Attempt, delivered int, now time.Time) Decision {
 	f := failure.From(a.Err)
 	notRun := f.Code.Meaning().NotRun && f.Proof != failure.ProofNone
@@ -110,26 +111,26 @@
 	if a.Upstream != "" && !slices.Contains(s.exclude, a.Upstream) {
 		s.exclude = append(s.exclude, a.Upstream)
 	}
-	if reason := s.forbidden(f, notRun, delivered); reason != "" {
+	if reason := s.rejectReason(f, notRun, delivered); reason != "" {
 		return s.giveUp(f, delivered, reason, now)
 	}
-	pause := s.rules.Pause << (s.attempts - 1)
-	if s.deadline.Sub(now) < pause+s.rules.MinRun {
+	backoff := s.rules.Backoff << (s.attempts - 1)
+	if s.deadline.Sub(now) < backoff+s.rules.MinRun {
 		return s.giveUp(f, delivered, "no time is left", now)
 	}
 	if !s.budget.Allow() {
 		return s.giveUp(f, delivered, "the retry budget is used up", now)
 	}
 	s.attempts++
-	d := Decision{Action: ActionRepeat, After: pause, Exclude: slices.Clone(s.exclude)}
+	d := Decision{Action: ActionRepeat, After: backoff, Exclude: slices.Clone(s.exclude)}
 	if delivered > 0 {
 		d.Action, d.From = ActionResume, delivered
 	}
 	return d
 }
 
-// forbidden returns why the attempt must not be repeated, or nothing.
-func (s *Session) forbidden(f *failure.Error, notRun bool, delivered int) string {
+// rejectReason returns why the attempt must not be repeated, or "".
+func (s *Session) rejectReason(f *failure.Error, notRun bool, delivered int) string {
 	switch {
 	case s.attempts >= s.rules.MaxAttempts:
 		return "no attempt is left"
@@ -138,12 +139,12 @@
 	case !s.rules.Repeatable && !notRun:
 		return "it may have run and must not be repeated"
 	case delivered > 0 && !s.rules.Resumable:
-		return "a part was delivered and cannot be resumed"
+		return "a part of the response was delivered and cannot be resumed"
 	}
 	return ""
 }
 
-// giveUp chooses what the caller is told. "Not run" is said only if that is proved for every attempt.
+// giveUp chooses the error for the caller. "Not run" is reported only if that is proved for every attempt.
 func (s *Session) giveUp(f *failure.Error, delivered int, reason string, now time.Time) Decision {
 	cause := &ExhaustedError{Reason: reason, Attempts: s.attempts, Cause: f}
 	if !s.mayRun {
--- a/internal/policy/retry/session_test.go
+++ b/internal/policy/retry/session_test.go
@@ -62,17 +62,18 @@
 				}
 				return
 			}
-			var why *retry.ExhaustedError
-			if d.Err.Code != tc.code || !errors.As(d.Err, &why) {
+			var exhausted *retry.ExhaustedError
+			if d.Err.Code != tc.code || !errors.As(d.Err, &exhausted) {
 				t.Fatalf("caller gets %v, want code %s", d.Err, tc.code)
 			}
 		})
 	}
 }
 
-// The caller reads "not run" as leave to send again; a payout that ran after all would then run twice. So that word
-// is only given if every single attempt is proved not to have run, and a repeat of a non-repeatable request likewise.
-func TestNotRunIsSaidOnlyWithProof(t *testing.T) {
+// A caller that reads "not run" may send its request again. If a payout had run after all, it would run twice. So "not
+// run" must only be reported if every attempt is proved not to have run, and the same holds for repeating a request
+// that is not repeatable.
+func TestNotRunIsReportedOnlyWithProof(t *testing.T) {
 	outcomes := []error{
 		broken(), refused(), failure.New(failure.CodeNoUpstream, nil), failure.New(failure.CodeOutcomeUnknown, nil),
 		failure.New(failure.CodeStopping, nil).WithProof(failure.ProofNone), errors.New("?"),
@@ -89,21 +90,21 @@
 			d := s.Failed(retry.Attempt{Upstream: "u", Err: err}, 0, now)
 			if d.Action != retry.ActionGiveUp {
 				if !rules.Repeatable && !proved {
-					t.Fatalf("repeats a request that may have run")
+					t.Fatalf("repeated a request that may have run")
 				}
 				continue
 			}
-			if said := d.Err.Code.Meaning().NotRun; said != proved {
-				t.Fatalf("says not run: %v (%s), proved: %v", said, d.Err.Code, proved)
+			if reported := d.Err.Code.Meaning().NotRun; reported != proved {
+				t.Fatalf("reports not run: %v (%s), proved: %v", reported, d.Err.Code, proved)
 			}
 			return
 		}
-		t.Fatal("goes on after the last attempt")
+		t.Fatal("continued after the last attempt")
 	})
 }
 
-// A third of the upstreams fails and every caller's request is tried again. Without a budget the rest would get up to
-// three times their load and fail too.
+// A third of the upstreams fails and every caller's request is retried. Without a budget the other upstreams would get
+// up to three times their load and fail too.
 func TestRetriesCannotMultiplyTheLoad(t *testing.T) {
 	const requests = 2000
 	for _, percent := range []int{0, 10, 50} {
@@ -121,9 +122,9 @@
 	}
 }
 
-func TestTheBudgetIsConfiguration(t *testing.T) {
+func TestBudgetFollowsConfiguration(t *testing.T) {
 	b := retry.NewBudget(0)
-	b.First()
+	b.RecordFirst()
 	if b.Allow() {
 		t.Fatal("a retry with a budget of 0")
 	}
@@ -133,18 +134,18 @@
 	}
 	b.SetPercent(0)
 	if b.Allow() {
-		t.Fatal("a retry after the budget was taken away")
+		t.Fatal("a retry after the budget was set to 0")
 	}
 }
 
-func TestPausesGrow(t *testing.T) {
+func TestBackoffGrows(t *testing.T) {
 	rules := retry.DefaultRules(true, true)
 	s := retry.NewSession(rules, retry.NewBudget(percent), now.Add(time.Hour))
-	var pauses []time.Duration
+	var backoffs []time.Duration
 	for range rules.MaxAttempts - 1 {
-		pauses = append(pauses, s.Failed(retry.Attempt{Err: broken()}, 0, now).After)
+		backoffs = append(backoffs, s.Failed(retry.Attempt{Err: broken()}, 0, now).After)
 	}
-	if diff := cmp.Diff([]time.Duration{rules.Pause, 2 * rules.Pause}, pauses); diff != "" {
+	if diff := cmp.Diff([]time.Duration{rules.Backoff, 2 * rules.Backoff}, backoffs); diff != "" {
 		t.Fatal(diff)
 	}
 }
--- a/internal/policy/retry/stream.go
+++ b/internal/policy/retry/stream.go
@@ -2,40 +2,40 @@
 
 import "fmt"
 
-// StaleAttemptError says that a part of an answer came from an attempt that was given up. It must be dropped and its
-// connection closed.
+// StaleAttemptError reports that tokens or an end came from an attempt that is no longer current, or after the end of
+// the response. They must be dropped and the connection closed.
 type StaleAttemptError struct{ Got, Current int }
 
 // Error implements error.
 func (e *StaleAttemptError) Error() string {
-	return fmt.Sprintf("part of attempt %d while attempt %d is current", e.Got, e.Current)
+	return fmt.Sprintf("data of attempt %d while attempt %d is current", e.Got, e.Current)
 }
 
-// GapError says that an upstream skipped tokens; the attempt has failed.
+// GapError reports that an upstream skipped tokens; the attempt has failed.
 type GapError struct{ Want, Got int }
 
 // Error implements error.
 func (e *GapError) Error() string {
-	return fmt.Sprintf("token %d follows, but token %d is next", e.Got, e.Want)
+	return fmt.Sprintf("got token %d, want token %d", e.Got, e.Want)
 }
 
-// IncompleteError says that an upstream ended an answer before all of its tokens were delivered.
+// IncompleteError reports that the number of tokens at the end of a response differs from the number delivered.
 type IncompleteError struct{ Delivered, Total int }
 
 // Error implements error.
 func (e *IncompleteError) Error() string {
-	return fmt.Sprintf("answer ended with %d of %d tokens", e.Delivered, e.Total)
+	return fmt.Sprintf("response ended with %d of %d tokens", e.Delivered, e.Total)
 }
 
-// Stream keeps the books of one streamed answer over its attempts. Tokens are numbered from 0 over the whole answer.
-// It belongs to the goroutine that owns the request.
+// Stream tracks one streamed response over its attempts. Tokens are numbered from 0 over the whole response. It is not
+// safe for concurrent use; the goroutine of the request owns it.
 type Stream struct {
 	attempt   int
 	delivered int
 	ended     bool
 }
 
-// Begin starts an attempt and returns its number and the token it must go on with.
+// Begin starts an attempt and returns its number and the token it must continue with.
 func (s *Stream) Begin() (attempt, from int) {
 	s.attempt++
 	return s.attempt, s.delivered
@@ -44,9 +44,9 @@
 // Delivered returns how many tokens the caller has.
 func (s *Stream) Delivered() int { return s.delivered }
 
-// Accept takes in count tokens, the first of which has the given number, and returns how many of them at the front
-// must be skipped because the caller has them already. The rest is to be delivered. Errors: *StaleAttemptError,
-// *GapError; nothing is to be delivered then.
+// Accept records count tokens of an attempt, starting with token number first. It returns how many of them the caller
+// already has; these must be skipped and the others delivered. Errors: *StaleAttemptError, *GapError; no tokens must be
+// delivered then.
 func (s *Stream) Accept(attempt, first, count int) (skip int, err error) {
 	if attempt != s.attempt || s.ended {
 		return 0, &StaleAttemptError{attempt, s.attempt}
@@ -59,7 +59,7 @@
 	return skip, nil
 }
 
-// End takes in the end of the answer, of which total is the number of all its tokens. Errors: *StaleAttemptError,
+// End records the end of the response; total is the number of all its tokens. Errors: *StaleAttemptError,
 // *IncompleteError.
 func (s *Stream) End(attempt, total int) error {
 	if attempt != s.attempt || s.ended {
--- a/internal/policy/retry/stream_test.go
+++ b/internal/policy/retry/stream_test.go
@@ -10,8 +10,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/retry"
 )
 
-// The caller reads an answer while runner after runner breaks. Each new attempt goes on somewhere at or before the
-// first missing token, and late tokens of given-up attempts still arrive. The caller must see each token once, in order.
+// Upstream after upstream breaks while a caller reads a response. Each new attempt continues at or before the first
+// missing token, and late tokens of abandoned attempts still arrive. The caller must get each token once and in
+// sequence.
 func TestNoTokenIsLostOrDoubled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 40).Draw(t, "total")
@@ -20,7 +21,7 @@
 		for i := range total {
 			want = append(want, i)
 		}
-		take := func(attempt, first, count int) error {
+		accept := func(attempt, first, count int) error {
 			skip, err := s.Accept(attempt, first, count)
 			for i := skip; err == nil && i < count; i++ {
 				got = append(got, first+i)
@@ -34,11 +35,11 @@
 				count := min(rapid.IntRange(1, 5).Draw(t, "count"), total-next)
 				if rapid.IntRange(0, 4).Draw(t, "stale") == 0 {
 					var stale *retry.StaleAttemptError
-					if err := take(attempt-1, next, 1); !errors.As(err, &stale) {
-						t.Fatalf("token of a given-up attempt: %v", err)
+					if err := accept(attempt-1, next, 1); !errors.As(err, &stale) {
+						t.Fatalf("token of an abandoned attempt: %v", err)
 					}
 				}
-				if err := take(attempt, next, count); err != nil {
+				if err := accept(attempt, next, count); err != nil {
 					t.Fatal(err)
 				}
 				next += count
@@ -50,7 +51,7 @@
 	})
 }
 
-func TestStreamRefusesWhatIsNotWhole(t *testing.T) {
+func TestStreamRejectsGapsAndIncompleteEnds(t *testing.T) {
 	var s retry.Stream
 	attempt, _ := s.Begin()
 	if _, err := s.Accept(attempt, 0, 3); err != nil {
--- a/internal/policy/retry/window.go
+++ b/internal/policy/retry/window.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// Window bounds the retries of one service within any span of a given length, to a ratio of the first attempts in it
-// plus a fixed number. Several nodes share such a bound by taking a part of the fixed number each. It is safe for
+// Window bounds the retries of one service within any time span of a given length to a ratio of the first attempts in
+// it plus a fixed number. Several nodes share such a bound by using a share of the fixed number each. It is safe for
 // concurrent use.
 type Window struct {
 	mu    sync.Mutex
 	bound Bound
-	// began is the first moment that was counted. Buckets are numbered from it, so that differences of the monotonic clock
-	// count: if the time of day is set back, retries of the last seconds would be forgotten and the bound broken.
-	began time.Time
-	// latest is the latest moment that was counted.
+	// start is the first recorded time. Buckets are numbered relative to it, so that the monotonic clock is used: if
+	// the time of day were used and then set back, the retries of the last seconds would be forgotten and the bound
+	// exceeded.
+	start time.Time
+	// latest is the latest recorded time.
 	latest  time.Time
 	buckets [windowBuckets]bucket
 }
 
-// Bound is what a Window allows.
+// Bound configures a Window.
 type Bound struct {
-	// Length of the window.
+	// Length is the length of the window.
 	Length time.Duration
-	// Ratio of retries to first attempts.
+	// Ratio is the number of retries allowed per first attempt.
 	Ratio float64
-	// Extra retries for each window.
+	// Extra is the number of additional retries allowed in each window.
 	Extra float64
 }
 
@@ -35,13 +36,13 @@
 }
 
 const (
-	// windowBuckets is the resolution: the oldest bucket is counted whole for retries and not at all for first attempts.
+	// windowBuckets is the resolution. The oldest bucket counts in full for retries and not at all for first attempts.
 	windowBuckets = 21
-	// kept is the part of the bound that is used. The rest covers first attempts that never arrived.
-	kept = 0.9
+	// usedRatio is the fraction of Ratio that is used. The rest covers first attempts that never arrived.
+	usedRatio = 0.9
 )
 
-// NewWindow returns a budget without a bound, which allows nothing.
+// NewWindow returns a window with a zero bound, which allows no retries.
 func NewWindow() *Window { return &Window{} }
 
 // SetBound changes the bound.
@@ -51,7 +52,7 @@
 	w.bound = b
 }
 
-// First records a first attempt.
+// RecordFirst records a first attempt.
 func (w *Window) First(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -60,30 +61,30 @@
 	}
 }
 
-// Left returns how many retries may be paid for now.
+// Remaining returns how many retries are allowed now.
 func (w *Window) Left(now time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if b := w.at(now); b != nil {
-		return max(0, int(w.left(b)))
+		return max(0, int(w.remaining(b)))
 	}
 	return 0
 }
 
-// Allow pays for one retry; false if the budget is used up.
+// Allow consumes one retry and reports whether the bound allowed it.
 func (w *Window) Allow(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	b := w.at(now)
-	if b == nil || w.left(b) < 1 {
+	if b == nil || w.remaining(b) < 1 {
 		return false
 	}
 	b.retries++
 	return true
 }
 
-// left is what the bound allows beyond what the window holds, whose newest bucket is b.
-func (w *Window) left(b *bucket) float64 {
+// remaining returns how many more retries the bound allows; b is the newest bucket.
+func (w *Window) remaining(b *bucket) float64 {
 	first, retries := 0, 0
 	for i := range w.buckets {
 		age := b.index - w.buckets[i].index
@@ -94,24 +95,24 @@
 			first += w.buckets[i].first
 		}
 	}
-	return kept*w.bound.Ratio*float64(first) + w.bound.Extra - float64(retries)
+	return usedRatio*w.bound.Ratio*float64(first) + w.bound.Extra - float64(retries)
 }
 
-// at returns the bucket of the present, emptied if it held an older one. What is counted late, as its request waited, counts for
-// the present: a bucket of the past may hold newer counts by now.
+// at returns the current bucket, cleared if it held an older one. An event with a time before the latest one, for
+// example of a request that waited, is counted in the current bucket: an earlier bucket may already hold newer counts.
 func (w *Window) at(now time.Time) *bucket {
 	width := int64(w.bound.Length) / (windowBuckets - 1)
 	if width <= 0 {
 		return nil
 	}
-	if w.began.IsZero() {
-		w.began = now
+	if w.start.IsZero() {
+		w.start = now
 	}
 	if now.After(w.latest) {
 		w.latest = now
 	}
-	// Index 0 stands for a bucket that was never used.
-	index := 1 + int64(w.latest.Sub(w.began))/width
+	// Index 0 is that of a bucket that was never used.
+	index := 1 + int64(w.latest.Sub(w.start))/width
 	b := &w.buckets[index%windowBuckets]
 	if b.index != index {
 		*b = bucket{index: index}
--- a/internal/policy/retry/window_test.go
+++ b/internal/policy/retry/window_test.go
@@ -7,9 +7,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/retry"
 )
 
-// Failure: a request that waited, or whose process stood still, is counted for a moment before the others; the process ends, or
-// the retries of the last seconds are forgotten and the bound is broken.
-func TestAFirstAttemptThatIsCountedLateForgetsNothing(t *testing.T) {
+// A request that waited, or whose process was paused, is recorded with an earlier time than others before it. If that
+// made the process crash or cleared the retries of the last seconds, the bound would be exceeded.
+func TestLateFirstAttemptKeepsRetryCounts(t *testing.T) {
 	const length, extra = 10 * time.Second, 2
 	for _, earlier := range []time.Duration{time.Millisecond, 2 * time.Second, length, 2 * length} {
 		w := retry.NewWindow()
