--- a/internal/policy/admission/classqueue.go
+++ b/internal/policy/admission/classqueue.go
@@ -112,8 +112,8 @@
 }
 
 // forget deletes the flows that are idle and whose last backlog began more than idleAfter ago, so that memory grows
-// with the number of active clients and not of all clients ever seen. A flow that is deleted too early returns with its
-// credit renewed.
+// with the number of active clients and not of all clients ever seen. A flow that is deleted too early would return
+// with its credit renewed.
 func (c *classQueue) forget(now time.Time) {
 	for client, f := range c.flows {
 		if f.index < 0 && now.Sub(f.backloggedSince) > idleAfter {
--- a/internal/policy/admission/estimate.go
+++ b/internal/policy/admission/estimate.go
@@ -84,8 +84,8 @@
 }
 
 // wait returns the time until a client's request is served that has the given work of the same client ahead of it. The
-// schedule is too optimistic while other clients keep sending, so for a client with a long-standing backlog the rate at
-// which it was actually served is a lower bound for the wait.
+// schedule is too optimistic while other clients keep sending, so a client with a long-standing backlog waits at least
+// as long as the rate at which it was actually served implies.
 func (q *Queue) wait(s schedule, f *flow, ahead float64, now time.Time) time.Duration {
 	wait := s.wait(ahead, f.share)
 	if f.index < 0 || now.Sub(f.backloggedSince) < q.opts.RateWindow {
--- a/internal/policy/admission/limits/limiter.go
+++ b/internal/policy/admission/limits/limiter.go
@@ -87,7 +87,7 @@
 
 // Consume charges a client for a request of the given size in tokens. Over the limit it returns a *failure.Error with
 // CodeOverLimit and the time after which the client has allowance again. The demand of clients without a limit is
-// measured too, for Quota.
+// measured too, for fair sharing.
 func (l *Limiter) Consume(client ids.Client, tokens float64, now time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/policy/attempt/attempt_test.go
+++ b/internal/policy/attempt/attempt_test.go
@@ -43,13 +43,13 @@
 // An entry loses contact with its attempt, the slot fences the attempt, and the caller is told "not run". Then the
 // delayed request arrives after all. If it were started, a resend by the caller would run the request a second time.
 func TestAFencedAttemptNeverStarts(t *testing.T) {
-	table := attempt.NewTable(t0)
-	if !table.Fence(testAttempt, t0) {
+	tracker := attempt.NewTable(t0)
+	if !tracker.Fence(testAttempt, t0) {
 		t.Fatal("an unseen attempt was not fenced")
 	}
 	late := t0.Add(attempt.Retention + time.Second)
 	var refused *attempt.RefusedError
-	if err := table.Begin(testAttempt, late); !errors.As(err, &refused) {
+	if err := tracker.Begin(testAttempt, late); !errors.As(err, &refused) {
 		t.Fatalf("started after it was fenced: %v", err)
 	}
 }
@@ -57,18 +57,18 @@
 // The slot had already started the attempt when the entry asked for a fence. It must deny the fence and refuse a second
 // copy of the attempt, so that the request runs once.
 func TestAStartedAttemptIsNeitherFencedNorStartedAgain(t *testing.T) {
-	table := attempt.NewTable(t0)
-	if err := table.Begin(testAttempt, t0); err != nil {
+	tracker := attempt.NewTable(t0)
+	if err := tracker.Begin(testAttempt, t0); err != nil {
 		t.Fatal(err)
 	}
-	if table.Fence(testAttempt, t0) {
+	if tracker.Fence(testAttempt, t0) {
 		t.Fatal("fenced a started attempt")
 	}
-	table.Finish(testAttempt, t0)
-	if table.Fence(testAttempt, t0) {
+	tracker.Finish(testAttempt, t0)
+	if tracker.Fence(testAttempt, t0) {
 		t.Fatal("fenced a finished attempt")
 	}
-	if err := table.Begin(testAttempt, t0); err == nil {
+	if err := tracker.Begin(testAttempt, t0); err == nil {
 		t.Fatal("started twice")
 	}
 }
--- a/internal/policy/dispatch/gate.go
+++ b/internal/policy/dispatch/gate.go
@@ -94,10 +94,10 @@
 }
 
 // SetSlowdowns replaces the slowdown factors of upstreams that are slower than normal.
-func (g *Gate) SetPaces(paces map[ids.UpstreamIncarnation]float64) {
+func (g *Gate) SetPaces(slowdowns map[ids.UpstreamIncarnation]float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pool.SetSlowdowns(paces)
+	g.pool.SetSlowdowns(slowdowns)
 }
 
 // Waiting returns the number of waiting requests.
--- a/internal/policy/dispatch/group_replay_test.go
+++ b/internal/policy/dispatch/group_replay_test.go
@@ -66,10 +66,10 @@
 	// interval is the time between two reports of a gateway.
 	interval time.Duration
 	closed   bool
-	// openedAt is when the group last formed. Its passes take initialMapSlowdown times as long for the first initialMap
-	// after that, because its initial expert map is not based on the demand.
+	// openedAt is when the group last formed. Its passes take initialMapSlowdown times as long for the first
+	// initialMapTime after that, because its initial expert map is not based on the demand.
 	openedAt           time.Time
-	initialMap         time.Duration
+	initialMapTime     time.Duration
 	initialMapSlowdown float64
 	// resendDelay is how long streams of a broken group are paused before they are truncated; their callers then send
 	// the request again.
@@ -272,7 +272,7 @@
 }
 
 func (g *groupReplay) usesInitialMap() bool {
-	return !g.openedAt.IsZero() && g.now.Sub(g.openedAt) < g.initialMap
+	return !g.openedAt.IsZero() && g.now.Sub(g.openedAt) < g.initialMapTime
 }
 
 // outage is a period in which the group does not work.
--- a/internal/policy/dispatch/incarnation_test.go
+++ b/internal/policy/dispatch/incarnation_test.go
@@ -10,8 +10,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-func incarnationOf(born int64) []*catalog.Upstream {
-	return []*catalog.Upstream{{ID: "u-00", StartedAtMS: born, State: catalog.StateReady, Slots: 2}}
+func incarnationOf(startedAtMS int64) []*catalog.Upstream {
+	return []*catalog.Upstream{{ID: "u-00", StartedAtMS: startedAtMS, State: catalog.StateReady, Slots: 2}}
 }
 
 // An upstream's connections break while it is full and known to refuse requests, and it restarts under the same id. The
--- a/internal/policy/dispatch/latereading.go
+++ b/internal/policy/dispatch/latereading.go
@@ -3,7 +3,7 @@
 // lateReading is the maximum share of a pass's prompt capacity that the prompts of late requests may use.
 const lateReading = 0.5
 
-// beyondLateReading reports whether this gateway must not place more late requests that have a prompt to read.
+// beyondLateReading reports whether this gateway must not place more late requests for now.
 //
 // After a group has re-formed, many waiting requests can no longer meet their target. If all their prompts were read
 // immediately, passes would be long for several rounds and requests that arrive in the meantime would become late too.
--- a/internal/policy/dispatch/outlier.go
+++ b/internal/policy/dispatch/outlier.go
@@ -61,7 +61,7 @@
 func (o *outlier) usable(now time.Time) bool { return !o.replaced && !now.Before(o.ejectedUntil) }
 
 // chosen records that a request is being sent. The first request after an ejection is a probe: the upstream stays
-// ejected for others until the outcome is known, or for firstEjection.
+// ejected for other requests until the outcome is known, or for firstEjection.
 func (o *outlier) chosen(now time.Time) {
 	if o.consecutiveBroken >= brokenThreshold {
 		o.ejectedUntil = now.Add(firstEjection)
@@ -103,16 +103,16 @@
 	For time.Duration
 }
 
-func (t *upstreamState) ejection(cause Outcome, now time.Time) Ejection {
-	e := Ejection{Upstream: t.entry.ID, Cause: cause, Consecutive: 1}
+func (u *upstreamState) ejection(cause Outcome, now time.Time) Ejection {
+	e := Ejection{Upstream: u.entry.ID, Cause: cause, Consecutive: 1}
 	switch cause {
 	case OutcomeBroken:
-		e.Consecutive = t.health.consecutiveBroken
+		e.Consecutive = u.health.consecutiveBroken
 	case OutcomeRefused:
-		e.Consecutive = t.health.consecutiveRefused
+		e.Consecutive = u.health.consecutiveRefused
 	}
-	if !t.health.replaced {
-		e.For = t.health.ejectedUntil.Sub(now)
+	if !u.health.replaced {
+		e.For = u.health.ejectedUntil.Sub(now)
 	}
 	return e
 }
@@ -120,12 +120,12 @@
 // readmitIfNoneUsable ends all ejections if no upstream is usable. A gateway that sees every upstream fail is probably
 // at fault itself, and a request that is tried anyway may succeed.
 func (p *Pool) readmitIfNoneUsable(now time.Time) {
-	for _, t := range p.order {
-		if t.usable(now) {
+	for _, u := range p.order {
+		if u.usable(now) {
 			return
 		}
 	}
-	for _, t := range p.order {
-		t.health.ejectedUntil = time.Time{}
+	for _, u := range p.order {
+		u.health.ejectedUntil = time.Time{}
 	}
 }
--- a/internal/policy/dispatch/pool.go
+++ b/internal/policy/dispatch/pool.go
@@ -15,7 +15,7 @@
 	Arrived time.Time
 	// Target is the time by which the response, or the first event of a stream, counts as on time.
 	Aim time.Time
-	// Latest is when the caller times out unless the first response has arrived.
+	// Deadline is when the caller times out unless the first response has arrived.
 	Latest time.Time
 	// Priority orders waiting requests; 0 goes first.
 	Priority int
@@ -49,8 +49,8 @@
 
 // Pool places the requests of one service. It is not safe for concurrent use.
 type Pool struct {
-	opts    Options
-	targets map[ids.UpstreamIncarnation]*upstreamState
+	opts      Options
+	upstreams map[ids.UpstreamIncarnation]*upstreamState
 	// order lists the upstreams in the order in which SetUpstreams got them, so that equal inputs give equal decisions.
 	order   []*upstreamState
 	waiting []*Ticket
@@ -58,8 +58,8 @@
 	// othersAt is the arrival time of the oldest digest that others' work was counted from.
 	othersAt time.Time
 	// ejected collects the ejections since the last call of TakeEjections.
-	ejected []Ejection
-	drained rate
+	ejected   []Ejection
+	completed rate
 	// placed counts placements over rateWindow, placedSinceReport over the report interval of the other gateways.
 	// sharing describes the gateways that place at the same upstreams.
 	placed            rate
@@ -79,7 +79,7 @@
 
 // NewPool returns a pool without upstreams.
 func NewPool(o Options, rng *rand.Rand) *Pool {
-	return &Pool{opts: o, targets: map[ids.UpstreamIncarnation]*upstreamState{}, rng: rng}
+	return &Pool{opts: o, upstreams: map[ids.UpstreamIncarnation]*upstreamState{}, rng: rng}
 }
 
 // SetOptions applies a change of the configuration.
@@ -94,21 +94,21 @@
 func (p *Pool) SetUpstreams(list []*catalog.Upstream, now time.Time) []*Ticket {
 	next := make(map[ids.UpstreamIncarnation]*upstreamState, len(list))
 	p.order = p.order[:0]
-	for _, u := range list {
-		t := p.targets[u.Incarnation()]
-		if t == nil {
-			t = &upstreamState{}
+	for _, e := range list {
+		u := p.upstreams[e.Incarnation()]
+		if u == nil {
+			u = &upstreamState{}
 		}
-		t.entry = u
-		next[u.Incarnation()] = t
-		p.order = append(p.order, t)
+		u.entry = e
+		next[e.Incarnation()] = u
+		p.order = append(p.order, u)
 	}
-	for i, t := range p.targets {
-		if next[i] == nil && t.own.Requests > 0 {
-			next[i] = t
+	for i, u := range p.upstreams {
+		if next[i] == nil && u.own.Requests > 0 {
+			next[i] = u
 		}
 	}
-	p.targets = next
+	p.upstreams = next
 	return p.decide(now)
 }
 
@@ -132,8 +132,8 @@
 //
 // A rank that belongs to no group refuses every request. Because it appears idle, it would otherwise be chosen again.
 func (p *Pool) SetUpstreamClosed(i ids.UpstreamIncarnation, closed bool, now time.Time) []*Ticket {
-	if t := p.targets[i]; t != nil {
-		t.closed = closed
+	if u := p.upstreams[i]; u != nil {
+		u.closed = closed
 	}
 	return p.decide(now)
 }
@@ -142,8 +142,8 @@
 // is the time at which the oldest of their digests arrived.
 func (p *Pool) SetOthersWork(work map[ids.UpstreamIncarnation]Work, at, now time.Time) []*Ticket {
 	p.othersAt = at
-	for _, t := range p.order {
-		t.others = work[t.entry.Incarnation()]
+	for _, u := range p.order {
+		u.others = work[u.entry.Incarnation()]
 	}
 	return p.decide(now)
 }
@@ -156,11 +156,11 @@
 
 // SetSlowdowns replaces the slowdown factors of upstreams that are slower than normal. Upstreams without a factor are
 // normal.
-func (p *Pool) SetSlowdowns(paces map[ids.UpstreamIncarnation]float64) {
-	for _, t := range p.order {
-		t.slowdown = paces[t.entry.Incarnation()]
+func (p *Pool) SetSlowdowns(slowdowns map[ids.UpstreamIncarnation]float64) {
+	for _, u := range p.order {
+		u.slowdown = slowdowns[u.entry.Incarnation()]
 		if p.opts.Off[SlowRanks] {
-			t.slowdown = 0
+			u.slowdown = 0
 		}
 	}
 }
@@ -168,9 +168,9 @@
 // OwnWork returns the work that this gateway has in flight, by upstream.
 func (p *Pool) OwnWork() map[ids.UpstreamIncarnation]Work {
 	out := make(map[ids.UpstreamIncarnation]Work, len(p.order))
-	for _, t := range p.order {
-		if t.own.Requests > 0 {
-			out[t.entry.Incarnation()] = t.own
+	for _, u := range p.order {
+		if u.own.Requests > 0 {
+			out[u.entry.Incarnation()] = u.own
 		}
 	}
 	return out
@@ -198,7 +198,7 @@
 func (p *Pool) overloaded(r Request, wait time.Duration, now time.Time) *OverloadedError {
 	return &OverloadedError{
 		Waiting:    len(p.waiting),
-		PerSecond:  p.drained.perSecond(),
+		PerSecond:  p.completed.perSecond(),
 		Waited:     now.Sub(r.Arrived),
 		RetryAfter: p.retryAfter(wait),
 	}
@@ -238,7 +238,7 @@
 	p.markRead(t)
 	t.done = true
 	t.assigned.own.Requests--
-	p.drained.count(now)
+	p.completed.count(now)
 	if p.ejects(o) && t.assigned.health.note(o, now) {
 		p.ejected = append(p.ejected, t.assigned.ejection(o, now))
 		p.readmitIfNoneUsable(now)
@@ -263,8 +263,8 @@
 // become free.
 func (p *Pool) Tick(now time.Time) []*Ticket { return p.decide(now) }
 
-// decide places waiting requests in order and refuses those that are past the time by which they must start. It returns
-// the decided tickets.
+// decide places waiting requests in sorted order and refuses those that are past the time by which they must start. It
+// returns the decided tickets.
 func (p *Pool) decide(now time.Time) []*Ticket {
 	if len(p.waiting) == 0 {
 		return nil
@@ -360,9 +360,9 @@
 
 // load returns the value by which upstreams are compared: the fraction of the slots in use plus the number of passes
 // needed to read the waiting prompts.
-func (p *Pool) load(t *upstreamState) float64 {
-	all := t.own.plus(t.others)
-	load := float64(all.Requests) / float64(max(1, t.entry.Slots))
+func (p *Pool) load(u *upstreamState) float64 {
+	all := u.own.plus(u.others)
+	load := float64(all.Requests) / float64(max(1, u.entry.Slots))
 	if e := p.opts.Engine; e != nil && e.Chunk > 0 {
 		load += float64(all.PromptTokens) / float64(e.Chunk*e.Stride)
 	}
--- a/internal/policy/dispatch/pool_test.go
+++ b/internal/policy/dispatch/pool_test.go
@@ -144,7 +144,7 @@
 	p := newPool(1, 4)
 	p.SetClosed(true, at(0))
 	if ticket := p.Submit(timedRequest(at(0)), at(0)); ticket.Err() != nil {
-		t.Fatalf("refused at once: %v", ticket.Err())
+		t.Fatalf("refused immediately: %v", ticket.Err())
 	}
 	long := at(9 * time.Second)
 	var overloaded *dispatch.OverloadedError
--- a/internal/policy/dispatch/reopening_test.go
+++ b/internal/policy/dispatch/reopening_test.go
@@ -16,7 +16,7 @@
 func playReopening(off ...dispatch.Mechanism) (onTime, late, refused int) {
 	for seed := range uint64(reopeningSeeds) {
 		g := newGroupReplay(seed, 9, 16, 12, 100*time.Millisecond, true, off...)
-		g.initialMap, g.initialMapSlowdown, g.resendDelay = 350*time.Millisecond, 2.4, 1500*time.Millisecond
+		g.initialMapTime, g.initialMapSlowdown, g.resendDelay = 350*time.Millisecond, 2.4, 1500*time.Millisecond
 		g.play(80, 10*time.Second, outage{3 * time.Second, 2 * time.Second})
 		onTime, late, refused = onTime+g.onTime, late+g.late, refused+g.refused
 	}
--- a/internal/policy/dispatch/replay_test.go
+++ b/internal/policy/dispatch/replay_test.go
@@ -96,19 +96,19 @@
 }
 
 const (
-	upstreamState = 300 * time.Millisecond
+	targetLatency = 300 * time.Millisecond
 	callerTimeout = 1500 * time.Millisecond
 )
 
 func timedRequest(arrived time.Time) dispatch.Request {
-	return dispatch.Request{Arrived: arrived, Aim: arrived.Add(upstreamState), Latest: arrived.Add(callerTimeout)}
+	return dispatch.Request{Arrived: arrived, Aim: arrived.Add(targetLatency), Latest: arrived.Add(callerTimeout)}
 }
 
 // A burst brings twice the load that the upstreams can serve for four seconds, with normal load before and after. In
 // order of arrival, all requests of the burst and of the seconds after it are late. If requests that can still meet
 // their target go first, most of the capacity serves requests on time.
 func TestBurstIsMostlyServedOnTime(t *testing.T) {
-	const capacity = 4 * 6 / 0.06 // requests a second of 4 upstreams with 6 slots and 60 ms each
+	const capacity = 4 * 6 / 0.06 // requests per second of 4 upstreams with 6 slots and 60 ms each
 	play := func(fill, late float64, byArrival bool) *replay {
 		r := newReplay(dispatch.Options{Fill: fill, LateFill: late}, 4, 6, 60*time.Millisecond)
 		shape := timedRequest
@@ -135,7 +135,7 @@
 	t.Logf("by arrival: %d answered, %d refused, %d timed out", baseline.late+baseline.onTime, baseline.refused, baseline.timedOut)
 	possible := int(10 * capacity * 0.8)
 	if ours.onTime < possible*9/10 {
-		t.Fatalf("%d in time of about %d that could be", ours.onTime, possible)
+		t.Fatalf("%d in time, want nine tenths of the possible %d", ours.onTime, possible)
 	}
 	if ours.timedOut > 0 {
 		t.Fatalf("%d were served for callers that had timed out", ours.timedOut)
@@ -147,10 +147,10 @@
 func TestRequestsWaitForABrokenGroup(t *testing.T) {
 	r := newReplay(dispatch.Options{Fill: 1, LateFill: 0.6}, 4, 10, 100*time.Millisecond)
 	begin := r.Now()
-	patient := func(arrived time.Time) dispatch.Request {
+	withLongTimeout := func(arrived time.Time) dispatch.Request {
 		return dispatch.Request{Arrived: arrived, Aim: arrived.Add(400 * time.Millisecond), Latest: arrived.Add(4 * time.Second)}
 	}
-	r.arrivals(begin, 8*time.Second, 150, patient)
+	r.arrivals(begin, 8*time.Second, 150, withLongTimeout)
 	r.at(begin.Add(2*time.Second), func() { r.decide(r.pool.SetClosed(true, r.Now())) })
 	r.at(begin.Add(4*time.Second), func() { r.decide(r.pool.SetClosed(false, r.Now())) })
 	r.RunAll()
--- a/internal/policy/dispatch/upstream.go
+++ b/internal/policy/dispatch/upstream.go
@@ -19,13 +19,13 @@
 	closed bool
 }
 
-func (t *upstreamState) usable(now time.Time) bool {
-	return t.entry.State == catalog.StateReady && !t.closed && t.health.usable(now)
+func (u *upstreamState) usable(now time.Time) bool {
+	return u.entry.State == catalog.StateReady && !u.closed && u.health.usable(now)
 }
 
 // hasFreeSlot reports whether the upstream may get another request, with fill as the limit for each of its slots.
-func (t *upstreamState) hasFreeSlot(fill float64) bool {
-	return float64(t.own.Requests+t.others.Requests) < t.limit(fill)
+func (u *upstreamState) hasFreeSlot(fill float64) bool {
+	return float64(u.own.Requests+u.others.Requests) < u.limit(fill)
 }
 
 // limit returns the maximum number of requests in flight at the upstream.
@@ -33,10 +33,10 @@
 // Each request at a slow rank lengthens every pass of its group. A slow rank therefore gets only the share of its slots
 // that it can serve in the time that the other ranks take. The limit is divided by the square of the slowdown factor
 // because a stream stays at its rank once it has begun.
-func (t *upstreamState) limit(fill float64) float64 {
-	limit := fill * float64(max(1, t.entry.Slots))
-	if t.slowdown > 1 {
-		return math.Floor(limit / (t.slowdown * t.slowdown))
+func (u *upstreamState) limit(fill float64) float64 {
+	limit := fill * float64(max(1, u.entry.Slots))
+	if u.slowdown > 1 {
+		return math.Floor(limit / (u.slowdown * u.slowdown))
 	}
 	return limit
 }
--- a/internal/policy/dispatch/wait.go
+++ b/internal/policy/dispatch/wait.go
@@ -53,7 +53,7 @@
 // The throughput measured while the pool was closed is close to zero and would cause requests to be refused while slots
 // are free. It therefore counts as unknown until a full window has passed since the pool opened.
 func (p *Pool) expectedWait(now time.Time) time.Duration {
-	perSecond := p.drained.perSecond()
+	perSecond := p.completed.perSecond()
 	if perSecond == 0 || p.closed || now.Sub(p.openedAt) < rateWindow {
 		return 0
 	}
@@ -89,7 +89,7 @@
 const retrySpread = 0.5
 
 const (
-	// firstResponseGuess is the time to the first response that is assumed until one was measured.
+	// firstResponseGuess is the initial value of the mean time to the first response.
 	firstResponseGuess = 200 * time.Millisecond
 	// firstResponseWeight is the weight of a new measurement in the moving average.
 	firstResponseWeight = 0.1
