--- a/internal/policy/admission/limits/wire.go
+++ b/internal/policy/admission/limits/wire.go
@@ -34,18 +34,18 @@
 // NewClientsByHash returns the index of the given clients. If two clients have the same hash, one is counted as the
 // other; this is not expected even among millions.
 func NewNames(clients []ids.Client) Names {
-	names := make(Names, len(clients))
+	byHash := make(Names, len(clients))
 	for _, c := range clients {
-		names[hashOf(c)] = c
+		byHash[hashOf(c)] = c
 	}
-	return names
+	return byHash
 }
 
 // Decode converts a message to records. Clients that are not in this configuration are skipped.
-func (n Names) Decode(report *cardamomyokev1.UsageReport) []Record {
+func (c Names) Decode(report *cardamomyokev1.UsageReport) []Record {
 	var records []Record
 	for _, r := range report.GetRecords() {
-		if client, ok := n[r.GetClient()]; ok {
+		if client, ok := c[r.GetClient()]; ok {
 			records = append(records, Record{client, Usage{float64(r.GetCentirequests()) / centi, float64(r.GetTokens())}})
 		}
 	}
--- a/internal/policy/attempt/attempt_test.go
+++ b/internal/policy/attempt/attempt_test.go
@@ -140,9 +140,9 @@
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 1})
 	f.Add([]byte{11, 9, 1, 0, 0, 0, 0, 0, 0, 0, 0x1a, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		follower := attempt.NewFollower(testAttempt, 0, bytes.NewReader(data))
+		reader := attempt.NewFollower(testAttempt, 0, bytes.NewReader(data))
 		for range len(data) + 2 {
-			_, err := follower.Next()
+			_, err := reader.Next()
 			if err == nil {
 				continue
 			}
--- a/internal/policy/attempt/event.go
+++ b/internal/policy/attempt/event.go
@@ -64,7 +64,7 @@
 // once.
 type Follower struct {
 	id    ids.Attempt
-	r     *bufio.Reader
+	src   *bufio.Reader
 	event Event
 	next  int
 	ended bool
@@ -72,35 +72,35 @@
 
 // NewEventReader returns a reader of the response to attempt a from r. The index of its first token must be next.
 func NewFollower(a ids.Attempt, next int, r io.Reader) *Follower {
-	return &Follower{id: a, r: bufio.NewReader(r), next: next}
+	return &Follower{id: a, src: bufio.NewReader(r), next: next}
 }
 
 // Next returns the next event, which is valid until the following call, and io.EOF after the last one. Errors:
 // *TruncatedError if the stream ends before its last event; *MismatchError for an event of another attempt, a gap, a
 // duplicate, or an event after the last one.
-func (f *Follower) Next() (*Event, error) {
-	f.event.Reset()
-	err := protodelim.UnmarshalOptions{MaxSize: maxEventBytes}.UnmarshalFrom(f.r, &f.event)
-	if errors.Is(err, io.EOF) && f.ended {
+func (r *Follower) Next() (*Event, error) {
+	r.event.Reset()
+	err := protodelim.UnmarshalOptions{MaxSize: maxEventBytes}.UnmarshalFrom(r.src, &r.event)
+	if errors.Is(err, io.EOF) && r.ended {
 		return nil, io.EOF
 	}
 	if err != nil {
-		return nil, &CutError{f.id, f.next, err}
+		return nil, &CutError{r.id, r.next, err}
 	}
-	return &f.event, f.check(&f.event)
+	return &r.event, r.check(&r.event)
 }
 
-func (f *Follower) check(e *Event) error {
-	if e.GetAttempt() != f.id.Seq {
-		return &MismatchError{f.id, "its own id", fmt.Sprintf("sequence %d", e.GetAttempt())}
+func (r *Follower) check(e *Event) error {
+	if e.GetAttempt() != r.id.Seq {
+		return &MismatchError{r.id, "its own id", fmt.Sprintf("sequence %d", e.GetAttempt())}
 	}
-	if f.ended || e.GetFailure() == "" && int(e.GetIndex()) != f.next {
-		got := fmt.Sprintf("index %d (ended %t)", e.GetIndex(), f.ended)
-		return &MismatchError{f.id, fmt.Sprintf("index %d", f.next), got}
+	if r.ended || e.GetFailure() == "" && int(e.GetIndex()) != r.next {
+		got := fmt.Sprintf("index %d (ended %t)", e.GetIndex(), r.ended)
+		return &MismatchError{r.id, fmt.Sprintf("index %d", r.next), got}
 	}
-	f.ended = Last(e)
-	if !f.ended {
-		f.next++
+	r.ended = Last(e)
+	if !r.ended {
+		r.next++
 	}
 	return nil
 }
