--- a/internal/policy/routing/picker_test.go
+++ b/internal/policy/routing/picker_test.go
@@ -24,17 +24,17 @@
 }
 
 func TestUsable(t *testing.T) {
-	all := []*routing.Upstream{upstream("out", 0), upstream("old", 1, "v1"), upstream("new", 1, "v2"), upstream("no-versions", 1)}
+	all := []*routing.Upstream{upstream("out", 0), upstream("old", 1, "v1"), upstream("new", 1, "v2"), upstream("silent-on-versions", 1)}
 	tests := map[string]struct {
 		req  routing.Request
 		want []ids.Upstream
 		err  *routing.NoUpstreamError
 	}{
-		"any":      {routing.Request{}, []ids.Upstream{"old", "new", "no-versions"}, nil},
-		"version":  {routing.Request{Version: "v2"}, []ids.Upstream{"new", "no-versions"}, nil},
-		"excluded": {routing.Request{Exclude: []ids.Upstream{"new"}}, []ids.Upstream{"old", "no-versions"}, nil},
+		"any":      {routing.Request{}, []ids.Upstream{"old", "new", "silent-on-versions"}, nil},
+		"version":  {routing.Request{Version: "v2"}, []ids.Upstream{"new", "silent-on-versions"}, nil},
+		"excluded": {routing.Request{Exclude: []ids.Upstream{"new"}}, []ids.Upstream{"old", "silent-on-versions"}, nil},
 		"none": {
-			routing.Request{Version: "v2", Exclude: []ids.Upstream{"new", "no-versions"}}, nil,
+			routing.Request{Version: "v2", Exclude: []ids.Upstream{"new", "silent-on-versions"}}, nil,
 			&routing.NoUpstreamError{Known: 4, HeldOut: 1, Excluded: 2, Unloaded: 1},
 		},
 	}
