--- /dev/null
+++ b/internal/policy/dispatch/upstream.go
@@ -0,0 +1,42 @@
+package dispatch
+
+import (
+	"math"
+	"time"
+
+	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
+)
+
+// upstreamState is the pool's state for one upstream.
+type upstreamState struct {
+	entry *catalog.Upstream
+	// own is the work that this gateway has in flight there, others the work last reported by the other gateways.
+	own, others Work
+	health      outlier
+	// slowdown is how many times longer than normal its work takes; 0 means normal.
+	slowdown float64
+	// closed is set while the upstream is known to refuse all requests.
+	closed bool
+}
+
+func (u *upstreamState) usable(now time.Time) bool {
+	return u.entry.State == catalog.StateReady && !u.closed && u.health.usable(now)
+}
+
+// hasFreeSlot reports whether the upstream may get another request, with fill as the limit for each of its slots.
+func (u *upstreamState) hasFreeSlot(fill float64) bool {
+	return float64(u.own.Requests+u.others.Requests) < u.limit(fill)
+}
+
+// limit returns the maximum number of requests in flight at the upstream.
+//
+// Each request at a slow rank lengthens every pass of its group. A slow rank therefore gets only the share of its slots
+// that it can serve in the time that the other ranks take. The limit is divided by the square of the slowdown factor
+// because a stream stays at its rank once it has begun.
+func (u *upstreamState) limit(fill float64) float64 {
+	limit := fill * float64(max(1, u.entry.Slots))
+	if u.slowdown > 1 {
+		return math.Floor(limit / (u.slowdown * u.slowdown))
+	}
+	return limit
+}
