--- a/internal/policy/health/doc.go
+++ b/internal/policy/health/doc.go
@@ -1,9 +1,10 @@
-// Package health decides which upstreams of a service an entry may use, and for how much of their share.
+// Package health decides which upstreams of a service an entry may use and how much of its normal share each one gets.
 //
-// A Tracker takes in what slots report, what the host list says and how attempts ended, and follows the state chart
-// internal/base/charts/upstream.yaml for each life of an upstream. It tells three faults apart that look alike to a caller:
-// a silent upstream (nothing is heard), a stalled one (its slot is heard, but its engine takes no step while it has
-// work) and a slow one (it steps, but much slower than peers with as much work). Of these only as many are ejected at
-// once as the cap allows, worst first, because an entry that sees most upstreams as faulty is more likely to be at
-// fault itself. The package is pure: the control goroutine owns the Tracker and passes in the time.
+// A Tracker processes slot reports, the host list and the outcomes of attempts, and runs the state chart
+// internal/base/charts/upstream.yaml for each incarnation of an upstream. It distinguishes three faults that look alike
+// to a client: a silent upstream (no message arrives), a stalled one (its slot reports, but its engine has work and
+// takes no step) and a slow one (it takes steps, but much more slowly than peers with at least as much work). The
+// number of upstreams ejected at a time is capped and the worst are ejected first, because an entry that sees most
+// upstreams as faulty is more likely to be at fault itself. The package is pure: the control goroutine owns the Tracker
+// and passes in the time.
 package health
--- a/internal/policy/health/events.go
+++ b/internal/policy/health/events.go
@@ -6,65 +6,65 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// Reason says what makes an upstream suspect.
+// Reason is the fault for which an upstream is suspected.
 type Reason string
 
 // The reasons, from the worst to the mildest.
 const (
 	ReasonNone Reason = ""
-	// ReasonSilent: neither a report nor any part of an answer came.
+	// ReasonSilent: neither a report nor any part of a response has arrived within SilentAfter.
 	ReasonSilent Reason = "silent"
-	// ReasonStalled: reports come, but the engine has work and takes no step.
+	// ReasonStalled: reports arrive, but the engine has work and takes no step.
 	ReasonStalled Reason = "stalled"
-	// ReasonFailing: attempts fail one after the other.
+	// ReasonFailing: consecutive attempts have failed.
 	ReasonFailing Reason = "failing"
-	// ReasonSlow: its steps take much longer than those of peers with as much work.
+	// ReasonSlow: its steps take much longer than those of peers with at least as much work.
 	ReasonSlow Reason = "slow"
 )
 
 var severity = map[Reason]int{ReasonNone: 0, ReasonSlow: 1, ReasonFailing: 2, ReasonStalled: 3, ReasonSilent: 4}
 
-// Event is one of Heard, Listed, Answered, Failed and RefusedLeaving.
+// Event is one of SlotReport, HostList, Responded, Failed and RefusedDraining.
 type Event interface{ isEvent() }
 
-// Heard is a report of a slot.
+// SlotReport is one report of a slot about its upstream.
 type Heard struct {
 	Upstream    ids.Upstream
 	Service     ids.Service
 	Incarnation ids.Incarnation
-	// Leaving is the slot's own word that it takes no new work.
+	// Leaving is set if the slot reports that it is draining and accepts no new work.
 	Leaving bool
-	// Steps counts the engine's steps since it started.
+	// Steps is the number of steps that the engine has taken since it started.
 	Steps uint64
-	// Running is how many requests the engine has.
+	// Running is the number of requests in the engine.
 	Running int
-	// StepTime is the recent time per step; zero if there was none.
+	// StepTime is the recent time per step; zero if there was no step.
 	StepTime time.Duration
 }
 
-// Listed is a whole host list.
+// HostList is a complete host list.
 type Listed struct {
-	// TakenAt is how old the list says it is, as a point in time.
+	// TakenAt is the time at which the list was made, according to the list.
 	TakenAt time.Time
 	Hosts   []ListedHost
 }
 
-// ListedHost is one upstream of the host list.
+// ListedHost is one upstream in the host list.
 type ListedHost struct {
 	Upstream ids.Upstream
 	Service  ids.Service
 	Leaving  bool
 }
 
-// Answered says that an attempt got a part of its answer or all of it.
+// Responded reports that an attempt received part or all of its response.
 type Answered struct{ Upstream ids.Upstream }
 
-// Failed says that an attempt failed in a way that speaks against the upstream: connection refused or broken, or no
-// answer in time. A refusal by the slot is none.
+// Failed reports an attempt that failed by a fault of the upstream: the connection was refused or broken, or no
+// response came in time. A request that the slot refused does not count.
 type Failed struct{ Upstream ids.Upstream }
 
-// RefusedLeaving says that the slot refused an attempt before its start because it is leaving. It stands in for a
-// report that was lost.
+// RefusedDraining reports that the slot refused an attempt before its start because it is draining. It has the same
+// effect as a report with Leaving set, in case that report was lost.
 type RefusedLeaving struct {
 	Upstream    ids.Upstream
 	Incarnation ids.Incarnation
--- a/internal/policy/health/judge.go
+++ b/internal/policy/health/judge.go
@@ -9,64 +9,64 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// judge looks for evidence against one upstream and moves its state accordingly.
-func (t *Tracker) judge(l *life, now time.Time) {
-	if l.machine.State() == stateJoining {
+// classify updates the state of one upstream from the evidence against it.
+func (t *Tracker) classify(u *upstreamHealth, now time.Time) {
+	if u.machine.State() == stateJoining {
 		return
 	}
-	found := t.evidence(l, now)
-	switch l.machine.State() {
+	found := t.worstReason(u, now)
+	switch u.machine.State() {
 	case stateReady, stateReturning:
 		if found != ReasonNone {
-			l.reason = found
-			t.fire(l, eventSuspected, now)
+			u.reason = found
+			t.fire(u, eventSuspected, now)
 			return
 		}
-		t.warm(l, now)
+		t.finishRamp(u, now)
 	case stateSuspect:
 		if found == ReasonNone {
-			t.fire(l, eventCleared, now)
-			l.reason = ReasonNone
+			t.fire(u, eventCleared, now)
+			u.reason = ReasonNone
 			return
 		}
-		l.reason = found
+		u.reason = found
 	case stateEjected:
-		t.probation(l, found, now)
+		t.endEjection(u, found, now)
 	}
 }
 
-// warm ends a ramp that is over. A ramp without a fault also ends the row of ejections.
-func (t *Tracker) warm(l *life, now time.Time) {
-	if l.machine.State() == stateReturning && now.Sub(l.rampAt) >= t.opts.RampFor {
-		t.fire(l, eventWarmed, now)
-		l.ejections = 0
+// finishRamp ends a ramp whose time is over. A ramp without a fault also resets the count of consecutive ejections.
+func (t *Tracker) finishRamp(u *upstreamHealth, now time.Time) {
+	if u.machine.State() == stateReturning && now.Sub(u.rampStartedAt) >= t.opts.RampFor {
+		t.fire(u, eventWarmed, now)
+		u.ejections = 0
 	}
 }
 
-// probation lets an ejected upstream return once its time is over. One that is still silent or stalled stays out. A
-// slow or failing one is given work again, because without work it cannot show that it has recovered.
-func (t *Tracker) probation(l *life, found Reason, now time.Time) {
+// endEjection lets an ejected upstream return once its ejection time is over. An upstream that is still silent or
+// stalled stays ejected. A slow or failing one gets work again, because it cannot show its recovery without work.
+func (t *Tracker) endEjection(u *upstreamHealth, found Reason, now time.Time) {
 	if found == ReasonSilent || found == ReasonStalled {
-		l.reason = found
+		u.reason = found
 		return
 	}
-	if now.Before(l.ejectUntil) {
+	if now.Before(u.ejectUntil) {
 		return
 	}
-	l.slowSince = time.Time{}
-	t.fire(l, eventProbation, now)
-	l.reason = ReasonNone
+	u.slowSince = time.Time{}
+	t.fire(u, eventProbation, now)
+	u.reason = ReasonNone
 }
 
-// evidence returns the worst that speaks against an upstream now.
-func (t *Tracker) evidence(l *life, now time.Time) Reason {
-	slow := t.isSlow(l, now)
+// worstReason returns the most severe reason to suspect an upstream at now, or ReasonNone.
+func (t *Tracker) worstReason(u *upstreamHealth, now time.Time) Reason {
+	slow := t.isSlow(u, now)
 	switch {
-	case now.Sub(l.heardAt) >= t.opts.SilentAfter:
+	case now.Sub(u.lastSeenAt) >= t.opts.SilentAfter:
 		return ReasonSilent
-	case l.running > 0 && now.Sub(l.steppedAt) >= t.opts.StalledAfter:
+	case u.running > 0 && now.Sub(u.lastStepAt) >= t.opts.StalledAfter:
 		return ReasonStalled
-	case l.failures >= t.opts.FailuresInRow:
+	case u.failures >= t.opts.ConsecutiveFailures:
 		return ReasonFailing
 	case slow:
 		return ReasonSlow
@@ -74,27 +74,28 @@
 	return ReasonNone
 }
 
-func (t *Tracker) isSlow(l *life, now time.Time) bool {
-	reference := t.peerStepTime(l)
-	if reference == 0 || l.running == 0 || float64(l.stepTime) < t.opts.SlowFactor*float64(reference) {
-		l.slowSince = time.Time{}
+func (t *Tracker) isSlow(u *upstreamHealth, now time.Time) bool {
+	reference := t.peerStepTime(u)
+	if reference == 0 || u.running == 0 || float64(u.stepTime) < t.opts.SlowFactor*float64(reference) {
+		u.slowSince = time.Time{}
 		return false
 	}
-	if l.slowSince.IsZero() {
-		l.slowSince = now
+	if u.slowSince.IsZero() {
+		u.slowSince = now
 	}
-	return now.Sub(l.slowSince) >= t.opts.SlowFor
+	return now.Sub(u.slowSince) >= t.opts.SlowFor
 }
 
-// minPeers is how many peers a median needs.
+// minPeers is the minimum number of peers for a median.
 const minPeers = 2
 
-// peerStepTime is the median step time of the peers that carry at least as much work. A step takes longer with more
-// requests in it; without this choice of peers a busy upstream among idle ones would be called slow.
-func (t *Tracker) peerStepTime(l *life) time.Duration {
+// peerStepTime returns the median step time of the peers that have at least as many running requests, or 0 if there are
+// too few of them. A step takes longer with more requests in it: compared with idle peers, a busy upstream would be
+// classified as slow.
+func (t *Tracker) peerStepTime(u *upstreamHealth) time.Duration {
 	var times []time.Duration
-	for _, p := range t.lives {
-		if p != l && p.service == l.service && p.running >= l.running && p.stepTime > 0 {
+	for _, p := range t.upstreams {
+		if p != u && p.service == u.service && p.running >= u.running && p.stepTime > 0 {
 			times = append(times, p.stepTime)
 		}
 	}
@@ -105,47 +106,49 @@
 	return times[len(times)/2]
 }
 
-// eject chooses, in each service, which suspects are out, worst first and up to the cap.
+// eject decides for each service which suspects are ejected: the worst first, up to the cap.
 func (t *Tracker) eject(now time.Time) {
-	candidates := make(map[ids.Service][]*life)
+	candidates := make(map[ids.Service][]*upstreamHealth)
 	known := make(map[ids.Service]int)
-	for _, l := range t.sorted() {
-		switch l.machine.State() {
+	for _, u := range t.sorted() {
+		switch u.machine.State() {
 		case stateSuspect, stateEjected:
-			candidates[l.service] = append(candidates[l.service], l)
-			known[l.service]++
+			candidates[u.service] = append(candidates[u.service], u)
+			known[u.service]++
 		case stateReady, stateReturning:
-			known[l.service]++
+			known[u.service]++
 		}
 	}
 	for _, service := range slices.Sorted(maps.Keys(candidates)) {
 		list := candidates[service]
 		slices.SortFunc(list, worstFirst)
-		t.ejectUpTo(list, t.limit(known[service]), now)
+		t.ejectUpTo(list, t.ejectionLimit(known[service]), now)
 	}
 }
 
-func (t *Tracker) ejectUpTo(list []*life, limit int, now time.Time) {
-	for i, l := range list {
+func (t *Tracker) ejectUpTo(list []*upstreamHealth, limit int, now time.Time) {
+	for i, u := range list {
 		if i < limit {
-			t.fire(l, eventEject, now)
+			t.fire(u, eventEject, now)
 		} else {
-			t.fire(l, eventReadmit, now)
+			t.fire(u, eventReadmit, now)
 		}
 	}
 }
 
-// limit is the cap for a service of n upstreams: the percentage rounded down, but one of several may always go, so
-// that a small service can lose its dead upstream, unless the operator forbids ejection with 0.
-func (t *Tracker) limit(n int) int {
+// ejectionLimit returns how many of the n upstreams of a service may be ejected: the percentage, rounded down. With two
+// or more upstreams at least one may be ejected, so that a small service can eject a dead upstream, unless the operator
+// disables ejection with 0.
+func (t *Tracker) ejectionLimit(n int) int {
 	if t.opts.EjectionPercent == 0 || n < 2 {
 		return 0
 	}
 	return max(1, n*t.opts.EjectionPercent/100)
 }
 
-// worstFirst orders by severity, then keeps out what is out, then takes the one that has been suspect for longest.
-func worstFirst(a, b *life) int {
+// worstFirst compares by severity. At equal severity ejected upstreams come before others, then those that have been in
+// their state longest.
+func worstFirst(a, b *upstreamHealth) int {
 	if c := cmp.Compare(severity[b.reason], severity[a.reason]); c != 0 {
 		return c
 	}
@@ -162,20 +165,21 @@
 	return cmp.Compare(a.id, b.id)
 }
 
-// bury forgets upstreams that are silent for long and either leaving or not listed. Their incarnation is remembered
-// for as long again: a report that is late by more than that is no longer under way.
-func (t *Tracker) bury(now time.Time) {
-	for _, l := range t.sorted() {
-		over := l.machine.State() == stateLeaving || !l.listed
-		if over && now.Sub(l.heardAt) >= t.opts.GoneAfter {
-			t.fire(l, eventForget, now)
-			t.buried[grave{l.id, l.incarnation}] = now
-			delete(t.lives, l.id)
+// forgetDead removes upstreams that have sent nothing for ForgetAfter and are either draining or not listed. Their
+// incarnations are remembered for twice that time, so that a late report does not add them again; a report that is
+// later than this is no longer in transit.
+func (t *Tracker) forgetDead(now time.Time) {
+	for _, u := range t.sorted() {
+		removable := u.machine.State() == stateLeaving || !u.listed
+		if removable && now.Sub(u.lastSeenAt) >= t.opts.ForgetAfter {
+			t.fire(u, eventForget, now)
+			t.forgotten[incarnationKey{u.id, u.incarnation}] = now
+			delete(t.upstreams, u.id)
 		}
 	}
-	for g, at := range t.buried {
-		if now.Sub(at) >= 2*t.opts.GoneAfter {
-			delete(t.buried, g)
+	for key, at := range t.forgotten {
+		if now.Sub(at) >= 2*t.opts.ForgetAfter {
+			delete(t.forgotten, key)
 		}
 	}
 }
--- a/internal/policy/health/life.go
+++ b/internal/policy/health/life.go
@@ -29,14 +29,14 @@
 	actionStartEjection charts.Action = "start-ejection"
 )
 
-// grave names a life that is over.
-type grave struct {
+// incarnationKey identifies a past incarnation of an upstream.
+type incarnationKey struct {
 	upstream    ids.Upstream
 	incarnation ids.Incarnation
 }
 
-// life is one life of an upstream, from its slot's start to its end.
-type life struct {
+// upstreamHealth is the health of one incarnation of an upstream, from its slot's start to its end.
+type upstreamHealth struct {
 	id          ids.Upstream
 	service     ids.Service
 	incarnation ids.Incarnation
@@ -44,153 +44,157 @@
 	since       time.Time
 	reason      Reason
 
-	// successor is true if an earlier life of the same upstream was known; bornAt is when this one was first heard.
-	successor bool
-	bornAt    time.Time
-	listed    bool
-	heardAt   time.Time
-	steppedAt time.Time
-	steps     uint64
-	running   int
-	stepTime  time.Duration
-	slowSince time.Time
-	failures  int
-
-	rampAt     time.Time
-	ejections  int
-	ejectUntil time.Time
+	// hasPredecessor is set if the tracker already had state for an earlier incarnation of the same upstream.
+	// firstSeenAt is when this incarnation was first seen.
+	hasPredecessor bool
+	firstSeenAt    time.Time
+	listed         bool
+	lastSeenAt     time.Time
+	lastStepAt     time.Time
+	steps          uint64
+	running        int
+	stepTime       time.Duration
+	slowSince      time.Time
+	failures       int
+
+	rampStartedAt time.Time
+	ejections     int
+	ejectUntil    time.Time
 }
 
-func (t *Tracker) newLife(id ids.Upstream, service ids.Service, now time.Time) *life {
-	l := &life{id: id, service: service, machine: t.chart.Start(), since: now, bornAt: now, heardAt: now, steppedAt: now}
-	t.lives[id] = l
-	return l
+func (t *Tracker) addUpstream(id ids.Upstream, service ids.Service, now time.Time) *upstreamHealth {
+	u := &upstreamHealth{id: id, service: service, machine: t.chart.Start(), since: now, firstSeenAt: now, lastSeenAt: now, lastStepAt: now}
+	t.upstreams[id] = u
+	return u
 }
 
-// fire applies an event to a life, carries out the chart's actions and records the change.
-func (t *Tracker) fire(l *life, ev charts.Event, now time.Time) {
-	from := l.machine.State()
-	actions, err := l.machine.Fire(ev)
+// fire applies an event to an upstream, runs the chart's actions and records the change of state.
+func (t *Tracker) fire(u *upstreamHealth, ev charts.Event, now time.Time) {
+	from := u.machine.State()
+	actions, err := u.machine.Fire(ev)
 	if err != nil {
-		panic(err) // Only for an event that the chart does not declare, which is a fault of this package.
+		panic(err) // The chart does not declare the event: a bug in this package.
 	}
-	if l.machine.State() == from {
+	if u.machine.State() == from {
 		return
 	}
-	l.since = now
+	u.since = now
 	for _, a := range actions {
-		t.act(l, a, now)
+		t.runAction(u, a, now)
 	}
-	t.changes = append(t.changes, Change{Upstream: l.id, From: from, To: l.machine.State(), Reason: l.reason})
+	t.changes = append(t.changes, Change{Upstream: u.id, From: from, To: u.machine.State(), Reason: u.reason})
 }
 
-func (t *Tracker) act(l *life, a charts.Action, now time.Time) {
+func (t *Tracker) runAction(u *upstreamHealth, a charts.Action, now time.Time) {
 	switch a {
 	case actionStartRamp:
-		l.rampAt = now
-		l.failures = 0
+		u.rampStartedAt = now
+		u.failures = 0
 	case actionStartEjection:
-		l.ejections++
-		l.ejectUntil = now.Add(t.ejectionTime(l.ejections))
+		u.ejections++
+		u.ejectUntil = now.Add(t.ejectionTime(u.ejections))
 	}
 }
 
 func (t *Tracker) ejectionTime(n int) time.Duration {
 	d := t.opts.EjectFor
-	for i := 1; i < n && d < t.opts.EjectMost; i++ {
+	for i := 1; i < n && d < t.opts.MaxEjectFor; i++ {
 		d *= 2
 	}
-	return min(d, t.opts.EjectMost)
+	return min(d, t.opts.MaxEjectFor)
 }
 
-func (t *Tracker) heard(ev Heard, now time.Time) {
-	if _, dead := t.buried[grave{ev.Upstream, ev.Incarnation}]; dead {
+func (t *Tracker) applyReport(ev Heard, now time.Time) {
+	if _, dead := t.forgotten[incarnationKey{ev.Upstream, ev.Incarnation}]; dead {
 		return
 	}
-	l := t.lives[ev.Upstream]
-	if l != nil && l.incarnation > ev.Incarnation {
-		return // A late report of an earlier life; incarnations sort by time of birth.
+	u := t.upstreams[ev.Upstream]
+	if u != nil && u.incarnation > ev.Incarnation {
+		return // A late report of an earlier incarnation; incarnations sort by start time.
 	}
-	if l == nil || (l.incarnation != "" && l.incarnation != ev.Incarnation) {
-		l = t.nextLife(l, ev, now)
+	if u == nil || (u.incarnation != "" && u.incarnation != ev.Incarnation) {
+		u = t.replaceIncarnation(u, ev, now)
 	}
-	l.incarnation = ev.Incarnation
-	l.service = ev.Service
-	l.heardAt = now
-	l.running = ev.Running
-	l.stepTime = ev.StepTime
-	if ev.Steps != l.steps || ev.Running == 0 {
-		l.steps = ev.Steps
-		l.steppedAt = now
+	u.incarnation = ev.Incarnation
+	u.service = ev.Service
+	u.lastSeenAt = now
+	u.running = ev.Running
+	u.stepTime = ev.StepTime
+	if ev.Steps != u.steps || ev.Running == 0 {
+		u.steps = ev.Steps
+		u.lastStepAt = now
 	}
 	if ev.Leaving {
-		t.fire(l, eventLeave, now)
+		t.fire(u, eventLeave, now)
 		return
 	}
-	t.welcome(l, now)
+	t.admit(u, now)
 }
 
-// nextLife replaces what is known of an upstream when its slot has started anew. A leaving mark is not taken over,
-// because it was made about the life before.
-func (t *Tracker) nextLife(old *life, ev Heard, now time.Time) *life {
-	l := t.newLife(ev.Upstream, ev.Service, now)
+// replaceIncarnation replaces the state of an upstream whose slot has restarted. The leaving state is not carried over,
+// because it belongs to the old incarnation.
+func (t *Tracker) replaceIncarnation(old *upstreamHealth, ev Heard, now time.Time) *upstreamHealth {
+	u := t.addUpstream(ev.Upstream, ev.Service, now)
 	if old != nil {
-		t.buried[grave{old.id, old.incarnation}] = now
-		l.listed = old.listed
-		l.successor = true
+		t.forgotten[incarnationKey{old.id, old.incarnation}] = now
+		u.listed = old.listed
+		u.hasPredecessor = true
 	}
-	return l
+	return u
 }
 
-// welcome takes in a slot that is heard for the first time. While this entry itself is new, all are, and none is
-// ramped: a ramp only makes sense beside others that carry the load meanwhile.
-func (t *Tracker) welcome(l *life, now time.Time) {
-	if l.machine.State() != stateJoining {
+// admit makes an upstream usable on its first report. While this entry itself is new, all upstreams are, and none of
+// them is ramped: a ramp only makes sense if other upstreams carry the load in the meantime.
+func (t *Tracker) admit(u *upstreamHealth, now time.Time) {
+	if u.machine.State() != stateJoining {
 		return
 	}
-	t.fire(l, eventHeard, now)
+	t.fire(u, eventHeard, now)
 	if now.Sub(t.started) < 2*t.opts.SilentAfter {
-		t.fire(l, eventWarmed, now)
+		t.fire(u, eventWarmed, now)
 	}
 }
 
-func (t *Tracker) listed(ev Listed, now time.Time) {
-	for _, l := range t.lives {
-		l.listed = false
+func (t *Tracker) applyHostList(ev Listed, now time.Time) {
+	for _, u := range t.upstreams {
+		u.listed = false
 	}
 	for _, h := range ev.Hosts {
-		l := t.lives[h.Upstream]
-		if l == nil {
-			l = t.newLife(h.Upstream, h.Service, now)
+		u := t.upstreams[h.Upstream]
+		if u == nil {
+			u = t.addUpstream(h.Upstream, h.Service, now)
 		}
-		l.listed = true
-		if h.Leaving && !l.predates(ev) {
-			t.fire(l, eventLeave, now)
+		u.listed = true
+		if h.Leaving && !u.predates(ev) {
+			t.fire(u, eventLeave, now)
 		}
 	}
 }
 
-// predates reports whether the list is older than this life of the upstream. The list lags, so it still marks a host
-// as leaving when its replacement already runs; taking that for the new life would keep a healthy upstream unused.
-func (l *life) predates(ev Listed) bool { return l.successor && !ev.TakenAt.After(l.bornAt) }
+// predates reports whether the list was made before this incarnation was first seen. The list lags and may still mark a
+// host as leaving when its replacement already runs; applied to the new incarnation, that mark would keep a healthy
+// upstream unused.
+func (u *upstreamHealth) predates(ev Listed) bool {
+	return u.hasPredecessor && !ev.TakenAt.After(u.firstSeenAt)
+}
 
-func (t *Tracker) answered(ev Answered, now time.Time) {
-	if l := t.lives[ev.Upstream]; l != nil {
-		l.heardAt = now
-		l.failures = 0
+func (t *Tracker) applyResponse(ev Answered, now time.Time) {
+	if u := t.upstreams[ev.Upstream]; u != nil {
+		u.lastSeenAt = now
+		u.failures = 0
 	}
 }
 
-func (t *Tracker) failed(ev Failed) {
-	if l := t.lives[ev.Upstream]; l != nil {
-		l.failures++
+func (t *Tracker) applyFailure(ev Failed) {
+	if u := t.upstreams[ev.Upstream]; u != nil {
+		u.failures++
 	}
 }
 
-func (t *Tracker) refusedLeaving(ev RefusedLeaving, now time.Time) {
-	l := t.lives[ev.Upstream]
-	if l == nil || l.incarnation > ev.Incarnation {
+func (t *Tracker) applyRefusal(ev RefusedLeaving, now time.Time) {
+	u := t.upstreams[ev.Upstream]
+	if u == nil || u.incarnation > ev.Incarnation {
 		return
 	}
-	t.fire(l, eventLeave, now)
+	t.fire(u, eventLeave, now)
 }
--- a/internal/policy/health/tracker.go
+++ b/internal/policy/health/tracker.go
@@ -10,182 +10,188 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// Options are the settings of a Tracker.
+// Options configures a Tracker.
 type Options struct {
-	// SilentAfter is how long nothing may be heard; three reports' worth.
+	// SilentAfter is the time without a message after which an upstream is silent: the time of three reports.
 	SilentAfter time.Duration
-	// StalledAfter is how long an engine with work may take no step.
+	// StalledAfter is the time without a step after which an engine with work is stalled.
 	StalledAfter time.Duration
-	// SlowFactor is how many times the peers' median step time is slow, if it lasts for SlowFor.
+	// SlowFactor is the multiple of the peers' median step time from which an upstream is slow, if that lasts for
+	// SlowFor.
 	SlowFactor float64
 	SlowFor    time.Duration
-	// FailuresInRow make an upstream failing.
-	FailuresInRow int
-	// EjectionPercent caps how many upstreams of a service may be ejected at once, but one always may unless it is 0.
+	// ConsecutiveFailures is the number of consecutive failed attempts from which an upstream is failing.
+	ConsecutiveFailures int
+	// EjectionPercent is the maximum percentage of a service's upstreams that may be ejected at the same time. Unless
+	// it is 0, one of two or more upstreams may always be ejected.
 	EjectionPercent int
-	// EjectFor is the time of the first ejection; it doubles with each further one in a row up to EjectMost.
-	EjectFor, EjectMost time.Duration
-	// RampFor is the time in which a returning upstream's share grows from RampFrom to 1.
+	// EjectFor is the duration of the first ejection; each consecutive one lasts twice as long, up to MaxEjectFor.
+	EjectFor, MaxEjectFor time.Duration
+	// RampFor is the time in which the share of a returning upstream grows from RampFrom to 1.
 	RampFor  time.Duration
 	RampFrom float64
-	// SuspectWeight is the share of a suspect that the cap keeps in use.
+	// SuspectWeight is the share of a suspect upstream that is not ejected because of the cap.
 	SuspectWeight float64
-	// GoneAfter is how long an upstream that is not listed, or is leaving, may be silent before it is forgotten.
-	GoneAfter time.Duration
-	// OwnPause is a time between two Evaluate calls that means that this process itself was paused.
-	OwnPause time.Duration
+	// ForgetAfter is the time without a message after which an upstream that is draining or not listed is forgotten.
+	ForgetAfter time.Duration
+	// PauseThreshold is the time between two Evaluate calls from which the tracker assumes that its own process was
+	// paused.
+	PauseThreshold time.Duration
 }
 
-// Defaults returns the settings in use, but for EjectionPercent, which is configuration.
+// Defaults returns the default options. EjectionPercent comes from the configuration; see SetEjectionPercent.
 func Defaults() Options {
 	return Options{
-		SilentAfter:     1500 * time.Millisecond,
-		StalledAfter:    time.Second,
-		SlowFactor:      1.8,
-		SlowFor:         2 * time.Second,
-		FailuresInRow:   3,
-		EjectionPercent: 30,
-		EjectFor:        5 * time.Second,
-		EjectMost:       2 * time.Minute,
-		RampFor:         10 * time.Second,
-		RampFrom:        0.1,
-		SuspectWeight:   0.2,
-		GoneAfter:       30 * time.Second,
-		OwnPause:        time.Second,
+		SilentAfter:         1500 * time.Millisecond,
+		StalledAfter:        time.Second,
+		SlowFactor:          1.8,
+		SlowFor:             2 * time.Second,
+		ConsecutiveFailures: 3,
+		EjectionPercent:     30,
+		EjectFor:            5 * time.Second,
+		MaxEjectFor:         2 * time.Minute,
+		RampFor:             10 * time.Second,
+		RampFrom:            0.1,
+		SuspectWeight:       0.2,
+		ForgetAfter:         30 * time.Second,
+		PauseThreshold:      time.Second,
 	}
 }
 
-// Status is what the tracker says of one upstream.
+// Status is the tracker's state for one upstream.
 type Status struct {
 	Upstream    ids.Upstream
 	Service     ids.Service
 	Incarnation ids.Incarnation
 	State       charts.State
 	Reason      Reason
-	// Weight is the part of its usual share that the upstream may get, from 0 to 1.
+	// Weight is the fraction of its normal share that the upstream may get, from 0 to 1.
 	Weight float64
-	// Since is when the state was entered.
+	// Since is when the upstream entered the state.
 	Since time.Time
 }
 
-// Change is a change of state, for logs and metrics.
+// Change is a change of an upstream's state, for logs and metrics.
 type Change struct {
 	Upstream ids.Upstream
 	From, To charts.State
 	Reason   Reason
 }
 
-// Tracker holds the health of all upstreams that one entry knows. It belongs to the control goroutine.
+// Tracker holds the health of all upstreams that one entry is aware of. It belongs to the control goroutine.
 type Tracker struct {
-	opts    Options
-	chart   *charts.Chart
-	lives   map[ids.Upstream]*life
-	buried  map[grave]time.Time
-	changes []Change
-	started time.Time
-	last    time.Time
+	opts          Options
+	chart         *charts.Chart
+	upstreams     map[ids.Upstream]*upstreamHealth
+	forgotten     map[incarnationKey]time.Time
+	changes       []Change
+	started       time.Time
+	lastEvaluated time.Time
 }
 
-// New returns a tracker that knows nothing yet.
+// New returns an empty tracker.
 func New(opts Options, now time.Time) *Tracker {
 	return &Tracker{
-		opts:    opts,
-		chart:   charts.MustLoad("upstream"),
-		lives:   make(map[ids.Upstream]*life),
-		buried:  make(map[grave]time.Time),
-		started: now,
-		last:    now,
+		opts:          opts,
+		chart:         charts.MustLoad("upstream"),
+		upstreams:     make(map[ids.Upstream]*upstreamHealth),
+		forgotten:     make(map[incarnationKey]time.Time),
+		started:       now,
+		lastEvaluated: now,
 	}
 }
 
-// SetEjectionPercent changes the cap, which is configuration.
+// SetEjectionPercent changes the ejection cap to the configured one.
 func (t *Tracker) SetEjectionPercent(percent int) { t.opts.EjectionPercent = percent }
 
-// SetSilentAfter changes how long nothing may be heard; it follows the time between two reports.
+// SetSilentAfter changes the time without a message after which an upstream is silent; it depends on the interval of
+// the slots' reports.
 func (t *Tracker) SetSilentAfter(d time.Duration) { t.opts.SilentAfter = d }
 
-// Apply takes in one event. What follows from it is seen by the next Evaluate, except for leaving, which takes
-// effect at once.
+// Apply processes one event. A first report and a report, list or refusal that marks an upstream as leaving change the
+// state immediately; all other changes of state happen in the next Evaluate.
 func (t *Tracker) Apply(ev Event, now time.Time) {
 	switch ev := ev.(type) {
 	case Heard:
-		t.heard(ev, now)
+		t.applyReport(ev, now)
 	case Listed:
-		t.listed(ev, now)
+		t.applyHostList(ev, now)
 	case Answered:
-		t.answered(ev, now)
+		t.applyResponse(ev, now)
 	case Failed:
-		t.failed(ev)
+		t.applyFailure(ev)
 	case RefusedLeaving:
-		t.refusedLeaving(ev, now)
+		t.applyRefusal(ev, now)
 	}
 }
 
-// Evaluate looks at all upstreams and returns what changed since the last call. It is called several times a second.
+// Evaluate updates the state of all upstreams and returns the changes since the last call. It is called several times a
+// second.
 func (t *Tracker) Evaluate(now time.Time) []Change {
-	t.forgiveOwnPause(now)
-	for _, l := range t.sorted() {
-		t.judge(l, now)
+	t.compensateOwnPause(now)
+	for _, u := range t.sorted() {
+		t.classify(u, now)
 	}
 	t.eject(now)
-	t.bury(now)
-	t.last = now
+	t.forgetDead(now)
+	t.lastEvaluated = now
 	changes := t.changes
 	t.changes = nil
 	return changes
 }
 
-// forgiveOwnPause moves what was heard by the time that this process stood still. Without it, an entry whose host was
-// paused wakes up, finds every upstream silent and drops all of them at once, although it is the one that was away.
-func (t *Tracker) forgiveOwnPause(now time.Time) {
-	gap := now.Sub(t.last)
-	if gap < t.opts.OwnPause {
+// compensateOwnPause moves the recorded times forward by the time for which this process was paused. Without it, an
+// entry whose host was paused would find every upstream silent when it resumes and eject as many as the cap allows,
+// although the entry itself was unresponsive.
+func (t *Tracker) compensateOwnPause(now time.Time) {
+	gap := now.Sub(t.lastEvaluated)
+	if gap < t.opts.PauseThreshold {
 		return
 	}
-	for _, l := range t.lives {
-		l.heardAt = l.heardAt.Add(gap)
-		l.steppedAt = l.steppedAt.Add(gap)
+	for _, u := range t.upstreams {
+		u.lastSeenAt = u.lastSeenAt.Add(gap)
+		u.lastStepAt = u.lastStepAt.Add(gap)
 	}
 }
 
-// Status returns what is known of one upstream; false if it is not known.
+// Status returns the state of one upstream, or false if the tracker has none for it.
 func (t *Tracker) Status(id ids.Upstream, now time.Time) (Status, bool) {
-	l, ok := t.lives[id]
+	u, ok := t.upstreams[id]
 	if !ok {
 		return Status{}, false
 	}
-	return t.status(l, now), true
+	return t.status(u, now), true
 }
 
-// Statuses returns all upstreams, sorted by name.
+// Statuses returns the state of all upstreams, sorted by name.
 func (t *Tracker) Statuses(now time.Time) []Status {
-	all := make([]Status, 0, len(t.lives))
-	for _, l := range t.sorted() {
-		all = append(all, t.status(l, now))
+	all := make([]Status, 0, len(t.upstreams))
+	for _, u := range t.sorted() {
+		all = append(all, t.status(u, now))
 	}
 	return all
 }
 
-// sorted returns the lives by name, so that the same events always give the same changes in the same order.
-func (t *Tracker) sorted() []*life {
-	return slices.SortedFunc(maps.Values(t.lives), func(a, b *life) int { return cmp.Compare(a.id, b.id) })
+// sorted returns the upstreams by name, so that the same events always give the same changes in the same sequence.
+func (t *Tracker) sorted() []*upstreamHealth {
+	return slices.SortedFunc(maps.Values(t.upstreams), func(a, b *upstreamHealth) int { return cmp.Compare(a.id, b.id) })
 }
 
-func (t *Tracker) status(l *life, now time.Time) Status {
+func (t *Tracker) status(u *upstreamHealth, now time.Time) Status {
 	return Status{
-		Upstream: l.id, Service: l.service, Incarnation: l.incarnation, State: l.machine.State(), Reason: l.reason,
-		Weight: t.weight(l, now), Since: l.since,
+		Upstream: u.id, Service: u.service, Incarnation: u.incarnation, State: u.machine.State(), Reason: u.reason,
+		Weight: t.weight(u, now), Since: u.since,
 	}
 }
 
-func (t *Tracker) weight(l *life, now time.Time) float64 {
-	switch l.machine.State() {
+func (t *Tracker) weight(u *upstreamHealth, now time.Time) float64 {
+	switch u.machine.State() {
 	case stateReady:
 		return 1
 	case stateSuspect:
 		return t.opts.SuspectWeight
 	case stateReturning:
-		done := float64(now.Sub(l.rampAt)) / float64(t.opts.RampFor)
+		done := float64(now.Sub(u.rampStartedAt)) / float64(t.opts.RampFor)
 		return min(1, t.opts.RampFrom+(1-t.opts.RampFrom)*done)
 	default:
 		return 0
