--- a/internal/policy/quarantine/digest.go
+++ b/internal/policy/quarantine/digest.go
@@ -2,7 +2,7 @@
 
 import cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 
-// ToDigest turns suspects into what a digest carries.
+// ToDigest converts suspects to their messages in a digest.
 func ToDigest(list []Suspect) []*cardamomyokev1.Suspect {
 	var out []*cardamomyokev1.Suspect
 	for _, s := range list {
@@ -11,7 +11,7 @@
 	return out
 }
 
-// FromDigest returns the suspects that a digest carries; those that cannot be read are left out.
+// FromDigest returns the suspects in a digest. Invalid ones are skipped.
 func FromDigest(d *cardamomyokev1.Digest) []Suspect {
 	var out []Suspect
 	for _, in := range d.GetSuspects() {
--- a/internal/policy/quarantine/doc.go
+++ b/internal/policy/quarantine/doc.go
@@ -1,11 +1,12 @@
-// Package quarantine keeps a request that crashes each upstream that runs it from taking down one after the other.
+// Package quarantine prevents a request that crashes its upstream from crashing one upstream after another.
 //
-// A slot outlives its upstream and reports which requests ran when it died, by fingerprint (client and body). A
-// request that ran at one crash is a suspect: a slot runs one suspect at a time, so that the next crash points at one.
-// At two crashes, or one at which nothing else ran, it has to run alone. If the upstream dies of that, the request is
-// refused until an end time. A request that runs to its end is cleared.
+// A slot keeps running when its upstream crashes. It reports the requests that were running at that moment, by
+// fingerprint (client and body). A request that was running at one crash is a suspect: a slot runs only one suspect at
+// a time, so that the next crash implicates only one. After two crashes, or one crash at which nothing else was
+// running, the request has to run alone. If the upstream crashes then, the request is refused until an end time. A
+// request that runs to completion is cleared.
 //
-// Evidence is a set that only grows and merges in any order, and the level of a request is a function of it, so that
-// entries agree without talking to each other in turn. Tracker and Guard are pure: events and the time go in. Gate is
-// the Guard for the goroutines of a slot.
+// The evidence is a set that only grows and that can be merged in any sequence, and the level of a request is a
+// function of it, so that entries agree without coordination. Tracker and Guard are pure: events and the time are
+// passed in. Gate makes the Guard usable by the goroutines of a slot.
 package quarantine
--- a/internal/policy/quarantine/evidence.go
+++ b/internal/policy/quarantine/evidence.go
@@ -9,21 +9,21 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// maxEvidence is the most crashes kept of one request; the newest stay.
+// maxEvidence is the maximum number of crashes that are kept for one request; the newest are kept.
 const maxEvidence = 16
 
-// Level is how a request is treated.
+// Level determines how a request is treated.
 type Level int
 
 // The levels, from harmless to refused.
 const (
-	// Clear: as any other request.
+	// Clear: like any other request.
 	Clear Level = iota
-	// Suspected: side by side with others, but no two suspects on one upstream.
+	// Suspected: along with other requests, but only one suspect at a time on an upstream.
 	Suspected
-	// Alone: with nothing else on its upstream.
+	// Alone: only while nothing else is running on its upstream.
 	Alone
-	// Refused: not at all.
+	// Refused: the request is not run.
 	Refused
 )
 
@@ -32,21 +32,21 @@
 	return [...]string{"clear", "suspected", "alone", "refused"}[l]
 }
 
-// Evidence says that a request ran on an upstream when it died.
+// Evidence records that a request was running on an upstream when it crashed.
 type Evidence struct {
 	Crash CrashID
-	// At is when it happened, by the slot's clock.
+	// At is the time of the crash by the slot's clock.
 	At time.Time
-	// Lone is set if nothing else ran.
+	// Lone is set if nothing else was running.
 	Lone bool
-	// Probe is set if nothing else ran because the request had to run alone. Whoever knows this crash need not know
-	// those before it to refuse the request.
+	// Probe is set if nothing else was running because the request had to run alone. This evidence suffices to refuse
+	// the request, also on a node that has no evidence of the earlier crashes.
 	Probe bool
-	// Cleared is set once the request has run to its end elsewhere.
+	// Cleared is set once the request has run to completion.
 	Cleared bool
 }
 
-// Override is what an operator decided on a request; of two the one with the later Stamp holds.
+// Override is an operator's decision on a request. Of two overrides the one with the later Stamp applies.
 type Override struct {
 	Kind     cardamomyokev1.OverrideKind
 	Until    time.Time
@@ -54,7 +54,7 @@
 	Operator string
 }
 
-// Suspect is what is known of one request.
+// Suspect is the recorded state of one request.
 type Suspect struct {
 	Fingerprint Fingerprint
 	Client      ids.Client
@@ -63,8 +63,8 @@
 	Override Override
 }
 
-// merge adds what another node knows and reports whether that was new. The result does not depend on the order of
-// merges: evidence is a union in which "cleared" sticks, and of overrides the later one stays.
+// merge adds another node's state of the request and reports whether anything changed. The result does not depend on
+// the sequence of merges: evidence is a union in which Cleared is never unset, and the later override is kept.
 func (s *Suspect) merge(in Suspect) bool {
 	changed := false
 	for _, e := range in.Evidence {
@@ -83,9 +83,9 @@
 func (s *Suspect) add(e Evidence) bool {
 	i := slices.IndexFunc(s.Evidence, func(old Evidence) bool { return old.Crash == e.Crash })
 	if i >= 0 {
-		news := e.Cleared && !s.Evidence[i].Cleared
+		changed := e.Cleared && !s.Evidence[i].Cleared
 		s.Evidence[i].Cleared = s.Evidence[i].Cleared || e.Cleared
-		return news
+		return changed
 	}
 	at, _ := slices.BinarySearchFunc(s.Evidence, e, byTime)
 	if len(s.Evidence) >= maxEvidence && at == 0 {
@@ -102,7 +102,7 @@
 	return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Crash, b.Crash))
 }
 
-// clear marks all evidence as refuted and reports whether there was any.
+// clear marks all evidence as refuted and reports whether anything changed.
 func (s *Suspect) clear() bool {
 	changed := false
 	for i := range s.Evidence {
@@ -112,18 +112,19 @@
 	return changed
 }
 
-// Rules say when evidence refuses a request.
+// Rules determine when evidence makes a request refused.
 type Rules struct {
-	// Period is how long a request is refused after its last crash: policies.quarantine_s.
+	// Period is the time for which a request is refused after its last crash: policies.quarantine_s.
 	Period time.Duration
-	// Crashes refuse a request although others may have run beside it; 0 if only a run alone can. It is for nodes that
-	// cannot know what else an upstream ran.
+	// Crashes is the number of crashes from which a request is refused although other requests may have been running; 0
+	// requires a crash at which it ran alone. It is for nodes that have no information on what else an upstream was
+	// running.
 	Crashes int
 }
 
-// judge returns the level at now and, for Refused, its end. After the end the request runs once more: if it still crashes
-// its upstream, that one crash refuses it again.
-func (s *Suspect) judge(now time.Time, r Rules) (Level, time.Time) {
+// classify returns the level at now and, for Refused, the end of the refusal. After that the request may run once more:
+// if it crashes its upstream again, that one crash suffices to refuse it again.
+func (s *Suspect) classify(now time.Time, r Rules) (Level, time.Time) {
 	if s.Override.Until.After(now) {
 		switch s.Override.Kind {
 		case cardamomyokev1.OverrideKind_OVERRIDE_KIND_TRUST:
@@ -132,11 +133,11 @@
 			return Refused, s.Override.Until
 		}
 	}
-	crashes, lone, probes, last := s.count()
+	crashes, lone, probes, last := s.countCrashes()
 	until := last.Add(r.Period)
-	convicted := probes > 0 || lone > 0 && crashes > 1 || r.Crashes > 0 && crashes >= r.Crashes
+	refuse := probes > 0 || lone > 0 && crashes > 1 || r.Crashes > 0 && crashes >= r.Crashes
 	switch {
-	case convicted && now.Before(until):
+	case refuse && now.Before(until):
 		return Refused, until
 	case lone > 0 || crashes > 1:
 		return Alone, time.Time{}
@@ -146,9 +147,9 @@
 	return Clear, time.Time{}
 }
 
-// count returns how many crashes stand against the request, at how many of them nothing else ran, how many of those
-// were probes, and the time of the last.
-func (s *Suspect) count() (crashes, lone, probes int, last time.Time) {
+// countCrashes counts the crashes that are not cleared, those of them at which nothing else was running, and those that
+// were probes. It also returns the time of the last one.
+func (s *Suspect) countCrashes() (crashes, lone, probes int, last time.Time) {
 	for _, e := range s.Evidence {
 		if e.Cleared {
 			continue
@@ -165,7 +166,7 @@
 	return crashes, lone, probes, last
 }
 
-// Proto returns the message for s.
+// Proto returns s as a protobuf message.
 func (s Suspect) Proto() *cardamomyokev1.Suspect {
 	out := &cardamomyokev1.Suspect{Fingerprint: s.Fingerprint[:], Client: string(s.Client)}
 	for _, e := range s.Evidence {
@@ -188,7 +189,7 @@
 	return out
 }
 
-// SuspectFromProto reads a message. Errors: *FingerprintError.
+// SuspectFromProto converts a protobuf message to a Suspect. Errors: *FingerprintError.
 func SuspectFromProto(in *cardamomyokev1.Suspect) (Suspect, error) {
 	if len(in.GetFingerprint()) != len(Fingerprint{}) {
 		return Suspect{}, &FingerprintError{string(in.GetFingerprint())}
--- a/internal/policy/quarantine/fingerprint.go
+++ b/internal/policy/quarantine/fingerprint.go
@@ -12,10 +12,11 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// Fingerprint identifies a request by who sent it and what it says, so that a resend has the same one.
+// Fingerprint identifies a request by its client and its body. A repeated request has the same fingerprint.
 type Fingerprint [16]byte
 
-// FingerprintOf returns the fingerprint of a request; the body's SHA-256 is taken so that it is computed once.
+// FingerprintOf returns the fingerprint of a request. It takes the SHA-256 of the body, so that the caller computes it
+// only once.
 func FingerprintOf(client ids.Client, bodyHash [sha256.Size]byte) Fingerprint {
 	h := sha256.New()
 	h.Write(binary.AppendUvarint(nil, uint64(len(client))))
@@ -26,10 +27,10 @@
 	return f
 }
 
-// String returns the fingerprint as operators write it.
+// String returns the fingerprint as hexadecimal digits, the form that operators use.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// FingerprintError says that a text or a message holds no fingerprint.
+// FingerprintError reports a text or a message that is not a valid fingerprint.
 type FingerprintError struct{ Text string }
 
 // Error implements error.
@@ -37,7 +38,7 @@
 	return fmt.Sprintf("fingerprint %q: want %d bytes as hexadecimal", e.Text, len(Fingerprint{}))
 }
 
-// ParseFingerprint reads what String wrote. Errors: *FingerprintError.
+// ParseFingerprint parses the output of String. Errors: *FingerprintError.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != len(Fingerprint{}) {
@@ -46,16 +47,17 @@
 	return Fingerprint(data), nil
 }
 
-// CrashID identifies one death of an upstream.
+// CrashID identifies one crash of an upstream.
 type CrashID uint64
 
-// NewCrashID returns the id of the n-th crash that a slot process saw.
+// NewCrashID returns the id of the n-th crash that a slot process has recorded.
 func NewCrashID(slot ids.Incarnation, n uint64) CrashID {
 	return CrashID(xxhash.Sum64(binary.AppendUvarint([]byte(slot), n)))
 }
 
-// AssignedUpstream returns the upstream that a suspect is sent to: the same from every entry with the same list, so that copies
-// which arrive through all entries at once meet in one slot, which lets in one. Order does not matter; nil gives "".
+// AssignedUpstream returns the upstream to which a suspect is sent. Every entry with the same list chooses the same
+// one, so that copies that arrive at all entries concurrently reach the same slot, which runs one at a time. The
+// sequence of the list does not matter; an empty list gives "".
 func AssignedUpstream(f Fingerprint, upstreams []ids.Upstream) ids.Upstream {
 	if len(upstreams) == 0 {
 		return ""
--- a/internal/policy/quarantine/gate.go
+++ b/internal/policy/quarantine/gate.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// Gate is a Guard for the goroutines of a slot. It is safe for concurrent use.
+// Gate makes a Guard usable by the goroutines of a slot. It is safe for concurrent use.
 type Gate struct {
 	mu      sync.Mutex
 	guard   *Guard
@@ -21,27 +21,28 @@
 	return &Gate{guard: NewGuard(slot, period), waiting: map[Ticket]chan Decision{}}
 }
 
-// Permit is leave to run one attempt on the upstream.
+// Permit is the permission to run one attempt on the upstream.
 type Permit struct {
 	gate   *Gate
 	ticket Ticket
 }
 
-// SetPeriod changes the length of a quarantine.
+// SetPeriod changes the duration of a quarantine.
 func (g *Gate) SetPeriod(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.guard.Tracker().SetPeriod(d)
 }
 
-// Merge takes in what entries say of suspects.
-func (g *Gate) Merge(news ...Suspect) {
+// Merge merges the suspects that entries report.
+func (g *Gate) Merge(updates ...Suspect) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.tell(g.guard.Merge(time.Now(), news...))
+	g.deliver(g.guard.Merge(time.Now(), updates...))
 }
 
-// Digest returns what the slot has to say of suspects, the latest crash first.
+// Digest returns up to limit suspects for the slot's digest, the most recently changed first. It drops expired
+// evidence.
 func (g *Gate) Digest(now time.Time, limit int) []Suspect {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -49,22 +50,22 @@
 	return g.guard.Tracker().Digest(now, limit)
 }
 
-// Acquire waits until the request may run on the upstream; level is the entry's. A *failure.Error is a refusal before
-// the start.
+// Acquire waits until the request may run on the upstream. level is the level that the entry passes. The error is a
+// *failure.Error: the request was refused before its start.
 func (g *Gate) Acquire(ctx context.Context, r Running, level Level) (*Permit, error) {
 	g.mu.Lock()
 	decision := g.guard.Submit(time.Now(), r, level)
-	var later chan Decision
+	var decided chan Decision
 	if decision.Admission == Wait {
-		later = make(chan Decision, 1)
-		g.waiting[decision.Ticket] = later
+		decided = make(chan Decision, 1)
+		g.waiting[decision.Ticket] = decided
 	}
 	g.mu.Unlock()
-	if later == nil {
+	if decided == nil {
 		return g.permit(decision)
 	}
 	select {
-	case decision = <-later:
+	case decision = <-decided:
 		return g.permit(decision)
 	case <-ctx.Done():
 		return nil, g.cancel(decision.Ticket)
@@ -82,35 +83,37 @@
 	return nil, refusal.WithProof(failure.ProofRefusedBeforeStart)
 }
 
-// cancel withdraws a request whose caller does not wait any longer, also if its turn came at the same moment.
+// cancel removes a request whose caller no longer waits. If the request was admitted at the same moment, cancel also
+// releases its run.
 func (g *Gate) cancel(t Ticket) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.waiting, t)
-	g.tell(g.guard.Cancel(t))
-	g.tell(g.guard.Release(time.Now(), t, Stopped))
+	g.deliver(g.guard.Cancel(t))
+	g.deliver(g.guard.Release(time.Now(), t, Stopped))
 	return failure.New(failure.CodeDeadlineUnmet, nil).WithProof(failure.ProofRefusedBeforeStart)
 }
 
-// Release ends the run; only the first call counts.
+// Release ends the run with its outcome; only the first call has an effect.
 func (p *Permit) Release(end End) {
 	p.gate.mu.Lock()
 	defer p.gate.mu.Unlock()
-	p.gate.tell(p.gate.guard.Release(time.Now(), p.ticket, end))
+	p.gate.deliver(p.gate.guard.Release(time.Now(), p.ticket, end))
 }
 
-// Died says that the upstream is dead, by a refused connection or a new process in its place. What ran is suspect here
-// at once and stands in the next Digest; it returns whether anything ran.
+// UpstreamCrashed records a crash of the upstream, detected by a refused connection or by a new process that replaced
+// it. The requests that were running become suspects immediately and are in the next Digest. It reports whether any
+// request was running.
 func (g *Gate) Died() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	decisions, any := g.guard.Died(time.Now())
-	g.tell(decisions)
-	return any
+	decisions, ran := g.guard.Died(time.Now())
+	g.deliver(decisions)
+	return ran
 }
 
-// tell hands turns to those who wait for them.
-func (g *Gate) tell(decisions []Decision) {
+// deliver sends decisions to the goroutines that wait for them.
+func (g *Gate) deliver(decisions []Decision) {
 	for _, d := range decisions {
 		if c := g.waiting[d.Ticket]; c != nil {
 			delete(g.waiting, d.Ticket)
--- a/internal/policy/quarantine/guard.go
+++ b/internal/policy/quarantine/guard.go
@@ -10,7 +10,7 @@
 
 var chart = charts.MustLoad("quarantine")
 
-// The events, action and states of quarantine.yaml.
+// The events, the action and the state of quarantine.yaml that are used here.
 const (
 	evAloneWanted charts.Event = "alone-wanted"
 	evIdle        charts.Event = "idle"
@@ -25,47 +25,48 @@
 
 // Bounds of a Guard.
 const (
-	// maxWaiting is the most suspects that wait for their turn at one upstream.
+	// maxWaiting is the maximum number of suspects that wait at one upstream.
 	maxWaiting = 8
-	// brokenFor is for how long a run that broke off counts as running when the upstream turns out to be dead.
-	brokenFor = 2 * time.Second
+	// countBrokenFor is the time for which a run with a broken connection still counts as running when the upstream is
+	// found to have crashed.
+	countBrokenFor = 2 * time.Second
 )
 
-// Ticket names one run on the upstream, or one that waits.
+// Ticket identifies one run on the upstream, running or waiting.
 type Ticket uint64
 
-// Decision is what becomes of a ticket.
+// Decision is the outcome for a ticket.
 type Decision struct {
 	Ticket    Ticket
 	Admission Admission
-	// Level is the request's; with Refused goes the time at which that ends.
+	// Level is the level of the request. Until is the end of the refusal if Level is Refused.
 	Level Level
 	Until time.Time
 }
 
-// Admission is a Guard's answer to a request.
+// Admission is the Guard's decision on a request.
 type Admission int
 
 // The admissions.
 const (
-	// Enter: run it now.
+	// Admit: run the request now.
 	Enter Admission = iota
-	// Wait: a later call returns the ticket's turn.
+	// Wait: the decision on the ticket is returned by a later call.
 	Wait
-	// Deny: refused before the start; another upstream may take it.
+	// Deny: the request is refused before its start; another upstream may run it.
 	Deny
 )
 
-// End is how a run ended.
+// End is the outcome of a run.
 type End int
 
-// The ends of a run.
+// The outcomes of a run.
 const (
-	// Whole: the upstream answered to the end.
+	// Complete: the upstream sent its full response.
 	Whole End = iota
-	// Broken: the connection to the upstream broke off, so that it may have died.
+	// Broken: the connection to the upstream broke, so the upstream may have crashed.
 	Broken
-	// Stopped: cancelled, timed out or failed in another way, which says nothing about the upstream.
+	// Stopped: cancelled, timed out or failed in another way that is no evidence about the upstream.
 	Stopped
 )
 
@@ -73,21 +74,21 @@
 	Running
 	ticket Ticket
 	level  Level
-	// brokenAt is set once the run broke off.
+	// brokenAt is the time at which the connection broke; zero if it has not.
 	brokenAt time.Time
 }
 
-// Guard decides what one upstream runs at the same time, and knows what ran when it died. It is not safe for
-// concurrent use; Gate is.
+// Guard decides which requests one upstream runs at the same time, and records which were running when it crashed. It
+// is not safe for concurrent use; Gate is.
 type Guard struct {
-	slot    ids.Incarnation
-	tracker *Tracker
-	machine charts.Machine
-	last    Ticket
-	running []run
-	// waiting are suspects, in the order of their turns.
+	slot       ids.Incarnation
+	tracker    *Tracker
+	machine    charts.Machine
+	lastTicket Ticket
+	running    []run
+	// waiting holds the suspects that wait, in the sequence in which they will run.
 	waiting []run
-	// broken are runs that broke off and have not been reported.
+	// broken holds runs whose connection broke since the last crash report.
 	broken  []run
 	crashes uint64
 }
@@ -97,29 +98,29 @@
 	return &Guard{slot: slot, tracker: NewTracker(Rules{Period: period}), machine: chart.Start()}
 }
 
-// Tracker returns what the slot knows of suspects, to be told to entries.
+// Tracker returns the slot's state of suspects, which it sends to the entries.
 func (g *Guard) Tracker() *Tracker { return g.tracker }
 
-// Submit asks for a run at the level that the entry gives. The slot's own knowledge counts as well, since it is the first
-// to know of a crash. A ticket that must wait gets its turn from a later call, or is withdrawn with Cancel.
+// Submit requests a run at the level that the entry passes. The level in the slot's own tracker counts as well, because
+// the slot is the first to detect a crash. A ticket that must wait is decided by a later call or removed with Cancel.
 func (g *Guard) Submit(now time.Time, r Running, level Level) Decision {
-	g.last++
+	g.lastTicket++
 	own, until := g.tracker.Judge(now, r.Fingerprint)
-	asked := run{Running: r, ticket: g.last, level: max(level, own)}
-	decision := Decision{Ticket: asked.ticket, Admission: Deny, Level: asked.level, Until: until}
+	requested := run{Running: r, ticket: g.lastTicket, level: max(level, own)}
+	decision := Decision{Ticket: requested.ticket, Admission: Deny, Level: requested.level, Until: until}
 	switch {
-	case asked.level == Refused:
+	case requested.level == Refused:
 		return decision
-	case asked.level == Clear:
+	case requested.level == Clear:
 		if g.machine.State() == stateOpen {
-			g.running = append(g.running, asked)
+			g.running = append(g.running, requested)
 			decision.Admission = Enter
 		}
 		return decision
 	case len(g.waiting) >= maxWaiting:
 		return decision
 	}
-	g.waiting = append(g.waiting, asked)
+	g.waiting = append(g.waiting, requested)
 	decision.Admission = Wait
 	if len(g.advance()) > 0 {
 		decision.Admission = Enter
@@ -127,7 +128,7 @@
 	return decision
 }
 
-// Cancel withdraws a ticket that waits and returns the turns that come of it.
+// Cancel removes a waiting ticket and returns the decisions that result.
 func (g *Guard) Cancel(t Ticket) []Decision {
 	i := index(g.waiting, t)
 	if i < 0 {
@@ -140,82 +141,82 @@
 	return g.advance()
 }
 
-// Release ends a run and returns the turns that come of it.
+// Release ends a run and returns the decisions that result.
 func (g *Guard) Release(now time.Time, t Ticket, end End) []Decision {
 	i := index(g.running, t)
 	if i < 0 {
 		return nil
 	}
-	left := g.running[i]
+	finished := g.running[i]
 	g.running = slices.Delete(g.running, i, i+1)
 	switch end {
 	case Whole:
-		g.tracker.Completed(now, left.Fingerprint)
+		g.tracker.Completed(now, finished.Fingerprint)
 	case Broken:
-		left.brokenAt = now
-		g.broken = append(g.broken, left)
+		finished.brokenAt = now
+		g.broken = append(g.broken, finished)
 	}
-	if left.level == Alone {
+	if finished.level == Alone {
 		g.fire(evEnded)
 	}
 	return g.advance()
 }
 
-// Merge takes in what entries say of suspects and returns the turns that come of it.
-func (g *Guard) Merge(now time.Time, news ...Suspect) []Decision {
-	g.tracker.Merge(now, news...)
+// Merge merges the suspects that entries report and returns the decisions that result.
+func (g *Guard) Merge(now time.Time, updates ...Suspect) []Decision {
+	g.tracker.Merge(now, updates...)
 	return g.recheck(now)
 }
 
-// Died says that the upstream is dead. What ran becomes suspect, unless it was reported before; what still runs is
-// taken as broken, since its handlers have yet to notice. It returns the turns that come of it, and whether anything
-// ran.
+// UpstreamCrashed records a crash of the upstream. The requests that were running become suspects, unless they have
+// been reported before. Runs that are still registered count as running at the crash, because their handlers have not
+// detected it yet. It returns the decisions that result and reports whether any request was running.
 func (g *Guard) Died(now time.Time) ([]Decision, bool) {
-	crash := g.report(now)
+	crash := g.recordCrash(now)
 	g.fire(evDied)
 	g.tracker.Merge(now, crash.Suspects()...)
 	return g.recheck(now), len(crash.Ran) > 0
 }
 
-func (g *Guard) report(now time.Time) Crash {
+func (g *Guard) recordCrash(now time.Time) Crash {
 	g.crashes++
 	crash := Crash{ID: NewCrashID(g.slot, g.crashes), At: now}
 	for _, r := range slices.Concat(g.broken, g.running) {
-		stale := !r.brokenAt.IsZero() && now.Sub(r.brokenAt) > brokenFor
+		stale := !r.brokenAt.IsZero() && now.Sub(r.brokenAt) > countBrokenFor
 		if !stale && !slices.Contains(crash.Ran, r.Running) {
 			crash.Ran = append(crash.Ran, r.Running)
 			crash.Probe = r.level == Alone
 		}
 	}
 	crash.Probe = crash.Probe && len(crash.Ran) == 1
-	// A run must not be reported twice: two reports of one death would look like two deaths and refuse an innocent.
+	// A run must not be reported twice: two reports of one crash would count as two crashes and refuse a harmless request.
 	g.broken = nil
 	g.running = nil
 	return crash
 }
 
-// recheck refuses waiting requests that have become more suspect. Copies of one request wait here for each other; when
-// the first takes the upstream down, the next must not follow it, so all are looked at before any is started.
+// recheck refuses waiting requests whose level has risen. Copies of one request wait here for each other; when the
+// first one crashes the upstream, the next one must not run, so all of them are checked before any is started.
 func (g *Guard) recheck(now time.Time) []Decision {
 	var decisions []Decision
-	var stay []run
+	var remaining []run
 	for _, w := range g.waiting {
 		level, until := g.tracker.Judge(now, w.Fingerprint)
 		if level <= w.level {
-			stay = append(stay, w)
+			remaining = append(remaining, w)
 			continue
 		}
 		decisions = append(decisions, Decision{w.ticket, Deny, level, until})
 	}
-	headLeft := len(stay) < len(g.waiting) && (len(stay) == 0 || stay[0].ticket != g.waiting[0].ticket)
-	g.waiting = stay
-	if headLeft {
+	headRemoved := len(remaining) < len(g.waiting) && (len(remaining) == 0 || remaining[0].ticket != g.waiting[0].ticket)
+	g.waiting = remaining
+	if headRemoved {
 		g.fire(evGivenUp)
 	}
 	return append(decisions, g.advance()...)
 }
 
-// advance starts waiting runs in their order, as far as what runs allows.
+// advance starts waiting runs in sequence, as far as the current runs allow.
 func (g *Guard) advance() []Decision {
 	var decisions []Decision
 	for len(g.waiting) > 0 && g.mayStart(g.waiting[0]) {
@@ -239,7 +240,7 @@
 func (g *Guard) fire(ev charts.Event) []charts.Action {
 	actions, err := g.machine.Fire(ev)
 	if err != nil {
-		panic(err) // Every event of this package is declared in the chart.
+		panic(err) // The chart declares every event of this package.
 	}
 	return actions
 }
--- a/internal/policy/quarantine/persistent_test.go
+++ b/internal/policy/quarantine/persistent_test.go
@@ -11,10 +11,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/faulttest/memtable"
 )
 
-// The caller of a poisonous request is refused at every entry, also at one that hears no digest and starts later, while
-// the table is down at first and then loses answers. Two entries write the same row and settle it. When all is over
-// the row goes.
-func TestEveryEntryRefusesThroughTheTable(t *testing.T) {
+// A request that crashes upstreams must be refused at every entry, also at one that receives no digest and starts
+// later. The table is unavailable at first and then loses requests and responses, while two entries write the same row
+// and have to merge it. Once the quarantine and the override are over, the row is deleted.
+func TestEveryEntryLoadsRefusalFromTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memtable.New(func() (memtable.Fault, time.Duration) { return memtable.Unavailable, 0 })
 		ctx, cancel := context.WithCancel(t.Context())
@@ -39,7 +39,7 @@
 		late := tracker()
 		time.Sleep(time.Minute)
 		if level(late) != Refused {
-			t.Error("an entry that starts later lets the request through")
+			t.Error("an entry that starts later admits the request")
 		}
 		if n := len(late.List(time.Now())[0].Evidence); n != 2 {
 			t.Errorf("%d crashes in the row, want those of both entries", n)
@@ -48,13 +48,13 @@
 		late.Override(time.Now(), poison.Fingerprint, trust)
 		time.Sleep(time.Minute)
 		if level(a) != Clear || level(b) != Clear {
-			t.Error("the operator's trust has not reached every entry")
+			t.Error("the trust override has not reached every entry")
 		}
 		table.SetPlan(nil)
-		time.Sleep(2 * (quarantineLength + evidenceMemory))
+		time.Sleep(2 * (quarantineLength + evidenceRetention))
 		table.Memory(func(m *memtable.Memory) {
 			if rows := m.List(RowPrefix, "", 10); len(rows) != 0 {
-				t.Errorf("%d rows left", len(rows))
+				t.Errorf("%d rows remain", len(rows))
 			}
 		})
 		cancel()
--- a/internal/policy/quarantine/quarantine_test.go
+++ b/internal/policy/quarantine/quarantine_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// The caller of a poisonous request is refused for an hour after two crashes in a batch and one alone. Its neighbours
-// are suspects until they run to their end elsewhere, and are never refused. After the hour the request runs alone
-// once, and one crash refuses it again.
+// A request that crashes its upstream is refused for an hour after two crashes in a batch and one alone. The requests
+// that ran along with it are suspects until they complete elsewhere, and are never refused. After the hour the request
+// may run alone once, and one more crash refuses it again.
 func TestSuspicionNarrowsToOneRequest(t *testing.T) {
 	tr := NewTracker(Rules{Period: quarantineLength})
 	tr.Merge(start, Crash{ID: 1, At: start, Ran: []Running{poison, other, third}}.Suspects()...)
@@ -52,7 +52,7 @@
 	wantLevel(t, tr, later, poison.Fingerprint, Refused)
 }
 
-// The operator lets a refused request through, or refuses one that is clear; the later decision holds on every node.
+// An operator permits a refused request or refuses a clear one. On every node the later decision applies.
 func TestOperatorOverrides(t *testing.T) {
 	tr := NewTracker(Rules{Period: quarantineLength})
 	tr.Merge(start, Crash{ID: 1, At: start, Ran: []Running{poison}, Probe: true}.Suspects()...)
@@ -67,11 +67,11 @@
 	wantLevel(t, tr, start, other.Fingerprint, Refused)
 }
 
-// All entries come to the same level whatever the order, doubling and splitting of their digests.
+// All entries must compute the same level, however their digests are reordered, duplicated and split.
 func TestMergeDoesNotDependOnOrder(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		var news []Suspect
+		var updates []Suspect
 		for range 12 {
 			crash := Crash{ID: CrashID(rng.IntN(5)), Ran: []Running{poison}}
 			crash.At = start.Add(time.Duration(crash.ID) * time.Second)
@@ -79,13 +79,13 @@
 			s.Evidence[0].Cleared = rng.IntN(2) == 0
 			s.Override.Stamp = start.Add(time.Duration(rng.IntN(4)))
 			s.Override.Until = s.Override.Stamp.Add(time.Hour)
-			news = append(news, s)
+			updates = append(updates, s)
 		}
 		a, b := NewTracker(Rules{Period: quarantineLength}), NewTracker(Rules{Period: quarantineLength})
-		for _, i := range rng.Perm(len(news)) {
-			a.Merge(start, news[i])
+		for _, i := range rng.Perm(len(updates)) {
+			a.Merge(start, updates[i])
 		}
-		b.Merge(start, news...)
+		b.Merge(start, updates...)
 		b.Merge(start, a.Digest(start, 10)...)
 		if diff := cmp.Diff(a.Digest(start, 10), b.Digest(start, 10)); diff != "" {
 			t.Fatalf("seed %d: %s", seed, diff)
@@ -93,13 +93,13 @@
 	}
 }
 
-// A caller keeps being refused after every entry was replaced: the refusal is in the table. A conflict there is
-// settled by reading and writing once more.
-func TestRefusalOutlivesTheEntries(t *testing.T) {
+// A refusal must persist when every entry is replaced: it is stored in the table. A conflict there is resolved by
+// reading the row and writing it again.
+func TestRefusalSurvivesReplacementOfEntries(t *testing.T) {
 	tr := NewTracker(Rules{Period: quarantineLength})
 	tr.Merge(start, Crash{ID: 1, At: start, Ran: []Running{other, third}}.Suspects()...)
 	if saves := tr.Unsaved(start); len(saves) != 0 {
-		t.Fatalf("a mere suspicion is written: %v", saves)
+		t.Fatalf("a request that is only suspected is written: %v", saves)
 	}
 	tr.Merge(start, Crash{ID: 2, At: start, Ran: []Running{poison}, Probe: true}.Suspects()...)
 	saves := tr.Unsaved(start)
@@ -122,7 +122,7 @@
 		t.Fatal(err)
 	}
 	if needless := peer.Unsaved(start); len(needless) != 0 {
-		t.Fatalf("the row is written again without news: %v", needless)
+		t.Fatalf("the row is written again without a change: %v", needless)
 	}
 	fresh := NewTracker(Rules{Period: quarantineLength})
 	if err := fresh.Load(start, row); err != nil {
@@ -135,22 +135,22 @@
 	}
 }
 
-// A forgotten crash does not come back from a node that still tells of it.
+// Expired evidence must not come back from a node that still gossips it.
 func TestOldEvidenceIsForgotten(t *testing.T) {
 	tr := NewTracker(Rules{Period: quarantineLength})
 	suspects := Crash{ID: 1, At: start, Ran: []Running{poison}}.Suspects()
 	tr.Merge(start, suspects...)
-	later := start.Add(quarantineLength + evidenceMemory + 1)
+	later := start.Add(quarantineLength + evidenceRetention + 1)
 	tr.Expire(later)
 	tr.Merge(later, suspects...)
 	if n := len(tr.Digest(later, 10)); n != 0 {
-		t.Fatalf("%d suspects left", n)
+		t.Fatalf("%d suspects remain", n)
 	}
 }
 
-// The callers beside a crash are not taken for the cause twice: handlers of one death that notice at different times,
-// and a second look at the dead upstream, make one report.
-func TestOneDeathIsReportedOnce(t *testing.T) {
+// Requests that ran along with a crash must not be blamed for it twice: handlers that detect one crash at different
+// times, and a second detection of the same crash, make one report.
+func TestCrashIsReportedOnce(t *testing.T) {
 	g := NewGuard("s", quarantineLength)
 	a := g.Submit(start, poison, Clear)
 	b := g.Submit(start, other, Clear)
@@ -168,13 +168,13 @@
 	wantLevel(t, g.Tracker(), start, other.Fingerprint, Clear)
 }
 
-// Copies of a suspect, sent through every entry, meet at one slot. One runs alone while the others wait; when it takes
-// the upstream down, the others are refused and do not run on the restarted upstream. A request that arrives while the
-// suspect waits or runs is sent elsewhere.
-func TestWaitingCopiesDoNotFollowTheFirst(t *testing.T) {
+// Copies of a suspect, sent through every entry, reach the same slot. One runs alone while the others wait; when it
+// crashes the upstream, the others are refused and do not run on the restarted upstream. Another request that arrives
+// while the suspect waits or runs is refused here, so that the entry sends it to another upstream.
+func TestWaitingCopiesAreRefusedAfterCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate("s", quarantineLength)
-		beside, err := g.Acquire(t.Context(), other, Clear)
+		neighbour, err := g.Acquire(t.Context(), other, Clear)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -192,12 +192,12 @@
 			synctest.Wait()
 		}
 		if first != nil {
-			t.Fatal("ran beside another request")
+			t.Fatal("the suspect runs along with another request")
 		}
 		if _, err := g.Acquire(t.Context(), third, Clear); failure.CodeOf(err) != failure.CodeNoUpstream {
-			t.Fatalf("let in while a suspect waits: %v", err)
+			t.Fatalf("admitted while a suspect waits: %v", err)
 		}
-		beside.Release(Whole)
+		neighbour.Release(Whole)
 		synctest.Wait()
 		if first == nil {
 			t.Fatal("the suspect never ran")
@@ -210,13 +210,14 @@
 			}
 		}
 		if _, err := g.Acquire(t.Context(), third, Clear); err != nil {
-			t.Fatalf("the upstream stays closed: %v", err)
+			t.Fatalf("the upstream does not admit requests after the crash: %v", err)
 		}
 	})
 }
 
-// The caller of a suspect that waits gives up: it is refused as not run, and the upstream opens again.
-func TestGivingUpOpensTheUpstream(t *testing.T) {
+// When the caller of a waiting suspect disconnects or times out, the request is refused as not run, and the upstream
+// admits requests again.
+func TestCancelReopensUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate("s", quarantineLength)
 		if _, err := g.Acquire(t.Context(), other, Clear); err != nil {
--- a/internal/policy/quarantine/snapshot.go
+++ b/internal/policy/quarantine/snapshot.go
@@ -6,14 +6,14 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/failure"
 )
 
-// Snapshot is what a Tracker knew at one time, for traffic. It is immutable and safe for concurrent use; nil is one
-// that knows nothing.
+// Snapshot is an immutable copy of a Tracker's state for request handling. It is safe for concurrent use; nil is an
+// empty snapshot.
 type Snapshot struct {
 	rules    Rules
 	suspects map[Fingerprint]Suspect
 }
 
-// Snapshot returns what the tracker knows now.
+// Snapshot returns a copy of the current state.
 func (t *Tracker) Snapshot() *Snapshot {
 	out := &Snapshot{rules: t.rules, suspects: make(map[Fingerprint]Suspect, len(t.suspects))}
 	for f, s := range t.suspects {
@@ -22,10 +22,11 @@
 	return out
 }
 
-// Empty reports whether nothing is known of any request.
+// Empty reports whether the snapshot has no state of any request.
 func (s *Snapshot) Empty() bool { return s == nil || len(s.suspects) == 0 }
 
-// Known reports whether there is anything about a request; if so, its end has to be told with Tracker.Completed.
+// Contains reports whether the snapshot has state of a request. If it has, Tracker.Completed must be called when the
+// request completes.
 func (s *Snapshot) Known(f Fingerprint) bool {
 	if s == nil {
 		return false
@@ -34,36 +35,36 @@
 	return ok
 }
 
-// Judge returns how to treat a request and, if it is refused, until when.
+// Classify returns the level of a request and, if it is refused, the end of the refusal.
 func (s *Snapshot) Judge(now time.Time, f Fingerprint) (Level, time.Time) {
 	if !s.Known(f) {
 		return Clear, time.Time{}
 	}
 	known := s.suspects[f]
-	return known.judge(now, s.rules)
+	return known.classify(now, s.rules)
 }
 
-// Refusal returns the typed answer to a refused request.
+// Refusal returns the typed error for a refused request.
 func Refusal(now, until time.Time) *failure.Error {
 	return failure.New(failure.CodeQuarantined, nil).WithRetryAfter(until.Sub(now))
 }
 
-// Listed is one line of an operator's list.
-type Listed struct {
+// ListEntry is one entry of an operator's list.
+type ListEntry struct {
 	Suspect
 	Level Level
 	Until time.Time
 }
 
-// List returns the suspects that are not clear or have an override, in the order of their fingerprints' news.
-func (t *Tracker) List(now time.Time) []Listed {
-	var out []Listed
+// List returns the suspects that are not clear or have an override, the most recently changed first.
+func (t *Tracker) List(now time.Time) []ListEntry {
+	var out []ListEntry
 	for _, s := range t.sorted() {
-		level, until := s.judge(now, t.rules)
+		level, until := s.classify(now, t.rules)
 		if level == Clear && !s.Override.Until.After(now) {
 			continue
 		}
-		out = append(out, Listed{s.copy(), level, until})
+		out = append(out, ListEntry{s.copy(), level, until})
 	}
 	return out
 }
--- a/internal/policy/quarantine/tracker.go
+++ b/internal/policy/quarantine/tracker.go
@@ -12,7 +12,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// RowPrefix starts the table's key of each refused or overridden request.
+// RowPrefix is the prefix of the table's keys of refused or overridden requests.
 const RowPrefix = "quarantine/"
 
 // RowKey returns the table's key of a request.
@@ -20,23 +20,24 @@
 
 // Bounds of a Tracker.
 const (
-	// evidenceMemory is for how long a crash counts, beyond the quarantine's length.
-	evidenceMemory = 15 * time.Minute
-	// freshFor is for how long news are repeated in digests.
-	freshFor = 30 * time.Second
-	// maxSuspects is the most requests that a node keeps; the oldest news go first.
+	// evidenceRetention is the time for which a crash counts, beyond the duration of the quarantine.
+	evidenceRetention = 15 * time.Minute
+	// repeatFor is the time for which a change is repeated in digests.
+	repeatFor = 30 * time.Second
+	// maxSuspects is the maximum number of requests that a node tracks; those that changed longest ago are dropped
+	// first.
 	maxSuspects = 8192
-	// maxRefusedInDigest is the most refused requests that are repeated once their news are old.
+	// maxRefusedInDigest is the maximum number of refused requests that are still repeated after repeatFor.
 	maxRefusedInDigest = 8
 )
 
-// Crash is a slot's report of one death of its upstream.
+// Crash is a slot's report of one crash of its upstream.
 type Crash struct {
 	ID CrashID
 	At time.Time
-	// Ran holds each request that ran then, once, with its client.
+	// Ran lists each request that was running, once, with its client.
 	Ran []Running
-	// Probe is set if a suspect ran that had to run alone.
+	// Probe is set if a suspect was running that had to run alone.
 	Probe bool
 }
 
@@ -46,7 +47,7 @@
 	Client      ids.Client
 }
 
-// Suspects returns what the crash says of each request.
+// Suspects returns the evidence of the crash against each request.
 func (c Crash) Suspects() []Suspect {
 	out := make([]Suspect, 0, len(c.Ran))
 	for _, r := range c.Ran {
@@ -58,15 +59,15 @@
 
 type tracked struct {
 	Suspect
-	// changed is when this node learned something new.
-	changed time.Time
-	// saved is what the table holds, as far as this node knows.
-	saved platform.Row
-	// offered is set while a Save is under way or done.
-	offered bool
+	// changedAt is when this node last recorded a change.
+	changedAt time.Time
+	// storedRow is the row in the table, as this node last read or wrote it.
+	storedRow platform.Row
+	// saveIssued is set while a Save is in progress or done.
+	saveIssued bool
 }
 
-// Tracker holds what one node knows of suspects. It is not safe for concurrent use: the control goroutine owns it and
+// Tracker holds one node's state of suspects. It is not safe for concurrent use: the control goroutine owns it and
 // publishes Snapshots.
 type Tracker struct {
 	rules    Rules
@@ -78,56 +79,57 @@
 	return &Tracker{rules: r, suspects: map[Fingerprint]*tracked{}}
 }
 
-// SetPeriod changes the length of a quarantine, also of those that have begun.
+// SetPeriod changes the duration of a quarantine, also of those that have begun.
 func (t *Tracker) SetPeriod(d time.Duration) { t.rules.Period = d }
 
-// Merge takes in what another node, a slot's crash report or a row of the table says.
-func (t *Tracker) Merge(now time.Time, news ...Suspect) {
-	for _, s := range news {
+// Merge merges suspects from another node, a slot's crash report or a row of the table.
+func (t *Tracker) Merge(now time.Time, updates ...Suspect) {
+	for _, s := range updates {
 		old := t.suspects[s.Fingerprint]
 		if old == nil {
 			old = &tracked{Suspect: Suspect{Fingerprint: s.Fingerprint}}
 		}
-		if old.merge(t.recent(now, s)) {
-			old.changed = now
-			old.offered = false
+		if old.merge(t.withoutExpired(now, s)) {
+			old.changedAt = now
+			old.saveIssued = false
 			t.suspects[s.Fingerprint] = old
 		}
 	}
-	t.bound()
+	t.dropExcess()
 }
 
-// recent returns s without what is too old to count; otherwise two nodes would hand a forgotten crash to and fro.
-func (t *Tracker) recent(now time.Time, s Suspect) Suspect {
+// withoutExpired returns a copy of s without evidence and overrides that have expired; otherwise two nodes would send a
+// forgotten crash back and forth.
+func (t *Tracker) withoutExpired(now time.Time, s Suspect) Suspect {
 	s = s.copy()
-	s.Evidence = slices.DeleteFunc(s.Evidence, func(e Evidence) bool { return t.old(now, e) })
+	s.Evidence = slices.DeleteFunc(s.Evidence, func(e Evidence) bool { return t.isExpired(now, e) })
 	if !s.Override.Until.After(now) {
 		s.Override = Override{}
 	}
 	return s
 }
 
-func (t *Tracker) old(now time.Time, e Evidence) bool {
-	return now.Sub(e.At) > t.rules.Period+evidenceMemory
+func (t *Tracker) isExpired(now time.Time, e Evidence) bool {
+	return now.Sub(e.At) > t.rules.Period+evidenceRetention
 }
 
-// Judge returns how to treat a request and, if it is refused, until when.
+// Classify returns the level of a request and, if it is refused, the end of the refusal.
 func (t *Tracker) Judge(now time.Time, f Fingerprint) (Level, time.Time) {
 	s := t.suspects[f]
 	if s == nil {
 		return Clear, time.Time{}
 	}
-	return s.judge(now, t.rules)
+	return s.classify(now, t.rules)
 }
 
-// Completed says that a request ran to its end on some upstream: what stood against it is refuted.
+// Completed records that a request ran to completion on an upstream, which refutes the evidence against it.
 func (t *Tracker) Completed(now time.Time, f Fingerprint) {
 	s := t.suspects[f]
 	if s == nil || !s.clear() {
 		return
 	}
-	s.changed = now
-	s.offered = false
+	s.changedAt = now
+	s.saveIssued = false
 }
 
 // Override records an operator's decision on a request.
@@ -135,8 +137,8 @@
 	t.Merge(now, Suspect{Fingerprint: f, Override: o})
 }
 
-// bound drops what changed longest ago, refused or not, once there is too much.
-func (t *Tracker) bound() {
+// dropExcess drops the suspects that changed longest ago, refused or not, if there are more than maxSuspects.
+func (t *Tracker) dropExcess() {
 	if len(t.suspects) <= maxSuspects {
 		return
 	}
@@ -146,14 +148,14 @@
 	}
 }
 
-// sorted returns all suspects, the latest news first.
+// sorted returns all suspects, the most recently changed first.
 func (t *Tracker) sorted() []*tracked {
 	all := make([]*tracked, 0, len(t.suspects))
 	for _, s := range t.suspects {
 		all = append(all, s)
 	}
 	slices.SortFunc(all, func(a, b *tracked) int {
-		if c := b.changed.Compare(a.changed); c != 0 {
+		if c := b.changedAt.Compare(a.changedAt); c != 0 {
 			return c
 		}
 		return slices.Compare(a.Fingerprint[:], b.Fingerprint[:])
@@ -161,17 +163,17 @@
 	return all
 }
 
-// Expire forgets what is too old to count.
+// Expire drops expired evidence and the suspects that have neither evidence nor an override left.
 func (t *Tracker) Expire(now time.Time) {
 	for f, s := range t.suspects {
-		s.Evidence = slices.DeleteFunc(s.Evidence, func(e Evidence) bool { return t.old(now, e) })
+		s.Evidence = slices.DeleteFunc(s.Evidence, func(e Evidence) bool { return t.isExpired(now, e) })
 		if len(s.Evidence) == 0 && !s.Override.Until.After(now) {
 			delete(t.suspects, f)
 		}
 	}
 }
 
-// Digest returns up to limit suspects for the other nodes: the latest news first, then a few that are refused.
+// Digest returns up to limit suspects for the other nodes: those that changed recently, then a few that are refused.
 func (t *Tracker) Digest(now time.Time, limit int) []Suspect {
 	var out []Suspect
 	refused := 0
@@ -179,8 +181,8 @@
 		if len(out) >= limit {
 			break
 		}
-		if now.Sub(s.changed) > freshFor {
-			level, _ := s.judge(now, t.rules)
+		if now.Sub(s.changedAt) > repeatFor {
+			level, _ := s.classify(now, t.rules)
 			if level != Refused || refused >= maxRefusedInDigest {
 				continue
 			}
@@ -197,56 +199,57 @@
 	return c
 }
 
-// Save is a row of the table to write, on condition that it has Version; then tell Saved.
+// Save is a row to be written to the table on condition that its version is that in Check. The caller then calls Saved
+// or SaveFailed.
 type Save struct {
 	Fingerprint Fingerprint
 	Check       platform.Check
 	Put         platform.Put
 }
 
-// Unsaved returns the rows that are due: requests that are refused or overridden, with news since the last Save. Each
-// is returned once; after a conflict or an outage call SaveFailed.
+// Unsaved returns the rows to be written: those of requests that are refused, overridden or in the table already, if
+// they changed since the last Save. Each is returned once; after a conflict or an outage the caller calls SaveFailed.
 func (t *Tracker) Unsaved(now time.Time) []Save {
 	var out []Save
 	for _, s := range t.sorted() {
-		level, _ := s.judge(now, t.rules)
-		lasting := level == Refused || s.Override.Until.After(now) || s.saved.Version > 0
-		if s.offered || !lasting {
+		level, _ := s.classify(now, t.rules)
+		persist := level == Refused || s.Override.Until.After(now) || s.storedRow.Version > 0
+		if s.saveIssued || !persist {
 			continue
 		}
-		s.offered = true
+		s.saveIssued = true
 		value, err := proto.MarshalOptions{Deterministic: true}.Marshal(s.Proto())
 		if err != nil {
-			continue // A client name that is not UTF-8, which config refuses.
+			continue // A client name that is not UTF-8, which config rejects.
 		}
-		if s.saved.Version > 0 && bytes.Equal(value, s.saved.Value) {
+		if s.storedRow.Version > 0 && bytes.Equal(value, s.storedRow.Value) {
 			continue
 		}
 		key := RowKey(s.Fingerprint)
 		out = append(out, Save{
 			Fingerprint: s.Fingerprint,
-			Check:       platform.Check{Key: key, Version: s.saved.Version},
+			Check:       platform.Check{Key: key, Version: s.storedRow.Version},
 			Put:         platform.Put{Key: key, Value: value},
 		})
 	}
 	return out
 }
 
-// Saved says which row the table holds after a Save; version 0 if it holds none.
+// Saved records the row in the table after a Save; version 0 if there is none.
 func (t *Tracker) Saved(f Fingerprint, row platform.Row) {
 	if s := t.suspects[f]; s != nil {
-		s.saved = row
+		s.storedRow = row
 	}
 }
 
-// SaveFailed says that the table did not take a Save; it becomes due again.
+// SaveFailed records that the table did not accept a Save; Unsaved returns the row again.
 func (t *Tracker) SaveFailed(f Fingerprint) {
 	if s := t.suspects[f]; s != nil {
-		s.offered = false
+		s.saveIssued = false
 	}
 }
 
-// Load takes in a row of the table: at the start, after a conflict, or on a regular look. Errors: *RowError.
+// Load merges a row of the table: at the start, after a conflict or in a periodic read. Errors: *RowError.
 func (t *Tracker) Load(now time.Time, row platform.Row) error {
 	m := &cardamomyokev1.Suspect{}
 	if err := proto.Unmarshal(row.Value, m); err != nil {
@@ -258,12 +261,12 @@
 	}
 	t.Merge(now, s)
 	if old := t.suspects[s.Fingerprint]; old != nil {
-		old.saved = row
+		old.storedRow = row
 	}
 	return nil
 }
 
-// RowError says that a row of the table cannot be read.
+// RowError reports a row of the table that cannot be read.
 type RowError struct {
 	Key   string
 	Cause error
