--- a/internal/state/digest/digest.go
+++ b/internal/state/digest/digest.go
@@ -1,7 +1,7 @@
-// Package digest sends and receives the datagrams by which processes tell each other of themselves.
+// Package digest sends and receives digests: the datagrams in which processes report their own state to each other.
 //
-// A datagram may be lost, doubled or late; the receiver orders them by incarnation and sequence. Nothing depends on
-// any one of them.
+// A datagram may be lost, duplicated or delayed. The receiver orders datagrams by incarnation and sequence, and nothing
+// depends on any single one.
 package digest
 
 import (
@@ -18,15 +18,15 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// MaxBytes is the largest datagram that is sent or taken; it fits one packet on any network in use.
+// MaxBytes is the maximum size of a datagram that is sent or accepted; it fits one packet on any network in use.
 const MaxBytes = 1400
 
-// TooLargeError says that a digest does not fit one datagram.
+// TooLargeError reports that a digest does not fit one datagram.
 type TooLargeError struct{ Bytes int }
 
 // Error implements error.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("digest of %d bytes is over %d", e.Bytes, MaxBytes)
+	return fmt.Sprintf("digest of %d bytes exceeds %d", e.Bytes, MaxBytes)
 }
 
 // Sender sends digests. It is safe for concurrent use.
@@ -41,8 +41,8 @@
 	return &Sender{conn}, nil
 }
 
-// Send sends d to address (IP:PORT), in parts if it does not fit one datagram, and returns its size in bytes. Errors:
-// those of Encode, or the network's.
+// Send sends d to address (IP:PORT), in parts if it does not fit one datagram, and returns the number of bytes sent.
+// Errors: those of Encode or of the network.
 func (s *Sender) Send(address string, d *cardamomyokev1.Digest) (int, error) {
 	datagrams, err := Encode(d)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return s.SendEncoded(address, datagrams)
 }
 
-// SendEncoded sends what Encode returned to address (IP:PORT) and returns its size in bytes.
+// SendEncoded sends the result of Encode to address (IP:PORT) and returns the number of bytes sent.
 func (s *Sender) SendEncoded(address string, datagrams [][]byte) (int, error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -71,25 +71,25 @@
 // Close closes the socket.
 func (s *Sender) Close() error { return s.conn.Close() }
 
-// Receiver takes digests on one address.
+// Receiver receives digests at one address.
 type Receiver struct {
 	gnet.BuiltinEventEngine
-	take   func(*cardamomyokev1.Digest)
+	handle func(*cardamomyokev1.Digest)
 	eng    gnet.Engine
 	booted chan struct{}
 }
 
-// Receive listens on address (IP:PORT) and hands each digest that can be read to take, on the event loop.
-func Receive(address string, take func(*cardamomyokev1.Digest)) (*Receiver, error) {
-	r := &Receiver{take: take, booted: make(chan struct{})}
-	ended := make(chan error, 1)
+// Receive listens on address (IP:PORT) and calls handle with each valid digest, on the event loop.
+func Receive(address string, handle func(*cardamomyokev1.Digest)) (*Receiver, error) {
+	r := &Receiver{handle: handle, booted: make(chan struct{})}
+	stopped := make(chan error, 1)
 	go func() {
-		ended <- gnet.Run(r, "udp://"+address, gnet.WithReuseAddr(true), gnet.WithLogger(gnetlog.New()))
+		stopped <- gnet.Run(r, "udp://"+address, gnet.WithReuseAddr(true), gnet.WithLogger(gnetlog.New()))
 	}()
 	select {
 	case <-r.booted:
 		return r, nil
-	case err := <-ended:
+	case err := <-stopped:
 		return nil, fmt.Errorf("receive digests on %s: %w", address, err)
 	}
 }
@@ -101,14 +101,14 @@
 	return gnet.None
 }
 
-// OnTraffic implements gnet.EventHandler; a datagram that is not a digest is dropped.
+// OnTraffic implements gnet.EventHandler. It drops datagrams that are not valid digests.
 func (r *Receiver) OnTraffic(c gnet.Conn) gnet.Action {
 	data, err := c.Next(-1)
 	if err != nil {
 		return gnet.None
 	}
 	if d, err := Decode(data); err == nil {
-		r.take(d)
+		r.handle(d)
 	}
 	return gnet.None
 }
@@ -116,13 +116,13 @@
 // Stop closes the socket.
 func (r *Receiver) Stop(ctx context.Context) error { return r.eng.Stop(ctx) }
 
-// FieldError says that a digest lacks a field without which it cannot be used.
+// FieldError reports that a digest lacks a required field.
 type FieldError struct{ Field string }
 
 // Error implements error.
 func (e *FieldError) Error() string { return "digest without " + e.Field }
 
-// Decode reads a datagram. Errors: *TooLargeError, *FieldError, or those of the decoder.
+// Decode decodes a datagram. Errors: *TooLargeError, *FieldError, or those of the decoder.
 func Decode(data []byte) (*cardamomyokev1.Digest, error) {
 	if len(data) > MaxBytes {
 		return nil, &TooLargeError{len(data)}
--- a/internal/state/digest/digest_test.go
+++ b/internal/state/digest/digest_test.go
@@ -22,7 +22,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		d, err := digest.Decode(data)
 		if err == nil && (d.GetNode() == "" || d.GetIncarnation() == "") {
-			t.Fatalf("took a digest of nobody: %v", d)
+			t.Fatalf("accepted a digest without node or incarnation: %v", d)
 		}
 	})
 }
--- a/internal/state/digest/split.go
+++ b/internal/state/digest/split.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// MaxParts is the most parts of one digest.
+	// MaxParts is the maximum number of parts of one digest.
 	MaxParts = 64
-	// partBytes is what the number of a part and the lengths of the lists of rows take at most.
+	// partBytes is the maximum size of the part number and of the headers of the column lists.
 	partBytes = 32
-	// workBytes and rumorBytes are what one row of these takes at most.
+	// workBytes and rumorBytes are the maximum sizes of one row of work and of one rumor.
 	workBytes  = 4 + 5 + 5
 	rumorBytes = 4 + 10 + 1
-	// tagBytes is what the tag and the length of one message in a list take at most.
+	// tagBytes is the maximum size of the tag and the length of one message in a list.
 	tagBytes = 4
 )
 
-// Encode returns the datagrams in which d is sent: one, or parts if it does not fit. Each part names the sender and its
-// state. Errors: *TooLargeError if the sender alone does not fit, or those of the encoder.
+// Encode returns the datagrams in which d is sent: one, or several parts if it does not fit one. Each part names the
+// sender and its state. Errors: *TooLargeError if the fields outside the lists and one row do not fit, or those of the
+// encoder.
 func Encode(d *cardamomyokev1.Digest) ([][]byte, error) {
 	parts := Split(d)
 	out := make([][]byte, 0, len(parts))
@@ -38,26 +39,26 @@
 	return out, nil
 }
 
-// Split cuts a digest into parts of at most MaxBytes each. What is not in a list is in each part; Join puts the lists
-// together again. Beyond MaxParts rows are left out, the last ones of the longest list.
+// Split splits a digest into parts of at most MaxBytes each. The fields outside the lists are in each part; Join merges
+// the lists again. Rows that do not fit MaxParts parts are dropped, from the end of the sequence of rowsOf.
 func Split(d *cardamomyokev1.Digest) []*cardamomyokev1.Digest {
 	if proto.Size(d) <= MaxBytes {
 		return []*cardamomyokev1.Digest{d}
 	}
 	header := headerOf(d)
-	room := MaxBytes - partBytes - proto.Size(header)
+	capacity := MaxBytes - partBytes - proto.Size(header)
 	var parts []*cardamomyokev1.Digest
-	left := 0
+	free := 0
 	for _, r := range rowsOf(d) {
-		if r.bytes > left {
+		if r.bytes > free {
 			if len(parts) == MaxParts {
 				break
 			}
 			parts = append(parts, proto.CloneOf(header))
-			left = room
+			free = capacity
 		}
 		r.add(parts[len(parts)-1])
-		left -= r.bytes
+		free -= r.bytes
 	}
 	for i, p := range parts {
 		p.Part = &cardamomyokev1.Part{Index: uint32(i), Count: uint32(len(parts))}
@@ -65,7 +66,7 @@
 	return parts
 }
 
-// Join returns a digest that has the lists of both, parts of one digest.
+// Join merges two parts of one digest into a digest with the lists of both.
 func Join(a, b *cardamomyokev1.Digest) *cardamomyokev1.Digest {
 	both := proto.CloneOf(a)
 	proto.Merge(both, b)
@@ -78,13 +79,13 @@
 	return header
 }
 
-// row is one entry of a list of a digest.
+// row is one entry in a list of a digest.
 type row struct {
 	bytes int
 	add   func(*cardamomyokev1.Digest)
 }
 
-// rowsOf returns the entries of all lists, those first that others wait for.
+// rowsOf returns the entries of all lists, the most urgent lists first.
 func rowsOf(d *cardamomyokev1.Digest) []row {
 	var rows []row
 	message := func(m proto.Message, add func(*cardamomyokev1.Digest)) {
@@ -129,19 +130,19 @@
 	to.Work.PromptTokens = append(to.Work.PromptTokens, from.GetPromptTokens()[i])
 }
 
-// checkColumns finds columns of different length and parts that cannot be.
+// checkColumns returns an error if the columns of a list differ in length or if the part number is invalid.
 func checkColumns(d *cardamomyokev1.Digest) error {
 	w, r, part := d.GetWork(), d.GetRumors(), d.GetPart()
 	rows := len(w.GetUpstreams())
 	if len(w.GetRequests()) != rows || len(w.GetPromptTokens()) != rows {
-		return &FieldError{"some columns of work"}
+		return &FieldError{"complete columns of work"}
 	}
 	rows = len(r.GetLives())
 	if len(r.GetSequences()) != rows || len(r.GetEnded()) != rows {
-		return &FieldError{"some columns of rumors"}
+		return &FieldError{"complete columns of rumors"}
 	}
 	if part != nil && (part.GetIndex() >= part.GetCount() || part.GetCount() > MaxParts) {
-		return &FieldError{"a part that is one of its count"}
+		return &FieldError{"a valid part number"}
 	}
 	return nil
 }
--- a/internal/state/digest/split_test.go
+++ b/internal/state/digest/split_test.go
@@ -16,7 +16,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/digest"
 )
 
-// busyDigest is of a gateway with work at many upstreams, and as much of everything else.
+// busyDigest returns the digest of a gateway with work and as many rows of the other lists for the given number of
+// upstreams.
 func busyDigest(upstreams int) *cardamomyokev1.Digest {
 	d := &cardamomyokev1.Digest{
 		Node: "gateway-1", Incarnation: "life-1", Sequence: 7, Role: cardamomyokev1.NodeRole_NODE_ROLE_GATEWAY,
@@ -38,10 +39,11 @@
 	return d
 }
 
-// Failure: a gateway with work at sixty upstreams is silent for all others, as its digest does not fit a datagram.
-func TestAGatewayWithWorkAt400UpstreamsIsHeard(t *testing.T) {
-	heard := make(chan *cardamomyokev1.Digest, digest.MaxParts)
-	receiver, address := listen(t, func(d *cardamomyokev1.Digest) { heard <- d })
+// Guards against a gateway with work at sixty or more upstreams that no peer receives, because its digest does not fit
+// one datagram.
+func TestDigestOf400UpstreamsArrivesInParts(t *testing.T) {
+	received := make(chan *cardamomyokev1.Digest, digest.MaxParts)
+	receiver, address := listen(t, func(d *cardamomyokev1.Digest) { received <- d })
 	defer func() { _ = receiver.Stop(context.Background()) }()
 	sender, err := digest.NewSender()
 	if err != nil {
@@ -55,9 +57,9 @@
 	var got *cardamomyokev1.Digest
 	for {
 		select {
-		case part := <-heard:
+		case part := <-received:
 			if part.GetNode() != want.GetNode() || part.GetState() != want.GetState() || part.GetExpertsFence() != 12 {
-				t.Fatalf("part %d does not say whose it is and in which state: %v", part.GetPart().GetIndex(), part)
+				t.Fatalf("part %d lacks the sender or its state: %v", part.GetPart().GetIndex(), part)
 			}
 			count := part.GetPart().GetCount()
 			if got == nil {
@@ -69,7 +71,7 @@
 				continue
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatal("not heard")
+			t.Fatal("the digest did not arrive in full")
 		}
 		break
 	}
@@ -79,8 +81,8 @@
 	}
 }
 
-// listen takes digests on a free port of loopback.
-func listen(t *testing.T, take func(*cardamomyokev1.Digest)) (*digest.Receiver, string) {
+// listen receives digests on a free port of loopback.
+func listen(t *testing.T, handle func(*cardamomyokev1.Digest)) (*digest.Receiver, string) {
 	t.Helper()
 	free, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -88,14 +90,14 @@
 	}
 	address := free.LocalAddr().String()
 	_ = free.Close()
-	receiver, err := digest.Receive(address, take)
+	receiver, err := digest.Receive(address, handle)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return receiver, address
 }
 
-func TestPartsFit(t *testing.T) {
+func TestPartsFitOneDatagram(t *testing.T) {
 	for _, upstreams := range []int{0, 1, 12, 60, 192, 780} {
 		d := busyDigest(upstreams)
 		for _, part := range digest.Split(d) {
@@ -105,11 +107,11 @@
 		}
 	}
 	if parts := digest.Split(busyDigest(0)); len(parts) != 1 || parts[0].GetPart() != nil {
-		t.Errorf("a short digest comes in %d parts", len(parts))
+		t.Errorf("a short digest is sent in %d parts", len(parts))
 	}
 }
 
-func TestColumnsOfDifferentLengthAreRefused(t *testing.T) {
+func TestDecodeRejectsInvalidColumnsAndParts(t *testing.T) {
 	for _, d := range []*cardamomyokev1.Digest{
 		{Work: &cardamomyokev1.WorkColumns{Upstreams: []uint32{1, 2}, Requests: []uint32{1}, PromptTokens: []uint32{1, 2}}},
 		{Work: &cardamomyokev1.WorkColumns{Upstreams: []uint32{1}, Requests: []uint32{1}}},
@@ -124,7 +126,7 @@
 		}
 		var field *digest.FieldError
 		if _, err := digest.Decode(data); !errors.As(err, &field) {
-			t.Errorf("%v was taken: %v", d, err)
+			t.Errorf("%v was accepted: %v", d, err)
 		}
 	}
 }
