--- a/internal/state/liveness/detector.go
+++ b/internal/state/liveness/detector.go
@@ -12,78 +12,79 @@
 )
 
 const (
-	// quietFor is for how long a member is taken to live after a sign of life; it is not asked in that time.
-	quietFor = 250 * time.Millisecond
-	// probeInterval is the time between the first questions to two members.
+	// probeAfter is the time after an alive message for which a member is assumed to be alive and not probed.
+	probeAfter = 250 * time.Millisecond
+	// probeInterval is the time between the first probes of two members.
 	probeInterval = 100 * time.Millisecond
-	// answerWithin is for how long an answer is waited for before helpers are asked: the way there and back, and a tenth of
-	// a second in which a host that has used up its processor time stands still.
-	answerWithin = 100 * time.Millisecond
-	// helpWithin is the same for the answer of a helper, which has twice as far to go.
-	helpWithin = 250 * time.Millisecond
-	// inquiryTime is how long an inquiry that ends in a verdict takes at least.
-	inquiryTime = answerWithin + helpWithin
-	// helpers is how many others ask in this member's place: where 3 in 100 datagrams are lost, all of these fail together
-	// with both own questions six times in ten million.
-	helpers = 4
-	// ownPause is from when on a time between two ticks shows that this process has stood still itself.
-	ownPause = 200 * time.Millisecond
-	// waitFor is for how long the answer to a question that is asked for another is passed on.
-	waitFor = time.Second
+	// directTimeout is the time to wait for a reply before relays are asked: the round trip, plus a tenth of a second
+	// for which a host that has used up its processor time is paused.
+	directTimeout = 100 * time.Millisecond
+	// indirectTimeout is the time to wait for a reply through a relay, which has twice as far to travel.
+	indirectTimeout = 250 * time.Millisecond
+	// minRoundTime is the minimum duration of a probe round that ends in a death declaration.
+	minRoundTime = directTimeout + indirectTimeout
+	// maxRelays is the number of members that are asked for indirect probes: if 3 in 100 datagrams are lost, all of
+	// these fail together with both direct probes six times in ten million.
+	maxRelays = 4
+	// pauseThreshold is the time between two ticks from which the detector assumes that its own process was paused.
+	pauseThreshold = 200 * time.Millisecond
+	// probeRequestTTL is the time for which a reply is forwarded to the member that requested the probe.
+	probeRequestTTL = time.Second
 )
 
-// Address is where a member takes datagrams, IP:PORT. It names the member.
+// Address is the address (IP:PORT) at which a member receives datagrams. It identifies the member.
 type Address string
 
-// AliveMessage is a sign of life of a member.
+// AliveMessage reports that a member is alive.
 type AliveMessage struct {
 	Address     Address
 	Incarnation ids.Incarnation
-	// Sequence grows with each datagram of one incarnation.
+	// Sequence increases with each datagram of one incarnation.
 	Sequence uint64
-	// IsProbeReply says that it answers a question of this member.
+	// IsProbeReply is set if the message replies to a probe of this member.
 	IsProbeReply bool
 }
 
-// Probe is a question to send.
+// Probe is a probe to send.
 type Probe struct {
 	To Address
-	// Target is whom the receiver is to ask in this member's place; empty if it is asked for itself only.
+	// Target is the member that the receiver is asked to probe for this one; empty for a direct probe of the receiver.
 	Target Address
 }
 
-// Change is a member that has ended, or lives after all, by what is now known.
+// Change reports that a member is dead, or is alive after it was declared dead.
 type Change struct {
 	Address     Address
 	Incarnation ids.Incarnation
 	Dead        bool
-	// Sequence is the newest of the member that was known.
+	// Sequence is the newest recorded sequence of the member.
 	Sequence uint64
-	// Silent is for how long it was not heard.
+	// Silent is the time since the member was last seen.
 	Silent time.Duration
-	// ByRumor says that others found it out.
+	// ByRumor is set if the change was merged from another member's rumor.
 	ByRumor bool
 }
 
-// Detector is what one member knows of the others. It is not safe for concurrent use.
+// Detector is one member's state of the others. It is not safe for concurrent use.
 type Detector struct {
 	rand    *rand.Rand
 	members map[Address]*member
-	// order has all members, so that equal seeds choose alike.
-	order  []Address
-	byHash map[uint32]Address
-	// open are the members that have been asked and have not answered.
-	open map[Address]*inquiry
-	// alone says that nobody has answered the last inquiry, neither the member nor a helper.
-	alone    bool
+	// addresses lists all members in a fixed sequence, so that equal seeds give equal choices.
+	addresses []Address
+	byHash    map[uint32]Address
+	// rounds holds the open probe rounds: members that have been probed and have not replied.
+	rounds map[Address]*probeRound
+	// isolated is set if the last round that timed out had no reply, neither from the member nor from a relay. Any
+	// reply to a probe unsets it.
+	isolated bool
 	probedAt time.Time
 	tickedAt time.Time
-	// waiting are those that have others ask for them, by whom they ask about.
-	waiting map[Address]map[Address]time.Time
-	rumors  map[Address]rumor
-	// urgent is how many times rumors are still to be told out of turn.
-	urgent  int
-	changes []Change
+	// probeRequests holds who requested an indirect probe and when, by the probed member.
+	probeRequests map[Address]map[Address]time.Time
+	rumors        map[Address]gossipEntry
+	// urgentLeft is how many more times rumors are sent out of schedule.
+	urgentLeft int
+	changes    []Change
 }
 
 type member struct {
@@ -94,225 +95,227 @@
 	dead        bool
 }
 
-// inquiry is the question whether a member lives.
-type inquiry struct {
+// probeRound is one attempt to find out whether a member is alive.
+type probeRound struct {
 	probedAt time.Time
-	// helpedAt is when the helpers were asked, zero before that.
-	helpedAt time.Time
-	helpers  []Address
-	// reached says that a helper has answered.
-	reached bool
+	// relayedAt is when the relays were asked; zero before that.
+	relayedAt time.Time
+	relays    []Address
+	// relayReplied is set if a relay has replied.
+	relayReplied bool
 }
 
-// New returns a detector that knows nobody.
+// New returns an empty detector.
 func New(r *rand.Rand) *Detector {
 	return &Detector{
-		rand: r, members: map[Address]*member{}, byHash: map[uint32]Address{}, open: map[Address]*inquiry{},
-		waiting: map[Address]map[Address]time.Time{}, rumors: map[Address]rumor{},
+		rand: r, members: map[Address]*member{}, byHash: map[uint32]Address{}, rounds: map[Address]*probeRound{},
+		probeRequests: map[Address]map[Address]time.Time{}, rumors: map[Address]gossipEntry{},
 	}
 }
 
-// hashOf stands for a member's life in rumors.
-func hashOf(a Address, life ids.Incarnation) uint32 {
-	return uint32(xxhash.Sum64String(string(a) + "/" + string(life)))
+// hashOf returns the hash that identifies an incarnation of a member in rumors.
+func hashOf(a Address, incarnation ids.Incarnation) uint32 {
+	return uint32(xxhash.Sum64String(string(a) + "/" + string(incarnation)))
 }
 
-// ReceiveAlive takes in a sign that came from the member itself, and returns who waits to be told that it lives.
+// ReceiveAlive processes a message that came from the member itself. It returns the members that requested a probe of
+// it and have to be sent a rumor that it is alive.
 func (d *Detector) ReceiveAlive(now time.Time, s AliveMessage) []Address {
 	m := d.members[s.Address]
 	if m == nil || m.incarnation != s.Incarnation {
-		m = d.join(s)
+		m = d.addMember(s)
 	} else if s.Sequence <= m.sequence {
 		return nil
 	}
 	m.sequence = s.Sequence
 	if s.IsProbeReply {
-		d.alone = false
-		d.witness(s.Address)
+		d.isolated = false
+		d.recordProbeReply(s.Address)
 	}
-	d.lives(now, s.Address, m, false)
-	return d.waitingFor(now, s.Address)
+	d.markAlive(now, s.Address, m, false)
+	return d.takeRequesters(now, s.Address)
 }
 
-func (d *Detector) join(s AliveMessage) *member {
+func (d *Detector) addMember(s AliveMessage) *member {
 	d.Forget(s.Address)
 	m := &member{incarnation: s.Incarnation, hash: hashOf(s.Address, s.Incarnation)}
 	d.members[s.Address] = m
-	d.order = append(d.order, s.Address)
+	d.addresses = append(d.addresses, s.Address)
 	d.byHash[m.hash] = s.Address
 	return m
 }
 
-// Forget drops what is known of a member.
+// Forget removes a member.
 func (d *Detector) Forget(a Address) {
 	if m := d.members[a]; m != nil {
 		delete(d.byHash, m.hash)
-		d.order = slices.DeleteFunc(d.order, func(o Address) bool { return o == a })
+		d.addresses = slices.DeleteFunc(d.addresses, func(o Address) bool { return o == a })
 	}
 	delete(d.members, a)
-	delete(d.open, a)
+	delete(d.rounds, a)
 	delete(d.rumors, a)
 }
 
-// Dead reports whether a member is known to have ended.
+// Dead reports whether a member is dead.
 func (d *Detector) Dead(a Address) bool {
 	m := d.members[a]
 	return m != nil && m.dead
 }
 
-// ReceiveProbeRequest takes in that another member wants to know of a third. The caller asks that one.
-func (d *Detector) ReceiveProbeRequest(now time.Time, by, about Address) {
-	if d.waiting[about] == nil {
-		d.waiting[about] = map[Address]time.Time{}
+// ReceiveProbeRequest records that requester asked for a probe of target. The caller sends that probe.
+func (d *Detector) ReceiveProbeRequest(now time.Time, requester, target Address) {
+	if d.probeRequests[target] == nil {
+		d.probeRequests[target] = map[Address]time.Time{}
 	}
-	d.waiting[about][by] = now
+	d.probeRequests[target][requester] = now
 }
 
-// Tick returns whom to ask now.
+// Tick advances the detector to now and returns the probes to send.
 //
-// After this process has stood still, answers that came meanwhile may not be read yet: what it had asked before is not waited
-// for any more.
+// After a pause of this process, replies that arrived in the meantime may not have been read yet, so the rounds that
+// were open before it are dropped.
 func (d *Detector) Tick(now time.Time) []Probe {
-	if now.Sub(d.tickedAt) >= ownPause {
-		clear(d.open)
+	if now.Sub(d.tickedAt) >= pauseThreshold {
+		clear(d.rounds)
 	}
 	d.tickedAt = now
 	d.expire(now)
 	var probes []Probe
-	for _, a := range slices.Sorted(maps.Keys(d.open)) {
-		probes = append(probes, d.advance(now, a, d.open[a])...)
+	for _, a := range slices.Sorted(maps.Keys(d.rounds)) {
+		probes = append(probes, d.advanceRound(now, a, d.rounds[a])...)
 	}
 	if now.Sub(d.probedAt) >= probeInterval {
 		d.probedAt = now
-		probes = append(probes, d.inquire(now)...)
+		probes = append(probes, d.startRound(now)...)
 	}
 	return probes
 }
 
-// inquire asks one more member that has not been heard lately.
-func (d *Detector) inquire(now time.Time) []Probe {
-	a, ok := d.pick(func(a Address, m *member) bool { return d.open[a] == nil && now.Sub(m.lastSeen) >= quietFor })
+// startRound starts a round for one more member that has not been seen recently.
+func (d *Detector) startRound(now time.Time) []Probe {
+	a, ok := d.pickOne(func(a Address, m *member) bool { return d.rounds[a] == nil && now.Sub(m.lastSeen) >= probeAfter })
 	if !ok {
 		return nil
 	}
-	d.open[a] = &inquiry{probedAt: now}
+	d.rounds[a] = &probeRound{probedAt: now}
 	return []Probe{{To: a}}
 }
 
-// advance takes an open inquiry on. One that is not answered starts another: where many end at once, asking one after the
-// other would take as many times as long. A member that is cut off gets no answers at all and would soon ask everybody at once,
-// so one whose inquiries end without any answer starts none but those of its own turn.
+// advanceRound continues an open round. A round without a reply within directTimeout asks the relays and starts the
+// round of another member: if many members die at the same time, probing one after another would take many times as
+// long. A partitioned member receives no replies at all and would soon be probing every other member. Therefore, while
+// isolated is set, rounds start only at probeInterval.
 //
-// A member whose own link is broken hears no answer from anybody, but may be heard. So there is no verdict unless a helper has
-// answered.
-func (d *Detector) advance(now time.Time, a Address, q *inquiry) []Probe {
+// A member whose own link is broken receives no replies, but the others may receive its messages. So a member is only
+// declared dead if a relay has replied.
+func (d *Detector) advanceRound(now time.Time, a Address, r *probeRound) []Probe {
 	switch {
-	case q.helpedAt.IsZero() && now.Sub(q.probedAt) >= answerWithin:
-		q.helpedAt = now
-		q.helpers = d.choose(a)
+	case r.relayedAt.IsZero() && now.Sub(r.probedAt) >= directTimeout:
+		r.relayedAt = now
+		r.relays = d.chooseRelays(a)
 		probes := []Probe{{To: a}}
-		for _, h := range q.helpers {
-			probes = append(probes, Probe{To: h, Target: a})
+		for _, relay := range r.relays {
+			probes = append(probes, Probe{To: relay, Target: a})
 		}
-		if d.alone {
+		if d.isolated {
 			return probes
 		}
-		return append(probes, d.inquire(now)...)
-	case !q.helpedAt.IsZero() && now.Sub(q.helpedAt) >= helpWithin:
-		delete(d.open, a)
-		d.alone = !q.reached
-		if q.reached {
-			d.ends(now, a, d.members[a], false)
+		return append(probes, d.startRound(now)...)
+	case !r.relayedAt.IsZero() && now.Sub(r.relayedAt) >= indirectTimeout:
+		delete(d.rounds, a)
+		d.isolated = !r.relayReplied
+		if r.relayReplied {
+			d.markDead(now, a, d.members[a], false)
 		}
 	}
 	return nil
 }
 
-// pick chooses one of the members that live and are wanted.
-func (d *Detector) pick(wanted func(Address, *member) bool) (Address, bool) {
-	if all := d.candidates(wanted); len(all) > 0 {
+// pickOne returns a random member that is not dead and passes the filter.
+func (d *Detector) pickOne(filter func(Address, *member) bool) (Address, bool) {
+	if all := d.candidates(filter); len(all) > 0 {
 		return all[d.rand.IntN(len(all))], true
 	}
 	return "", false
 }
 
-// candidates are the members that live and are wanted.
-func (d *Detector) candidates(wanted func(Address, *member) bool) []Address {
+// candidates returns the members that are not dead and pass the filter.
+func (d *Detector) candidates(filter func(Address, *member) bool) []Address {
 	var out []Address
-	for _, a := range d.order {
-		if m := d.members[a]; !m.dead && wanted(a, m) {
+	for _, a := range d.addresses {
+		if m := d.members[a]; !m.dead && filter(a, m) {
 			out = append(out, a)
 		}
 	}
 	return out
 }
 
-// choose picks helpers to ask about a member.
-func (d *Detector) choose(about Address) []Address {
-	return d.some(helpers, func(a Address, _ *member) bool { return a != about && d.open[a] == nil })
+// chooseRelays returns the relays for an indirect probe of a member.
+func (d *Detector) chooseRelays(target Address) []Address {
+	return d.sample(maxRelays, func(a Address, _ *member) bool { return a != target && d.rounds[a] == nil })
 }
 
-// some are at most n of the members that live and are wanted.
-func (d *Detector) some(n int, wanted func(Address, *member) bool) []Address {
-	all := d.candidates(wanted)
+// sample returns at most n random members that are not dead and pass the filter.
+func (d *Detector) sample(n int, filter func(Address, *member) bool) []Address {
+	all := d.candidates(filter)
 	d.rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(n, len(all))]
 }
 
-// witness notes that a member has answered, for the inquiries in which it helps.
-func (d *Detector) witness(a Address) {
-	for _, q := range d.open {
-		q.reached = q.reached || slices.Contains(q.helpers, a)
+// recordProbeReply marks the rounds in which the member is a relay as replied to by a relay.
+func (d *Detector) recordProbeReply(a Address) {
+	for _, r := range d.rounds {
+		r.relayReplied = r.relayReplied || slices.Contains(r.relays, a)
 	}
 }
 
-func (d *Detector) waitingFor(now time.Time, about Address) []Address {
-	if len(d.waiting[about]) == 0 {
+func (d *Detector) takeRequesters(now time.Time, target Address) []Address {
+	if len(d.probeRequests[target]) == 0 {
 		return nil
 	}
 	var out []Address
-	for by, at := range d.waiting[about] {
-		if now.Sub(at) <= waitFor {
-			out = append(out, by)
+	for requester, at := range d.probeRequests[target] {
+		if now.Sub(at) <= probeRequestTTL {
+			out = append(out, requester)
 		}
 	}
-	delete(d.waiting, about)
+	delete(d.probeRequests, target)
 	slices.Sort(out)
 	return out
 }
 
 func (d *Detector) expire(now time.Time) {
-	for about, askers := range d.waiting {
-		maps.DeleteFunc(askers, func(_ Address, at time.Time) bool { return now.Sub(at) > waitFor })
-		if len(askers) == 0 {
-			delete(d.waiting, about)
+	for target, requesters := range d.probeRequests {
+		maps.DeleteFunc(requesters, func(_ Address, at time.Time) bool { return now.Sub(at) > probeRequestTTL })
+		if len(requesters) == 0 {
+			delete(d.probeRequests, target)
 		}
 	}
-	maps.DeleteFunc(d.rumors, func(_ Address, r rumor) bool { return !now.Before(r.until) })
+	maps.DeleteFunc(d.rumors, func(_ Address, r gossipEntry) bool { return !now.Before(r.until) })
 }
 
-// lives takes in that a member lives.
-func (d *Detector) lives(now time.Time, a Address, m *member, told bool) {
+// markAlive records that a member is alive.
+func (d *Detector) markAlive(now time.Time, a Address, m *member, byRumor bool) {
 	silent := now.Sub(m.lastSeen)
 	m.lastSeen = now
-	delete(d.open, a)
+	delete(d.rounds, a)
 	if !m.dead {
 		return
 	}
 	m.dead = false
-	d.spread(now, a)
-	d.changes = append(d.changes, Change{a, m.incarnation, false, m.sequence, silent, told})
+	d.gossip(now, a)
+	d.changes = append(d.changes, Change{a, m.incarnation, false, m.sequence, silent, byRumor})
 }
 
-// ends takes in that a member has ended.
-func (d *Detector) ends(now time.Time, a Address, m *member, told bool) {
+// markDead records that a member is dead.
+func (d *Detector) markDead(now time.Time, a Address, m *member, byRumor bool) {
 	m.dead = true
-	delete(d.open, a)
-	d.spread(now, a)
-	d.changes = append(d.changes, Change{a, m.incarnation, true, m.sequence, now.Sub(m.lastSeen), told})
+	delete(d.rounds, a)
+	d.gossip(now, a)
+	d.changes = append(d.changes, Change{a, m.incarnation, true, m.sequence, now.Sub(m.lastSeen), byRumor})
 }
 
-// Changes returns what has changed since it was last called.
+// Changes returns the changes since the last call.
 func (d *Detector) Changes() []Change {
 	out := d.changes
 	d.changes = nil
--- a/internal/state/liveness/doc.go
+++ b/internal/state/liveness/doc.go
@@ -1,9 +1,9 @@
-// Package liveness decides which members of a group of equals have ended. It does no I/O and reads no clock: signs of life
-// and the time go in, questions to send come out.
+// Package liveness decides which members of a group of peers are dead. It does no I/O and reads no clock: alive
+// messages and the time are passed in, and the probes to send are returned.
 //
-// Each member asks one other at a time, chosen at random from those that it has not heard lately, for a sign of life. One
-// that does not answer is asked again, also by some helpers in its place, so that neither a lost datagram nor a broken link
-// between two members ends one of them. A verdict is news for all: it rides on the digests that members send anyway, and so
-// does its refutation. How long it takes until a member is known to have ended does not depend on how many there are, and
-// neither do the datagrams that a member sends for it.
+// Each member probes one other member at a time, chosen at random from those that it has not received a message from
+// recently. A member that does not reply is probed again, also indirectly through some relays, so that neither a lost
+// datagram nor a broken link between two members makes one of them dead. A death declaration and its refutation are
+// gossiped in the digests that members send anyway. Neither the time until all members know of a death nor the number
+// of datagrams that a member sends for it depends on the size of the group.
 package liveness
--- a/internal/state/liveness/network_test.go
+++ b/internal/state/liveness/network_test.go
@@ -11,49 +11,51 @@
 )
 
 const (
-	// stepTime is the period of each member's loop, digestInterval that of its digests, toldEach how many others get one.
+	// stepTime is the interval of each member's loop, digestInterval that of its digests, and digestFanout the number
+	// of members that receive one.
 	stepTime       = 50 * time.Millisecond
 	digestInterval = 200 * time.Millisecond
-	toldEach       = 20
+	digestFanout   = 20
 	maxRumors      = 80
-	// rumorBytes and plainBytes are sizes on the wire: of one rumor, and of a datagram without any, with its headers.
+	// rumorBytes and plainBytes are sizes on the wire: of one rumor, and of a datagram without rumors but with its
+	// headers.
 	rumorBytes = 8
 	plainBytes = 190
 )
 
-// network is members in virtual time: datagrams are late and lost, hosts stand still for moments.
+// network simulates members in virtual time: datagrams are delayed and lost, and hosts pause for moments.
 type network struct {
 	*eventqueue.Queue
 	rand    *rand.Rand
 	loss    float64
 	stall   time.Duration
 	members []*node
-	// byAddress has the members again.
+	// byAddress holds the same members by address.
 	byAddress map[liveness.Address]*node
-	// parted says whether datagrams from one member to another are lost; nil for none.
-	parted  func(from, to int) bool
-	changes []seen
+	// blocked reports whether datagrams from one member to another are lost; nil if none are.
+	blocked func(from, to int) bool
+	changes []observedChange
 	bytes   int
 	sent    int
 }
 
-// seen is a change that one member has noticed.
-type seen struct {
+// observedChange is a change that one member has recorded.
+type observedChange struct {
 	at time.Time
 	by int
 	liveness.Change
 }
 
 type node struct {
-	net      *network
-	index    int
-	detector *liveness.Detector
-	sequence uint64
-	turn     int
-	toldAt   time.Time
-	dead     bool
-	// cut loses what the node sends, deaf what is sent to it.
-	cut, deaf bool
+	net          *network
+	index        int
+	detector     *liveness.Detector
+	sequence     uint64
+	turn         int
+	digestSentAt time.Time
+	dead         bool
+	// dropSent drops the datagrams that the node sends, dropReceived those that are sent to it.
+	dropSent, dropReceived bool
 }
 
 type datagram struct {
@@ -67,7 +69,7 @@
 	return liveness.Address(fmt.Sprintf("10.1.%d.%d:8229", i/250, i%250))
 }
 
-// newNetwork is of members that all know each other.
+// newNetwork returns a network of members that have all received an alive message from each other.
 func newNetwork(seed uint64, size int, loss float64) *network {
 	n := &network{Queue: eventqueue.New(time.Unix(1000, 0)), rand: rand.New(rand.NewPCG(seed, 1)), loss: loss, stall: 70 * time.Millisecond, byAddress: map[liveness.Address]*node{}}
 	for i := range size {
@@ -81,15 +83,17 @@
 				m.detector.ReceiveAlive(n.Now(), other.aliveMessage(0, false))
 			}
 		}
-		n.In(n.upTo(stepTime), m.step)
+		n.In(n.randomUpTo(stepTime), m.step)
 	}
 	return n
 }
 
-func (n *network) upTo(d time.Duration) time.Duration { return time.Duration(n.rand.Int64N(int64(d))) }
+func (n *network) randomUpTo(d time.Duration) time.Duration {
+	return time.Duration(n.rand.Int64N(int64(d)))
+}
 
-func (m *node) aliveMessage(sequence uint64, answer bool) liveness.AliveMessage {
-	return liveness.AliveMessage{Address: addressOf(m.index), Incarnation: ids.Incarnation(fmt.Sprint("life-", m.index)), Sequence: sequence, IsProbeReply: answer}
+func (m *node) aliveMessage(sequence uint64, reply bool) liveness.AliveMessage {
+	return liveness.AliveMessage{Address: addressOf(m.index), Incarnation: ids.Incarnation(fmt.Sprint("life-", m.index)), Sequence: sequence, IsProbeReply: reply}
 }
 
 func (m *node) step() {
@@ -102,17 +106,17 @@
 	for _, a := range m.detector.UrgentTargets() {
 		m.send(a, datagram{})
 	}
-	if m.net.Now().Sub(m.toldAt) >= digestInterval {
-		m.tell()
+	if m.net.Now().Sub(m.digestSentAt) >= digestInterval {
+		m.sendDigests()
 	}
-	m.note()
+	m.collectChanges()
 	m.net.In(stepTime, m.step)
 }
 
-// tell sends a digest to the next others in turn, each after a pause of at most a step.
-func (m *node) tell() {
-	m.toldAt = m.net.Now()
-	for range min(toldEach, len(m.net.members)-1) {
+// sendDigests sends a digest to each of the next digestFanout members in turn.
+func (m *node) sendDigests() {
+	m.digestSentAt = m.net.Now()
+	for range min(digestFanout, len(m.net.members)-1) {
 		m.turn = (m.turn + 1) % len(m.net.members)
 		if m.turn == m.index {
 			m.turn = (m.turn + 1) % len(m.net.members)
@@ -121,33 +125,33 @@
 	}
 }
 
-func (m *node) note() {
+func (m *node) collectChanges() {
 	for _, c := range m.detector.Changes() {
-		m.net.changes = append(m.net.changes, seen{m.net.Now(), m.index, c})
+		m.net.changes = append(m.net.changes, observedChange{m.net.Now(), m.index, c})
 	}
 }
 
 func (m *node) send(to liveness.Address, d datagram) {
 	m.sequence++
-	answer := d.IsProbeReply
-	d.AliveMessage = m.aliveMessage(m.sequence, answer)
+	reply := d.IsProbeReply
+	d.AliveMessage = m.aliveMessage(m.sequence, reply)
 	d.rumors = append(d.rumors, m.detector.Rumors(maxRumors)...)
 	m.net.bytes += plainBytes + rumorBytes*len(d.rumors)
 	m.net.sent++
 	other := m.net.byAddress[to]
-	if m.cut || m.net.rand.Float64() < m.net.loss || m.net.parted != nil && m.net.parted(m.index, other.index) {
+	if m.dropSent || m.net.rand.Float64() < m.net.loss || m.net.blocked != nil && m.net.blocked(m.index, other.index) {
 		return
 	}
-	m.net.In(3*time.Millisecond+m.net.upTo(m.net.stall), func() { other.receive(d) })
+	m.net.In(3*time.Millisecond+m.net.randomUpTo(m.net.stall), func() { other.receive(d) })
 }
 
 func (m *node) receive(d datagram) {
-	if m.dead || m.deaf {
+	if m.dead || m.dropReceived {
 		return
 	}
 	now := m.net.Now()
-	for _, asker := range m.detector.ReceiveAlive(now, d.AliveMessage) {
-		m.send(asker, datagram{rumors: []liveness.Rumor{m.detector.RumorOf(d.Address)}})
+	for _, requester := range m.detector.ReceiveAlive(now, d.AliveMessage) {
+		m.send(requester, datagram{rumors: []liveness.Rumor{m.detector.RumorOf(d.Address)}})
 	}
 	m.detector.MergeRumors(now, d.rumors)
 	if d.probe {
@@ -157,5 +161,5 @@
 		m.detector.ReceiveProbeRequest(now, d.Address, d.target)
 		m.send(d.target, datagram{probe: true})
 	}
-	m.note()
+	m.collectChanges()
 }
--- a/internal/state/liveness/rumor.go
+++ b/internal/state/liveness/rumor.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// spreadFor is for how long a member passes a rumor on.
-	spreadFor = time.Second
-	// toldAtOnce is how many others are told out of turn of what is new, and urgentRounds how many times. Each of them does
-	// the same, so that a thousand members know it after some rounds, and hardly one is left out.
-	toldAtOnce   = 4
+	// gossipFor is the time for which a member gossips a rumor.
+	gossipFor = time.Second
+	// urgentFanout is the number of members to which a new rumor is sent out of schedule, and urgentRounds how many
+	// times. Each receiver does the same, so that a thousand members have the rumor after a few rounds and hardly one
+	// is missed.
+	urgentFanout = 4
 	urgentRounds = 2
 )
 
-// Rumor says that a life has ended or not, by the newest sign of it that is known. Of two rumors of one life the one with
-// the later sequence holds, and of two with one sequence the one that says that it has ended.
+// Rumor reports that an incarnation is dead or alive, as of its newest known sequence. Of two rumors about one
+// incarnation the one with the higher sequence applies; at equal sequences the one with Dead set applies.
 type Rumor struct {
 	// IncarnationHash is a hash of address and incarnation.
 	IncarnationHash uint32
@@ -23,40 +24,40 @@
 	Dead            bool
 }
 
-// rumor is one that is passed on.
-type rumor struct{ until time.Time }
+// gossipEntry is a rumor that is being gossiped.
+type gossipEntry struct{ until time.Time }
 
-// spread passes on what is now known of a member.
-func (d *Detector) spread(now time.Time, a Address) {
-	d.rumors[a] = rumor{now.Add(spreadFor)}
-	d.urgent = urgentRounds
+// gossip starts to gossip the state of a member.
+func (d *Detector) gossip(now time.Time, a Address) {
+	d.rumors[a] = gossipEntry{now.Add(gossipFor)}
+	d.urgentLeft = urgentRounds
 }
 
-// UrgentTargets returns whom to tell the rumors now, out of turn; nobody if there are no new ones.
+// UrgentTargets returns the members to which the rumors are sent now, out of schedule; none if there are no new ones.
 func (d *Detector) UrgentTargets() []Address {
-	if d.urgent == 0 {
+	if d.urgentLeft == 0 {
 		return nil
 	}
-	d.urgent--
-	return d.some(toldAtOnce, func(Address, *member) bool { return true })
+	d.urgentLeft--
+	return d.sample(urgentFanout, func(Address, *member) bool { return true })
 }
 
-// Rumors returns what to tell others, at most the given number, chosen at random.
-func (d *Detector) Rumors(most int) []Rumor {
-	var about []Address
+// Rumors returns the rumors to send, at most limit of them, chosen at random.
+func (d *Detector) Rumors(limit int) []Rumor {
+	var addresses []Address
 	for a := range d.rumors {
-		about = append(about, a)
+		addresses = append(addresses, a)
 	}
-	slices.Sort(about)
-	d.rand.Shuffle(len(about), func(i, j int) { about[i], about[j] = about[j], about[i] })
+	slices.Sort(addresses)
+	d.rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	var out []Rumor
-	for _, a := range about[:min(most, len(about))] {
+	for _, a := range addresses[:min(limit, len(addresses))] {
 		out = append(out, d.RumorOf(a))
 	}
 	return out
 }
 
-// RumorOf returns what is known of a member as a rumor; the zero Rumor if nothing is.
+// RumorOf returns the state of a member as a rumor; the zero Rumor if the member is unknown.
 func (d *Detector) RumorOf(a Address) Rumor {
 	m := d.members[a]
 	if m == nil {
@@ -65,35 +66,36 @@
 	return Rumor{m.hash, m.sequence, m.dead}
 }
 
-// MergeRumors takes in what another member tells. Lives that are not known are passed over.
+// MergeRumors merges rumors from another member. Rumors about unknown incarnations are ignored.
 //
-// The last sign of a member reaches some others only, which must not refute the verdict of those that had an earlier one. So a
-// sign refutes nothing if it came before the member could have been asked.
-func (d *Detector) MergeRumors(now time.Time, told []Rumor) {
-	for _, r := range told {
+// The last message of a member before its death may reach only some of the others, and these must not refute the death
+// declaration of a member that received only an earlier one. So a message refutes nothing if it was received at least
+// minRoundTime ago: the declaring member may have started its probes after it.
+func (d *Detector) MergeRumors(now time.Time, rumors []Rumor) {
+	for _, r := range rumors {
 		a, known := d.byHash[r.IncarnationHash]
 		if !known {
 			continue
 		}
 		m := d.members[a]
 		switch {
-		case r.Dead && (r.Sequence >= m.sequence || now.Sub(m.lastSeen) >= inquiryTime):
+		case r.Dead && (r.Sequence >= m.sequence || now.Sub(m.lastSeen) >= minRoundTime):
 			m.sequence = max(m.sequence, r.Sequence)
 			if !m.dead {
-				d.ends(now, a, m, true)
+				d.markDead(now, a, m, true)
 			}
 		case r.Dead && !m.dead:
 			d.refute(now, a)
 		case !r.Dead && r.Sequence > m.sequence:
 			m.sequence = r.Sequence
-			d.lives(now, a, m, true)
+			d.markAlive(now, a, m, true)
 		}
 	}
 }
 
-// refute passes on that a member was heard after the sign by which others take it for ended.
+// refute gossips that a member was seen after the sequence at which others declared it dead.
 func (d *Detector) refute(now time.Time, a Address) {
 	if _, spreading := d.rumors[a]; !spreading {
-		d.spread(now, a)
+		d.gossip(now, a)
 	}
 }
