--- a/internal/state/membership/addresses.go
+++ b/internal/state/membership/addresses.go
@@ -8,29 +8,31 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// maxAddresses is the most addresses that a caller is given.
+// maxAddresses is the maximum number of addresses that a client receives per kind, local and remote.
 const maxAddresses = 8
 
-// Addresses returns where callers of the given data centre may connect: live entries, those of that data centre before
-// others. An empty data centre means this node's. The order within a data centre is by name; callers' answers are
-// shuffled by the entry, so that many callers who ask at once do not meet at one address.
-func (l *MemberList) Addresses(of ids.DataCentre) (near, far []string) {
+// Addresses returns the HTTP addresses of live entries to which clients of the given data centre may connect: local are
+// in that data centre, remote in others. An empty data centre means this node's. Both lists are sorted by name; the
+// entry shuffles them in its responses, so that many clients that ask at the same time do not all connect to one
+// address.
+func (l *MemberList) Addresses(of ids.DataCentre) (local, remote []string) {
 	if of == "" {
 		of = l.self.DataCentre
 	}
 	for _, n := range l.liveEntries() {
 		if n.DataCentre == of {
-			near = append(near, n.HTTP)
+			local = append(local, n.HTTP)
 		} else {
-			far = append(far, n.HTTP)
+			remote = append(remote, n.HTTP)
 		}
 	}
-	return slices.Clip(near[:min(len(near), maxAddresses)]), slices.Clip(far[:min(len(far), maxAddresses)])
+	return slices.Clip(local[:min(len(local), maxAddresses)]), slices.Clip(remote[:min(len(remote), maxAddresses)])
 }
 
-// OtherEntries returns all entries but this one that do not leave, heard or only named by the roster, by name. What all
-// entries must agree on, such as who adds up a client's demand, goes by them: each entry hears neighbours of its own,
-// and with 360 entries that all went by whom they hear, a client's demand would be added up in as many places.
+// OtherEntries returns all entries but this one that are not draining, by name, including those that are only in the
+// roster. Decisions on which all entries must agree, such as which entry aggregates a client's demand, use this set.
+// Each entry receives digests only from its own neighbours: if 360 entries used only those, a client's demand would be
+// aggregated in as many places.
 func (l *MemberList) OtherEntries() map[ids.Node]Node {
 	out := map[ids.Node]Node{}
 	for name, m := range l.members {
@@ -41,7 +43,7 @@
 	return out
 }
 
-// liveEntries returns the live entries but this one, sorted by name. It is asked for each view, so it sorts only these
+// liveEntries returns the live entries but this one, sorted by name. It is called for each view, so it sorts only these
 // and not all members.
 func (l *MemberList) liveEntries() []Node {
 	var out []Node
--- a/internal/state/membership/doc.go
+++ b/internal/state/membership/doc.go
@@ -1,14 +1,15 @@
-// Package membership knows which other nodes there are, which of them are live, and whom to send digests to.
+// Package membership tracks the other nodes, which of them are live, and to which of them this node sends digests.
 //
-// There is no full mesh: 360 entries and 780 slots that all heard of each other would need a hundred times the budget.
-// A slot tells a few entries of itself, chosen by rendezvous hash, those of its own data centre first; an entry routes
-// to the slots that it hears. Entries tell their neighbours on a ring in their data centre, and a few further away, so
-// that each is known to equally many others.
+// There is no full mesh: 360 entries and 780 slots that all received digests from each other would need a hundred times
+// the budget. A slot sends digests to a few entries, chosen by rendezvous hash, mostly in its own data centre; an entry
+// routes to the slots whose digests it receives. Entries send digests to their neighbours on a ring in their data
+// centre and to a few entries in other data centres, so that each entry sends to and receives from about the same
+// number of others.
 //
-// Nodes become known through the roster of the configuration log, through seeds from the settings and through digests,
-// so that any one of these may be missing: the table may be down, the host list may lag. What is known of a node's
-// life comes from its own digests alone, ordered by incarnation and sequence: a suspicion is refuted by any newer
-// digest, and a late one of an earlier life changes nothing.
+// A node is added by the roster of the configuration log, by seeds from the settings or by its digests, so that any one
+// of these may be missing: the table may be unavailable, the host list may lag. The state of a node comes only from its
+// own digests, ordered by incarnation and sequence: any newer digest refutes a suspicion, and a late digest of an
+// earlier incarnation changes nothing.
 //
 // MemberList is pure; the control goroutine owns it.
 package membership
--- a/internal/state/membership/large_test.go
+++ b/internal/state/membership/large_test.go
@@ -8,11 +8,11 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/membership"
 )
 
-// A client with a limit gets many times of it in a deployment of 360 entries. Each entry hears a few neighbours only;
-// it took the other 330 for gone, so it granted each new client a 28th of its limit in place of a 360th, and named an
-// aggregator from its own neighbours, where no other entry sent its part of the demand.
-func TestEntriesThatAreOnlyNamedCount(t *testing.T) {
-	const entries, heard = 360, 28
+// In a deployment of 360 entries, a client with a limit got many times that limit. Each entry receives digests only
+// from a few neighbours; it classified the other 330 as dead, so it granted each new client a 28th of its limit instead
+// of a 360th, and chose an aggregator among its own neighbours, to which no other entry sent its share of the demand.
+func TestRosterEntriesWithoutDigestsCount(t *testing.T) {
+	const entries, received = 360, 28
 	var list []membership.Identity
 	for i := range entries {
 		list = append(list, self(fmt.Sprintf("e%03d", i), entryRole, "a"))
@@ -22,7 +22,7 @@
 	now := t0
 	for seq := range uint64(600) {
 		now = now.Add(100 * time.Millisecond)
-		for i := range heard {
+		for i := range received {
 			members.Receive(digest(fmt.Sprintf("e%03d", i+1), "1", seq+1, live), now)
 		}
 		members.Tick(now)
@@ -35,9 +35,9 @@
 	}
 	members.Receive(digest("e001", "1", 1000, leaving), now)
 	if got := len(members.OtherEntries()); got != entries-2 {
-		t.Errorf("%d other entries after one leaves, want %d", got, entries-2)
+		t.Errorf("%d other entries after one is draining, want %d", got, entries-2)
 	}
-	if near, _ := members.Addresses(""); len(near) == 0 || near[0] != "h-e002" {
-		t.Errorf("callers are sent to %v, want only live entries, by name", near)
+	if local, _ := members.Addresses(""); len(local) == 0 || local[0] != "h-e002" {
+		t.Errorf("clients are sent to %v, want only live entries, by name", local)
 	}
 }
--- a/internal/state/membership/memberlist.go
+++ b/internal/state/membership/memberlist.go
@@ -14,54 +14,56 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// Options are the settings of a MemberList.
+// Options configures a MemberList.
 type Options struct {
-	// SlotEntries is how many entries a slot tells of itself; FarEntries of them are in other data centres.
-	SlotEntries, FarEntries int
-	// Peers is how many entries an entry tells of itself; FarPeers of them are in other data centres.
-	Peers, FarPeers int
-	// SilentDigests is how many digests in a row may be missing before a node is suspect; LostDigests before it is gone.
-	SilentDigests, LostDigests int
-	// MinInterval is the shortest time between two digests to one node, MaxInterval the longest.
+	// SlotEntries is the number of entries to which a slot sends digests; RemoteEntries of them are in other data
+	// centres.
+	SlotEntries, RemoteEntries int
+	// Peers is the number of entries to which an entry sends digests; RemotePeers of them are in other data centres.
+	Peers, RemotePeers int
+	// SuspectAfterDigests is the number of consecutive missing digests after which a node is suspect, and
+	// DeadAfterDigests the number after which it is dead. Both are counted in MaxInterval.
+	SuspectAfterDigests, DeadAfterDigests int
+	// MinInterval and MaxInterval bound the time between two digests to one node.
 	MinInterval, MaxInterval time.Duration
-	// BytesPerSecond is what sending digests may cost; the time between digests grows to keep it.
+	// BytesPerSecond is the budget for sending digests; the interval between digests grows to stay within it.
 	BytesPerSecond float64
 }
 
-// Defaults returns the settings in use.
+// Defaults returns the default options.
 func Defaults() Options {
 	return Options{
-		SlotEntries: 8, FarEntries: 2,
-		Peers: 8, FarPeers: 2,
-		SilentDigests: 4, LostDigests: 20,
+		SlotEntries: 8, RemoteEntries: 2,
+		Peers: 8, RemotePeers: 2,
+		SuspectAfterDigests: 4, DeadAfterDigests: 20,
 		MinInterval: 250 * time.Millisecond, MaxInterval: 2 * time.Second,
 		BytesPerSecond: 2000,
 	}
 }
 
-// Identity is who a node is, as its settings or the configuration log name it.
+// Identity identifies a node as its settings or the configuration log name it.
 type Identity struct {
 	Name       ids.Node
 	Role       cardamomyokev1.NodeRole
 	DataCentre ids.DataCentre
-	// Digests is the address where the node takes digests.
+	// DigestAddress is the address at which the node receives digests.
 	Digests string
 }
 
-// Node is another node as it is known now.
+// Node is the current state of another node.
 type Node struct {
 	Name       ids.Node
 	Role       cardamomyokev1.NodeRole
 	DataCentre ids.DataCentre
 	Digests    string
-	// HTTP is where it takes requests; empty until it was heard.
+	// HTTP is the address at which the node serves requests; empty until its first digest arrives.
 	HTTP        string
 	Incarnation ids.Incarnation
 	State       charts.State
 	LastSeen    time.Time
 }
 
-// States of the member chart that others ask for.
+// The states of the member chart that other packages and tests use.
 const (
 	StateLive    charts.State = "live"
 	StateSuspect charts.State = "suspect"
@@ -84,51 +86,51 @@
 	From, To charts.State
 }
 
-// member is what the table keeps of a node.
+// member is the recorded state of one node.
 type member struct {
 	Node
 	sequence uint64
 	machine  charts.Machine
 	since    time.Time
-	listed   bool
+	inRoster bool
 }
 
-// MemberList knows the other nodes. It belongs to the control goroutine.
+// MemberList tracks the other nodes. It belongs to the control goroutine.
 type MemberList struct {
-	opts    Options
-	self    Identity
-	members map[ids.Node]*member
-	sent    map[string]time.Time
-	changes []Change
-	last    time.Time
-	// chosen is whom to tell, as long as changed is not set.
-	chosen  []choice
-	changed bool
-	probed  time.Time
-	turn    int
+	opts     Options
+	self     Identity
+	members  map[ids.Node]*member
+	lastSent map[string]time.Time
+	changes  []Change
+	lastTick time.Time
+	// targets holds the receivers of digests; it is recomputed if targetsOutdated is set.
+	targets         []weightedTarget
+	targetsOutdated bool
+	lastProbe       time.Time
+	probeTurn       int
 }
 
-// New returns a table that knows nobody.
+// New returns an empty list.
 func New(self Identity, opts Options, now time.Time) *MemberList {
 	return &MemberList{
-		opts: opts, self: self, members: map[ids.Node]*member{}, sent: map[string]time.Time{}, last: now, changed: true,
-		// Nodes that started together would otherwise all probe the same entry at the same time.
-		turn: int(xxhash.Sum64String(string(self.Name)) % math.MaxInt32),
+		opts: opts, self: self, members: map[ids.Node]*member{}, lastSent: map[string]time.Time{}, lastTick: now, targetsOutdated: true,
+		// Nodes that started at the same time would otherwise all probe the same entry at the same time.
+		probeTurn: int(xxhash.Sum64String(string(self.Name)) % math.MaxInt32),
 	}
 }
 
-// SetRoster replaces the nodes that are expected. A node that is no longer named stays for as long as it is heard.
+// SetRoster replaces the roster. A node that is no longer in it stays until it is dead.
 func (l *MemberList) SetRoster(list []Identity, now time.Time) {
-	l.changed = true
+	l.targetsOutdated = true
 	for _, m := range l.members {
-		m.listed = false
+		m.inRoster = false
 	}
 	for _, r := range list {
 		if r.Name == l.self.Name || r.Digests == "" {
 			continue
 		}
 		m := l.member(r.Name, now)
-		m.listed = true
+		m.inRoster = true
 		if m.Incarnation == "" {
 			m.Role, m.DataCentre, m.Digests = r.Role, r.DataCentre, r.Digests
 		}
@@ -144,20 +146,21 @@
 	return m
 }
 
-// Receive takes in a digest and reports whether it is news: a late or doubled one is not.
+// Receive processes a digest and reports whether it is newer than the recorded state; a late or duplicate one is not.
 func (l *MemberList) Receive(d *cardamomyokev1.Digest, now time.Time) bool {
 	name := ids.Node(d.GetNode())
 	if name == l.self.Name {
 		return false
 	}
 	m := l.member(name, now)
-	if !m.older(d) {
+	if !m.isOlderThan(d) {
 		return false
 	}
 	if string(m.Incarnation) != d.GetIncarnation() {
-		// A new life owes nothing to the last one's state: a leaving node that was replaced under its name is live.
+		// The new incarnation does not inherit the state of the old one: a draining node that was replaced under its
+		// name is live.
 		m.machine = chart.Start()
-		l.changed = true
+		l.targetsOutdated = true
 	}
 	m.Incarnation = ids.Incarnation(d.GetIncarnation())
 	m.sequence = d.GetSequence()
@@ -174,9 +177,9 @@
 	return true
 }
 
-// older reports whether d is news. Incarnations sort by time of birth, so a late digest of an earlier life never
-// replaces one of a later life.
-func (m *member) older(d *cardamomyokev1.Digest) bool {
+// isOlderThan reports whether the recorded state is older than d. Incarnations sort by start time, so a late digest of
+// an earlier incarnation never replaces one of a later incarnation.
+func (m *member) isOlderThan(d *cardamomyokev1.Digest) bool {
 	if string(m.Incarnation) != d.GetIncarnation() {
 		return string(m.Incarnation) < d.GetIncarnation()
 	}
@@ -190,30 +193,30 @@
 	to := m.machine.State()
 	m.State = to
 	if from != to {
-		l.changed = true
+		l.targetsOutdated = true
 		m.since = now
 		l.changes = append(l.changes, Change{m.Name, from, to})
 	}
 }
 
-// Tick judges silence and returns what changed since the last call.
+// Tick marks nodes without digests as suspect or dead and returns the changes since the last call.
 func (l *MemberList) Tick(now time.Time) []Change {
-	l.forgiveOwnPause(now)
-	every := l.opts.MaxInterval
+	l.compensateOwnPause(now)
+	interval := l.opts.MaxInterval
 	for name, m := range l.members {
 		quiet := now.Sub(m.lastSeenOrSince())
-		if quiet > time.Duration(l.opts.SilentDigests)*every {
+		if quiet > time.Duration(l.opts.SuspectAfterDigests)*interval {
 			l.fire(m, eventSilent, now)
 		}
-		if quiet > time.Duration(l.opts.LostDigests)*every {
+		if quiet > time.Duration(l.opts.DeadAfterDigests)*interval {
 			l.fire(m, eventLost, now)
 		}
-		if m.machine.State() == StateDead && !m.listed {
-			l.changed = true
+		if m.machine.State() == StateDead && !m.inRoster {
+			l.targetsOutdated = true
 			delete(l.members, name)
 		}
 	}
-	l.last = now
+	l.lastTick = now
 	out := l.changes
 	l.changes = nil
 	return out
@@ -226,14 +229,15 @@
 	return m.LastSeen
 }
 
-// ownPause is a time between two ticks that means that this process itself stood still.
-const ownPause = time.Second
+// pauseThreshold is the time between two ticks from which the list assumes that its own process was paused.
+const pauseThreshold = time.Second
 
-// forgiveOwnPause moves what was heard by the time that this process stood still. Without it a node that was paused
-// wakes up, takes everybody for lost and sends callers nowhere, although it is the one that was away.
-func (l *MemberList) forgiveOwnPause(now time.Time) {
-	gap := now.Sub(l.last)
-	if gap < ownPause {
+// compensateOwnPause moves the recorded times forward by the time for which this process was paused. Without it, a node
+// that was paused would classify all others as dead when it resumes and return no addresses to clients, although the
+// node itself was unresponsive.
+func (l *MemberList) compensateOwnPause(now time.Time) {
+	gap := now.Sub(l.lastTick)
+	if gap < pauseThreshold {
 		return
 	}
 	for _, m := range l.members {
@@ -244,7 +248,7 @@
 	}
 }
 
-// Nodes returns all known nodes, sorted by name.
+// Nodes returns all nodes, sorted by name.
 func (l *MemberList) Nodes() []Node {
 	out := make([]Node, 0, len(l.members))
 	for _, name := range slices.Sorted(maps.Keys(l.members)) {
@@ -253,9 +257,10 @@
 	return out
 }
 
-// Entries returns how many entries there are that do not leave, this one included if it is one. Those that the roster
-// names count even if they are not heard: of 360 entries one hears a few neighbours, and if it took the others for gone
-// it would grant clients, and itself, a part of everything that is ten times too large.
+// EntryCount returns the number of entries that are not draining, including this node if it is an entry. Entries in the
+// roster count even if no digest of them arrives: of 360 entries, one receives digests from a few neighbours only, and
+// if it classified the others as dead, it would grant clients and itself a share of each limit that is ten times too
+// large.
 func (l *MemberList) Entries() int {
 	n := 0
 	for _, m := range l.members {
@@ -270,7 +275,8 @@
 	return n
 }
 
-// Incarnation returns the life of the node that takes digests at address, if it was heard.
+// Incarnation returns the incarnation of the node that receives digests at address; empty if no digest of it has
+// arrived.
 func (l *MemberList) Incarnation(address string) ids.Incarnation {
 	for _, m := range l.members {
 		if m.Digests == address {
--- a/internal/state/membership/membership_test.go
+++ b/internal/state/membership/membership_test.go
@@ -26,9 +26,9 @@
 	return membership.Identity{Name: ids.Node(name), Role: role, DataCentre: ids.DataCentre(dc), Digests: "d-" + name}
 }
 
-func digest(name, life string, seq uint64, state cardamomyokev1.NodeState) *cardamomyokev1.Digest {
+func digest(name, incarnation string, seq uint64, state cardamomyokev1.NodeState) *cardamomyokev1.Digest {
 	return &cardamomyokev1.Digest{
-		Node: name, Incarnation: life, Sequence: seq, Role: entryRole, State: state, DataCentre: "a",
+		Node: name, Incarnation: incarnation, Sequence: seq, Role: entryRole, State: state, DataCentre: "a",
 		HttpAddress: "h-" + name, DigestAddress: "d-" + name,
 	}
 }
@@ -42,27 +42,27 @@
 	return ""
 }
 
-func TestDigestsAreOrderedByLifeAndSequence(t *testing.T) {
+func TestDigestsAreOrderedByIncarnationAndSequence(t *testing.T) {
 	tests := map[string]struct {
 		digests []*cardamomyokev1.Digest
-		news    []bool
+		newer   []bool
 		state   charts.State
 	}{
-		"doubled":                 {[]*cardamomyokev1.Digest{digest("x", "1", 1, live), digest("x", "1", 1, live)}, []bool{true, false}, "live"},
-		"late":                    {[]*cardamomyokev1.Digest{digest("x", "1", 2, leaving), digest("x", "1", 1, live)}, []bool{true, false}, "leaving"},
-		"leaving is final":        {[]*cardamomyokev1.Digest{digest("x", "1", 1, leaving), digest("x", "1", 2, live)}, []bool{true, true}, "leaving"},
-		"next life":               {[]*cardamomyokev1.Digest{digest("x", "1", 9, leaving), digest("x", "2", 1, live)}, []bool{true, true}, "live"},
-		"late of an earlier life": {[]*cardamomyokev1.Digest{digest("x", "2", 1, live), digest("x", "1", 9, leaving)}, []bool{true, false}, "live"},
-		"own":                     {[]*cardamomyokev1.Digest{digest("me", "1", 1, live)}, []bool{false}, ""},
+		"duplicate":                      {[]*cardamomyokev1.Digest{digest("x", "1", 1, live), digest("x", "1", 1, live)}, []bool{true, false}, "live"},
+		"late":                           {[]*cardamomyokev1.Digest{digest("x", "1", 2, leaving), digest("x", "1", 1, live)}, []bool{true, false}, "leaving"},
+		"leaving is final":               {[]*cardamomyokev1.Digest{digest("x", "1", 1, leaving), digest("x", "1", 2, live)}, []bool{true, true}, "leaving"},
+		"next incarnation":               {[]*cardamomyokev1.Digest{digest("x", "1", 9, leaving), digest("x", "2", 1, live)}, []bool{true, true}, "live"},
+		"late of an earlier incarnation": {[]*cardamomyokev1.Digest{digest("x", "2", 1, live), digest("x", "1", 9, leaving)}, []bool{true, false}, "live"},
+		"own":                            {[]*cardamomyokev1.Digest{digest("me", "1", 1, live)}, []bool{false}, ""},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			list := membership.New(self("me", entryRole, "a"), membership.Defaults(), t0)
-			var news []bool
+			var newer []bool
 			for _, d := range tc.digests {
-				news = append(news, list.Receive(d, t0))
+				newer = append(newer, list.Receive(d, t0))
 			}
-			if diff := cmp.Diff(tc.news, news); diff != "" {
+			if diff := cmp.Diff(tc.newer, newer); diff != "" {
 				t.Fatal(diff)
 			}
 			if got := stateOf(list, tc.digests[0].GetNode()); got != tc.state {
@@ -72,7 +72,7 @@
 	}
 }
 
-// run lets time pass in ticks of 250 ms.
+// run advances the clock in ticks of 250 ms.
 func run(list *membership.MemberList, from time.Time, d time.Duration, each func(now time.Time)) time.Time {
 	now := from
 	for now.Before(from.Add(d)) {
@@ -83,28 +83,28 @@
 	return now
 }
 
-// A caller is no longer given an address whose entry went silent, and is given it again once the entry is heard: a
-// suspicion is refuted by any newer digest, and a node that was long silent is forgotten.
-func TestASilentEntryIsSuspectUntilItIsHeard(t *testing.T) {
+// Clients must not receive the address of an entry whose digests stop arriving, and must receive it again after its
+// next digest, because any newer digest refutes a suspicion. A node without digests for long is forgotten.
+func TestSilentEntryIsSuspectUntilNextDigest(t *testing.T) {
 	list := membership.New(self("me", entryRole, "a"), membership.Defaults(), t0)
 	list.Receive(digest("x", "1", 1, live), t0)
 	now := run(list, t0, 9*time.Second, func(time.Time) {})
-	if near, _ := list.Addresses(""); stateOf(list, "x") != membership.StateSuspect || len(near) != 0 {
-		t.Fatalf("state %s, addresses %v", stateOf(list, "x"), near)
+	if local, _ := list.Addresses(""); stateOf(list, "x") != membership.StateSuspect || len(local) != 0 {
+		t.Fatalf("state %s, addresses %v", stateOf(list, "x"), local)
 	}
 	list.Receive(digest("x", "1", 2, live), now)
-	if near, _ := list.Addresses(""); len(near) != 1 {
-		t.Fatalf("addresses %v", near)
+	if local, _ := list.Addresses(""); len(local) != 1 {
+		t.Fatalf("addresses %v", local)
 	}
 	run(list, now, 50*time.Second, func(time.Time) {})
 	if got := stateOf(list, "x"); got != "" {
-		t.Fatalf("a node that is long silent is still %s", got)
+		t.Fatalf("a node without digests for long is still %s", got)
 	}
 }
 
-// The callers of an entry whose host was paused for a minute are not left without addresses when it wakes up: the
-// others were not silent, it did not listen.
-func TestAPausedNodeDoesNotTakeTheOthersForLost(t *testing.T) {
+// Clients of an entry whose host was paused for a minute must still receive addresses when it resumes: the entry was
+// unresponsive, not the other nodes.
+func TestPausedNodeKeepsOthersLive(t *testing.T) {
 	list := membership.New(self("me", entryRole, "a"), membership.Defaults(), t0)
 	list.Receive(digest("x", "1", 1, live), t0)
 	list.Tick(t0.Add(250 * time.Millisecond))
@@ -114,12 +114,12 @@
 	}
 }
 
-func roster(entries, slots, centres int) []membership.Identity {
+func roster(entries, slots, dataCentres int) []membership.Identity {
 	var out []membership.Identity
 	add := func(kind string, role cardamomyokev1.NodeRole, n int) {
 		for i := range n {
 			name := fmt.Sprintf("%s-%03d", kind, i)
-			dc := ids.DataCentre(fmt.Sprintf("dc-%d", i%centres))
+			dc := ids.DataCentre(fmt.Sprintf("dc-%d", i%dataCentres))
 			out = append(out, membership.Identity{Name: ids.Node(name), Role: role, DataCentre: dc, Digests: "d-" + name})
 		}
 	}
@@ -128,37 +128,37 @@
 	return out
 }
 
-// At the size of the target nobody tells more nodes than the budget allows, each slot tells eight entries, six of them
-// in its own data centre, and no entry is told by none.
+// At the target size no node sends digests to more nodes than the budget allows, each slot sends them to eight entries,
+// and each entry receives digests from some slots.
 func TestSubsetsAtTheTargetSize(t *testing.T) {
 	all := roster(360, 780, 6)
-	heardBy := map[string]int{}
+	sendersOf := map[string]int{}
 	for _, r := range all {
 		list := membership.New(r, membership.Defaults(), t0)
 		list.SetRoster(all, t0)
 		targets := list.DueTargets(nil, t0, true)
 		if len(targets) > 24 {
-			t.Fatalf("%s tells %d nodes", r.Name, len(targets))
+			t.Fatalf("%s sends to %d nodes", r.Name, len(targets))
 		}
 		if r.Role != slotRole {
 			continue
 		}
 		if len(targets) != 8 {
-			t.Fatalf("%s tells %d entries", r.Name, len(targets))
+			t.Fatalf("%s sends to %d entries", r.Name, len(targets))
 		}
 		for _, target := range targets {
-			heardBy[target.Address]++
+			sendersOf[target.Address]++
 		}
 	}
 	for _, r := range all {
-		if r.Role == entryRole && (heardBy[r.Digests] < 4 || heardBy[r.Digests] > 40) {
-			t.Fatalf("%s is told by %d slots", r.Name, heardBy[r.Digests])
+		if r.Role == entryRole && (sendersOf[r.Digests] < 4 || sendersOf[r.Digests] > 40) {
+			t.Fatalf("%s receives from %d slots", r.Name, sendersOf[r.Digests])
 		}
 	}
 }
 
-// One entry that goes moves few slots: only those that told it choose another one.
-func TestLosingAnEntryMovesFewSlots(t *testing.T) {
+// The death of one entry moves few slots: only those that sent digests to it choose another one.
+func TestDeadEntryMovesFewSlots(t *testing.T) {
 	all := roster(60, 130, 1)
 	moved := 0
 	for _, r := range all[60:] {
@@ -176,7 +176,7 @@
 				}
 			}
 		})
-		list.DueTargets(nil, now, true) // this one may hold a probe of the lost entry besides
+		list.DueTargets(nil, now, true) // This call may also return a probe of the dead entry.
 		after := addresses(list.DueTargets(nil, now, true))
 		changed := 0
 		for a := range before {
@@ -185,7 +185,7 @@
 			}
 		}
 		if changed > 1 {
-			t.Fatalf("%s changed %d of its entries for one that went", r.Name, changed)
+			t.Fatalf("%s changed %d of its entries because one is dead", r.Name, changed)
 		}
 		moved += changed
 	}
@@ -202,26 +202,27 @@
 	return out
 }
 
-// A new entry that replaces another one starts while the table is down: no roster names it, and it knows only seeds.
-// Its peers learn of it from its digests, and it tells the slots that it hears.
-func TestANodeThatNoRosterNamesIsTakenIn(t *testing.T) {
-	newcomer := membership.New(self("new", entryRole, "a"), membership.Defaults(), t0)
-	if got := addresses(newcomer.DueTargets([]string{"d-x"}, t0, true)); !got["d-x"] {
-		t.Fatalf("tells %v", got)
+// An entry that replaces another one starts while the table is unavailable: it is in no roster and has only seeds. Its
+// peers add it when they receive its digests.
+func TestNodeOutsideRosterIsAdded(t *testing.T) {
+	newEntry := membership.New(self("new", entryRole, "a"), membership.Defaults(), t0)
+	if got := addresses(newEntry.DueTargets([]string{"d-x"}, t0, true)); !got["d-x"] {
+		t.Fatalf("sends to %v", got)
 	}
 	peer := membership.New(self("x", entryRole, "a"), membership.Defaults(), t0)
 	peer.Receive(digest("new", "1", 1, live), t0)
 	if got := addresses(peer.DueTargets(nil, t0, true)); !got["d-new"] {
-		t.Fatalf("the peer tells %v", got)
+		t.Fatalf("the peer sends to %v", got)
 	}
-	if near, _ := peer.Addresses(""); len(near) != 1 {
-		t.Fatalf("addresses %v", near)
+	if local, _ := peer.Addresses(""); len(local) != 1 {
+		t.Fatalf("addresses %v", local)
 	}
 }
 
-// Callers in one region are given no address of the other while the regions are parted, and are given them again soon
-// after the network is whole: each side took the other for gone and would have told it nothing more.
-func TestPartedRegionsFindEachOtherAgain(t *testing.T) {
+// While two regions are partitioned, clients in one must not receive addresses of the other; soon after the partition
+// ends they must receive them again. Without probes each side would treat the other as dead and send it no more
+// digests.
+func TestPartitionedRegionsReconnect(t *testing.T) {
 	all := roster(6, 0, 2)
 	lists := map[string]*membership.MemberList{}
 	for _, r := range all {
@@ -229,7 +230,7 @@
 		list.SetRoster(all, t0)
 		lists[r.Digests] = list
 	}
-	cut := false
+	partitioned := false
 	exchange := func(now time.Time) {
 		for _, r := range all {
 			d := &cardamomyokev1.Digest{
@@ -237,7 +238,7 @@
 				DataCentre: string(r.DataCentre), DigestAddress: r.Digests, HttpAddress: "h-" + string(r.Name),
 			}
 			for _, to := range lists[r.Digests].DueTargets(nil, now, false) {
-				if !cut || sameCentre(all, to.Address, r.DataCentre) {
+				if !partitioned || sameCentre(all, to.Address, r.DataCentre) {
 					lists[to.Address].Receive(d, now)
 				}
 			}
@@ -246,7 +247,7 @@
 			list.Tick(now)
 		}
 	}
-	turn := func(from time.Time, d time.Duration) time.Time {
+	advance := func(from time.Time, d time.Duration) time.Time {
 		now := from
 		for now.Before(from.Add(d)) {
 			now = now.Add(250 * time.Millisecond)
@@ -254,23 +255,23 @@
 		}
 		return now
 	}
-	far := func() int {
+	remoteCount := func() int {
 		_, list := lists["d-entry-000"].Addresses("")
 		return len(list)
 	}
-	now := turn(t0, 5*time.Second)
-	if far() == 0 {
-		t.Fatal("the other region is not known before the cut")
+	now := advance(t0, 5*time.Second)
+	if remoteCount() == 0 {
+		t.Fatal("no entry of the other region is live before the partition")
 	}
-	cut = true
-	now = turn(now, 3*time.Minute)
-	if far() != 0 {
-		t.Fatal("callers are sent to a region that cannot be reached")
+	partitioned = true
+	now = advance(now, 3*time.Minute)
+	if remoteCount() != 0 {
+		t.Fatal("clients are sent to a region that cannot be reached")
 	}
-	cut = false
-	turn(now, 10*time.Second)
-	if far() == 0 {
-		t.Fatal("the regions stay parted")
+	partitioned = false
+	advance(now, 10*time.Second)
+	if remoteCount() == 0 {
+		t.Fatal("the regions stay partitioned")
 	}
 }
 
--- a/internal/state/membership/roster.go
+++ b/internal/state/membership/roster.go
@@ -5,7 +5,7 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// FromRevision turns the members of the configuration log's roster into what SetRoster takes.
+// FromRevision converts the roster of the configuration log to the argument of SetRoster.
 func FromRevision(members []*cardamomyokev1.Member) []Identity {
 	out := make([]Identity, 0, len(members))
 	for _, m := range members {
--- a/internal/state/membership/targets.go
+++ b/internal/state/membership/targets.go
@@ -12,150 +12,156 @@
 )
 
 const (
-	// digestBytes is what one digest costs on the wire with its headers, for the budget.
+	// digestBytes is the size of one digest on the wire with its headers, for the budget.
 	digestBytes = 190
-	// slowFactor is how many times rarer an entry tells a slot than another entry: the slot needs the entry's
-	// incarnation and its life, and no load.
-	slowFactor = 4
+	// slotIntervalFactor is the interval of an entry's digests to a slot as a multiple of that to another entry: the
+	// slot needs only the entry's incarnation and state, and no load.
+	slotIntervalFactor = 4
 )
 
-// Target is one node to send a digest to.
+// Target is a node to which a digest is sent.
 type Target struct {
 	Address string
-	// Incarnation is the receiver's life, if it was heard; a slot tells an entry its own part of the load by it.
+	// Incarnation is the receiver's incarnation, if a digest of it has arrived. A slot uses it to report to an entry
+	// that entry's own share of the load.
 	Incarnation ids.Incarnation
 }
 
-// DueTargets returns whom to send a digest now. now tells the time; all makes everybody due, for news that cannot wait.
+// DueTargets returns the nodes to which a digest is due at now. If all is set, every target is due, for an update that
+// cannot wait.
 func (l *MemberList) DueTargets(seeds []string, now time.Time, all bool) []Target {
-	chosen := l.choose(seeds)
-	every := l.interval(chosen)
+	chosen := l.currentTargets(seeds)
+	baseInterval := l.interval(chosen)
 	out := l.probe(now)
 	for _, c := range chosen {
-		wait := time.Duration(float64(every) * c.factor)
-		if all || now.Sub(l.sent[c.Address]) >= wait {
-			l.sent[c.Address] = now
+		wait := time.Duration(float64(baseInterval) * c.intervalFactor)
+		if all || now.Sub(l.lastSent[c.Address]) >= wait {
+			l.lastSent[c.Address] = now
 			out = append(out, c.Target)
 		}
 	}
-	l.forgetSent(chosen)
+	l.pruneLastSent(chosen)
 	return out
 }
 
-// Interval returns the time between two digests to one node of the closest kind.
-func (l *MemberList) Interval(seeds []string) time.Duration { return l.interval(l.choose(seeds)) }
+// Interval returns the time between two digests to one node with the shortest interval.
+func (l *MemberList) Interval(seeds []string) time.Duration {
+	return l.interval(l.currentTargets(seeds))
+}
 
-// SlotInterval returns the time between two digests of a slot to one entry, which follows from the number of entries.
+// SlotInterval returns the time between two digests from a slot to one entry, which depends on the number of entries.
 func (l *MemberList) SlotInterval() time.Duration {
-	return l.interval(make([]choice, min(l.Entries(), l.opts.SlotEntries)))
+	return l.interval(make([]weightedTarget, min(l.Entries(), l.opts.SlotEntries)))
 }
 
-type choice struct {
+type weightedTarget struct {
 	Target
-	factor float64
+	intervalFactor float64
 }
 
-// interval keeps the budget: more receivers are told more rarely.
-func (l *MemberList) interval(chosen []choice) time.Duration {
+// interval returns the interval that stays within the budget: with more receivers, digests are sent less often.
+func (l *MemberList) interval(chosen []weightedTarget) time.Duration {
 	weight := 0.0
 	for _, c := range chosen {
-		weight += 1 / max(1, c.factor)
+		weight += 1 / max(1, c.intervalFactor)
 	}
 	needed := time.Duration(weight * digestBytes / l.opts.BytesPerSecond * float64(time.Second))
 	return min(l.opts.MaxInterval, max(l.opts.MinInterval, needed))
 }
 
-// choose returns whom to tell; it is worked out again only after a change.
-func (l *MemberList) choose(seeds []string) []choice {
-	if !l.changed {
-		return l.chosen
+// currentTargets returns the receivers of digests. They are recomputed only after a change.
+func (l *MemberList) currentTargets(seeds []string) []weightedTarget {
+	if !l.targetsOutdated {
+		return l.targets
 	}
-	l.changed = false
+	l.targetsOutdated = false
 	if l.self.Role == cardamomyokev1.NodeRole_NODE_ROLE_SLOT {
-		l.chosen = l.withSeeds(l.slotChoices(), seeds)
+		l.targets = l.withSeeds(l.slotTargets(), seeds)
 	} else {
-		l.chosen = l.withSeeds(l.entryChoices(), seeds)
+		l.targets = l.withSeeds(l.entryTargets(), seeds)
 	}
-	return l.chosen
+	return l.targets
 }
 
-// probeInterval is the time between two digests to nodes that are suspect or gone.
+// probeInterval is the time between two digests to nodes that are suspect or dead.
 const probeInterval = 2 * time.Second
 
-// probe returns one node that the roster names and that is not heard, each in its turn. Two regions that lost each
-// other for minutes take each other for gone and tell each other nothing; without probes they would stay parted after
-// the network is whole again.
+// probe returns one of the roster's entries that are suspect or dead, each in turn. Two regions that are partitioned
+// for minutes classify each other as dead and send each other nothing; without probes they would stay apart after the
+// partition ends.
 func (l *MemberList) probe(now time.Time) []Target {
-	if now.Sub(l.probed) < probeInterval {
+	if now.Sub(l.lastProbe) < probeInterval {
 		return nil
 	}
-	l.probed = now
-	var lost []*member
+	l.lastProbe = now
+	var silent []*member
 	for _, m := range l.members {
 		state := m.machine.State()
 		entry := m.Role == cardamomyokev1.NodeRole_NODE_ROLE_ENTRY
-		if entry && m.listed && (state == StateDead || state == StateSuspect) {
-			lost = append(lost, m)
+		if entry && m.inRoster && (state == StateDead || state == StateSuspect) {
+			silent = append(silent, m)
 		}
 	}
-	if len(lost) == 0 {
+	if len(silent) == 0 {
 		return nil
 	}
-	slices.SortFunc(lost, byName)
-	l.turn++
-	return []Target{{lost[l.turn%len(lost)].Digests, ""}}
+	slices.SortFunc(silent, byName)
+	l.probeTurn++
+	return []Target{{silent[l.probeTurn%len(silent)].Digests, ""}}
 }
 
-// slotChoices are the entries that this slot tells of itself: the first ones in the order of the rendezvous hash, so
-// that an entry that comes or goes moves few slots.
-func (l *MemberList) slotChoices() []choice {
-	near, far := l.entries()
-	l.rendezvous(near)
-	l.rendezvous(far)
-	far = far[:min(len(far), l.opts.FarEntries)]
-	near = near[:min(len(near), l.opts.SlotEntries-len(far))]
-	return choices(append(near, far...), 1)
+// slotTargets returns the entries to which this slot sends digests: the first ones by rendezvous hash, so that an added
+// or removed entry moves few slots.
+func (l *MemberList) slotTargets() []weightedTarget {
+	local, remote := l.reachableEntries()
+	l.rendezvous(local)
+	l.rendezvous(remote)
+	remote = remote[:min(len(remote), l.opts.RemoteEntries)]
+	local = local[:min(len(local), l.opts.SlotEntries-len(remote))]
+	return weightedTargets(append(local, remote...), 1)
 }
 
-// entryChoices are the neighbours on the ring of entries and the slots that this entry hears; as long as it hears none,
-// it tells some that the roster names, so that they learn of it.
-func (l *MemberList) entryChoices() []choice {
-	near, far := l.entries()
-	l.rendezvous(far)
-	far = far[:min(len(far), l.opts.FarPeers)]
-	near = l.ring(near, l.opts.Peers-len(far))
-	return append(choices(append(near, far...), 1), choices(l.slots(), slowFactor)...)
+// entryTargets returns the neighbours on the ring of entries, a few entries in other data centres and the slots whose
+// digests this entry receives. As long as there are no such slots, it includes some from the roster, so that they learn
+// of this entry.
+func (l *MemberList) entryTargets() []weightedTarget {
+	local, remote := l.reachableEntries()
+	l.rendezvous(remote)
+	remote = remote[:min(len(remote), l.opts.RemotePeers)]
+	local = l.ring(local, l.opts.Peers-len(remote))
+	return append(weightedTargets(append(local, remote...), 1), weightedTargets(l.slots(), slotIntervalFactor)...)
 }
 
-func choices(list []*member, factor float64) []choice {
-	out := make([]choice, 0, len(list))
+func weightedTargets(list []*member, factor float64) []weightedTarget {
+	out := make([]weightedTarget, 0, len(list))
 	for _, m := range list {
-		out = append(out, choice{Target{m.Digests, m.Incarnation}, factor})
+		out = append(out, weightedTarget{Target{m.Digests, m.Incarnation}, factor})
 	}
 	return out
 }
 
-// entries returns the other entries that can be told, split by data centre and sorted by name.
-func (l *MemberList) entries() (near, far []*member) {
+// reachableEntries returns the other entries that are neither suspect nor dead, split by data centre and sorted by
+// name.
+func (l *MemberList) reachableEntries() (local, remote []*member) {
 	for _, m := range l.members {
 		state := m.machine.State()
 		if m.Role != cardamomyokev1.NodeRole_NODE_ROLE_ENTRY || state == StateDead || state == StateSuspect {
 			continue
 		}
 		if m.DataCentre == l.self.DataCentre {
-			near = append(near, m)
+			local = append(local, m)
 		} else {
-			far = append(far, m)
+			remote = append(remote, m)
 		}
 	}
-	slices.SortFunc(near, byName)
-	slices.SortFunc(far, byName)
-	return near, far
+	slices.SortFunc(local, byName)
+	slices.SortFunc(remote, byName)
+	return local, remote
 }
 
-// slots returns the slots that this entry hears, or the first ones by rendezvous if it hears none.
+// slots returns the slots whose digests this entry receives, or the first ones by rendezvous hash if there are none.
 func (l *MemberList) slots() []*member {
-	var heard, expected []*member
+	var received, expected []*member
 	for _, m := range l.members {
 		state := m.machine.State()
 		switch {
@@ -163,19 +169,19 @@
 		case m.LastSeen.IsZero():
 			expected = append(expected, m)
 		default:
-			heard = append(heard, m)
+			received = append(received, m)
 		}
 	}
-	if len(heard) > 0 {
-		slices.SortFunc(heard, byName)
-		return heard
+	if len(received) > 0 {
+		slices.SortFunc(received, byName)
+		return received
 	}
 	slices.SortFunc(expected, byName)
 	l.rendezvous(expected)
 	return expected[:min(len(expected), 2*l.opts.SlotEntries)]
 }
 
-// rendezvous sorts list by the hash of each name with this node's.
+// rendezvous sorts list by the hash of this node's name with that of each member.
 func (l *MemberList) rendezvous(list []*member) {
 	slices.SortStableFunc(list, func(a, b *member) int { return cmp.Compare(l.hash(b.Name), l.hash(a.Name)) })
 }
@@ -184,8 +190,8 @@
 	return xxhash.Sum64String(string(l.self.Name) + "\x00" + string(other))
 }
 
-// ring returns the n nearest neighbours of this node in a ring of names, half of them on each side. On a ring each
-// entry is told by exactly as many as it tells, so callers are spread evenly.
+// ring returns the n nearest neighbours of this node on a ring sorted by name, half of them on each side. On a ring
+// each entry receives digests from as many others as it sends to, so clients are spread evenly.
 func (l *MemberList) ring(list []*member, n int) []*member {
 	if len(list) <= n {
 		return list
@@ -203,8 +209,8 @@
 	return out
 }
 
-// withSeeds adds the addresses from the settings as long as few nodes are known by other means.
-func (l *MemberList) withSeeds(list []choice, seeds []string) []choice {
+// withSeeds adds addresses from the settings while list is shorter than SlotEntries.
+func (l *MemberList) withSeeds(list []weightedTarget, seeds []string) []weightedTarget {
 	known := map[string]bool{l.self.Digests: true}
 	for _, c := range list {
 		known[c.Address] = true
@@ -212,22 +218,22 @@
 	for _, s := range seeds {
 		if !known[s] && len(list) < l.opts.SlotEntries {
 			known[s] = true
-			list = append(list, choice{Target{Address: s}, 1})
+			list = append(list, weightedTarget{Target{Address: s}, 1})
 		}
 	}
 	return list
 }
 
-// forgetSent keeps the memory of sending times to those that are still told.
-func (l *MemberList) forgetSent(chosen []choice) {
-	if len(l.sent) <= 2*len(chosen)+l.opts.Peers {
+// pruneLastSent drops the sending times of nodes that are no longer targets, once there are too many.
+func (l *MemberList) pruneLastSent(chosen []weightedTarget) {
+	if len(l.lastSent) <= 2*len(chosen)+l.opts.Peers {
 		return
 	}
 	keep := make(map[string]time.Time, len(chosen))
 	for _, c := range chosen {
-		if at, ok := l.sent[c.Address]; ok {
+		if at, ok := l.lastSent[c.Address]; ok {
 			keep[c.Address] = at
 		}
 	}
-	l.sent = keep
+	l.lastSent = keep
 }
