--- a/internal/policy/health/classify.go
+++ b/internal/policy/health/classify.go
@@ -146,8 +146,8 @@
 	return max(1, n*t.opts.EjectionPercent/100)
 }
 
-// worstFirst compares by severity. At equal severity ejected upstreams come before others, then those that have been in
-// their state longest.
+// worstFirst compares by severity. At equal severity it puts ejected upstreams first, then those that have been in their
+// state the longest.
 func worstFirst(a, b *upstreamHealth) int {
 	if c := cmp.Compare(severity[b.reason], severity[a.reason]); c != 0 {
 		return c
@@ -166,8 +166,8 @@
 }
 
 // forgetDead removes upstreams that have sent nothing for ForgetAfter and are either draining or not listed. Their
-// incarnations are remembered for twice that time, so that a late report does not add them again; a report that is
-// later than this is no longer in transit.
+// incarnations are remembered for twice that time, so that a late report does not add them again. No report is in
+// transit for longer than that.
 func (t *Tracker) forgetDead(now time.Time) {
 	for _, u := range t.sorted() {
 		removable := u.machine.State() == stateLeaving || !u.listed
--- a/internal/policy/health/tracker.go
+++ b/internal/policy/health/tracker.go
@@ -12,12 +12,12 @@
 
 // Options configures a Tracker.
 type Options struct {
-	// SilentAfter is the time without a message after which an upstream is silent: the time of three reports.
+	// SilentAfter is the time without a message after which an upstream is silent: three report intervals.
 	SilentAfter time.Duration
 	// StalledAfter is the time without a step after which an engine with work is stalled.
 	StalledAfter time.Duration
-	// SlowFactor is the multiple of the peers' median step time from which an upstream is slow, if that lasts for
-	// SlowFor.
+	// SlowFactor and SlowFor define a slow upstream: its step time is at least SlowFactor times the peers' median for
+	// at least SlowFor.
 	SlowFactor float64
 	SlowFor    time.Duration
 	// ConsecutiveFailures is the number of consecutive failed attempts from which an upstream is failing.
@@ -30,7 +30,7 @@
 	// RampFor is the time in which the share of a returning upstream grows from RampFrom to 1.
 	RampFor  time.Duration
 	RampFrom float64
-	// SuspectWeight is the share of a suspect upstream that is not ejected because of the cap.
+	// SuspectWeight is the share of a suspect upstream that the cap keeps from being ejected.
 	SuspectWeight float64
 	// ForgetAfter is the time without a message after which an upstream that is draining or not listed is forgotten.
 	ForgetAfter time.Duration
@@ -108,8 +108,8 @@
 // the slots' reports.
 func (t *Tracker) SetSilentAfter(d time.Duration) { t.opts.SilentAfter = d }
 
-// Apply processes one event. A first report and a report, list or refusal that marks an upstream as leaving change the
-// state immediately; all other changes of state happen in the next Evaluate.
+// Apply processes one event. The first report of an incarnation changes the state of its upstream immediately, and so
+// does a report, list or refusal that marks it as leaving. All other changes of state happen in the next Evaluate.
 func (t *Tracker) Apply(ev Event, now time.Time) {
 	switch ev := ev.(type) {
 	case Heard:
--- a/internal/policy/health/upstream.go
+++ b/internal/policy/health/upstream.go
@@ -45,7 +45,7 @@
 	reason      Reason
 
 	// hasPredecessor is set if the tracker already had state for an earlier incarnation of the same upstream.
-	// firstSeenAt is when this incarnation was first seen.
+	// firstSeenAt is when this incarnation was first listed or reported.
 	hasPredecessor bool
 	firstSeenAt    time.Time
 	listed         bool
@@ -143,8 +143,8 @@
 	return u
 }
 
-// admit makes an upstream usable on its first report. While this entry itself is new, all upstreams are, and none of
-// them is ramped: a ramp only makes sense if other upstreams carry the load in the meantime.
+// admit makes an upstream usable on its first report. Shortly after the start of this entry all upstreams are new to it,
+// and none of them is ramped: a ramp only makes sense if other upstreams carry the load in the meantime.
 func (t *Tracker) admit(u *upstreamHealth, now time.Time) {
 	if u.machine.State() != stateJoining {
 		return
@@ -171,9 +171,9 @@
 	}
 }
 
-// predates reports whether the list was made before this incarnation was first seen. The list lags and may still mark a
-// host as leaving when its replacement already runs; applied to the new incarnation, that mark would keep a healthy
-// upstream unused.
+// predates reports whether the host list was made before this incarnation was first seen. The list lags and may still
+// mark a host as leaving when its replacement is already running. Applied to the new incarnation, that mark would keep
+// a healthy upstream unused.
 func (u *upstreamHealth) predates(ev Listed) bool {
 	return u.hasPredecessor && !ev.TakenAt.After(u.firstSeenAt)
 }
--- a/internal/policy/quarantine/evidence.go
+++ b/internal/policy/quarantine/evidence.go
@@ -19,7 +19,7 @@
 const (
 	// Clear: like any other request.
 	Clear Level = iota
-	// Suspected: along with other requests, but only one suspect at a time on an upstream.
+	// Suspected: together with other requests, but only one suspect at a time on an upstream.
 	Suspected
 	// Alone: only while nothing else is running on its upstream.
 	Alone
@@ -112,13 +112,13 @@
 	return changed
 }
 
-// Rules determine when evidence makes a request refused.
+// Rules configures when a request is refused.
 type Rules struct {
 	// Period is the time for which a request is refused after its last crash: policies.quarantine_s.
 	Period time.Duration
-	// Crashes is the number of crashes from which a request is refused although other requests may have been running; 0
-	// requires a crash at which it ran alone. It is for nodes that have no information on what else an upstream was
-	// running.
+	// Crashes is the number of crashes after which a request is refused even if other requests may have been running at
+	// each of them. With 0 a request is only refused if it ran alone at one of its crashes. Crashes is for nodes that
+	// cannot tell what else an upstream was running.
 	Crashes int
 }
 
--- a/internal/policy/quarantine/guard.go
+++ b/internal/policy/quarantine/guard.go
@@ -27,8 +27,8 @@
 const (
 	// maxWaiting is the maximum number of suspects that wait at one upstream.
 	maxWaiting = 8
-	// countBrokenFor is the time for which a run with a broken connection still counts as running when the upstream is
-	// found to have crashed.
+	// countBrokenFor is the time after its connection broke for which a run still counts as running when the upstream
+	// crashes.
 	countBrokenFor = 2 * time.Second
 )
 
--- a/internal/policy/quarantine/persistent.go
+++ b/internal/policy/quarantine/persistent.go
@@ -15,8 +15,8 @@
 type PersistentTrackerOptions struct {
 	// Interval is the interval at which changes are written and expired evidence is dropped.
 	Interval time.Duration
-	// ReadInterval is the interval at which the rows of other nodes are read. It bounds how long a restarted node
-	// without peers does not apply a refusal.
+	// ReadInterval is the interval at which the rows of other nodes are read. It bounds the time after which a restarted
+	// node without peers applies a refusal.
 	ReadInterval time.Duration
 	// Timeout is the timeout of one call to the table.
 	Timeout time.Duration
@@ -133,7 +133,7 @@
 	}
 }
 
-// read merges the rows of all nodes and removes those that hold nothing of use any more.
+// read merges the rows of all nodes and removes those of forgotten suspects.
 func (p *PersistentTracker) read(ctx context.Context, now time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, p.opts.Timeout)
 	defer cancel()
--- a/internal/policy/quarantine/quarantine_test.go
+++ b/internal/policy/quarantine/quarantine_test.go
@@ -32,8 +32,8 @@
 }
 
 // A request that crashes its upstream is refused for an hour after two crashes in a batch and one alone. The requests
-// that ran along with it are suspects until they complete elsewhere, and are never refused. After the hour the request
-// may run alone once, and one more crash refuses it again.
+// that ran together with it are suspects until they complete elsewhere, and are never refused. After the hour the
+// request may run alone once, and one more crash refuses it again.
 func TestSuspicionNarrowsToOneRequest(t *testing.T) {
 	tr := NewTracker(Rules{Period: quarantineLength})
 	tr.Merge(start, Crash{ID: 1, At: start, Ran: []Running{poison, other, third}}.Suspects()...)
@@ -148,7 +148,7 @@
 	}
 }
 
-// Requests that ran along with a crash must not be blamed for it twice: handlers that detect one crash at different
+// Requests that were running at a crash must not be blamed for it twice: handlers that detect one crash at different
 // times, and a second detection of the same crash, make one report.
 func TestCrashIsReportedOnce(t *testing.T) {
 	g := NewGuard("s", quarantineLength)
@@ -192,7 +192,7 @@
 			synctest.Wait()
 		}
 		if first != nil {
-			t.Fatal("the suspect runs along with another request")
+			t.Fatal("the suspect runs together with another request")
 		}
 		if _, err := g.Acquire(t.Context(), third, Clear); failure.CodeOf(err) != failure.CodeNoUpstream {
 			t.Fatalf("admitted while a suspect waits: %v", err)
--- a/internal/state/membership/memberlist.go
+++ b/internal/state/membership/memberlist.go
@@ -22,7 +22,7 @@
 	// Peers is the number of entries to which an entry sends digests; RemotePeers of them are in other data centres.
 	Peers, RemotePeers int
 	// SuspectAfterDigests is the number of consecutive missing digests after which a node is suspect, and
-	// DeadAfterDigests the number after which it is dead. Both are counted in MaxInterval.
+	// DeadAfterDigests the number after which it is dead. One is counted per MaxInterval without a digest.
 	SuspectAfterDigests, DeadAfterDigests int
 	// MinInterval and MaxInterval bound the time between two digests to one node.
 	MinInterval, MaxInterval time.Duration
