--- a/internal/state/liveness/detector_test.go
+++ b/internal/state/liveness/detector_test.go
@@ -99,7 +99,8 @@
 	}
 }
 
-// Guards against a gateway with a link that is broken in one direction that declares all others dead and gossips it.
+// Guards against a gateway that declares all others dead, and gossips it, because its own link is broken in one
+// direction.
 func TestPartitionedMemberDeclaresNoOtherDead(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
@@ -117,8 +118,9 @@
 	}
 }
 
-// Guards against a gossip storm: some members are reachable from a share of the others only, which refute each death
-// declaration of the rest, and all members gossip each change immediately: more datagrams than hosts can process.
+// Guards against a gossip storm. Some members are reachable from only a share of the others. Those that reach them refute
+// each death declaration of the rest, and if all members gossiped each change immediately, hosts would receive more
+// datagrams than they can process.
 func TestPartlyReachableMembersCauseNoStorm(t *testing.T) {
 	const size, partlyReachable, reachers = 149, 45, 30
 	n := newNetwork(6, size, 0)
