--- a/internal/experts/expertmap/engine.go
+++ b/internal/experts/expertmap/engine.go
@@ -4,7 +4,7 @@
 // trusted to do. It ignores fencing numbers and keeps to the conditions that each order names.
 type EngineModel struct {
 	EngineReport
-	prev MapID
+	previous MapID
 	// CannotLoad makes loading weights fail.
 	CannotLoad bool
 }
@@ -19,7 +19,7 @@
 	if t >= e.Start {
 		return e.Map
 	}
-	return e.prev
+	return e.previous
 }
 
 // MayStart reports whether the engine may start its next step.
@@ -44,7 +44,7 @@
 		}
 	case OrderSwitch:
 		if e.Staged == o.To && (e.Next <= o.Step || e.Map.IsZero()) {
-			e.prev, e.Map, e.Start = e.Map, o.To, o.Step
+			e.previous, e.Map, e.Start = e.Map, o.To, o.Step
 			e.Limit, e.Staged = NoLimit, MapID{}
 		}
 	}
--- a/internal/experts/expertmap/errors.go
+++ b/internal/experts/expertmap/errors.go
@@ -20,9 +20,9 @@
 	return fmt.Sprintf("switch to map %s: %s (rank %d; the group runs map %s)", e.To, e.Reason, e.Rank, e.Current)
 }
 
-// PassedError says that an engine has started a step that its group runs under another map. The protocol rules this
+// StepPassedError says that an engine has started a step that its group runs under another map. The protocol rules this
 // out; it means that an engine did not keep to its limit.
-type PassedError struct {
+type StepPassedError struct {
 	Rank  Rank
 	Next  Step
 	Start Step
@@ -30,7 +30,7 @@
 }
 
 // Error implements error.
-func (e *PassedError) Error() string {
+func (e *StepPassedError) Error() string {
 	return fmt.Sprintf("rank %d has started steps up to %d, but the group runs map %s from step %d on", e.Rank, e.Next, e.Map, e.Start)
 }
 
--- a/internal/experts/expertmap/group_test.go
+++ b/internal/experts/expertmap/group_test.go
@@ -9,8 +9,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// fataler is what the tests of this package and of rapid have in common.
-type fataler interface {
+// testFailer is what the tests of this package and of rapid have in common.
+type testFailer interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
@@ -28,24 +28,24 @@
 
 // group drives slots, engines and proposers by hand: every delivery, order and step is a call of the test.
 type group struct {
-	t         fataler
-	now       time.Time
-	ranks     int
-	slots     []*Slot
-	engines   []*EngineModel
-	orders    [][]Order
-	proposers map[ids.Node]*Proposer
-	names     []ids.Node
-	net       []envelope
-	used      map[Step]MapID
-	acks      map[Ballot]map[Rank]Incarnation
-	results   []Result
-	fresh     Incarnation
+	t               testFailer
+	now             time.Time
+	ranks           int
+	slots           []*Slot
+	engines         []*EngineModel
+	orders          [][]Order
+	proposers       map[ids.Node]*Proposer
+	proposerNames   []ids.Node
+	net             []envelope
+	mapOfStep       map[Step]MapID
+	acks            map[Ballot]map[Rank]Incarnation
+	results         []Result
+	lastIncarnation Incarnation
 	// trace tells what happened, for a test that fails.
 	trace []string
 }
 
-func (g *group) note(format string, args ...any) {
+func (g *group) tracef(format string, args ...any) {
 	g.trace = append(g.trace, fmt.Sprintf(format, args...))
 }
 
@@ -56,10 +56,10 @@
 	g.t.Fatalf("%s%s\nafter\n%s", fmt.Sprintf(format, args...), g.describe(), strings.Join(last, "\n"))
 }
 
-func newGroup(t fataler, ranks int) *group {
+func newGroup(t testFailer, ranks int) *group {
 	g := &group{
 		t: t, now: time.Unix(1_000_000, 0), ranks: ranks, orders: make([][]Order, ranks),
-		proposers: map[ids.Node]*Proposer{}, used: map[Step]MapID{}, acks: map[Ballot]map[Rank]Incarnation{},
+		proposers: map[ids.Node]*Proposer{}, mapOfStep: map[Step]MapID{}, acks: map[Ballot]map[Rank]Incarnation{},
 	}
 	for r := range ranks {
 		g.slots = append(g.slots, nil)
@@ -71,22 +71,24 @@
 
 // start begins a life of a slot; what the old one had sent may still arrive, its orders to the engine do not.
 func (g *group) start(r int) {
-	g.fresh += 10
-	g.note("rank %d begins as %d", r, g.fresh)
-	g.slots[r] = NewSlot(SlotConfig{Rank: Rank(r), Ranks: g.ranks, Incarnation: g.fresh, Timing: DefaultSlotTiming()})
+	g.lastIncarnation += 10
+	g.tracef("rank %d begins as %d", r, g.lastIncarnation)
+	g.slots[r] = NewSlot(SlotConfig{Rank: Rank(r), Ranks: g.ranks, Incarnation: g.lastIncarnation, Timing: DefaultSlotTiming()})
 	g.orders[r] = nil
 	g.engines[r].Order = 0
 	g.report(r)
 }
 
-func (g *group) report(r int) { g.slotEffects(r, g.slots[r].Engine(g.now, g.engines[r].EngineReport)) }
+func (g *group) report(r int) {
+	g.slotEffects(r, g.slots[r].ReceiveReport(g.now, g.engines[r].EngineReport))
+}
 
 func (g *group) slotEffects(r int, effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Send:
 			if ack, ok := e.Message.(Ack); ok {
-				g.noteAck(ack)
+				g.recordAck(ack)
 			}
 			g.net = append(g.net, envelope{Addr{Rank: Rank(r)}, e.To, e.Message})
 		case Order:
@@ -97,7 +99,7 @@
 	}
 }
 
-func (g *group) noteAck(a Ack) {
+func (g *group) recordAck(a Ack) {
 	if g.acks[a.Ballot] == nil {
 		g.acks[a.Ballot] = map[Rank]Incarnation{}
 	}
@@ -105,10 +107,10 @@
 }
 
 func (g *group) addProposer(name ids.Node) *Proposer {
-	g.fresh++
-	p := NewProposer(ProposerConfig{ID: uint64(g.fresh), Ranks: g.ranks, Timing: DefaultProposerTiming()})
+	g.lastIncarnation++
+	p := NewProposer(ProposerConfig{ID: uint64(g.lastIncarnation), Ranks: g.ranks, Timing: DefaultProposerTiming()})
 	if _, old := g.proposers[name]; !old {
-		g.names = append(g.names, name)
+		g.proposerNames = append(g.proposerNames, name)
 	}
 	g.proposers[name] = p
 	return p
@@ -137,7 +139,7 @@
 
 // deliver hands a message over; the caller decides whether it stays in the net to arrive once more.
 func (g *group) deliver(e envelope) {
-	g.note("%v to %v: %T%+v", e.from, e.to, e.msg, e.msg)
+	g.tracef("%v to %v: %T%+v", e.from, e.to, e.msg, e.msg)
 	if e.to.IsProposer() {
 		if p := g.proposers[e.to.Proposer]; p != nil {
 			g.proposerEffects(e.to.Proposer, p.Receive(g.now, e.msg))
@@ -148,22 +150,22 @@
 	g.slotEffects(r, g.slots[r].Receive(g.now, e.from, e.msg))
 }
 
-func (g *group) take(i int) envelope {
+func (g *group) remove(i int) envelope {
 	e := g.net[i]
 	g.net = slices.Delete(g.net, i, i+1)
 	return e
 }
 
-// obey lets an engine carry out its next order and report. An engine that switches without being told by a peer that
+// executeOrder lets an engine carry out its next order and report. An engine that switches without being told by a peer that
 // did must have every acknowledgement behind it.
-func (g *group) obey(r int) {
+func (g *group) executeOrder(r int) {
 	o := g.orders[r][0]
 	g.orders[r] = g.orders[r][1:]
 	if o.Kind == OrderSwitch && !slices.ContainsFunc(g.engines, func(e *EngineModel) bool { return e.Map == o.To }) {
 		g.checkCertificate(r, o)
 	}
 	g.engines[r].Obey(o)
-	g.note("engine %d: %+v, now %+v", r, o, g.engines[r].EngineReport)
+	g.tracef("engine %d: %+v, now %+v", r, o, g.engines[r].EngineReport)
 	g.report(r)
 }
 
@@ -192,11 +194,11 @@
 			return false
 		}
 	}
-	if was, ok := g.used[e.Next]; ok && was != m {
+	if was, ok := g.mapOfStep[e.Next]; ok && was != m {
 		g.fail("step %d runs under map %s on rank %d and under %s elsewhere", e.Next, m, r, was)
 	}
-	g.used[e.Next] = m
-	g.note("rank %d runs step %d under %s", r, e.Next, m)
+	g.mapOfStep[e.Next] = m
+	g.tracef("rank %d runs step %d under %s", r, e.Next, m)
 	e.Next++
 	return true
 }
@@ -221,11 +223,11 @@
 
 func (g *group) round() {
 	for n := len(g.net); n > 0; n-- {
-		g.deliver(g.take(0))
+		g.deliver(g.remove(0))
 	}
 	for r := range g.ranks {
 		for len(g.orders[r]) > 0 {
-			g.obey(r)
+			g.executeOrder(r)
 		}
 		g.step(r)
 		g.report(r)
@@ -234,7 +236,7 @@
 	for r := range g.ranks {
 		g.slotEffects(r, g.slots[r].Tick(g.now))
 	}
-	for _, name := range g.names {
+	for _, name := range g.proposerNames {
 		g.proposerEffects(name, g.proposers[name].Tick(g.now))
 	}
 }
--- a/internal/experts/expertmap/history.go
+++ b/internal/experts/expertmap/history.go
@@ -10,8 +10,8 @@
 // historyLength bounds what a slot remembers for operators.
 const historyLength = 64
 
-// Entry is one change of a slot's state.
-type Entry struct {
+// HistoryEntry is one change of a slot's state.
+type HistoryEntry struct {
 	At     time.Time
 	State  charts.State
 	Event  charts.Event
@@ -20,9 +20,9 @@
 	Ballot Ballot
 }
 
-type history struct{ entries []Entry }
+type slotHistory struct{ entries []HistoryEntry }
 
-func (h *history) add(e Entry) {
+func (h *slotHistory) add(e HistoryEntry) {
 	if len(h.entries) == historyLength {
 		h.entries = slices.Delete(h.entries, 0, 1)
 	}
@@ -41,7 +41,7 @@
 	To   MapID
 	// Waiting lists the ranks whose word the slot waits for.
 	Waiting []Rank
-	History []Entry
+	History []HistoryEntry
 }
 
 // Status returns a copy of the slot's state for operators.
--- a/internal/experts/expertmap/node/engine.go
+++ b/internal/experts/expertmap/node/engine.go
@@ -72,8 +72,8 @@
 	timer := time.NewTimer(w.poll)
 	defer timer.Stop()
 	for {
-		w.obey(ctx)
-		w.tell(ctx)
+		w.executeQueue(ctx)
+		w.sendReport(ctx)
 		timer.Reset(w.poll)
 		select {
 		case <-ctx.Done():
@@ -84,25 +84,25 @@
 	}
 }
 
-// obey gives every waiting order. The slot relies on each being answered, so one without an answer is given again.
-func (w *engineWorker) obey(ctx context.Context) {
+// executeQueue gives every waiting order. The slot relies on each being answered, so one without an answer is given again.
+func (w *engineWorker) executeQueue(ctx context.Context) {
 	for {
 		o, ok := w.pop()
 		if !ok {
 			return
 		}
-		done := repeat(ctx, func(ctx context.Context) error { return w.engine.Do(ctx, o) })
+		done := retry(ctx, func(ctx context.Context) error { return w.engine.Do(ctx, o) })
 		if !done {
 			return
 		}
 		w.last = o.ID
-		w.tell(ctx)
+		w.sendReport(ctx)
 	}
 }
 
-func (w *engineWorker) tell(ctx context.Context) {
+func (w *engineWorker) sendReport(ctx context.Context) {
 	var r expertmap.EngineReport
-	done := repeat(ctx, func(ctx context.Context) (err error) {
+	done := retry(ctx, func(ctx context.Context) (err error) {
 		r, err = w.engine.Report(ctx)
 		return err
 	})
@@ -113,8 +113,8 @@
 	w.report(r)
 }
 
-// repeat calls f until it succeeds; it returns false once ctx has ended.
-func repeat(ctx context.Context, f func(context.Context) error) bool {
+// retry calls f until it succeeds; it returns false once ctx has ended.
+func retry(ctx context.Context, f func(context.Context) error) bool {
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, engineTimeout)
 		err := f(callCtx)
--- a/internal/experts/expertmap/node/hub.go
+++ b/internal/experts/expertmap/node/hub.go
@@ -45,13 +45,13 @@
 		if err != nil {
 			return nil, connect.NewError(connect.CodeInvalidArgument, err)
 		}
-		h.hand(ids.Group(e.GetGroup()), toAddr(e.GetFrom()), toAddr(e.GetTo()), m)
+		h.deliver(ids.Group(e.GetGroup()), toAddr(e.GetFrom()), toAddr(e.GetTo()), m)
 	}
 	return &pb.DeliverMapMessagesResponse{}, nil
 }
 
-// hand drops a message for an address that is not this process's: the sender's list of addresses is out of date.
-func (h *Hub) hand(g ids.Group, from, to expertmap.Addr, m expertmap.Message) {
+// deliver drops a message for an address that is not this process's: the sender's list of addresses is out of date.
+func (h *Hub) deliver(g ids.Group, from, to expertmap.Addr, m expertmap.Message) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	if to.IsProposer() {
@@ -102,7 +102,7 @@
 	return out
 }
 
-func encodeEntry(h expertmap.Entry) *pb.MapHistoryEntry {
+func encodeEntry(h expertmap.HistoryEntry) *pb.MapHistoryEntry {
 	e := &pb.MapHistoryEntry{
 		AtUnixMs: h.At.UnixMilli(), State: string(h.State), Event: string(h.Event), Map: fromMap(h.Map), Start: uint64(h.Start),
 	}
--- a/internal/experts/expertmap/node/node_test.go
+++ b/internal/experts/expertmap/node/node_test.go
@@ -17,7 +17,7 @@
 	pb "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-func TestEveryMessageSurvivesTheWire(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	b := expertmap.Ballot{Fence: 3, Proposer: 4, Seq: 5}
 	m, n := expertmap.MapID{Version: 6, Name: "six"}, expertmap.MapID{Version: 7, Name: "seven"}
 	roster := []expertmap.Incarnation{8, 9}
@@ -47,7 +47,7 @@
 			t.Errorf("%T from %v to %v: %s", want, toAddr(e.GetFrom()), toAddr(e.GetTo()), diff)
 		}
 	}
-	var unknown *BodyError
+	var unknown *UnknownMessageError
 	if _, err := decode(&pb.MapEnvelope{}); !errors.As(err, &unknown) {
 		t.Errorf("an empty envelope gave %v", err)
 	}
@@ -58,14 +58,14 @@
 
 func (unreachableError) Error() string { return "engine does not answer" }
 
-// flaky is an engine of a group of two whose calls fail every other time; a step passes with each report.
-type flaky struct {
+// flakyEngine is an engine of a group of two whose calls fail every other time; a step passes with each report.
+type flakyEngine struct {
 	mu    sync.Mutex
 	model *expertmap.EngineModel
 	calls int
 }
 
-func (f *flaky) call() error {
+func (f *flakyEngine) call() error {
 	f.calls++
 	if f.calls%2 == 0 {
 		return unreachableError{}
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func (f *flaky) Report(context.Context) (expertmap.EngineReport, error) {
+func (f *flakyEngine) Report(context.Context) (expertmap.EngineReport, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.call(); err != nil {
@@ -85,7 +85,7 @@
 	return f.model.EngineReport, nil
 }
 
-func (f *flaky) Do(_ context.Context, o expertmap.Order) error {
+func (f *flakyEngine) Do(_ context.Context, o expertmap.Order) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.call(); err != nil {
@@ -95,10 +95,10 @@
 	return nil
 }
 
-// local hands envelopes from hub to hub after a millisecond.
-type local struct{ hubs map[expertmap.Addr]*Hub }
+// hubTransport hands envelopes from hub to hub after a millisecond.
+type hubTransport struct{ hubs map[expertmap.Addr]*Hub }
 
-func (l local) Send(g ids.Group, from, to expertmap.Addr, m expertmap.Message) {
+func (l hubTransport) Send(g ids.Group, from, to expertmap.Addr, m expertmap.Message) {
 	e, err := encode(g, from, to, m)
 	if err != nil {
 		panic(err)
@@ -113,17 +113,17 @@
 
 // Nothing is seen outside: an engine that answers only every other call still gets each order once more until it
 // answers, so the group switches, and the slot's status tells how.
-func TestAGroupSwitchesThoughItsEnginesAreFlaky(t *testing.T) {
+func TestGroupSwitchesWithFlakyEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		loop := control.New()
 		go loop.Run(ctx, time.Second, func(time.Time) {})
-		tr := local{map[expertmap.Addr]*Hub{}}
-		var engines []*flaky
+		tr := hubTransport{map[expertmap.Addr]*Hub{}}
+		var engines []*flakyEngine
 		var slots []*Slot
 		const ranks = 2
 		for r := range ranks {
-			f := &flaky{model: expertmap.NewEngineModel(0)}
+			f := &flakyEngine{model: expertmap.NewEngineModel(0)}
 			engines = append(engines, f)
 			hub := NewHub()
 			tr.hubs[expertmap.Addr{Rank: expertmap.Rank(r)}] = hub
--- a/internal/experts/expertmap/node/proposer.go
+++ b/internal/experts/expertmap/node/proposer.go
@@ -25,7 +25,7 @@
 	opts    ProposerOptions
 	node    ids.Node
 	machine *expertmap.Proposer
-	waiting chan expertmap.Result
+	result  chan expertmap.Result
 }
 
 // NewProposer returns a proposer that does nothing before Run.
@@ -53,7 +53,7 @@
 			busy <- err
 			return nil
 		}
-		p.waiting = done
+		p.result = done
 		return effects
 	})
 	select {
@@ -75,16 +75,16 @@
 }
 
 func (p *Proposer) post(f func(now time.Time) []expertmap.Effect) {
-	p.opts.Loop.Post(func(now time.Time) { p.carryOut(f(now)) })
+	p.opts.Loop.Post(func(now time.Time) { p.execute(f(now)) })
 }
 
-func (p *Proposer) carryOut(effects []expertmap.Effect) {
+func (p *Proposer) execute(effects []expertmap.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case expertmap.Send:
 			p.opts.Transport.Send(p.opts.Group, expertmap.Addr{Proposer: p.node}, e.To, e.Message)
 		case expertmap.Result:
-			p.waiting <- e
+			p.result <- e
 		}
 	}
 }
--- a/internal/experts/expertmap/node/slot.go
+++ b/internal/experts/expertmap/node/slot.go
@@ -48,7 +48,7 @@
 	}
 	s := &Slot{opts: o, rank: o.Config.Rank, machine: expertmap.NewSlot(o.Config)}
 	s.worker = newEngineWorker(o.Engine, o.Poll, func(r expertmap.EngineReport) {
-		s.post(func(now time.Time) []expertmap.Effect { return s.machine.Engine(now, r) })
+		s.post(func(now time.Time) []expertmap.Effect { return s.machine.ReceiveReport(now, r) })
 	})
 	s.publish()
 	return s
@@ -79,12 +79,12 @@
 
 func (s *Slot) post(f func(now time.Time) []expertmap.Effect) {
 	s.opts.Loop.Post(func(now time.Time) {
-		s.carryOut(f(now))
+		s.execute(f(now))
 		s.publish()
 	})
 }
 
-func (s *Slot) carryOut(effects []expertmap.Effect) {
+func (s *Slot) execute(effects []expertmap.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case expertmap.Send:
--- a/internal/experts/expertmap/node/transport.go
+++ b/internal/experts/expertmap/node/transport.go
@@ -30,8 +30,8 @@
 	idleTimeout = time.Minute
 )
 
-// Connect is a Transport over connect-go with one goroutine a destination in use.
-type Connect struct {
+// ConnectTransport is a Transport over connect-go with one goroutine a destination in use.
+type ConnectTransport struct {
 	client  connect.HTTPClient
 	resolve Resolve
 	ctx     context.Context
@@ -40,12 +40,12 @@
 }
 
 // NewTransport returns a transport whose goroutines end with ctx.
-func NewTransport(ctx context.Context, client connect.HTTPClient, resolve Resolve) *Connect {
-	return &Connect{client: client, resolve: resolve, ctx: ctx, queues: map[string]chan *pb.MapEnvelope{}}
+func NewTransport(ctx context.Context, client connect.HTTPClient, resolve Resolve) *ConnectTransport {
+	return &ConnectTransport{client: client, resolve: resolve, ctx: ctx, queues: map[string]chan *pb.MapEnvelope{}}
 }
 
 // Send implements Transport.
-func (c *Connect) Send(group ids.Group, from, to expertmap.Addr, m expertmap.Message) {
+func (c *ConnectTransport) Send(group ids.Group, from, to expertmap.Addr, m expertmap.Message) {
 	url, ok := c.resolve(group, to)
 	if !ok {
 		return
@@ -68,7 +68,7 @@
 	}
 }
 
-func (c *Connect) run(url string, q chan *pb.MapEnvelope) {
+func (c *ConnectTransport) run(url string, q chan *pb.MapEnvelope) {
 	client := cardamomyokev1connect.NewExpertMapServiceClient(c.client, url)
 	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
@@ -77,7 +77,7 @@
 		case <-c.ctx.Done():
 			return
 		case <-idle.C:
-			if c.retire(url, q) {
+			if c.removeIdle(url, q) {
 				return
 			}
 		case e := <-q:
@@ -87,8 +87,8 @@
 	}
 }
 
-// retire forgets a destination, unless a message came meanwhile.
-func (c *Connect) retire(url string, q chan *pb.MapEnvelope) bool {
+// removeIdle forgets a destination, unless a message came meanwhile.
+func (c *ConnectTransport) removeIdle(url string, q chan *pb.MapEnvelope) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(q) > 0 {
@@ -111,7 +111,7 @@
 	}
 }
 
-func (c *Connect) deliver(client cardamomyokev1connect.ExpertMapServiceClient, envelopes []*pb.MapEnvelope) {
+func (c *ConnectTransport) deliver(client cardamomyokev1connect.ExpertMapServiceClient, envelopes []*pb.MapEnvelope) {
 	ctx, cancel := context.WithTimeout(c.ctx, sendTimeout)
 	defer cancel()
 	// A message that is not delivered is lost; the machines ask again.
--- a/internal/experts/expertmap/node/wire.go
+++ b/internal/experts/expertmap/node/wire.go
@@ -9,11 +9,13 @@
 	pb "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// BodyError says that an envelope carries no message that this version knows.
-type BodyError struct{ Body any }
+// UnknownMessageError says that an envelope carries no message that this version knows.
+type UnknownMessageError struct{ Body any }
 
 // Error implements error.
-func (e *BodyError) Error() string { return fmt.Sprintf("map message of unknown type %T", e.Body) }
+func (e *UnknownMessageError) Error() string {
+	return fmt.Sprintf("map message of unknown type %T", e.Body)
+}
 
 func toAddr(a *pb.MapAddress) expertmap.Addr {
 	return expertmap.Addr{Proposer: ids.Node(a.GetProposer()), Rank: expertmap.Rank(a.GetRank())}
@@ -92,7 +94,7 @@
 			Rank: uint32(m.Rank), Incarnation: uint64(m.Incarnation), Known: uint64(m.Known),
 		}}
 	default:
-		return nil, &BodyError{m}
+		return nil, &UnknownMessageError{m}
 	}
 	return e, nil
 }
@@ -151,7 +153,7 @@
 			Known: expertmap.Incarnation(m.GetKnown()),
 		}, nil
 	}
-	return nil, &BodyError{e.GetBody()}
+	return nil, &UnknownMessageError{e.GetBody()}
 }
 
 func decodeStageReply(m *pb.MapStageReply) expertmap.StageReply {
--- a/internal/experts/expertmap/proposer.go
+++ b/internal/experts/expertmap/proposer.go
@@ -65,16 +65,16 @@
 	to      MapID
 	// replies holds, by rank, the answer to the present round, and when it came.
 	replies []*stageReply
-	// asked is when the present round was sent.
-	asked    time.Time
-	proposal Proposal
-	acked    []bool
-	switched []bool
-	refusal  *Refusal
-	attempts int
-	// lead multiplies the measured lead after refusals for a passed step.
-	lead    float64
-	failure *FailedError
+	// roundSentAt is when the present round was sent.
+	roundSentAt time.Time
+	proposal    Proposal
+	acked       []bool
+	switched    []bool
+	refusal     *Refusal
+	attempts    int
+	// leadFactor multiplies the measured lead after refusals for a passed step.
+	leadFactor float64
+	failure    *FailedError
 	// retryAt and expireAt are when the state repeats itself and when it ends; wait is the pause between repeats.
 	retryAt  time.Time
 	wait     time.Duration
@@ -101,7 +101,7 @@
 		return nil, &BusyError{p.to}
 	}
 	p.fence, p.to = fence, to
-	p.attempts, p.lead = 0, 1
+	p.attempts, p.leadFactor = 0, 1
 	p.failure = nil
 	p.proposal = Proposal{}
 	return p.fire(now, "propose"), nil
@@ -132,7 +132,7 @@
 func (p *Proposer) Tick(now time.Time) []Effect {
 	if !p.expireAt.IsZero() && !now.Before(p.expireAt) {
 		p.expireAt = time.Time{}
-		p.fail(ReasonTime, p.silent(), MapID{})
+		p.fail(ReasonTime, p.unreadyRank(), MapID{})
 		return p.fire(now, "expired")
 	}
 	if now.Before(p.retryAt) {
@@ -142,7 +142,7 @@
 	switch p.State() {
 	case StateStaging:
 		// Weights take minutes: asking less and less often keeps to the network that control may use.
-		p.wait = min(2*p.wait, longestRetry*p.cfg.Timing.Retry)
+		p.wait = min(2*p.wait, maxRetryFactor*p.cfg.Timing.Retry)
 		return p.sendStage()
 	case StateProbing:
 		// A probe that has to be repeated measures nothing; a new round does.
@@ -150,15 +150,15 @@
 	case StateCapping:
 		// Those that acknowledged are asked as well: if the slots have finished among themselves meanwhile, the
 		// answer is the outcome, and its first copy may be lost.
-		return p.toOpen(p.switched, CapRequest{p.proposal})
+		return p.sendToPending(p.switched, CapRequest{p.proposal})
 	case StateCertifying:
-		return append(p.sendCertificate(), p.toOpen(p.switched, CapRequest{p.proposal})...)
+		return append(p.sendCertificate(), p.sendToPending(p.switched, CapRequest{p.proposal})...)
 	}
 	return nil
 }
 
-// longestRetry bounds the pause between two questions, in units of ProposerTiming.Retry.
-const longestRetry = 64
+// maxRetryFactor bounds the pause between two questions, in units of ProposerTiming.Retry.
+const maxRetryFactor = 64
 
 func (p *Proposer) fire(now time.Time, ev charts.Event) []Effect {
 	actions, err := p.machine.Fire(ev)
@@ -205,7 +205,7 @@
 	return []Effect{res}
 }
 
-func (p *Proposer) toAll(m Message) []Effect {
+func (p *Proposer) sendToAll(m Message) []Effect {
 	var effects []Effect
 	for r := range p.cfg.Ranks {
 		effects = append(effects, Send{Addr{Rank: Rank(r)}, m})
@@ -213,8 +213,8 @@
 	return effects
 }
 
-// toOpen sends to the ranks that have not done their part yet.
-func (p *Proposer) toOpen(done []bool, m Message) []Effect {
+// sendToPending sends to the ranks that have not done their part yet.
+func (p *Proposer) sendToPending(done []bool, m Message) []Effect {
 	var effects []Effect
 	for r, d := range done {
 		if !d {
@@ -224,7 +224,7 @@
 	return effects
 }
 
-// silent returns a rank whose word is still out.
-func (p *Proposer) silent() Rank {
+// unreadyRank returns a rank whose word is still out.
+func (p *Proposer) unreadyRank() Rank {
 	return Rank(max(0, slices.IndexFunc(p.replies, func(r *stageReply) bool { return r == nil || !r.Ready })))
 }
--- a/internal/experts/expertmap/proposer_cap.go
+++ b/internal/experts/expertmap/proposer_cap.go
@@ -16,7 +16,7 @@
 		Ballot: Ballot{p.fence, p.cfg.ID, p.seq},
 		From:   p.replies[0].Current,
 		To:     p.to,
-		Start:  p.start(now),
+		Start:  p.startStep(now),
 		Roster: make([]Incarnation, p.cfg.Ranks),
 	}
 	for r, reply := range p.replies {
@@ -25,14 +25,14 @@
 	return p.sendCap()
 }
 
-func (p *Proposer) sendCap() []Effect { return p.toOpen(p.acked, CapRequest{p.proposal}) }
+func (p *Proposer) sendCap() []Effect { return p.sendToPending(p.acked, CapRequest{p.proposal}) }
 
-func (p *Proposer) named(b Ballot, r Rank, inc Incarnation) bool {
+func (p *Proposer) inRoster(b Ballot, r Rank, inc Incarnation) bool {
 	return b == p.proposal.Ballot && int(r) < len(p.proposal.Roster) && p.proposal.Roster[r] == inc
 }
 
 func (p *Proposer) onAck(now time.Time, m Ack) []Effect {
-	if p.State() != StateCapping || !p.named(m.Ballot, m.Rank, m.Incarnation) {
+	if p.State() != StateCapping || !p.inRoster(m.Ballot, m.Rank, m.Incarnation) {
 		return nil
 	}
 	p.acked[m.Rank] = true
@@ -46,16 +46,16 @@
 // hold the proposal any more, so each repeat sends the cap request along: its answer tells how the proposal ended.
 func (p *Proposer) sendCertificate() []Effect {
 	cert := Certificate{Ballot: p.proposal.Ballot, Acks: slices.Clone(p.proposal.Roster)}
-	return p.toOpen(p.switched, cert)
+	return p.sendToPending(p.switched, cert)
 }
 
 func (p *Proposer) onRefusal(now time.Time, m Refusal) []Effect {
-	if !p.named(m.Ballot, m.Rank, m.Incarnation) {
+	if !p.inRoster(m.Ballot, m.Rank, m.Incarnation) {
 		return nil
 	}
 	p.refusal = &m
 	if m.Reason == ReasonPassed {
-		p.lead *= 2
+		p.leadFactor *= 2
 	}
 	return p.refused(now, m.Reason, m.Rank)
 }
@@ -84,7 +84,7 @@
 func (p *Proposer) backOff(now time.Time) []Effect {
 	var effects []Effect
 	if p.refusal != nil {
-		effects = p.toAll(*p.refusal)
+		effects = p.sendToAll(*p.refusal)
 	}
 	if p.attempts >= p.cfg.Timing.Attempts || p.refusal != nil && p.refusal.Fence > p.fence {
 		return append(effects, p.fire(now, "failed")...)
--- a/internal/experts/expertmap/proposer_stage.go
+++ b/internal/experts/expertmap/proposer_stage.go
@@ -8,7 +8,7 @@
 func (p *Proposer) beginRound(now time.Time) []Effect {
 	p.round++
 	p.replies = make([]*stageReply, p.cfg.Ranks)
-	p.asked = now
+	p.roundSentAt = now
 	return p.sendStage()
 }
 
@@ -19,7 +19,7 @@
 		ready[r] = reply != nil && reply.Ready
 	}
 	m := StageRequest{Ballot: Ballot{p.fence, p.cfg.ID, p.seq}, Map: p.to, Round: p.round}
-	return p.toOpen(ready, m)
+	return p.sendToPending(ready, m)
 }
 
 func (p *Proposer) onStageReply(now time.Time, m StageReply) []Effect {
@@ -35,7 +35,7 @@
 		return p.fire(now, "failed")
 	case ReasonOtherMap:
 		if m.Current == p.to {
-			return p.alreadyThere(now, m)
+			return p.alreadySwitched(now, m)
 		}
 		p.fail(m.Reason, m.Rank, m.Current)
 		return p.fire(now, "failed")
@@ -52,22 +52,22 @@
 	return p.fire(now, "all-probed")
 }
 
-// alreadyThere ends the switch: an earlier proposal that was thought lost has been committed by the slots.
-func (p *Proposer) alreadyThere(now time.Time, m StageReply) []Effect {
+// alreadySwitched ends the switch: an earlier proposal that was thought lost has been committed by the slots.
+func (p *Proposer) alreadySwitched(now time.Time, m StageReply) []Effect {
 	p.failure = nil
 	p.proposal.Start = m.Since
 	return p.fire(now, "failed")
 }
 
-// start picks the proposal's first step: the furthest rank's step when the certificate will have reached the last
+// startStep picks the proposal's first step: the furthest rank's step when the certificate will have reached the last
 // rank, so that no step waits for the switch unless a message is late.
-func (p *Proposer) start(now time.Time) Step {
+func (p *Proposer) startStep(now time.Time) Step {
 	var next Step
 	var stepTime, trip time.Duration
 	for _, r := range p.replies {
 		next = max(next, r.Next)
 		stepTime = max(stepTime, r.StepTime)
-		trip = max(trip, r.at.Sub(p.asked))
+		trip = max(trip, r.at.Sub(p.roundSentAt))
 	}
 	if p.replies[0].Current.IsZero() || stepTime <= 0 {
 		// No step runs without a map, so nothing comes before the first map's first step.
@@ -75,8 +75,8 @@
 	}
 	// Cap, acknowledgement and certificate cross the network once each, and the engine carries out two orders. The
 	// furthest rank's report is at most one trip and ReportAge old.
-	exchange := p.lead * p.cfg.Timing.Margin * float64(2*trip+2*p.cfg.Timing.OrderTime)
-	age := float64(now.Sub(p.asked) + p.cfg.Timing.ReportAge)
+	exchange := p.leadFactor * p.cfg.Timing.Margin * float64(2*trip+2*p.cfg.Timing.OrderTime)
+	age := float64(now.Sub(p.roundSentAt) + p.cfg.Timing.ReportAge)
 	steps := math.Ceil((exchange + age) / float64(stepTime))
 	return next + Step(steps) + 1
 }
--- a/internal/experts/expertmap/proposer_test.go
+++ b/internal/experts/expertmap/proposer_test.go
@@ -7,7 +7,7 @@
 
 // The proposer would wait for ever: it hears one acknowledgement, the others and all that the slots say while they
 // finish among themselves is lost. Met over loopback with 16 ranks (cardamomyoke-bench mapswitch).
-func TestAProposerLearnsTheOutcomeThoughItsFirstCopyIsLost(t *testing.T) {
+func TestProposerLearnsOutcomeAfterLostMessages(t *testing.T) {
 	g := newGroup(t, 3)
 	g.boot()
 	p := g.addProposer("a")
@@ -32,7 +32,7 @@
 
 // Callers see a longer first token at worst: a rank is further on than it said, so the first proposal comes too late
 // for it and is refused. The next one leads by more.
-func TestARefusalForAPassedStepDoublesTheLead(t *testing.T) {
+func TestRefusalForPassedStepDoublesLead(t *testing.T) {
 	g := newGroup(t, 3)
 	g.boot()
 	p := g.addProposer("a")
@@ -44,7 +44,7 @@
 	refusal := Refusal{Ballot: p.proposal.Ballot, Rank: 1, Incarnation: p.proposal.Roster[1], Reason: ReasonPassed}
 	g.proposerEffects("a", p.Receive(g.now, refusal))
 	g.settle(100)
-	if len(g.results) != 1 || g.results[0].Err != nil || g.results[0].Attempts != 2 || p.lead != 2 || first == 0 {
-		t.Fatalf("results %+v, lead %v, first %d", g.results, p.lead, first)
+	if len(g.results) != 1 || g.results[0].Err != nil || g.results[0].Attempts != 2 || p.leadFactor != 2 || first == 0 {
+		t.Fatalf("results %+v, lead %v, first %d", g.results, p.leadFactor, first)
 	}
 }
--- a/internal/experts/expertmap/random_test.go
+++ b/internal/experts/expertmap/random_test.go
@@ -15,13 +15,13 @@
 // TestMain fixes the length of the random tests; their seeds are fixed in checkSeeds, so each run gives one verdict.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	set("rapid.nofailfile", "true")
-	set("rapid.steps", "300")
-	set("rapid.shrinktime", "2s")
+	setFlag("rapid.nofailfile", "true")
+	setFlag("rapid.steps", "300")
+	setFlag("rapid.shrinktime", "2s")
 	os.Exit(m.Run())
 }
 
-func set(name, value string) {
+func setFlag(name, value string) {
 	if err := flag.Set(name, value); err != nil {
 		panic(err)
 	}
@@ -33,35 +33,35 @@
 func checkSeeds(t *testing.T, ranks, crashes, losses int) {
 	for _, seed := range seeds {
 		t.Run(seed, func(t *testing.T) {
-			set("rapid.seed", seed)
-			rapid.Check(t, func(t *rapid.T) { runChaos(t, ranks, crashes, losses) })
+			setFlag("rapid.seed", seed)
+			rapid.Check(t, func(t *rapid.T) { runRandomFaults(t, ranks, crashes, losses) })
 		})
 	}
 }
 
-// chaos drives a group at random: messages are delivered late, twice, never and in any order; slots restart with
+// randomGroup drives a group at random: messages are delivered late, twice, never and in any order; slots restart with
 // nothing, engines too; proposers are forgotten in the middle and replaced, or wake up late with an old fence.
-type chaos struct {
+type randomGroup struct {
 	*group
 	version uint64
 	// crashes and losses bound the faults of one run, so that switches get through between them.
 	crashes, losses int
 }
 
-func (c *chaos) actions(t *rapid.T) map[string]func(*rapid.T) {
+func (c *randomGroup) actions(t *rapid.T) map[string]func(*rapid.T) {
 	pick := func(n int, what string) int { return rapid.IntRange(0, n-1).Draw(t, what) }
 	deliver := func(*rapid.T) {
 		if len(c.net) == 0 {
 			t.Skip("nothing to deliver")
 		}
-		c.deliver(c.take(pick(len(c.net), "message")))
+		c.deliver(c.remove(pick(len(c.net), "message")))
 	}
 	obey := func(*rapid.T) {
 		r := pick(c.ranks, "rank")
 		if len(c.orders[r]) == 0 {
 			t.Skip("nothing to obey")
 		}
-		c.obey(r)
+		c.executeOrder(r)
 	}
 	step := func(*rapid.T) { c.step(pick(c.ranks, "rank")) }
 	return map[string]func(*rapid.T){
@@ -77,14 +77,14 @@
 			if len(c.net) == 0 {
 				t.Skip("nothing to lose")
 			}
-			c.take(pick(len(c.net), "message"))
+			c.remove(pick(len(c.net), "message"))
 		},
 		"report": func(*rapid.T) { c.report(pick(c.ranks, "rank")) },
 		"tick": func(*rapid.T) {
 			c.now = c.now.Add(time.Duration(rapid.IntRange(1, 120).Draw(t, "ms")) * time.Millisecond)
 			r := pick(c.ranks, "rank")
 			c.slotEffects(r, c.slots[r].Tick(c.now))
-			name := c.names[pick(len(c.names), "proposer")]
+			name := c.proposerNames[pick(len(c.proposerNames), "proposer")]
 			c.proposerEffects(name, c.proposers[name].Tick(c.now))
 		},
 		"crash": func(*rapid.T) {
@@ -102,19 +102,19 @@
 			c.loseEngine(pick(c.ranks, "rank"), rapid.Bool().Draw(t, "slot too"))
 		},
 		"propose": func(*rapid.T) {
-			name := c.names[pick(len(c.names), "proposer")]
+			name := c.proposerNames[pick(len(c.proposerNames), "proposer")]
 			fence := ids.Fence(rapid.IntRange(1, 3).Draw(t, "fence"))
 			for _, e := range c.engines {
 				c.version = max(c.version, e.Map.Version)
 			}
 			c.propose(name, fence, MapID{c.version + 1, fmt.Sprintf("by-%s-%d", name, len(c.results))})
 		},
-		"replace proposer": func(*rapid.T) { c.addProposer(c.names[pick(len(c.names), "proposer")]) },
+		"replace proposer": func(*rapid.T) { c.addProposer(c.proposerNames[pick(len(c.proposerNames), "proposer")]) },
 	}
 }
 
 // loseEngine replaces an engine by one with nothing. The group forms anew at the step that it could not finish.
-func (c *chaos) loseEngine(r int, slotToo bool) {
+func (c *randomGroup) loseEngine(r int, slotToo bool) {
 	next := c.engines[r].Next
 	for _, e := range c.engines {
 		next = min(next, e.Next)
@@ -125,7 +125,7 @@
 		alone = alone && (i == r || e.Next <= next)
 	}
 	if alone {
-		delete(c.used, next)
+		delete(c.mapOfStep, next)
 	}
 	if slotToo {
 		c.start(r)
@@ -136,24 +136,24 @@
 	c.report(r)
 }
 
-func runChaos(t *rapid.T, ranks, crashes, losses int) {
+func runRandomFaults(t *rapid.T, ranks, crashes, losses int) {
 	g := newGroup(t, ranks)
 	g.boot()
 	g.addProposer("a")
 	g.addProposer("b")
-	c := &chaos{group: g, crashes: crashes, losses: losses}
+	c := &randomGroup{group: g, crashes: crashes, losses: losses}
 	t.Repeat(c.actions(t))
 	c.settle(5)
 	c.settleProposers()
 }
 
 // settleProposers fails the test if a proposer never learns how its proposal ended.
-func (c *chaos) settleProposers() {
+func (c *randomGroup) settleProposers() {
 	const rounds = 200
 	for range rounds {
 		c.round()
 	}
-	for _, name := range c.names {
+	for _, name := range c.proposerNames {
 		p := c.proposers[name]
 		if p.State() == StateCapping || p.State() == StateCertifying {
 			c.fail("proposer %s still is %s: proposal %+v acked %v switched %v", name, p.State(), p.proposal, p.acked, p.switched)
@@ -172,6 +172,6 @@
 }
 
 // As above, and engines are lost, alone or together with their slots.
-func TestRandomFaultsWithLostEngines(t *testing.T) {
+func TestRandomFaultsWithEngineRestarts(t *testing.T) {
 	checkSeeds(t, 3, 3, 2)
 }
--- a/internal/experts/expertmap/replay_test.go
+++ b/internal/experts/expertmap/replay_test.go
@@ -18,29 +18,29 @@
 	row bool
 	// lateOrders keeps the engines from carrying out orders, for the mutant that acknowledges before them.
 	lateOrders bool
-	base       Step
-	// lives holds, by rank, the incarnations that the specification numbers from 0.
-	lives     [][]Incarnation
-	proposals [2]Proposal
+	firstStep  Step
+	// incarnations holds, by rank, the incarnations that the specification numbers from 0.
+	incarnations [][]Incarnation
+	proposals    [2]Proposal
 }
 
 func newReplay(t *testing.T) *replay {
 	r := &replay{group: newGroup(t, 3)}
 	r.boot()
 	for _, e := range r.engines {
-		r.base = max(r.base, e.Next)
+		r.firstStep = max(r.firstStep, e.Next)
 	}
 	for i, e := range r.engines {
-		for e.Next < r.base {
+		for e.Next < r.firstStep {
 			r.step(i)
 		}
-		r.lives = append(r.lives, []Incarnation{r.slots[i].Incarnation()})
+		r.incarnations = append(r.incarnations, []Incarnation{r.slots[i].Incarnation()})
 	}
 	r.net = nil
 	return r
 }
 
-func (r *replay) line(text string) {
+func (r *replay) apply(text string) {
 	name, rest, _ := strings.Cut(text, " ")
 	var args []int
 	for _, f := range strings.Fields(rest) {
@@ -50,7 +50,7 @@
 		}
 		args = append(args, n)
 	}
-	r.note("> %s", text)
+	r.tracef("> %s", text)
 	switch name {
 	case "row":
 		r.row = true
@@ -67,19 +67,19 @@
 	case "refuse":
 		r.refuse(args[0], args[1])
 	case "refusedone", "resolve":
-		r.ask(args[0], args[1])
+		r.requestCap(args[0], args[1])
 	case "certificate":
-		r.facts(args[0], isAck)
+		r.deliverAll(args[0], isAck)
 	case "switched", "recovered":
-		r.carryOut(args[0])
+		r.executeOrders(args[0])
 	case "committed":
 		r.committed(args[0])
 	case "abort":
-		r.facts(args[0], isAbort)
-		r.carryOut(args[0])
+		r.deliverAll(args[0], isAbort)
+		r.executeOrders(args[0])
 	case "crash":
 		r.start(args[0])
-		r.lives[args[0]] = append(r.lives[args[0]], r.slots[args[0]].Incarnation())
+		r.incarnations[args[0]] = append(r.incarnations[args[0]], r.slots[args[0]].Incarnation())
 	case "answer":
 		r.answer(args[0], args[1])
 	default:
@@ -89,31 +89,31 @@
 
 func (r *replay) proposal(p int, lives []int) {
 	prop := Proposal{
-		Ballot: Ballot{2, uint64(p) + 1, 1}, From: MapID{1, "first"}, To: MapID{2, fmt.Sprint("of-", p)}, Start: r.base + 1,
+		Ballot: Ballot{2, uint64(p) + 1, 1}, From: MapID{1, "first"}, To: MapID{2, fmt.Sprint("of-", p)}, Start: r.firstStep + 1,
 	}
 	if r.row && p == 1 {
-		prop.From, prop.To, prop.Start = MapID{2, "of-0"}, MapID{3, "of-1"}, r.base+2
+		prop.From, prop.To, prop.Start = MapID{2, "of-0"}, MapID{3, "of-1"}, r.firstStep+2
 	}
 	for rank, n := range lives {
-		prop.Roster = append(prop.Roster, r.lives[rank][n])
+		prop.Roster = append(prop.Roster, r.incarnations[rank][n])
 	}
 	r.proposals[p] = prop
 }
 
-// carryOut lets an engine carry out every order and report.
-func (r *replay) carryOut(i int) {
+// executeOrders lets an engine carry out every order and report.
+func (r *replay) executeOrders(i int) {
 	for len(r.orders[i]) > 0 {
-		r.obey(i)
+		r.executeOrder(i)
 	}
 }
 
 func (r *replay) stage(i int, m MapID) {
 	request := StageRequest{Ballot: Ballot{Fence: 2}, Map: m}
 	r.slotEffects(i, r.slots[i].Receive(r.now, Addr{Proposer: "a"}, request))
-	r.carryOut(i)
+	r.executeOrders(i)
 }
 
-func (r *replay) ask(i, p int) {
+func (r *replay) requestCap(i, p int) {
 	from := Addr{Rank: Rank((i + 1) % r.ranks)}
 	r.slotEffects(i, r.slots[i].Receive(r.now, from, CapRequest{r.proposals[p]}))
 }
@@ -122,7 +122,7 @@
 func (r *replay) cap(i, p int) {
 	r.report(i)
 	r.stage(i, r.proposals[p].To)
-	r.ask(i, p)
+	r.requestCap(i, p)
 	if r.lateOrders {
 		return
 	}
@@ -135,11 +135,11 @@
 // refuse makes the slot refuse at will: it has staged something else.
 func (r *replay) refuse(i, p int) {
 	r.stage(i, MapID{r.proposals[p].To.Version, "other"})
-	r.ask(i, p)
+	r.requestCap(i, p)
 }
 
-// facts delivers every message of a kind to a slot, whoever it was sent to: in the specification all can read all.
-func (r *replay) facts(i int, wanted func(Message) bool) {
+// deliverAll delivers every message of a kind to a slot, whoever it was sent to: in the specification all can read all.
+func (r *replay) deliverAll(i int, wanted func(Message) bool) {
 	for _, e := range r.net {
 		if wanted(e.msg) {
 			r.slotEffects(i, r.slots[i].Receive(r.now, e.from, e.msg))
@@ -163,17 +163,17 @@
 	for p := range r.proposals {
 		for k := range r.ranks {
 			if k != i && r.slots[i].holds(r.proposals[p].Ballot) {
-				r.ask(k, p)
+				r.requestCap(k, p)
 			}
 		}
 	}
-	r.facts(i, isCommitted)
+	r.deliverAll(i, isCommitted)
 }
 
 func (r *replay) answer(k, i int) {
 	asker := r.slots[i].Incarnation()
 	r.slotEffects(k, r.slots[k].Receive(r.now, Addr{Rank: Rank(i)}, Recover{Rank(i), asker}))
-	r.facts(i, func(m Message) bool {
+	r.deliverAll(i, func(m Message) bool {
 		a, ok := m.(Answer)
 		return ok && a.Asker == asker && a.Rank == Rank(k)
 	})
@@ -182,7 +182,7 @@
 // Each mutant of the specification lacks one safeguard, and Spin found how a step then runs under two maps or the
 // group waits for ever. The real code goes through the same events: no step may run under two maps, the first to
 // switch must have the certificate, and the group must run on in the end.
-func TestCounterexamplesOfTheSpecification(t *testing.T) {
+func TestSpecificationCounterexamples(t *testing.T) {
 	var plan struct {
 		Runs []struct{ Name, Mutant string } `yaml:"runs"`
 	}
@@ -205,7 +205,7 @@
 			r := newReplay(t)
 			r.lateOrders = run.Name == "ack-first"
 			for line := range strings.Lines(string(trace)) {
-				r.line(strings.TrimSpace(line))
+				r.apply(strings.TrimSpace(line))
 			}
 			for p := range r.proposals {
 				for i := range r.ranks {
--- a/internal/experts/expertmap/slot.go
+++ b/internal/experts/expertmap/slot.go
@@ -26,16 +26,16 @@
 type SlotTiming struct {
 	// Retry is the time after which a question that was not answered, or a failed load of weights, is repeated.
 	Retry time.Duration `yaml:"retry"`
-	// Patience is how long a capped slot waits for the proposer before it asks its peers itself, and how often it
+	// PeerTimeout is how long a capped slot waits for the proposer before it asks its peers itself, and how often it
 	// asks. Once its engine has run up to the limit, which holds the whole group, it asks without waiting.
-	Patience time.Duration `yaml:"patience"`
+	PeerTimeout time.Duration `yaml:"patience"`
 	// Stagger delays the first question by this much for each rank, so that seldom many slots ask all others.
 	Stagger time.Duration `yaml:"stagger"`
 }
 
 // DefaultSlotTiming suits steps of a few milliseconds and round trips below ten.
 func DefaultSlotTiming() SlotTiming {
-	return SlotTiming{Retry: 50 * time.Millisecond, Patience: 100 * time.Millisecond, Stagger: 5 * time.Millisecond}
+	return SlotTiming{Retry: 50 * time.Millisecond, PeerTimeout: 100 * time.Millisecond, Stagger: 5 * time.Millisecond}
 }
 
 // SlotConfig says whose slot it is.
@@ -60,16 +60,16 @@
 	// orders numbers the orders; the engine is busy until its report bears the last number.
 	orders uint64
 	// staging is the map that is or was last staged, and stager who wants to know.
-	staging MapID
-	stager  Addr
-	request StageRequest
-	held    *Proposal
-	// askers want the acknowledgement of held.
-	askers []Addr
+	staging        MapID
+	stageRequester Addr
+	stageRequest   StageRequest
+	held           *Proposal
+	// requesters want the acknowledgement of held.
+	requesters []Addr
 	// atLimit says that the engine has run up to held's first step.
 	atLimit bool
-	// yielded says that the slot has once left the question about held to a peer that asked first.
-	yielded bool
+	// deferred says that the slot has once left the question about held to a peer that asked first.
+	deferred bool
 	// acks holds, by rank, who acknowledged held, as far as this slot was told.
 	acks []bool
 	// floor is the highest ballot that was refused or held: what is not above it is never capped again.
@@ -78,32 +78,32 @@
 	// retryAt is when the present state repeats itself.
 	retryAt time.Time
 	since   time.Time
-	history history
+	history slotHistory
 }
 
 // NewSlot returns a slot that has forgotten everything, if it ever knew anything.
 func NewSlot(cfg SlotConfig) *Slot {
 	s := &Slot{cfg: cfg, machine: slotChart.Start()}
-	s.forget(cfg.Incarnation)
+	s.reset(cfg.Incarnation)
 	return s
 }
 
-// forget begins a life: nothing that an earlier one promised or learned is carried over.
-func (s *Slot) forget(inc Incarnation) {
+// reset begins a life: nothing that an earlier one promised or learned is carried over.
+func (s *Slot) reset(inc Incarnation) {
 	s.inc = inc
 	s.known = make([]Incarnation, s.cfg.Ranks)
 	s.known[s.cfg.Rank] = inc
 	s.answers = make([]*Answer, s.cfg.Ranks)
-	s.staging, s.stager, s.request = MapID{}, Addr{}, StageRequest{}
-	s.release()
+	s.staging, s.stageRequester, s.stageRequest = MapID{}, Addr{}, StageRequest{}
+	s.dropProposal()
 	s.floor = Ballot{}
 	s.fence = 0
 }
 
-func (s *Slot) release() {
+func (s *Slot) dropProposal() {
 	s.held = nil
-	s.askers = nil
-	s.atLimit, s.yielded = false, false
+	s.requesters = nil
+	s.atLimit, s.deferred = false, false
 	s.acks = nil
 }
 
@@ -138,38 +138,38 @@
 	return nil
 }
 
-// Engine takes in the engine's state. Whoever carries out the orders must see to it that each is answered by a
+// ReceiveReport takes in the engine's state. Whoever carries out the orders must see to it that each is answered by a
 // report that bears its number, however long the engine takes, and that the first report of a life is read when no
 // order of an earlier life can take effect any more.
-func (s *Slot) Engine(now time.Time, r EngineReport) []Effect {
+func (s *Slot) ReceiveReport(now time.Time, r EngineReport) []Effect {
 	last := s.engine
 	s.engine = r
 	if s.State() == StateStarting {
 		return s.fire(now, "engine-seen")
 	}
-	if lost(last, r) {
+	if engineRestarted(last, r) {
 		return s.fire(now, "engine-lost")
 	}
 	switch s.State() {
 	case StateAdopting:
 		return s.adopt(now)
 	case StateStaging:
-		return s.onStaged(now)
+		return s.onStagingReport(now)
 	case StateLimiting:
-		return s.onLimited(now)
+		return s.onLimitReport(now)
 	case StateCapped:
-		return s.onWaiting(now)
+		return s.onCappedReport(now)
 	case StateSwitching:
-		return s.onSwitched(now)
+		return s.onSwitchReport(now)
 	case StateRunning, StateStaged:
 		return s.reconcile()
 	}
 	return nil
 }
 
-// lost reports whether the engine has restarted with nothing. What the slot promised for its rank is then void, so
+// engineRestarted reports whether the engine has restarted with nothing. What the slot promised for its rank is then void, so
 // the slot begins a new life as well; otherwise its old acknowledgement would count for a rank without a limit.
-func lost(last, now EngineReport) bool {
+func engineRestarted(last, now EngineReport) bool {
 	return !last.Map.IsZero() && now.Map.IsZero() || now.Next < last.Next
 }
 
@@ -189,11 +189,11 @@
 	s.retryAt = now.Add(s.cfg.Timing.Retry)
 	switch s.State() {
 	case StateRecovering:
-		return s.ask()
+		return s.sendRecover()
 	case StateAdopting, StateStaging:
 		return s.restage(now)
 	case StateCapped:
-		return s.askPeers(now)
+		return s.sendCapToPeers(now)
 	}
 	return nil
 }
@@ -207,7 +207,7 @@
 	}
 	if s.State() != before {
 		s.since = now
-		s.history.add(Entry{now, s.State(), ev, s.engine.Map, s.engine.Start, s.ballot()})
+		s.history.add(HistoryEntry{now, s.State(), ev, s.engine.Map, s.engine.Start, s.ballot()})
 	}
 	var effects []Effect
 	for _, a := range actions {
@@ -227,10 +227,10 @@
 	s.retryAt = now.Add(s.cfg.Timing.Retry)
 	switch a {
 	case "new-life":
-		s.forget(s.inc + 1)
+		s.reset(s.inc + 1)
 		return nil
 	case "ask-peers":
-		return s.begin(now)
+		return s.startRecovery(now)
 	case "adopt":
 		return s.adopt(now)
 	case "lift":
@@ -246,7 +246,7 @@
 	case "order-switch":
 		return []Effect{s.order(OrderSwitch, s.held.Start, s.held.To)}
 	case "tell-switched":
-		return s.tellSwitched()
+		return s.notifySwitched()
 	}
 	return []Effect{Alarm{&ActionError{a}}}
 }
@@ -262,7 +262,7 @@
 	if s.held != nil {
 		step = s.held.Start
 	}
-	s.release()
+	s.dropProposal()
 	if step == NoLimit {
 		return nil
 	}
@@ -280,7 +280,7 @@
 	return peers
 }
 
-func (s *Slot) toPeers(m Message) []Effect {
+func (s *Slot) sendToPeers(m Message) []Effect {
 	var effects []Effect
 	for _, p := range s.peers() {
 		effects = append(effects, Send{p, m})
--- a/internal/experts/expertmap/slot_recover.go
+++ b/internal/experts/expertmap/slot_recover.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// begin starts the questions of a new life.
-func (s *Slot) begin(now time.Time) []Effect {
+// startRecovery starts the questions of a new life.
+func (s *Slot) startRecovery(now time.Time) []Effect {
 	s.retryAt = now.Add(s.cfg.Timing.Retry)
 	if s.cfg.Ranks == 1 {
 		return s.fire(now, "heard-all")
 	}
-	return s.ask()
+	return s.sendRecover()
 }
 
-// ask repeats the question to the peers that have not answered.
-func (s *Slot) ask() []Effect {
+// sendRecover repeats the question to the peers that have not answered.
+func (s *Slot) sendRecover() []Effect {
 	var effects []Effect
 	for _, p := range s.peers() {
 		if s.answers[p.Rank] == nil {
@@ -50,8 +50,8 @@
 	if s.State() != StateRecovering || m.Known <= s.inc {
 		return nil
 	}
-	s.forget(m.Known + 1)
-	return s.begin(now)
+	s.reset(m.Known + 1)
+	return s.startRecovery(now)
 }
 
 func (s *Slot) onAnswer(now time.Time, m Answer) []Effect {
@@ -92,7 +92,7 @@
 		return nil
 	}
 	if !s.engine.Map.IsZero() && s.engine.Next > start {
-		return []Effect{Alarm{&PassedError{Rank: s.cfg.Rank, Next: s.engine.Next, Start: start, Map: m}}}
+		return []Effect{Alarm{&StepPassedError{Rank: s.cfg.Rank, Next: s.engine.Next, Start: start, Map: m}}}
 	}
 	if s.engine.Staged == m {
 		return []Effect{s.order(OrderSwitch, start, m)}
@@ -107,13 +107,13 @@
 // busy reports whether an order to the engine is not answered yet.
 func (s *Slot) busy() bool { return s.engine.Order < s.orders }
 
-// restagePause is the time between two orders to load the same weights, in units of SlotTiming.Retry.
-const restagePause = 20
+// restageFactor is the time between two orders to load the same weights, in units of SlotTiming.Retry.
+const restageFactor = 20
 
 // restage orders the weights again: they could not be loaded, or the engine restarted while it loaded them. An engine
 // that is loading them goes on.
 func (s *Slot) restage(now time.Time) []Effect {
-	s.retryAt = now.Add(restagePause * s.cfg.Timing.Retry)
+	s.retryAt = now.Add(restageFactor * s.cfg.Timing.Retry)
 	if s.busy() || s.engine.Staged == s.staging {
 		return nil
 	}
--- a/internal/experts/expertmap/slot_test.go
+++ b/internal/experts/expertmap/slot_test.go
@@ -29,7 +29,7 @@
 
 // Callers see nothing: the group goes on under its old map. One rank cannot load the new map's weights, so the
 // proposer gives the map up before anything was capped.
-func TestWeightsThatCannotBeLoadedEndTheSwitchBeforeItBegins(t *testing.T) {
+func TestLoadFailureEndsSwitchBeforeAnyCap(t *testing.T) {
 	g := newGroup(t, 3)
 	g.boot()
 	g.engines[1].CannotLoad = true
@@ -50,11 +50,11 @@
 // Without the rule a step runs under two maps: map 2 is to start at step 55, a second proposer caps step 6 for map 3,
 // and the engines, which remember one map before their newest, run steps 3 to 5 under map 2. Found by
 // TestRandomFaultsOfThreeRanks with seed 23467980.
-func TestASlotCapsNothingWhileItsLastSwitchLiesAhead(t *testing.T) {
+func TestSlotRefusesCapBeforeItsMapIsInForce(t *testing.T) {
 	g := newGroup(t, 3)
 	g.boot()
 	for _, e := range g.engines {
-		e.prev, e.Map, e.Start = e.Map, MapID{2, "ahead"}, e.Next+50
+		e.previous, e.Map, e.Start = e.Map, MapID{2, "ahead"}, e.Next+50
 	}
 	for r := range g.ranks {
 		g.start(r)
@@ -75,8 +75,8 @@
 	g.settle(60)
 }
 
-// capped brings a booted group to the point where every rank has capped map 2, and returns the proposal.
-func capped(t *testing.T, g *group) Proposal {
+// capAllRanks brings a booted group to the point where every rank has capped map 2, and returns the proposal.
+func capAllRanks(t *testing.T, g *group) Proposal {
 	t.Helper()
 	p := Proposal{Ballot: Ballot{2, 7, 1}, From: MapID{1, "first"}, To: MapID{2, "next"}, Start: g.engines[0].Next + 2}
 	for _, s := range g.slots {
@@ -88,7 +88,7 @@
 		for _, m := range []Message{StageRequest{Ballot: p.Ballot, Map: p.To}, CapRequest{p}} {
 			g.slotEffects(r, s.Receive(g.now, from, m))
 			for len(g.orders[r]) > 0 {
-				g.obey(r)
+				g.executeOrder(r)
 			}
 		}
 		if s.State() != StateCapped {
@@ -102,10 +102,10 @@
 // A rank would go on under the old map alone: rank 0 has the certificate, its engine has switched but the slot has not
 // heard so yet. The slot of rank 1 restarts and asks. "Not switched" would let it abort, so rank 0 must not answer
 // before its engine does.
-func TestASlotThatSwitchesAnswersNobodyBeforeItsEngine(t *testing.T) {
+func TestSwitchingSlotDoesNotAnswerRecover(t *testing.T) {
 	g := newGroup(t, 3)
 	g.boot()
-	p := capped(t, g)
+	p := capAllRanks(t, g)
 	g.slotEffects(0, g.slots[0].Receive(g.now, Addr{Proposer: "a"}, Certificate{p.Ballot, p.Roster}))
 	g.engines[0].Obey(g.orders[0][0])
 	g.orders[0] = nil
@@ -123,10 +123,10 @@
 
 // A rank would pass the first step of the new map without its limit: the engine restarts with nothing while its slot
 // lives on, and the slot's acknowledgement still counts. So the slot begins a new life, and the proposal is aborted.
-func TestASlotWhoseEngineRestartsTakesBackItsWord(t *testing.T) {
+func TestEngineRestartVoidsAcknowledgement(t *testing.T) {
 	g := newGroup(t, 3)
 	g.boot()
-	p := capped(t, g)
+	p := capAllRanks(t, g)
 	was := g.slots[2].Incarnation()
 	fresh := newEngine(g.engines[2].Next)
 	fresh.Order = g.engines[2].Order
@@ -145,12 +145,12 @@
 
 // The group would wait for ever: a slot restarts on a host whose clock stands behind, so its incarnation is smaller
 // than the last one, and peers take its question for a late copy. They tell it, and it takes a larger number.
-func TestARestartWithAClockBehind(t *testing.T) {
+func TestSlotRestartWithClockBehind(t *testing.T) {
 	g := newGroup(t, 3)
 	g.boot()
-	p := capped(t, g)
+	p := capAllRanks(t, g)
 	known := g.slots[1].Incarnation()
-	g.fresh = 0
+	g.lastIncarnation = 0
 	g.start(1)
 	if g.slots[1].Incarnation() >= known {
 		t.Fatal("the clock is not behind")
--- a/internal/experts/expertmap/slot_vote.go
+++ b/internal/experts/expertmap/slot_vote.go
@@ -7,7 +7,7 @@
 
 // onStage answers with the rank's state, and loads the weights of the map if they are not there yet.
 func (s *Slot) onStage(now time.Time, from Addr, m StageRequest) []Effect {
-	if !s.votes() {
+	if !s.mayVote() {
 		return nil
 	}
 	if m.Ballot.Fence < s.fence {
@@ -27,7 +27,7 @@
 	if s.engine.Staged == m.Map && s.State() == StateStaged {
 		return s.stageReply(from, m, true, ReasonNone)
 	}
-	s.stager, s.request = from, m
+	s.stageRequester, s.stageRequest = from, m
 	if s.State() == StateStaging && s.staging == m.Map {
 		return s.stageReply(from, m, false, ReasonNone)
 	}
@@ -42,22 +42,22 @@
 	}}}
 }
 
-func (s *Slot) onStaged(now time.Time) []Effect {
+func (s *Slot) onStagingReport(now time.Time) []Effect {
 	if s.busy() {
 		return nil
 	}
 	if s.engine.Staged == s.staging {
-		return append(s.fire(now, "weights-ready"), s.stageReply(s.stager, s.request, true, ReasonNone)...)
+		return append(s.fire(now, "weights-ready"), s.stageReply(s.stageRequester, s.stageRequest, true, ReasonNone)...)
 	}
 	if s.engine.Failed == s.staging {
-		return append(s.fire(now, "weights-failed"), s.stageReply(s.stager, s.request, false, ReasonWeights)...)
+		return append(s.fire(now, "weights-failed"), s.stageReply(s.stageRequester, s.stageRequest, false, ReasonWeights)...)
 	}
 	return nil
 }
 
-// votes reports whether the slot may take part in proposals. One that recovers may not: its older incarnation may
+// mayVote reports whether the slot may take part in proposals. One that recovers may not: its older incarnation may
 // have acknowledged, and a refusal now would abort what others have already switched to.
-func (s *Slot) votes() bool {
+func (s *Slot) mayVote() bool {
 	switch s.State() {
 	case StateStarting, StateRecovering, StateAdopting:
 		return false
@@ -65,20 +65,20 @@
 	return true
 }
 
-// committed reports whether the rank's engine has switched by the proposal.
-func (s *Slot) committed(p Proposal) bool {
+// hasSwitched reports whether the rank's engine has switched by the proposal.
+func (s *Slot) hasSwitched(p Proposal) bool {
 	return s.engine.Map == p.To && s.engine.Start == p.Start
 }
 
 // onCap caps, refuses, or tells how the proposal ended.
 func (s *Slot) onCap(now time.Time, from Addr, p Proposal) []Effect {
-	if !s.votes() || len(p.Roster) != s.cfg.Ranks || p.To.Version < s.engine.Map.Version {
+	if !s.mayVote() || len(p.Roster) != s.cfg.Ranks || p.To.Version < s.engine.Map.Version {
 		return nil
 	}
 	if s.held != nil && s.held.Ballot == p.Ballot {
-		return s.again(now, from)
+		return s.onHeldCap(now, from)
 	}
-	if s.committed(p) {
+	if s.hasSwitched(p) {
 		return []Effect{s.outcome(from, p.Ballot, true)}
 	}
 	named := p.Roster[s.cfg.Rank]
@@ -91,52 +91,52 @@
 		// for a vote that never comes.
 		return []Effect{s.outcome(from, p.Ballot, false)}
 	}
-	if reason := s.objection(p); reason != ReasonNone {
-		s.raise(p.Ballot)
+	if reason := s.refusalReason(p); reason != ReasonNone {
+		s.raiseFloor(p.Ballot)
 		return []Effect{s.refusal(from, p.Ballot, reason)}
 	}
-	s.raise(p.Ballot)
+	s.raiseFloor(p.Ballot)
 	s.held = &p
-	s.askers = []Addr{from}
+	s.requesters = []Addr{from}
 	s.acks = make([]bool, s.cfg.Ranks)
 	return s.fire(now, "cap")
 }
 
-// again answers a further copy of the held proposal.
-func (s *Slot) again(now time.Time, from Addr) []Effect {
+// onHeldCap answers a further copy of the held proposal.
+func (s *Slot) onHeldCap(now time.Time, from Addr) []Effect {
 	switch s.State() {
 	case StateCapped:
-		s.yield(now, from)
+		s.deferToPeer(now, from)
 		return []Effect{Send{from, s.ack()}}
 	case StateLimiting:
-		if !slices.Contains(s.askers, from) {
-			s.askers = append(s.askers, from)
+		if !slices.Contains(s.requesters, from) {
+			s.requesters = append(s.requesters, from)
 		}
 	}
 	return nil
 }
 
-// yield leaves the question to a peer that asks already, once: if every rank of a large group asked every other, the
+// deferToPeer leaves the question to a peer that asks already, once: if every rank of a large group asked every other, the
 // answers would take longer than the question is worth. Only once, since the peer may not reach whom this slot does.
-func (s *Slot) yield(now time.Time, from Addr) {
-	if from.IsProposer() || s.yielded {
+func (s *Slot) deferToPeer(now time.Time, from Addr) {
+	if from.IsProposer() || s.deferred {
 		return
 	}
-	s.yielded = true
-	s.retryAt = now.Add(s.cfg.Timing.Patience)
+	s.deferred = true
+	s.retryAt = now.Add(s.cfg.Timing.PeerTimeout)
 }
 
-// raise makes the slot remember that it refused or held a ballot: a late copy must not be capped after a refusal,
+// raiseFloor makes the slot remember that it refused or held a ballot: a late copy must not be capped after a refusal,
 // since the refusal lets other ranks run on under the old map.
-func (s *Slot) raise(b Ballot) {
+func (s *Slot) raiseFloor(b Ballot) {
 	if b.Compare(s.floor) > 0 {
 		s.floor = b
 	}
 	s.fence = max(s.fence, b.Fence)
 }
 
-// objection returns why the slot must refuse the proposal, or ReasonNone.
-func (s *Slot) objection(p Proposal) Reason {
+// refusalReason returns why the slot must refuse the proposal, or ReasonNone.
+func (s *Slot) refusalReason(p Proposal) Reason {
 	switch {
 	case p.Ballot.Fence < s.fence:
 		return ReasonFenced
@@ -146,7 +146,7 @@
 		return ReasonBusy
 	case p.From != s.engine.Map:
 		return ReasonOtherMap
-	case !s.current(p):
+	case !s.rosterIsCurrent(p):
 		return ReasonRoster
 	case s.engine.Next < s.engine.Start || p.Start <= s.engine.Start && !p.From.IsZero():
 		// The engine remembers one map before its newest: a second switch ahead would make it run the steps
@@ -160,11 +160,11 @@
 	return ReasonNone
 }
 
-// current reports whether the roster names exactly the newest incarnations that the slot knows.
-func (s *Slot) current(p Proposal) bool { return slices.Equal(p.Roster, s.known) }
+// rosterIsCurrent reports whether the roster names exactly the newest incarnations that the slot knows.
+func (s *Slot) rosterIsCurrent(p Proposal) bool { return slices.Equal(p.Roster, s.known) }
 
-// onLimited acknowledges only what the engine has confirmed: it may have started the step meanwhile.
-func (s *Slot) onLimited(now time.Time) []Effect {
+// onLimitReport acknowledges only what the engine has confirmed: it may have started the step meanwhile.
+func (s *Slot) onLimitReport(now time.Time) []Effect {
 	if s.busy() {
 		return nil
 	}
@@ -180,10 +180,10 @@
 
 func (s *Slot) acknowledge(now time.Time) []Effect {
 	s.acks[s.cfg.Rank] = true
-	wait := s.cfg.Timing.Patience + time.Duration(s.cfg.Rank)*s.cfg.Timing.Stagger
+	wait := s.cfg.Timing.PeerTimeout + time.Duration(s.cfg.Rank)*s.cfg.Timing.Stagger
 	s.retryAt = now.Add(wait)
 	var effects []Effect
-	for _, a := range s.askers {
+	for _, a := range s.requesters {
 		effects = append(effects, Send{a, s.ack()})
 	}
 	return effects
@@ -191,10 +191,10 @@
 
 func (s *Slot) refuseHeld() []Effect {
 	var effects []Effect
-	for _, a := range s.askers {
+	for _, a := range s.requesters {
 		effects = append(effects, s.refusal(a, s.held.Ballot, ReasonPassed))
 	}
-	s.release()
+	s.dropProposal()
 	return effects
 }
 
@@ -208,9 +208,9 @@
 	return Send{to, Outcome{Ballot: b, Committed: committed, Rank: s.cfg.Rank, Incarnation: s.inc}}
 }
 
-// onWaiting hastens the question to the peers once the group stands still for want of the certificate.
-func (s *Slot) onWaiting(now time.Time) []Effect {
-	if s.atLimit || s.yielded || s.engine.Next < s.held.Start {
+// onCappedReport hastens the question to the peers once the group stands still for want of the certificate.
+func (s *Slot) onCappedReport(now time.Time) []Effect {
+	if s.atLimit || s.deferred || s.engine.Next < s.held.Start {
 		return nil
 	}
 	s.atLimit = true
@@ -221,11 +221,11 @@
 	return s.Tick(now)
 }
 
-// askPeers lets a capped slot finish without the proposer, which may be dead or paused: whoever can answer the cap
+// sendCapToPeers lets a capped slot finish without the proposer, which may be dead or paused: whoever can answer the cap
 // request does, and then either all acknowledgements are there or a refusal is.
-func (s *Slot) askPeers(now time.Time) []Effect {
-	s.retryAt = now.Add(s.cfg.Timing.Patience)
-	return s.toPeers(CapRequest{*s.held})
+func (s *Slot) sendCapToPeers(now time.Time) []Effect {
+	s.retryAt = now.Add(s.cfg.Timing.PeerTimeout)
+	return s.sendToPeers(CapRequest{*s.held})
 }
 
 func (s *Slot) holds(b Ballot) bool { return s.held != nil && s.held.Ballot == b }
@@ -244,7 +244,7 @@
 	if len(effects) == 0 {
 		return nil
 	}
-	return append(effects, s.toPeers(cert)...)
+	return append(effects, s.sendToPeers(cert)...)
 }
 
 func (s *Slot) inRoster(r Rank, inc Incarnation) bool {
@@ -257,7 +257,7 @@
 	if s.State() != StateCapped || !s.holds(m.Ballot) {
 		return nil
 	}
-	if !slices.Equal(m.Acks, s.held.Roster) || !s.current(*s.held) {
+	if !slices.Equal(m.Acks, s.held.Roster) || !s.rosterIsCurrent(*s.held) {
 		return nil
 	}
 	return s.fire(now, "certificate")
@@ -281,21 +281,21 @@
 	return s.fire(now, "aborted")
 }
 
-// onSwitched waits for the engine's word: an order can get lost with the slot, and a peer that was told of a switch
+// onSwitchReport waits for the engine's word: an order can get lost with the slot, and a peer that was told of a switch
 // that no engine made could run on under the new map alone.
-func (s *Slot) onSwitched(now time.Time) []Effect {
+func (s *Slot) onSwitchReport(now time.Time) []Effect {
 	if s.engine.Map != s.held.To {
 		return nil
 	}
 	return s.fire(now, "switch-confirmed")
 }
 
-func (s *Slot) tellSwitched() []Effect {
+func (s *Slot) notifySwitched() []Effect {
 	var effects []Effect
-	for _, a := range s.askers {
+	for _, a := range s.requesters {
 		effects = append(effects, s.outcome(a, s.held.Ballot, true))
 	}
-	s.release()
+	s.dropProposal()
 	s.staging = MapID{}
 	return effects
 }
--- a/internal/experts/lockstep/balance_test.go
+++ b/internal/experts/lockstep/balance_test.go
@@ -18,8 +18,8 @@
 	return demand
 }
 
-// inTurn deals the experts of one set to ranks in turn.
-func inTurn(experts, ranks int) lockstep.Placement {
+// roundRobin deals the experts of one set to ranks in turn.
+func roundRobin(experts, ranks int) lockstep.Placement {
 	p := lockstep.Placement{make([][]int, ranks)}
 	for e := range experts {
 		p[0][e%ranks] = append(p[0][e%ranks], e)
@@ -47,11 +47,11 @@
 			for i := range speed {
 				speed[i] = 1
 			}
-			room := lockstep.Room{Placements: c.places, Spare: 2}
-			p := inTurn(c.experts, c.ranks)
+			room := lockstep.RankLimits{Placements: c.places, Spare: 2}
+			p := roundRobin(c.experts, c.ranks)
 			for range c.switches {
 				next := lockstep.Balance(p, demand, speed, room, 0.001)
-				checkRoom(t, p, next, room, c.experts)
+				checkLimits(t, p, next, room, c.experts)
 				p = next
 			}
 			if got := lockstep.Skew(p, demand, speed); got > c.most {
@@ -61,8 +61,8 @@
 	}
 }
 
-// checkRoom fails if a placement loses an expert, holds one twice on a rank, or breaks the ranks' limits.
-func checkRoom(t *testing.T, from, to lockstep.Placement, room lockstep.Room, experts int) {
+// checkLimits fails if a placement loses an expert, holds one twice on a rank, or breaks the ranks' limits.
+func checkLimits(t *testing.T, from, to lockstep.Placement, room lockstep.RankLimits, experts int) {
 	t.Helper()
 	held := map[int]bool{}
 	for r, list := range to[0] {
@@ -98,11 +98,11 @@
 			for i := range speed {
 				speed[i] = 1
 			}
-			room := lockstep.Room{Placements: 3, Spare: 2}
+			room := lockstep.RankLimits{Placements: 3, Spare: 2}
 			if size.experts/size.ranks == 4 {
 				room.Placements = 5
 			}
-			p := inTurn(size.experts, size.ranks)
+			p := roundRobin(size.experts, size.ranks)
 			demand := [][]float64{popularity(rng, size.experts, 0.52)}
 			for b.Loop() {
 				lockstep.Balance(p, demand, speed, room, 0.01)
--- a/internal/experts/lockstep/controller.go
+++ b/internal/experts/lockstep/controller.go
@@ -54,8 +54,8 @@
 	Period, Half time.Duration
 	// Serials count the tasks of all controllers of this node.
 	Serials *Serials
-	// Share returns by how much the period is longer, as other groups are led beside this one; it may be nil.
-	Share func() int
+	// PeriodFactor returns by how much the period is longer, as other groups are led beside this one; it may be nil.
+	PeriodFactor func() int
 	// Sample is how many ranks' counts are read each time, SampleLocal the same where all can be read at no cost to the
 	// group.
 	Sample, SampleLocal int
@@ -86,9 +86,9 @@
 	switchedAt      uint64
 	fence           ids.Fence
 	unfinishedSince time.Time
-	open            bool
-	// answerTime is how long half of the ranks took to answer when all were asked last.
-	answerTime atomic.Int64
+	complete        bool
+	// responseTime is how long half of the ranks took to answer when all were asked last.
+	responseTime atomic.Int64
 }
 
 // NewController returns a controller that has seen nothing.
@@ -102,8 +102,8 @@
 	defer timer.Stop()
 	for {
 		began := time.Now()
-		wait := c.look(ctx)
-		timer.Reset(max(shortest, wait-time.Since(began)))
+		wait := c.check(ctx)
+		timer.Reset(max(minWait, wait-time.Since(began)))
 		select {
 		case <-ctx.Done():
 			return
@@ -113,78 +113,78 @@
 	}
 }
 
-// shortest is the least wait between two looks.
-const shortest = time.Millisecond
+// minWait is the least wait between two looks.
+const minWait = time.Millisecond
 
-// soon is the time to the next look when something is due before the period is over.
-const soon = 50 * time.Millisecond
+// shortInterval is the time to the next look when something is due before the period is over.
+const shortInterval = 50 * time.Millisecond
 
-// look reads the group and switches it if that earns its cost; it returns the time from its start to the next look.
-func (c *Controller) look(ctx context.Context) time.Duration {
+// check reads the group and switches it if that earns its cost; it returns the time from its start to the next look.
+func (c *Controller) check(ctx context.Context) time.Duration {
 	fence := c.o.Fence()
 	group := c.o.Group()
 	if fence == 0 || group == nil {
-		c.forget()
+		c.reset()
 		return c.o.Period
 	}
 	if fence != c.fence {
-		c.forget()
+		c.reset()
 		c.fence = fence
 	}
-	state := c.survey(ctx, group)
+	state := c.readGroup(ctx, group)
 	if state == nil {
-		return min(c.period(), 2*soon*time.Duration(c.period()/c.o.Period))
+		return min(c.period(), 2*shortInterval*time.Duration(c.period()/c.o.Period))
 	}
 	if c.o.Read != nil {
 		c.o.Read(state.upstreams, state.reports)
 	}
-	if newer := c.outdated(state); newer > 0 {
-		c.outdatedBy(newer)
+	if newer := c.newerFence(state); newer > 0 {
+		c.reportStaleFence(newer)
 		return c.period()
 	}
-	if c.cleanUp(ctx, state) {
-		return soon
+	if c.undoUnfinished(ctx, state) {
+		return shortInterval
 	}
-	if !c.learnPlacement(ctx, state) {
-		return 2 * soon
+	if !c.loadPlacement(ctx, state) {
+		return 2 * shortInterval
 	}
 	c.readCounts(ctx, state)
 	if c.demand.Value() == nil || c.countsDue(time.Now()) {
-		return 2 * soon
+		return 2 * shortInterval
 	}
 	if c.improve(ctx, state) {
-		return 2 * soon
+		return 2 * shortInterval
 	}
 	return c.period()
 }
 
-// formedLately is how long a group counts as one that has just formed: it has counted enough within some passes.
-const formedLately = 2 * time.Second
+// recentlyFormed is how long a group counts as one that has just formed: it has counted enough within some passes.
+const recentlyFormed = 2 * time.Second
 
 // countsDue reports whether a group that has just formed should be looked at again soon, as it has counted too little yet.
 //
 // A group that has just formed runs on its first map, with several times the mean's load at one rank, while the requests of
 // the outage are read. The next look is therefore soon.
 func (c *Controller) countsDue(now time.Time) bool {
-	return c.demand.Total() < c.o.Policy.MinCounts && now.Sub(c.formedAt) < formedLately
+	return c.demand.Total() < c.o.Policy.MinCounts && now.Sub(c.formedAt) < recentlyFormed
 }
 
 func (c *Controller) period() time.Duration {
-	if c.o.Share == nil {
+	if c.o.PeriodFactor == nil {
 		return c.o.Period
 	}
-	return c.o.Period * time.Duration(c.o.Share())
+	return c.o.Period * time.Duration(c.o.PeriodFactor())
 }
 
-func (c *Controller) forget() {
-	c.forgetPlacement()
+func (c *Controller) reset() {
+	c.resetPlacement()
 	c.unfinishedSince = time.Time{}
 }
 
-func (c *Controller) forgetPlacement() { c.placement = nil }
+func (c *Controller) resetPlacement() { c.placement = nil }
 
-// survey is the group as its ranks reported it, by rank.
-type survey struct {
+// snapshot is the group as its ranks reported it, by rank.
+type snapshot struct {
 	group     *Group
 	upstreams []*catalog.Upstream
 	reports   []Report
@@ -193,7 +193,7 @@
 }
 
 // startTimes are the starts of the ranks, by rank.
-func (s *survey) startTimes() []int64 {
+func (s *snapshot) startTimes() []int64 {
 	out := make([]int64, len(s.reports))
 	for rank, r := range s.reports {
 		out[rank] = r.StartedAtMS
@@ -201,10 +201,10 @@
 	return out
 }
 
-// survey reads all ranks; nil unless the group is whole and works.
-func (c *Controller) survey(ctx context.Context, g *Group) *survey {
+// readGroup reads all ranks; nil unless the group is whole and works.
+func (c *Controller) readGroup(ctx context.Context, g *Group) *snapshot {
 	reports := c.reports(ctx, g.Upstreams)
-	s := &survey{group: g}
+	s := &snapshot{group: g}
 	for i, r := range reports {
 		if r == nil || !r.Open || r.Group != g.Name || r.Rank < 0 || r.Rank >= r.Size {
 			continue
@@ -224,8 +224,8 @@
 	for _, u := range s.upstreams {
 		whole = whole && u != nil
 	}
-	if whole != c.open {
-		c.open = whole
+	if whole != c.complete {
+		c.complete = whole
 		_ = level.Info(c.o.Logger).Log("msg", "group", "whole", whole, "epoch", s.epoch, "ranks", len(s.upstreams), "pass", s.pass)
 	}
 	if !whole {
@@ -234,7 +234,7 @@
 	if lives := s.startTimes(); s.epoch != c.epoch || !slices.Equal(lives, c.startTimes) {
 		// What is in demand does not change because the group formed anew, and its first map knows nothing of it.
 		c.epoch, c.startTimes, c.formedAt = s.epoch, lives, time.Now()
-		c.forget()
+		c.reset()
 	}
 	return s
 }
@@ -258,39 +258,39 @@
 	wait.Wait()
 	slices.Sort(took)
 	if len(took) > 0 {
-		c.answerTime.Store(int64(took[(len(took)-1)/2]))
+		c.responseTime.Store(int64(took[(len(took)-1)/2]))
 	}
 	return out
 }
 
 // improve switches to a better placement if there is one. It reports whether the group should be looked at soon: an order
 // to hold it was sent more than once, and one that comes late would hold it again.
-func (c *Controller) improve(ctx context.Context, s *survey) bool {
+func (c *Controller) improve(ctx context.Context, s *snapshot) bool {
 	speed := make([]float64, len(s.reports))
 	running := 0
 	for r, report := range s.reports {
 		speed[r] = 1 / max(1, report.Pace)
 		running += report.Running
 	}
-	part := expertPart(s.group.Engine, float64(running)/float64(len(s.reports)))
+	part := expertShare(s.group.Engine, float64(running)/float64(len(s.reports)))
 	plan, before := Decide(c.o.Policy, c.placement, c.demand, speed, s.group.experts(), part)
 	if plan == nil {
 		_ = level.Debug(c.o.Logger).Log("msg", "map kept", "version", c.version, "skew", before)
 		return false
 	}
 	now := time.Now()
-	task := c.task(s)
+	task := c.newTask(s)
 	task.Placement = plan.Placement
 	task.CopyTime = plan.CopyTime(s.group.experts().CopyTime)
 	task.PrepareBy = now.Add(task.CopyTime + prepareSlack)
 	sw := NewSwitch(task)
-	sw.known = s.pass + c.lagPasses(s)
-	c.carryOut(ctx, s, sw, sw.Start(now))
+	sw.latestPass = s.pass + c.lagPasses(s)
+	c.runSwitch(ctx, s, sw, sw.Start(now))
 	_ = level.Info(c.o.Logger).Log("msg", "map switch", "version", task.Version, "epoch", task.Epoch, "end", sw.State(),
 		"switched", sw.Switched(), "pass", sw.Pass(), "before", plan.Before, "after", plan.After, "copies", plan.Copies,
 		"most_copies", plan.MaxCopies, "expert_part", part, "took", time.Since(now))
 	if !sw.Switched() {
-		c.forget()
+		c.reset()
 		return false
 	}
 	c.placement, c.version, c.switchedAt = plan.Placement, task.Version, sw.Pass()
--- a/internal/experts/lockstep/counts.go
+++ b/internal/experts/lockstep/counts.go
@@ -10,8 +10,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// counted reports whether counts are of the service's experts.
-func counted(counts Counts, x *catalog.Experts) bool {
+// validCounts reports whether counts are of the service's experts.
+func validCounts(counts Counts, x *catalog.Experts) bool {
 	if len(counts) != x.Sets {
 		return false
 	}
@@ -23,9 +23,9 @@
 	return true
 }
 
-// sample names the ranks whose counts are read now: many that cost the group nothing, and else a few of the others. The same few each
+// sampledRanks names the ranks whose counts are read now: many that cost the group nothing, and else a few of the others. The same few each
 // time, since two reads of one rank are needed to tell what it did between them.
-func (c *Controller) sample(s *survey) []int {
+func (c *Controller) sampledRanks(s *snapshot) []int {
 	var near, far []int
 	for r, u := range s.upstreams {
 		if c.o.RankClient.IsLocal(u) {
@@ -34,12 +34,12 @@
 			far = append(far, r)
 		}
 	}
-	near = spread(near, c.o.SampleLocal)
-	return append(near, spread(far, c.o.Sample-len(near))...)
+	near = evenlySpaced(near, c.o.SampleLocal)
+	return append(near, evenlySpaced(far, c.o.Sample-len(near))...)
 }
 
-// spread returns n of the ranks, evenly apart.
-func spread(ranks []int, n int) []int {
+// evenlySpaced returns n of the ranks, evenly apart.
+func evenlySpaced(ranks []int, n int) []int {
 	n = max(0, min(n, len(ranks)))
 	out := make([]int, 0, n)
 	for i := range n {
@@ -49,8 +49,8 @@
 }
 
 // readCounts reads the counts of the sampled ranks.
-func (c *Controller) readCounts(ctx context.Context, s *survey) {
-	ranks := c.sample(s)
+func (c *Controller) readCounts(ctx context.Context, s *snapshot) {
+	ranks := c.sampledRanks(s)
 	type read struct {
 		rank   int
 		since  Since
@@ -64,7 +64,7 @@
 			switch {
 			case err != nil:
 				_ = level.Debug(c.o.Logger).Log("msg", "no counts", "rank", rank, "err", err)
-			case !counted(counts, s.group.experts()):
+			case !validCounts(counts, s.group.experts()):
 				_ = level.Warn(c.o.Logger).Log("msg", "counts not taken", "reason", "they are not of the service's experts", "rank", rank)
 			default:
 				reads[i] = &read{rank, since, counts}
--- a/internal/experts/lockstep/demand.go
+++ b/internal/experts/lockstep/demand.go
@@ -12,25 +12,25 @@
 // from all ranks.
 type Demand struct {
 	half  time.Duration
-	last  map[int]sample
+	last  map[int]reading
 	value [][]float64
 	at    time.Time
 }
 
-type sample struct {
+type reading struct {
 	since  Since
 	counts Counts
 }
 
 // NewDemand returns an estimate that forgets half of what it knows in the given time.
 func NewDemand(half time.Duration) *Demand {
-	return &Demand{half: half, last: map[int]sample{}}
+	return &Demand{half: half, last: map[int]reading{}}
 }
 
 // Observe takes in one rank's counts.
 func (d *Demand) Observe(now time.Time, rank int, since Since, counts Counts) {
 	old, known := d.last[rank]
-	d.last[rank] = sample{since, counts}
+	d.last[rank] = reading{since, counts}
 	if !known || old.since != since || !sameShape(old.counts, counts) {
 		return
 	}
--- a/internal/experts/lockstep/formed_test.go
+++ b/internal/experts/lockstep/formed_test.go
@@ -10,26 +10,26 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// slowToCount is a site whose ranks have counted next to nothing before some time.
-type slowToCount struct {
-	*site
+// delayedCounts is a site whose ranks have counted next to nothing before some time.
+type delayedCounts struct {
+	*testService
 	from time.Time
 }
 
-func (s *slowToCount) Counts(ctx context.Context, u *catalog.Upstream, sets int) (lockstep.Since, lockstep.Counts, error) {
+func (s *delayedCounts) Counts(ctx context.Context, u *catalog.Upstream, sets int) (lockstep.Since, lockstep.Counts, error) {
 	if time.Now().Before(s.from) {
 		return lockstep.Since{Epoch: s.groups["a"].epoch}, lockstep.Counts{{1, 1, 1, 1}}, nil
 	}
-	return s.site.Counts(ctx, u, sets)
+	return s.testService.Counts(ctx, u, sets)
 }
 
 // A group has just formed. It runs on its first map, which knows nothing of the demand, and callers who waited for it are
 // late for as long as it does. The leader's second look finds too few counts, and the next one must not be a period away.
-func TestAGroupThatHasJustFormedIsSwitchedSoon(t *testing.T) {
+func TestNewlyFormedGroupIsSwitchedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, list := newSite([]string{"a"}, 2)
+		s, list := newTestService([]string{"a"}, 2)
 		began := time.Now()
-		ranks := &slowToCount{site: s, from: began.Add(130 * time.Millisecond)}
+		ranks := &delayedCounts{testService: s, from: began.Add(130 * time.Millisecond)}
 		cancel := startController(t, ranks, list, 100)
 		switched := func() bool {
 			s.mu.Lock()
--- a/internal/experts/lockstep/latehold_test.go
+++ b/internal/experts/lockstep/latehold_test.go
@@ -10,28 +10,28 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// lateHold is a site where the first order to hold a group is carried out only after the group was released.
-type lateHold struct {
-	*site
+// delayedHold is a site where the first order to hold a group is carried out only after the group was released.
+type delayedHold struct {
+	*testService
 	first *lockstep.Order
 	at    *catalog.Upstream
 	done  bool
 }
 
-func (l *lateHold) Order(ctx context.Context, up *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
-	if o.Op == lockstep.OpHold && l.keep(up, o) {
+func (l *delayedHold) Order(ctx context.Context, up *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
+	if o.Op == lockstep.OpHold && l.delayFirst(up, o) {
 		time.Sleep(lostAfter)
 		return lockstep.ReplyLost, errUnknown
 	}
-	reply, err := l.site.Order(ctx, up, o)
-	if o.Op == lockstep.OpRelease && l.take() {
-		_, _ = l.site.Order(ctx, l.at, *l.first)
+	reply, err := l.testService.Order(ctx, up, o)
+	if o.Op == lockstep.OpRelease && l.deliverOnce() {
+		_, _ = l.testService.Order(ctx, l.at, *l.first)
 	}
 	return reply, err
 }
 
-// keep keeps the first order back; take reports once that it is to be carried out.
-func (l *lateHold) keep(up *catalog.Upstream, o lockstep.Order) bool {
+// delayFirst keeps the first order back; take reports once that it is to be carried out.
+func (l *delayedHold) delayFirst(up *catalog.Upstream, o lockstep.Order) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.first != nil {
@@ -41,7 +41,7 @@
 	return true
 }
 
-func (l *lateHold) take() bool {
+func (l *delayedHold) deliverOnce() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := !l.done
@@ -52,10 +52,10 @@
 // All streams of a group stand still until their callers leave, and no line tells why. An order to hold the group got no
 // answer and was sent again; the ranks were armed and the group released; then the first order arrived, before the pass had
 // begun, and held the group once more. Its leader takes its own switch for complete.
-func TestAHoldThatComesAfterTheReleaseIsUndone(t *testing.T) {
+func TestLateHoldAfterReleaseIsUndone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, list := newSite([]string{"a"}, 2)
-		l := &lateHold{site: s}
+		s, list := newTestService([]string{"a"}, 2)
+		l := &delayedHold{testService: s}
 		cancel := startController(t, l, list, 1)
 		g, held := s.groups["a"], 0
 		for ms := range 6000 {
--- a/internal/experts/lockstep/learn.go
+++ b/internal/experts/lockstep/learn.go
@@ -9,8 +9,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// learnPlacement reads the map in use unless it is known; false if it cannot be read now.
-func (c *Controller) learnPlacement(ctx context.Context, s *survey) bool {
+// loadPlacement reads the map in use unless it is known; false if it cannot be read now.
+func (c *Controller) loadPlacement(ctx context.Context, s *snapshot) bool {
 	version := s.reports[0].Version
 	for _, r := range s.reports {
 		if r.Version != version {
@@ -42,7 +42,7 @@
 		if h == nil || h.Epoch != s.epoch || h.Version != version {
 			return false
 		}
-		if !fits(h.Experts, s.group.experts()) {
+		if !validExperts(h.Experts, s.group.experts()) {
 			_ = level.Warn(c.o.Logger).Log("msg", "map not read", "reason", "a rank holds experts that its service does not have",
 				"rank", r, "version", version)
 			return false
@@ -55,9 +55,9 @@
 	return true
 }
 
-// fits reports whether a rank's experts, by set, are among those of its service. The configuration may be older than the
+// validExperts reports whether a rank's experts, by set, are among those of its service. The configuration may be older than the
 // rank, or wrong.
-func fits(held [][]int, x *catalog.Experts) bool {
+func validExperts(held [][]int, x *catalog.Experts) bool {
 	if len(held) != x.Sets {
 		return false
 	}
--- a/internal/experts/lockstep/policy.go
+++ b/internal/experts/lockstep/policy.go
@@ -25,15 +25,15 @@
 // copyPrice is the skew of one set that a copy of an expert must save: what a set saves counts for its part of all sets, and the
 // more ranks go faster for it, and the more of a pass is the experts', the more it is worth.
 func (o Options) copyPrice(copyTime time.Duration, sets, ranks int, part float64) float64 {
-	return o.CopyPrice * copyTime.Seconds() * float64(sets) / (float64(max(1, ranks)) * max(minPart, part))
+	return o.CopyPrice * copyTime.Seconds() * float64(sets) / (float64(max(1, ranks)) * max(minShare, part))
 }
 
-// minPart stands for the part of a group that has hardly any work.
-const minPart = 0.05
+// minShare stands for the part of a group that has hardly any work.
+const minShare = 0.05
 
-// expertPart is the part of a usual pass that experts' work takes, by the engine's published model, with so many requests that
+// expertShare is the part of a usual pass that experts' work takes, by the engine's published model, with so many requests that
 // write at each rank.
-func expertPart(e *catalog.Engine, running float64) float64 {
+func expertShare(e *catalog.Engine, running float64) float64 {
 	work := running * e.StepPerRequest.Seconds()
 	if all := e.StepBase.Seconds() + work; all > 0 {
 		return e.Experts.Share * work / all
@@ -58,7 +58,7 @@
 		return nil, 0
 	}
 	before = Skew(from, demand, speed)
-	room := Room{Placements: x.Placements, Spare: x.Spare}
+	room := RankLimits{Placements: x.Placements, Spare: x.Spare}
 	to := Balance(from, demand, speed, room, o.copyPrice(x.CopyTime, len(from), len(speed), part))
 	after := Skew(to, demand, speed)
 	if before-after < o.MinGain {
--- a/internal/experts/lockstep/resend_test.go
+++ b/internal/experts/lockstep/resend_test.go
@@ -18,21 +18,21 @@
 	lostAfter = 150 * time.Millisecond
 )
 
-// unlucky is a site where one rank reports late, and another loses its first orders to arm.
-type unlucky struct {
-	*site
+// faultyRanks is a site where one rank reports late, and another loses its first orders to arm.
+type faultyRanks struct {
+	*testService
 	late, losing ids.Upstream
 	toLose       int
 }
 
-func (u *unlucky) Report(ctx context.Context, up *catalog.Upstream) (lockstep.Report, error) {
+func (u *faultyRanks) Report(ctx context.Context, up *catalog.Upstream) (lockstep.Report, error) {
 	if up.ID == u.late {
 		time.Sleep(lateReport)
 	}
-	return u.site.Report(ctx, up)
+	return u.testService.Report(ctx, up)
 }
 
-func (u *unlucky) Order(ctx context.Context, up *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
+func (u *faultyRanks) Order(ctx context.Context, up *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
 	u.mu.Lock()
 	lost := o.Op == lockstep.OpArm && up.ID == u.losing && u.toLose > 0
 	if lost {
@@ -43,11 +43,11 @@
 		time.Sleep(lostAfter)
 		return lockstep.ReplyLost, errUnknown
 	}
-	return u.site.Order(ctx, up, o)
+	return u.testService.Order(ctx, up, o)
 }
 
 // heldFor counts the milliseconds in which the groups are held.
-func (u *unlucky) heldFor() int {
+func (u *faultyRanks) heldFor() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	n := 0
@@ -62,10 +62,10 @@
 // Callers of all ranks see a pause of over a second in the middle of their streams. One rank loses some orders in a row
 // while the group is held for a switch; orders are sent again every few milliseconds, but another rank reports late, and
 // while the leader waited for its report it sent nothing.
-func TestOrdersAreSentAgainWhileReportsAreWaitedFor(t *testing.T) {
+func TestOrdersAreResentWhileReportsArePending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, list := newSite([]string{"a"}, 2)
-		u := &unlucky{site: s, late: "a-0", losing: "a-1", toLose: 12}
+		s, list := newTestService([]string{"a"}, 2)
+		u := &faultyRanks{testService: s, late: "a-0", losing: "a-1", toLose: 12}
 		cancel := startController(t, u, list, 1)
 		held := 0
 		for range 6000 {
--- a/internal/experts/lockstep/serials.go
+++ b/internal/experts/lockstep/serials.go
@@ -36,8 +36,8 @@
 	return s.last[f]
 }
 
-// usedUp reports whether a number has no versions left: the next ones would be those of a later leader.
-func (s *Serials) usedUp(f ids.Fence) bool {
+// exhausted reports whether a number has no versions left: the next ones would be those of a later leader.
+func (s *Serials) exhausted(f ids.Fence) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.last[f] >= lastSerial
@@ -46,11 +46,11 @@
 // versionOf is the version of a task's map under a number.
 func versionOf(f ids.Fence, serial uint64) uint64 { return uint64(f)<<fenceShift + serial }
 
-// outdated returns the later number that makes the leader's present one obsolete, or 0.
+// newerFence returns the later number that makes the leader's present one obsolete, or 0.
 //
 // A leader that was paused may never hear of the one that led meanwhile, has all its orders refused, and would leave a group
 // held that the other has held. What the ranks report tells it.
-func (c *Controller) outdated(s *survey) ids.Fence {
+func (c *Controller) newerFence(s *snapshot) ids.Fence {
 	newest := c.fence
 	for _, r := range s.reports {
 		newest = max(newest, ids.Fence(max(r.Version, r.Prepared)>>fenceShift))
@@ -58,13 +58,13 @@
 	switch {
 	case newest > c.fence:
 		return newest
-	case c.o.Serials.usedUp(c.fence):
+	case c.o.Serials.exhausted(c.fence):
 		return c.fence + 1
 	}
 	return 0
 }
 
-func (c *Controller) outdatedBy(newer ids.Fence) {
+func (c *Controller) reportStaleFence(newer ids.Fence) {
 	_ = level.Info(c.o.Logger).Log("msg", "number outdated", "number", c.fence, "newer", newer)
 	if c.o.Outdated != nil {
 		c.o.Outdated(newer)
--- a/internal/experts/lockstep/servicecontroller.go
+++ b/internal/experts/lockstep/servicecontroller.go
@@ -22,10 +22,10 @@
 
 // ServiceController conducts all groups of one service. Only Run's goroutine uses it.
 type ServiceController struct {
-	o       ControllerOptions
-	groups  *GroupIndex
-	running map[string]*Running
-	count   atomic.Int64
+	o          ControllerOptions
+	groups     *GroupIndex
+	running    map[string]*Running
+	controlled atomic.Int64
 }
 
 // NewServiceController returns a controller without groups. The options' Group returns all upstreams of the service.
@@ -46,12 +46,12 @@
 			return
 		case <-timer.C:
 		case <-s.o.Wake:
-			s.wake()
+			s.wakeAll()
 		}
 	}
 }
 
-func (s *ServiceController) wake() {
+func (s *ServiceController) wakeAll() {
 	for _, c := range s.running {
 		c.Wake()
 	}
@@ -60,7 +60,7 @@
 func (s *ServiceController) tick(ctx context.Context) {
 	group := s.o.Group()
 	leads := s.o.Fence() != 0
-	if group == nil || !leads && !s.standsBy() {
+	if group == nil || !leads && !s.isStandby() {
 		return
 	}
 	names := s.groups.Update(ctx, s.o.RankClient, group.Upstreams)
@@ -68,12 +68,12 @@
 		return
 	}
 	if len(names) > maxGroups {
-		if s.count.Load() != maxGroups {
+		if s.controlled.Load() != maxGroups {
 			_ = level.Warn(s.o.Logger).Log("msg", "groups left as they are", "groups", len(names), "conducted", maxGroups)
 		}
 		names = names[:maxGroups]
 	}
-	s.count.Store(int64(len(names)))
+	s.controlled.Store(int64(len(names)))
 	wanted := map[string]bool{}
 	for _, name := range names {
 		wanted[name] = true
@@ -89,10 +89,10 @@
 	}
 }
 
-// standsBy reports whether the roster is kept without leading.
+// isStandby reports whether the roster is kept without leading.
 //
 // The group may be held by a leader that has ended, and stands still while its successor asks every rank for its group.
-func (s *ServiceController) standsBy() bool { return s.o.Standby != nil && s.o.Standby() }
+func (s *ServiceController) isStandby() bool { return s.o.Standby != nil && s.o.Standby() }
 
 func (s *ServiceController) startController(ctx context.Context, name string) *Running {
 	o := s.o
@@ -104,7 +104,7 @@
 		}
 		return &Group{Name: name, Upstreams: s.groups.Of(name, all.Upstreams), Engine: all.Engine}
 	}
-	o.Share = func() int { return max(1, int(s.count.Load())/groupsPerPeriod) }
+	o.PeriodFactor = func() int { return max(1, int(s.controlled.Load())/groupsPerPeriod) }
 	return Start(ctx, func(ctx context.Context, wake <-chan struct{}) {
 		o.Wake = wake
 		NewController(o).Run(ctx)
--- a/internal/experts/lockstep/servicecontroller_test.go
+++ b/internal/experts/lockstep/servicecontroller_test.go
@@ -18,23 +18,23 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// site is a service with several groups, whose ranks have the same numbers.
-type site struct {
+// testService is a service with several groups, whose ranks have the same numbers.
+type testService struct {
 	mu     sync.Mutex
 	groups map[string]*group
-	at     map[ids.Upstream]place
+	ranks  map[ids.Upstream]rankAddress
 	counts float64
 }
 
-type place struct {
+type rankAddress struct {
 	group string
 	rank  int
 }
 
 var errUnknown = errors.New("no such rank")
 
-func newSite(names []string, ranks int) (*site, []*catalog.Upstream) {
-	s := &site{groups: map[string]*group{}, at: map[ids.Upstream]place{}}
+func newTestService(names []string, ranks int) (*testService, []*catalog.Upstream) {
+	s := &testService{groups: map[string]*group{}, ranks: map[ids.Upstream]rankAddress{}}
 	var list []*catalog.Upstream
 	for r := range ranks {
 		for _, name := range names {
@@ -42,22 +42,22 @@
 				s.groups[name] = newGroup(ranks)
 			}
 			id := ids.Upstream(fmt.Sprintf("%s-%d", name, r))
-			s.at[id] = place{name, r}
+			s.ranks[id] = rankAddress{name, r}
 			list = append(list, &catalog.Upstream{ID: id})
 		}
 	}
 	return s, list
 }
 
-func (s *site) find(u *catalog.Upstream) (*group, place, error) {
-	p, ok := s.at[u.ID]
+func (s *testService) find(u *catalog.Upstream) (*group, rankAddress, error) {
+	p, ok := s.ranks[u.ID]
 	if !ok {
 		return nil, p, errUnknown
 	}
 	return s.groups[p.group], p, nil
 }
 
-func (s *site) Report(_ context.Context, u *catalog.Upstream) (lockstep.Report, error) {
+func (s *testService) Report(_ context.Context, u *catalog.Upstream) (lockstep.Report, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g, p, err := s.find(u)
@@ -70,7 +70,7 @@
 }
 
 // Counts say that one expert is in demand, another in each group.
-func (s *site) Counts(_ context.Context, u *catalog.Upstream, _ int) (lockstep.Since, lockstep.Counts, error) {
+func (s *testService) Counts(_ context.Context, u *catalog.Upstream, _ int) (lockstep.Since, lockstep.Counts, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g, p, err := s.find(u)
@@ -83,7 +83,7 @@
 	return lockstep.Since{Epoch: g.epoch}, lockstep.Counts{set}, nil
 }
 
-func (s *site) Held(_ context.Context, u *catalog.Upstream) (lockstep.Held, error) {
+func (s *testService) Held(_ context.Context, u *catalog.Upstream) (lockstep.Held, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g, p, err := s.find(u)
@@ -93,9 +93,9 @@
 	return lockstep.Held{Epoch: g.epoch, Version: g.ranks[p.rank].inUse, Experts: [][]int{{p.rank, p.rank + 2}}}, nil
 }
 
-func (s *site) IsLocal(*catalog.Upstream) bool { return true }
+func (s *testService) IsLocal(*catalog.Upstream) bool { return true }
 
-func (s *site) Order(_ context.Context, u *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
+func (s *testService) Order(_ context.Context, u *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g, p, err := s.find(u)
@@ -109,7 +109,7 @@
 	return g.order(o), nil
 }
 
-func (s *site) step() {
+func (s *testService) step() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, g := range s.groups {
@@ -120,9 +120,9 @@
 // A service has three groups, and their ranks are listed in no order. All callers of a group whose ranks run a pass under
 // two maps get wrong answers; taken for one group, two thirds of the ranks of each would be left out of a switch. Each group
 // must be switched by itself, to a map of its own ranks.
-func TestEachGroupIsSwitchedByItself(t *testing.T) {
+func TestEachGroupIsSwitchedSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, list := newSite([]string{"a", "bb", "ccc"}, 2)
+		s, list := newTestService([]string{"a", "bb", "ccc"}, 2)
 		controller := lockstep.NewServiceController(lockstep.ControllerOptions{
 			RankClient: s, Logger: log.NewNopLogger(),
 			Group: func() *lockstep.Group {
@@ -159,27 +159,27 @@
 	})
 }
 
-// asked is a site that counts the reports it gives, each after some time.
-type asked struct {
-	*site
+// slowReports is a site that counts the reports it gives, each after some time.
+type slowReports struct {
+	*testService
 	reports atomic.Int64
 }
 
 const reportTakes = 100 * time.Millisecond
 
-func (a *asked) Report(ctx context.Context, u *catalog.Upstream) (lockstep.Report, error) {
+func (a *slowReports) Report(ctx context.Context, u *catalog.Upstream) (lockstep.Report, error) {
 	a.reports.Add(1)
 	select {
 	case <-ctx.Done():
 		return lockstep.Report{}, ctx.Err()
 	case <-time.After(reportTakes):
-		return a.site.Report(ctx, u)
+		return a.testService.Report(ctx, u)
 	}
 }
 
 // Failure: a leader ends while it holds a group, and the group stands still while its successor asks every rank to which group it
 // belongs before it looks at the group.
-func TestASuccessorKnowsTheGroups(t *testing.T) {
+func TestStandbyKeepsGroupIndex(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		standby bool
@@ -187,8 +187,8 @@
 	}{{"that stands by", true, 2}, {"that does not", false, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s, list := newSite([]string{"a"}, 2)
-				ranks := &asked{site: s}
+				s, list := newTestService([]string{"a"}, 2)
+				ranks := &slowReports{testService: s}
 				var leads atomic.Bool
 				looked := make(chan time.Time, 1)
 				wake := make(chan struct{}, 1)
@@ -233,34 +233,34 @@
 	}
 }
 
-// strange is a site whose ranks hold an expert, and count experts, that the configuration does not have.
-type strange struct {
-	*site
+// unknownExperts is a site whose ranks hold an expert, and count experts, that the configuration does not have.
+type unknownExperts struct {
+	*testService
 	heldToo bool
 }
 
-func (s *strange) Held(ctx context.Context, u *catalog.Upstream) (lockstep.Held, error) {
-	h, err := s.site.Held(ctx, u)
+func (s *unknownExperts) Held(ctx context.Context, u *catalog.Upstream) (lockstep.Held, error) {
+	h, err := s.testService.Held(ctx, u)
 	if s.heldToo {
 		h.Experts = [][]int{{0, 99}}
 	}
 	return h, err
 }
 
-func (s *strange) Counts(ctx context.Context, u *catalog.Upstream, sets int) (lockstep.Since, lockstep.Counts, error) {
-	since, counts, err := s.site.Counts(ctx, u, sets)
+func (s *unknownExperts) Counts(ctx context.Context, u *catalog.Upstream, sets int) (lockstep.Since, lockstep.Counts, error) {
+	since, counts, err := s.testService.Counts(ctx, u, sets)
 	counts[0] = append(counts[0], 1)
 	return since, counts, err
 }
 
 // The operators' configuration names fewer experts than the ranks have. Nothing may be decided on such numbers, and the
 // leader must not end by them: requests of all services go through it.
-func TestExpertsThatTheConfigurationDoesNotHave(t *testing.T) {
+func TestUnknownExpertsPreventSwitch(t *testing.T) {
 	for _, heldToo := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			s, list := newSite([]string{"a"}, 2)
+			s, list := newTestService([]string{"a"}, 2)
 			controller := lockstep.NewServiceController(lockstep.ControllerOptions{
-				RankClient: &strange{s, heldToo}, Logger: log.NewNopLogger(),
+				RankClient: &unknownExperts{s, heldToo}, Logger: log.NewNopLogger(),
 				Group: func() *lockstep.Group {
 					return &lockstep.Group{Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, Placements: 4, Spare: 2}}}
 				},
--- a/internal/experts/lockstep/switch.go
+++ b/internal/experts/lockstep/switch.go
@@ -34,10 +34,10 @@
 	// resendAfter is how long an answer is waited for before the order is sent once more; the first may still be answered.
 	// An answer takes some ms, and while ranks are armed the group may stand still, which every caller sees.
 	resendAfter = 15 * time.Millisecond
-	// answersTaken is how many times as long as those of half of the ranks the answers of all may take, and maxFirst the most
+	// responseFactor is how many times as long as those of half of the ranks the answers of all may take, and maxFirst the most
 	// that is waited for the first of each.
-	answersTaken = 3
-	maxFirst     = 100 * time.Millisecond
+	responseFactor = 3
+	maxFirst       = 100 * time.Millisecond
 	// armWait is for how long agents try to have their ranks armed or disarmed: some tries, while the group may stand still.
 	armWait = 60 * time.Millisecond
 	// prepareResend is the same for the order that carries a whole map, and that nothing waits for.
@@ -64,16 +64,16 @@
 	// one: a rank would take one map for the other.
 	Version, Fallback uint64
 	Placement         Placement
-	// Present is the placement in use, to go back to.
-	Present Placement
-	// HoldAt is the rank that holds the group.
-	HoldAt int
+	// Current is the placement in use, to go back to.
+	Current Placement
+	// HoldRank is the rank that holds the group.
+	HoldRank int
 	// PrepareBy is when a switch whose experts are not loaded is given up.
 	PrepareBy time.Time
 	// CopyTime is how long the rank with most to load takes.
 	CopyTime time.Duration
-	// AnswerTime is how long it takes until half of the ranks have answered when all are asked at once.
-	AnswerTime time.Duration
+	// ResponseTime is how long it takes until half of the ranks have answered when all are asked at once.
+	ResponseTime time.Duration
 }
 
 // Switch moves a group to a new map. It is pure and not safe for concurrent use.
@@ -90,26 +90,26 @@
 	acked, refusals map[int]int
 	// due is when an order is sent, or sent again, by rank.
 	due map[int]time.Time
-	// release are the ranks to be told to let the pass begin.
-	release []int
-	pass    uint64
-	holds   int
-	// holdsGiven counts the orders to hold a pass.
-	holdsGiven int
-	known      uint64
+	// releaseRanks are the ranks to be told to let the pass begin.
+	releaseRanks []int
+	pass         uint64
+	holdsRefused int
+	// holdsSent counts the orders to hold a pass.
+	holdsSent  int
+	latestPass uint64
 	switched   bool
 }
 
 // NewSwitch returns a switch that has not begun.
 func NewSwitch(t Task) *Switch {
-	return &Switch{task: t, machine: chart.Start(), release: []int{t.HoldAt}}
+	return &Switch{task: t, machine: chart.Start(), releaseRanks: []int{t.HoldRank}}
 }
 
 // State returns the state in the chart.
 func (s *Switch) State() charts.State { return s.machine.State() }
 
-// Ended reports whether nothing is left to do.
-func (s *Switch) Ended() bool { return s.machine.Final() }
+// Finished reports whether nothing is left to do.
+func (s *Switch) Finished() bool { return s.machine.Final() }
 
 // Switched reports whether all ranks were armed, so that the new map is in force from Pass on.
 func (s *Switch) Switched() bool { return s.switched }
@@ -118,7 +118,7 @@
 func (s *Switch) Pass() uint64 { return s.pass }
 
 // HoldResent reports whether the order to hold the group was given more than once.
-func (s *Switch) HoldResent() bool { return s.holdsGiven > 1+s.holds }
+func (s *Switch) HoldResent() bool { return s.holdsSent > 1+s.holdsRefused }
 
 // Start begins the switch.
 func (s *Switch) Start(now time.Time) []Order {
@@ -134,11 +134,11 @@
 func (s *Switch) Undo(now time.Time, unfinished *UnfinishedSwitch) []Order {
 	s.pass = unfinished.Pass
 	if unfinished.Ahead {
-		s.release = unfinished.Holders
+		s.releaseRanks = unfinished.Holders
 		s.fire(evUnneeded)
 		return s.Tick(now)
 	}
-	s.release = append(s.release, unfinished.Holders...)
+	s.releaseRanks = append(s.releaseRanks, unfinished.Holders...)
 	s.fire(evRescue)
 	return s.Tick(now)
 }
@@ -154,7 +154,7 @@
 	s.refusals = map[int]int{}
 	s.due = map[int]time.Time{}
 	if s.machine.State() == stateHolding {
-		s.pass = s.known + holdLead
+		s.pass = s.latestPass + holdLead
 	}
 }
 
@@ -169,24 +169,24 @@
 			continue
 		}
 		if o, ok := s.orderFor(r); ok {
-			s.due[r] = now.Add(s.resendOf(o))
+			s.due[r] = now.Add(s.resendInterval(o))
 			out = append(out, o)
 			if o.Op == OpHold {
-				s.holdsGiven++
+				s.holdsSent++
 			}
 		}
 	}
 	return out
 }
 
-// resendOf is how long an answer is waited for. The first order to all ranks of a large group is not lost because the answers
+// resendInterval is how long an answer is waited for. The first order to all ranks of a large group is not lost because the answers
 // take longer than those of a small one: all sent again would take the time of those that are under way.
-func (s *Switch) resendOf(o Order) time.Duration {
+func (s *Switch) resendInterval(o Order) time.Duration {
 	switch {
 	case o.Op == OpPrepare:
 		return prepareResend + o.Wait
 	case o.Op == OpArm && s.due[o.Rank].IsZero():
-		return max(resendAfter, min(answersTaken*s.task.AnswerTime, maxFirst))
+		return max(resendAfter, min(responseFactor*s.task.ResponseTime, maxFirst))
 	}
 	return resendAfter
 }
@@ -204,7 +204,7 @@
 		// Late: refused once the pass has begun. If it has not, the hold stands in the rank's report and is released by
 		// whoever leads next.
 		o.Op = OpHold
-		return o, r == s.task.HoldAt && s.acked[r] == 0
+		return o, r == s.task.HoldRank && s.acked[r] == 0
 	case stateArming:
 		// Late: refused once the pass has begun, or a newer map is prepared.
 		o.Op, o.Wait = OpArm, armWait
@@ -214,7 +214,7 @@
 	case stateReleasing:
 		// Late: releases this pass only, which has begun by then.
 		o.Op = OpRelease
-		return o, slices.Contains(s.release, r) && s.acked[r] == 0
+		return o, slices.Contains(s.releaseRanks, r) && s.acked[r] == 0
 	}
 	return Order{}, false
 }
@@ -227,7 +227,7 @@
 		o.Op, o.Wait = OpDisarm, armWait
 		return o, true
 	case 1:
-		o.Op, o.Version, o.Placement = OpPrepare, s.task.Fallback, s.task.Present
+		o.Op, o.Version, o.Placement = OpPrepare, s.task.Fallback, s.task.Current
 		return o, true
 	}
 	return Order{}, false
@@ -235,7 +235,7 @@
 
 // OnReply takes in the answer to an order and returns the orders that follow.
 func (s *Switch) OnReply(now time.Time, o Order, reply Reply) []Order {
-	if !s.current(o) {
+	if !s.isCurrent(o) {
 		return nil
 	}
 	switch reply {
@@ -243,11 +243,11 @@
 		return nil
 	case ReplyRefused:
 		s.due[o.Rank] = time.Time{}
-		s.refused(now, o)
+		s.onRefused(now, o)
 	default:
 		s.due[o.Rank] = time.Time{}
 		s.acked[o.Rank]++
-		s.accepted()
+		s.onAccepted()
 	}
 	return s.Tick(now)
 }
@@ -260,26 +260,26 @@
 	return rank < len(s.task.StartTimes) && r.StartedAtMS != s.task.StartTimes[rank]
 }
 
-// current reports whether an order is what the present state still wants of its rank.
-func (s *Switch) current(o Order) bool {
-	if s.Ended() {
+// isCurrent reports whether an order is what the present state still wants of its rank.
+func (s *Switch) isCurrent(o Order) bool {
+	if s.Finished() {
 		return false
 	}
 	want, ok := s.orderFor(o.Rank)
 	return ok && want.Op == o.Op && want.Pass == o.Pass && want.Version == o.Version
 }
 
-func (s *Switch) accepted() {
+func (s *Switch) onAccepted() {
 	switch s.machine.State() {
 	case stateHolding, stateGuarding:
 		s.fire(evHeld)
 	case stateArming:
-		if s.all(1) {
+		if s.allAcked(1) {
 			s.switched = true
 			s.fire(evAllArmed)
 		}
 	case stateClearing:
-		if s.all(2) {
+		if s.allAcked(2) {
 			s.fire(evAllCleared)
 		}
 	case stateReleasing:
@@ -287,8 +287,8 @@
 	}
 }
 
-// all reports whether every rank has acknowledged that many orders.
-func (s *Switch) all(orders int) bool {
+// allAcked reports whether every rank has acknowledged that many orders.
+func (s *Switch) allAcked(orders int) bool {
 	for r := range s.task.Ranks {
 		if s.acked[r] < orders {
 			return false
@@ -298,7 +298,7 @@
 }
 
 func (s *Switch) checkReleased() {
-	for _, r := range s.release {
+	for _, r := range s.releaseRanks {
 		if s.acked[r] == 0 {
 			return
 		}
@@ -306,19 +306,19 @@
 	s.fire(evReleased)
 }
 
-func (s *Switch) refused(now time.Time, o Order) {
+func (s *Switch) onRefused(now time.Time, o Order) {
 	switch s.machine.State() {
 	case statePreparing, stateArming, stateGuarding:
 		s.fire(evRefused)
 	case stateHolding:
-		s.holds++
-		if s.holds >= maxHolds {
+		s.holdsRefused++
+		if s.holdsRefused >= maxHolds {
 			s.fire(evLate)
 			return
 		}
-		s.pass = max(s.pass, s.known) + holdLead
+		s.pass = max(s.pass, s.latestPass) + holdLead
 	case stateClearing:
-		s.clearRefused(now, o)
+		s.onClearRefused(now, o)
 	case stateReleasing:
 		// Nothing is held for this pass there any more.
 		s.acked[o.Rank]++
@@ -326,9 +326,9 @@
 	}
 }
 
-// clearRefused: a rank that is not armed for the version refuses to disarm, which is what is wanted. One that refuses
+// onClearRefused: a rank that is not armed for the version refuses to disarm, which is what is wanted. One that refuses
 // the newer version is armed for another leader's; that one ends within milliseconds, or is undone in its turn.
-func (s *Switch) clearRefused(now time.Time, o Order) {
+func (s *Switch) onClearRefused(now time.Time, o Order) {
 	if o.Op == OpDisarm {
 		s.acked[o.Rank]++
 		return
@@ -355,7 +355,7 @@
 			s.fire(evEpochChanged)
 			return nil
 		}
-		s.known = max(s.known, r.Pass)
+		s.latestPass = max(s.latestPass, r.Pass)
 		if r.Prepared == s.task.Version {
 			prepared++
 		}
--- a/internal/experts/lockstep/switch_test.go
+++ b/internal/experts/lockstep/switch_test.go
@@ -20,9 +20,9 @@
 	paused        bool
 }
 
-// world runs leaders against a group under a random schedule: orders are carried out in any order, their answers may be
+// simulation runs leaders against a group under a random schedule: orders are carried out in any order, their answers may be
 // lost, and an order whose answer was lost may be carried out once more much later.
-type world struct {
+type simulation struct {
 	t       *testing.T
 	rng     *rand.Rand
 	now     time.Time
@@ -36,25 +36,25 @@
 	failed    int
 }
 
-func (w *world) task(l *leader) lockstep.Task {
+func (w *simulation) task(l *leader) lockstep.Task {
 	l.serial += 2
 	n := len(w.group.ranks)
 	version := l.fence<<16 + l.serial
 	return lockstep.Task{
 		Epoch: w.group.epoch, Ranks: n, Version: version, Fallback: version + 1,
-		Placement: placementOf(n, w.rng), Present: placementOf(n, w.rng), HoldAt: w.rng.IntN(n), PrepareBy: w.now.Add(2 * time.Second),
+		Placement: placementOf(n, w.rng), Current: placementOf(n, w.rng), HoldRank: w.rng.IntN(n), PrepareBy: w.now.Add(2 * time.Second),
 	}
 }
 
 // act lets a leader do one thing: deliver one of its orders, read the ranks, or begin a switch.
-func (w *world) act(l *leader) {
+func (w *simulation) act(l *leader) {
 	if l.paused {
 		return
 	}
 	switch {
 	case l.sw == nil:
 		w.begin(l)
-	case l.sw.Ended():
+	case l.sw.Finished():
 		w.count(l)
 		l.sw, l.orders = nil, nil
 	case len(l.orders) > 0:
@@ -66,7 +66,7 @@
 	}
 }
 
-func (w *world) count(l *leader) {
+func (w *simulation) count(l *leader) {
 	switch {
 	case l.sw.Switched():
 		w.done++
@@ -78,10 +78,10 @@
 }
 
 // begin starts a switch, or undoes what another leader left, as the controller does.
-func (w *world) begin(l *leader) {
+func (w *simulation) begin(l *leader) {
 	task := w.task(l)
 	l.sw = lockstep.NewSwitch(task)
-	unfinished := lockstep.FindUnfinishedSwitch(flat(w.group.reports()))
+	unfinished := lockstep.FindUnfinishedSwitch(reportValues(w.group.reports()))
 	if unfinished == nil {
 		l.sw.OnReports(w.now, w.group.reports())
 		l.orders = l.sw.Start(w.now)
@@ -95,7 +95,7 @@
 	l.orders = l.sw.Undo(w.now, unfinished)
 }
 
-func flat(reports []*lockstep.Report) []lockstep.Report {
+func reportValues(reports []*lockstep.Report) []lockstep.Report {
 	var out []lockstep.Report
 	for _, r := range reports {
 		out = append(out, *r)
@@ -104,7 +104,7 @@
 }
 
 // deliver carries out one order of the leader's, drawn at random, and perhaps loses the answer.
-func (w *world) deliver(l *leader) {
+func (w *simulation) deliver(l *leader) {
 	i := w.rng.IntN(len(l.orders))
 	o := l.orders[i]
 	l.orders = append(l.orders[:i:i], l.orders[i+1:]...)
@@ -121,7 +121,7 @@
 	l.orders = append(l.orders, l.sw.OnReply(w.now, o, reply)...)
 }
 
-func (w *world) lateOrder() {
+func (w *simulation) lateOrder() {
 	if len(w.late) == 0 {
 		return
 	}
@@ -130,7 +130,7 @@
 	w.late = append(w.late[:i:i], w.late[i+1:]...)
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now = w.now.Add(5 * time.Millisecond)
 	switch n := w.rng.IntN(100); {
 	case n < 12:
@@ -151,7 +151,7 @@
 func TestNoPassBeginsWithTwoMaps(t *testing.T) {
 	done, undone := 0, 0
 	for seed := range *seeds {
-		w := runWorld(t, seed)
+		w := runSimulation(t, seed)
 		done += w.done
 		undone += w.undone
 	}
@@ -161,9 +161,9 @@
 	t.Logf("%d switches made, %d undone", done, undone)
 }
 
-func runWorld(t *testing.T, seed int) *world {
+func runSimulation(t *testing.T, seed int) *simulation {
 	t.Helper()
-	w := &world{t: t, rng: rand.New(rand.NewPCG(uint64(seed), 7)), now: time.Unix(0, 0), group: newGroup(2 + seed%4)}
+	w := &simulation{t: t, rng: rand.New(rand.NewPCG(uint64(seed), 7)), now: time.Unix(0, 0), group: newGroup(2 + seed%4)}
 	w.lateShare = 2 + 10*(seed/4%3)
 	w.leaders = []*leader{{fence: 1}, {fence: 2}}
 	for range 4000 {
@@ -176,17 +176,17 @@
 }
 
 // Seeds of runs that once mixed maps, with the cause.
-func TestSeedsThatFailed(t *testing.T) {
+func TestPreviouslyFailingSeeds(t *testing.T) {
 	for seed, cause := range map[int]string{
 		2362: "ranks armed for the pass before the held one were disarmed, one of them too late",
 	} {
-		t.Run(cause, func(t *testing.T) { runWorld(t, seed) })
+		t.Run(cause, func(t *testing.T) { runSimulation(t, seed) })
 	}
 }
 
 // One leader has armed all ranks for pass 6 and released it; another holds pass 7 and dies. A rescuer that disarmed the
 // ranks for pass 6, which nothing holds, would be overtaken by it, and some ranks would have switched.
-func TestACompleteSwitchIsNotUndone(t *testing.T) {
+func TestCompleteSwitchIsReportedPending(t *testing.T) {
 	held := uint64(7)
 	unfinished := lockstep.FindUnfinishedSwitch([]lockstep.Report{
 		{Rank: 0, Pass: 5, Prepared: 131074, Armed: &lockstep.Armed{Version: 131074, Pass: 6}},
@@ -199,7 +199,7 @@
 
 // A hold is carried out late, for the pass before the one that all ranks are armed for. Callers would wait for good: the
 // switch ahead is complete and must not be undone, and no rank begins the pass before it. Only the hold is taken away.
-func TestAHoldBeforeACompleteSwitchIsReleased(t *testing.T) {
+func TestHoldBeforeCompleteSwitchIsReleased(t *testing.T) {
 	g := newGroup(3)
 	g.pass = 5
 	late := uint64(6)
@@ -208,7 +208,7 @@
 		r.armed = &lockstep.Armed{Version: 20, Pass: 7}
 	}
 	g.ranks[1].held = &late
-	unfinished := lockstep.FindUnfinishedSwitch(flat(g.reports()))
+	unfinished := lockstep.FindUnfinishedSwitch(reportValues(g.reports()))
 	if unfinished == nil || !unfinished.Ahead {
 		t.Fatalf("got %+v, want a switch ahead", unfinished)
 	}
@@ -219,17 +219,17 @@
 	}
 	g.step()
 	g.step()
-	if !sw.Ended() || g.pass != 7 || g.ranks[0].inUse != 20 || len(g.mixed) > 0 {
-		t.Fatalf("ended %t, pass %d, map %d, mixed %v", sw.Ended(), g.pass, g.ranks[0].inUse, g.mixed)
+	if !sw.Finished() || g.pass != 7 || g.ranks[0].inUse != 20 || len(g.mixed) > 0 {
+		t.Fatalf("ended %t, pass %d, map %d, mixed %v", sw.Finished(), g.pass, g.ranks[0].inUse, g.mixed)
 	}
 }
 
 // The gateway that leads dies at any moment of a switch. Callers would see their streams stand still for good if the
 // group stayed held; the next leader undoes the switch, so that passes begin again.
-func TestAGroupIsNotLeftHeld(t *testing.T) {
+func TestUnfinishedSwitchIsUndone(t *testing.T) {
 	for stop := range 60 {
 		t.Run(fmt.Sprint(stop), func(t *testing.T) {
-			w := &world{t: t, rng: rand.New(rand.NewPCG(uint64(stop), 9)), now: time.Unix(0, 0), group: newGroup(4)}
+			w := &simulation{t: t, rng: rand.New(rand.NewPCG(uint64(stop), 9)), now: time.Unix(0, 0), group: newGroup(4)}
 			first, second := &leader{fence: 1}, &leader{fence: 2}
 			for range stop {
 				w.now = w.now.Add(time.Millisecond)
@@ -252,7 +252,7 @@
 }
 
 // All answers come: the switch holds one rank, arms all and releases, and every rank has the new map from one pass on.
-func TestASwitchWithoutFaults(t *testing.T) {
+func TestSwitchWithoutFaults(t *testing.T) {
 	g := newGroup(4)
 	now := time.Unix(0, 0)
 	sw := lockstep.NewSwitch(lockstep.Task{
@@ -261,7 +261,7 @@
 	orders := sw.Start(now)
 	counts := map[lockstep.Op]int{}
 	for range 100 {
-		if sw.Ended() {
+		if sw.Finished() {
 			break
 		}
 		if len(orders) == 0 {
@@ -290,7 +290,7 @@
 
 // A rank crashes while the others are armed. The group forms anew with the first map, and the switch ends: its orders
 // name the epoch before.
-func TestANewEpochEndsASwitch(t *testing.T) {
+func TestNewEpochFailsSwitch(t *testing.T) {
 	g := newGroup(2)
 	now := time.Unix(0, 0)
 	sw := lockstep.NewSwitch(lockstep.Task{
@@ -302,18 +302,18 @@
 	sw.OnReports(now, g.reports())
 	g.reform()
 	sw.OnReports(now, g.reports())
-	if !sw.Ended() || sw.Switched() {
+	if !sw.Finished() || sw.Switched() {
 		t.Fatalf("state %s, switched %t", sw.State(), sw.Switched())
 	}
 }
 
 // Failure: the ranks of a large group answer later than those of a small one, all orders are sent again while the group is held,
 // and it is held for longer by them.
-func TestOrdersToALargeGroupAreNotSentTwiceAtOnce(t *testing.T) {
+func TestFirstResendAllowsForLargeGroup(t *testing.T) {
 	const ranks, half = 192, 25 * time.Millisecond
 	now := time.Unix(1000, 0)
 	sw := lockstep.NewSwitch(lockstep.Task{
-		Epoch: 1, Ranks: ranks, Version: 1<<16 + 2, Fallback: 1<<16 + 3, PrepareBy: now.Add(time.Second), AnswerTime: half,
+		Epoch: 1, Ranks: ranks, Version: 1<<16 + 2, Fallback: 1<<16 + 3, PrepareBy: now.Add(time.Second), ResponseTime: half,
 	})
 	sw.Start(now)
 	reports := make([]*lockstep.Report, ranks)
--- a/internal/experts/lockstep/unfinished.go
+++ b/internal/experts/lockstep/unfinished.go
@@ -62,8 +62,8 @@
 // Task returns the task of undoing it: t for another rank to hold the group at, and the version to take back.
 func (u *UnfinishedSwitch) Task(t Task) Task {
 	t.Version = u.Version
-	for slices.Contains(u.Holders, t.HoldAt) && len(u.Holders) < t.Ranks {
-		t.HoldAt = (t.HoldAt + 1) % t.Ranks
+	for slices.Contains(u.Holders, t.HoldRank) && len(u.Holders) < t.Ranks {
+		t.HoldRank = (t.HoldRank + 1) % t.Ranks
 	}
 	return t
 }
