--- a/internal/experts/expertmap/doc.go
+++ b/internal/experts/expertmap/doc.go
@@ -1,7 +1,7 @@
-// Package expertmap switches a lock-step group of ranks from one expert map to the next, so that in every step all
-// ranks use the same map.
+// Package expertmap switches a group of ranks that run in lock-step from one expert map to the next, so that all
+// ranks use the same map in every step.
 //
-// Slot and Proposer are pure state machines that interpret the charts map_slot and map_proposer: messages, engine
-// reports and time go in, messages, engine orders and results come out. docs/design/expert-map.md has the protocol,
-// spec/expertmap.pml its specification.
+// Slot and Proposer are pure state machines that follow the charts map_slot and map_proposer. Their inputs are
+// messages, engine reports and the time; their outputs are messages, orders to the engine and results. The protocol
+// is described in docs/design/expert-map.md and specified in spec/expertmap.pml.
 package expertmap
--- a/internal/experts/expertmap/engine.go
+++ b/internal/experts/expertmap/engine.go
@@ -1,20 +1,22 @@
 package expertmap
 
-// EngineModel is an engine's part of the protocol in code: what stand-ins and fakes must do and real engines are
-// trusted to do. It ignores fencing numbers and keeps to the conditions that each order names.
+// EngineModel is the reference implementation of an engine's side of the protocol: test engines use it, and real
+// engines are expected to behave the same way. It ignores fencing tokens and enforces only the conditions that each
+// order names.
 type EngineModel struct {
 	EngineReport
 	previous MapID
-	// CannotLoad makes loading weights fail.
+	// CannotLoad makes every order to load weights fail.
 	CannotLoad bool
 }
 
-// NewEngineModel returns an engine without a map that has started all steps below next.
+// NewEngineModel returns an engine that has no map and has started all steps before next.
 func NewEngineModel(next Step) *EngineModel {
 	return &EngineModel{EngineReport: EngineReport{Limit: NoLimit, Next: next}}
 }
 
-// At returns the map under which the engine runs a step. It remembers its newest map and the one before.
+// MapAt returns the map under which the engine runs step t. The engine remembers its newest map and the one before
+// it.
 func (e *EngineModel) At(t Step) MapID {
 	if t >= e.Start {
 		return e.Map
@@ -25,7 +27,7 @@
 // MayStart reports whether the engine may start its next step.
 func (e *EngineModel) MayStart() bool { return e.Next < e.Limit && !e.At(e.Next).IsZero() }
 
-// Obey carries an order out or refuses it.
+// Apply executes an order, or refuses it if its conditions do not hold. The next report shows which.
 func (e *EngineModel) Obey(o Order) {
 	e.Order = o.ID
 	if o.Map != e.Map {
--- a/internal/experts/expertmap/group_test.go
+++ b/internal/experts/expertmap/group_test.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// testFailer is what the tests of this package and of rapid have in common.
+// testFailer is the part of testing.T and rapid.T that the group needs.
 type testFailer interface {
 	Helper()
 	Fatalf(format string, args ...any)
@@ -26,7 +26,7 @@
 	msg      Message
 }
 
-// group drives slots, engines and proposers by hand: every delivery, order and step is a call of the test.
+// group drives slots, engines and proposers by hand: every delivery, order and step is a call by the test.
 type group struct {
 	t               testFailer
 	now             time.Time
@@ -41,7 +41,7 @@
 	acks            map[Ballot]map[Rank]Incarnation
 	results         []Result
 	lastIncarnation Incarnation
-	// trace tells what happened, for a test that fails.
+	// trace holds the events so far, for the message of a failing test.
 	trace []string
 }
 
@@ -51,8 +51,8 @@
 
 func (g *group) fail(format string, args ...any) {
 	g.t.Helper()
-	const most = 80
-	last := g.trace[max(0, len(g.trace)-most):]
+	const maxLines = 80
+	last := g.trace[max(0, len(g.trace)-maxLines):]
 	g.t.Fatalf("%s%s\nafter\n%s", fmt.Sprintf(format, args...), g.describe(), strings.Join(last, "\n"))
 }
 
@@ -69,10 +69,11 @@
 	return g
 }
 
-// start begins a life of a slot; what the old one had sent may still arrive, its orders to the engine do not.
+// start starts a new incarnation of a slot. Messages that the old one sent may still arrive; its orders to the engine
+// do not.
 func (g *group) start(r int) {
 	g.lastIncarnation += 10
-	g.tracef("rank %d begins as %d", r, g.lastIncarnation)
+	g.tracef("rank %d starts as incarnation %d", r, g.lastIncarnation)
 	g.slots[r] = NewSlot(SlotConfig{Rank: Rank(r), Ranks: g.ranks, Incarnation: g.lastIncarnation, Timing: DefaultSlotTiming()})
 	g.orders[r] = nil
 	g.engines[r].Order = 0
@@ -137,7 +138,7 @@
 	g.proposerEffects(name, effects)
 }
 
-// deliver hands a message over; the caller decides whether it stays in the net to arrive once more.
+// deliver delivers a message; the caller decides whether it stays in the net to arrive once more.
 func (g *group) deliver(e envelope) {
 	g.tracef("%v to %v: %T%+v", e.from, e.to, e.msg, e.msg)
 	if e.to.IsProposer() {
@@ -156,8 +157,8 @@
 	return e
 }
 
-// executeOrder lets an engine carry out its next order and report. An engine that switches without being told by a peer that
-// did must have every acknowledgement behind it.
+// executeOrder lets an engine execute its next order and report. The first engine to switch to a map must have every
+// acknowledgement of its proposal.
 func (g *group) executeOrder(r int) {
 	o := g.orders[r][0]
 	g.orders[r] = g.orders[r][1:]
@@ -182,7 +183,7 @@
 	}
 }
 
-// step starts a rank's next step if its engine may and the lock-step allows it.
+// step starts a rank's next step if its engine allows it and no rank is behind it.
 func (g *group) step(r int) bool {
 	e := g.engines[r]
 	if !e.MayStart() {
@@ -203,8 +204,8 @@
 	return true
 }
 
-// settle lets every message arrive and every order be carried out, and time pass, until each rank has run so many more
-// steps. It fails the test if the group waits for ever.
+// settle delivers all messages, executes all orders and advances the clock until each rank has run that many more
+// steps. It fails the test if the group does not get there.
 func (g *group) settle(steps Step) {
 	g.t.Helper()
 	goal := steps
@@ -218,7 +219,7 @@
 		}
 		g.round()
 	}
-	g.fail("the group waits for ever")
+	g.fail("the group does not make progress")
 }
 
 func (g *group) round() {
@@ -251,7 +252,7 @@
 	return text
 }
 
-// boot brings the group to its first map.
+// boot switches the group to its first map.
 func (g *group) boot() {
 	g.t.Helper()
 	g.addProposer("boot")
--- a/internal/experts/expertmap/history.go
+++ b/internal/experts/expertmap/history.go
@@ -7,7 +7,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/charts"
 )
 
-// historyLength bounds what a slot remembers for operators.
+// historyLength is the maximum number of entries that a slot keeps for operators.
 const historyLength = 64
 
 // HistoryEntry is one change of a slot's state.
@@ -29,17 +29,17 @@
 	h.entries = append(h.entries, e)
 }
 
-// SlotStatus is what an operator sees of a slot.
+// SlotStatus is a slot's state as reported to operators.
 type SlotStatus struct {
 	Rank        Rank
 	Incarnation Incarnation
 	State       charts.State
 	Since       time.Time
 	Engine      EngineReport
-	// Held is the proposal that the slot is bound to; zero if there is none.
+	// Held is the ballot of the proposal that the slot has capped; zero if there is none.
 	Held Ballot
 	To   MapID
-	// Waiting lists the ranks whose word the slot waits for.
+	// Waiting lists the ranks whose answer or acknowledgement the slot is waiting for.
 	Waiting []Rank
 	History []HistoryEntry
 }
@@ -60,9 +60,9 @@
 func (s *Slot) waiting() []Rank {
 	var ranks []Rank
 	for _, p := range s.peers() {
-		unheard := s.State() == StateRecovering && s.answers[p.Rank] == nil
+		unanswered := s.State() == StateRecovering && s.answers[p.Rank] == nil
 		unacked := s.State() == StateCapped && !s.acks[p.Rank]
-		if unheard || unacked {
+		if unanswered || unacked {
 			ranks = append(ranks, p.Rank)
 		}
 	}
--- a/internal/experts/expertmap/messages.go
+++ b/internal/experts/expertmap/messages.go
@@ -6,10 +6,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// Reason says why a slot refused a proposal or could not stage a map.
+// Reason is the cause of a refused proposal, a failed load of weights or a failed switch.
 type Reason string
 
-// The reasons of refusals.
+// The reasons for refusals and failures.
 const (
 	ReasonNone      Reason = ""
 	ReasonNotStaged Reason = "weights-not-staged"
@@ -19,57 +19,59 @@
 	ReasonPassed    Reason = "step-passed"
 	ReasonAhead     Reason = "last-switch-still-ahead"
 	ReasonFenced    Reason = "older-fencing-number"
-	// ReasonRefused: the slot refused this proposal or has seen it aborted, and keeps to that.
+	// ReasonRefused: the slot has already refused this proposal or has seen it aborted, and does not change its vote.
 	ReasonRefused Reason = "refused-before"
 	// ReasonWeights: the engine could not load the weights.
 	ReasonWeights Reason = "weights-failed"
-	// ReasonAborted: a restarted slot says that its older incarnation's proposal came to nothing.
+	// ReasonAborted: a restarted slot reports that the proposal of its earlier incarnation was aborted.
 	ReasonAborted Reason = "aborted-by-restart"
-	// ReasonTime: the time allowed for it ran out.
+	// ReasonTime: the timeout expired.
 	ReasonTime Reason = "time-ran-out"
-	// ReasonStopped: the proposer lost its lease or was told to stop.
+	// ReasonStopped: the proposer lost its lease or was stopped.
 	ReasonStopped Reason = "stopped"
 	// ReasonAttempts: too many proposals were refused.
 	ReasonAttempts Reason = "attempts-used-up"
 )
 
-// StageRequest (proposer to slot) asks for the weights of a map and for the rank's state.
+// StageRequest (proposer to slot) requests that the slot load the weights of a map and report the rank's state.
 type StageRequest struct {
 	Ballot Ballot
 	Map    MapID
-	// Round is echoed, so that a late reply is not taken for one to a newer round.
+	// Round is echoed in the reply, so that a late reply is not mistaken for one to a newer round.
 	Round uint64
 }
 
-// StageReply (slot to proposer) answers a StageRequest.
+// StageReply (slot to proposer) is the reply to a StageRequest.
 type StageReply struct {
 	Ballot      Ballot
 	Round       uint64
 	Rank        Rank
 	Incarnation Incarnation
-	// Ready says that the weights are loaded.
+	// Ready is set if the weights are loaded.
 	Ready bool
-	// Reason is set if the weights cannot be loaded now.
+	// Reason is set if the weights cannot be loaded or the request is refused.
 	Reason  Reason
 	Current MapID
-	// Since is the first step of Current.
+	// Since is the first step under Current.
 	Since    Step
 	Next     Step
 	StepTime time.Duration
 }
 
-// CapRequest (anyone to slot) asks the slot to keep its rank from running the proposal's first step under the old map.
+// CapRequest (proposer or slot to slot) requests that the slot keep its rank from running the proposal's first step
+// under the old map.
 type CapRequest struct{ Proposal Proposal }
 
-// Ack (slot to whoever asked) says that the rank runs no step from the proposal's first on under the old map.
+// Ack (slot to requester) confirms that the rank runs neither the proposal's first step nor any later one under the
+// old map.
 type Ack struct {
 	Ballot      Ballot
 	Rank        Rank
 	Incarnation Incarnation
 }
 
-// Refusal (slot to whoever asked, passed on by anyone) says that this incarnation has not acknowledged the proposal
-// and never will. If the roster names the incarnation, that is the proof that the proposal is aborted.
+// Refusal (slot to requester, may be relayed by any node) states that this incarnation has not acknowledged the
+// proposal and never will. If the roster names the incarnation, the refusal proves that the proposal is aborted.
 type Refusal struct {
 	Ballot      Ballot
 	Rank        Rank
@@ -81,14 +83,16 @@
 	Fence ids.Fence
 }
 
-// Certificate (anyone to slot) is the proof that every incarnation of the roster acknowledged.
+// Certificate (proposer or slot to slot) is the proof that every incarnation in the roster has acknowledged the
+// proposal.
 type Certificate struct {
 	Ballot Ballot
 	// Acks holds, by rank, the incarnation that acknowledged.
 	Acks []Incarnation
 }
 
-// Outcome (slot to anyone) says how a proposal ended: committed only if the slot's own engine has switched.
+// Outcome (slot to requester) reports how a proposal ended. Committed is set only if the slot's own engine has
+// switched.
 type Outcome struct {
 	Ballot      Ballot
 	Committed   bool
@@ -96,8 +100,8 @@
 	Incarnation Incarnation
 }
 
-// Recover (restarted slot to each peer) asks what the peer knows. The peer that answers promises to take part in
-// nothing that names an older incarnation of the asker.
+// Recover (restarted slot to each peer) asks the peer for its state. By answering, the peer promises not to take part
+// in any proposal whose roster names an older incarnation of the sender.
 type Recover struct {
 	Rank        Rank
 	Incarnation Incarnation
@@ -107,15 +111,17 @@
 type Answer struct {
 	Rank        Rank
 	Incarnation Incarnation
-	// Asker is the incarnation that asked.
+	// Asker is the incarnation that sent the Recover.
 	Asker Incarnation
-	// Map and Start are those of the answering rank's engine.
+	// Map and Start are the newest map that the answering slot has seen, on its own engine or in its peers' answers,
+	// and that map's first step.
 	Map   MapID
 	Start Step
 }
 
-// Superseded (slot to restarted slot) says that a later incarnation of the asker is known. If the asker is in truth
-// the later one, since its host's clock stands behind, it takes a larger number and asks again.
+// Superseded (slot to restarted slot) reports that the peer has already seen a later incarnation of the sender. If
+// the sender is in fact the newer one, because its host's clock was set back, it chooses a larger number and asks
+// again.
 type Superseded struct {
 	Rank        Rank
 	Incarnation Incarnation
--- a/internal/experts/expertmap/node/engine.go
+++ b/internal/experts/expertmap/node/engine.go
@@ -9,30 +9,31 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/expertmap"
 )
 
-// Engine is the rank's engine as the slot sees it. What safety rests on:
+// Engine is the slot's interface to the rank's engine. Safety depends on these properties:
 //
-//   - only this slot gives the engine these orders, over one connection that replaces an earlier slot's, so that no
-//     order of an earlier life takes effect after the first Report;
-//   - the engine keeps its limit, map and first step when the slot dies;
-//   - it refuses an order whose Order.Map is not its map, a limit or switch whose step has started, a lift of another
-//     limit. It may ignore fencing numbers;
-//   - Report is read after the orders before it took effect.
+//   - Only this slot sends the engine these orders, over one connection that replaces that of an earlier slot, so
+//     that no order of an earlier incarnation takes effect after the first Report.
+//   - The engine keeps its limit, map and first step when the slot crashes.
+//   - The engine refuses an order whose Order.Map is not its map, a limit or switch whose step has started, and a
+//     lift of another limit. It may ignore fencing tokens.
+//   - Report is read after the preceding orders took effect.
 type Engine interface {
-	// Report reads the engine's state; its field Order is not used.
+	// Report reads the engine's state; the field Order of the result is ignored.
 	Report(ctx context.Context) (expertmap.EngineReport, error)
-	// Do gives an order and returns once it was carried out or refused; which of the two, the next Report shows. An
-	// order to load weights returns once loading has begun, and repeating it is no error. An error means that
-	// nothing is known; the order is then given again.
+	// Do sends an order and returns once the engine has executed or refused it; the next Report shows which. An order
+	// to load weights returns once loading has begun, and repeating it is no error. After an error the outcome is
+	// unknown, and the order is sent again.
 	Do(ctx context.Context, o expertmap.Order) error
 }
 
-// engineTimeout bounds one call to the engine; a call that fails is repeated after engineRetry.
+// engineTimeout bounds one call to the engine; a failed call is repeated after engineRetry.
 const (
 	engineTimeout = time.Second
 	engineRetry   = 20 * time.Millisecond
 )
 
-// engineWorker gives the orders one at a time, in their order, and reports after each and every poll period.
+// engineWorker sends orders to the engine one at a time, in sequence. It reports the engine's state after each order
+// and once per poll interval.
 type engineWorker struct {
 	engine Engine
 	poll   time.Duration
@@ -84,7 +85,8 @@
 	}
 }
 
-// executeQueue gives every waiting order. The slot relies on each being answered, so one without an answer is given again.
+// executeQueue sends all queued orders. It repeats an order until the engine answers, since the slot relies on every
+// order being answered.
 func (w *engineWorker) executeQueue(ctx context.Context) {
 	for {
 		o, ok := w.pop()
@@ -130,8 +132,8 @@
 	}
 }
 
-// NewIncarnation draws an incarnation for a slot that starts now: milliseconds since 1970 and 20 random bits, so that
-// a later life has a larger number unless the clock was set back (see expertmap.Superseded).
+// NewIncarnation returns an incarnation for a slot that starts now: milliseconds since 1970 and 20 random bits. A
+// later incarnation has a larger number unless the clock was set back (see expertmap.Superseded).
 func NewIncarnation() expertmap.Incarnation {
 	const randomBits = 20
 	return expertmap.Incarnation(uint64(time.Now().UnixMilli())<<randomBits | rand.Uint64N(1<<randomBits))
--- a/internal/experts/expertmap/node/hub.go
+++ b/internal/experts/expertmap/node/hub.go
@@ -12,26 +12,26 @@
 	pb "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// Hub serves ExpertMapService: it hands messages to the slots and proposers of its process.
+// Hub serves ExpertMapService: it delivers messages to the slots and proposers of its process.
 type Hub struct {
 	mu        sync.RWMutex
 	slots     map[ids.Group]*Slot
 	proposers map[ids.Group]*Proposer
 }
 
-// NewHub returns a hub that knows nobody.
+// NewHub returns an empty hub.
 func NewHub() *Hub {
 	return &Hub{slots: map[ids.Group]*Slot{}, proposers: map[ids.Group]*Proposer{}}
 }
 
-// AddSlot makes the hub hand a group's messages to a slot.
+// AddSlot registers s as the destination of the group's messages to a slot.
 func (h *Hub) AddSlot(g ids.Group, s *Slot) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.slots[g] = s
 }
 
-// AddProposer makes the hub hand a group's replies to a proposer.
+// AddProposer registers p as the destination of the group's messages to a proposer.
 func (h *Hub) AddProposer(g ids.Group, p *Proposer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -50,7 +50,8 @@
 	return &pb.DeliverMapMessagesResponse{}, nil
 }
 
-// deliver drops a message for an address that is not this process's: the sender's list of addresses is out of date.
+// deliver passes a message to its slot or proposer. It drops a message for an address that this process does not
+// serve, since the sender's addresses are then out of date.
 func (h *Hub) deliver(g ids.Group, from, to expertmap.Addr, m expertmap.Message) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -65,11 +66,13 @@
 	}
 }
 
-// UnknownGroupError says that no slot of the group runs in this process.
+// UnknownGroupError reports that no slot of the group runs in this process.
 type UnknownGroupError struct{ Group ids.Group }
 
 // Error implements error.
-func (e *UnknownGroupError) Error() string { return fmt.Sprintf("no slot of group %s here", e.Group) }
+func (e *UnknownGroupError) Error() string {
+	return fmt.Sprintf("no slot of group %s in this process", e.Group)
+}
 
 // GetMapStatus implements cardamomyokev1connect.ExpertMapServiceHandler.
 func (h *Hub) GetMapStatus(_ context.Context, req *pb.GetMapStatusRequest) (*pb.GetMapStatusResponse, error) {
--- a/internal/experts/expertmap/node/node_test.go
+++ b/internal/experts/expertmap/node/node_test.go
@@ -53,12 +53,12 @@
 	}
 }
 
-// unreachableError stands for an engine that does not answer.
+// unreachableError is the error of an engine that does not respond.
 type unreachableError struct{}
 
-func (unreachableError) Error() string { return "engine does not answer" }
+func (unreachableError) Error() string { return "engine does not respond" }
 
-// flakyEngine is an engine of a group of two whose calls fail every other time; a step passes with each report.
+// flakyEngine is an engine of a group of two whose every other call fails; it runs one step per report.
 type flakyEngine struct {
 	mu    sync.Mutex
 	model *expertmap.EngineModel
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// hubTransport hands envelopes from hub to hub after a millisecond.
+// hubTransport delivers envelopes from hub to hub after a millisecond.
 type hubTransport struct{ hubs map[expertmap.Addr]*Hub }
 
 func (l hubTransport) Send(g ids.Group, from, to expertmap.Addr, m expertmap.Message) {
@@ -111,8 +111,8 @@
 	})
 }
 
-// Nothing is seen outside: an engine that answers only every other call still gets each order once more until it
-// answers, so the group switches, and the slot's status tells how.
+// Engines that respond to only every other call must still execute each order, because the worker repeats it until
+// the engine responds. The group switches, and the slot's status contains the history.
 func TestGroupSwitchesWithFlakyEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -152,7 +152,7 @@
 		_, err := p.Propose(ctx, 1, expertmap.MapID{Version: 9, Name: "too far"})
 		var failed *expertmap.FailedError
 		if !errors.As(err, &failed) || failed.Current.Name != "second" {
-			t.Errorf("got %v, want a failure that names the present map", err)
+			t.Errorf("got %v, want a failure that names the current map", err)
 		}
 		st, err := tr.hubs[expertmap.Addr{Rank: 1}].GetMapStatus(ctx, &pb.GetMapStatusRequest{Group: "g"})
 		if err != nil {
--- a/internal/experts/expertmap/node/proposer.go
+++ b/internal/experts/expertmap/node/proposer.go
@@ -9,18 +9,18 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/expertmap"
 )
 
-// ProposerOptions are what a proposer is made of.
+// ProposerOptions configures a Proposer.
 type ProposerOptions struct {
 	Group     ids.Group
 	Node      ids.Node
 	Config    expertmap.ProposerConfig
 	Loop      Loop
 	Transport Transport
-	// Poll is the period of the machine's ticks; 0 means DefaultPoll.
+	// Poll is the interval of the state machine's ticks; 0 means DefaultPoll.
 	Poll time.Duration
 }
 
-// Proposer runs a proposer's machine on the process's control loop.
+// Proposer runs an expertmap.Proposer on the process's control loop.
 type Proposer struct {
 	opts    ProposerOptions
 	node    ids.Node
@@ -36,14 +36,14 @@
 	return &Proposer{opts: o, node: o.Node, machine: expertmap.NewProposer(o.Config)}
 }
 
-// Run drives the proposer until ctx ends.
+// Run ticks the proposer until ctx ends.
 func (p *Proposer) Run(ctx context.Context) {
 	tick(ctx, p.opts.Poll, func() { p.post(p.machine.Tick) })
 }
 
-// Propose leads the group to a map under the lease's fencing number and waits for the end. A failed switch is
-// reported by *expertmap.FailedError, one under way by *expertmap.BusyError. If ctx ends first, the switch is given
-// up as by Stop, and the slots finish what they have begun.
+// Propose switches the group to a map under the lease's fencing token and waits for the result. It returns
+// *expertmap.FailedError if the switch fails and *expertmap.BusyError if one is in progress. If ctx ends first, it
+// aborts the switch as Stop does, and the slots finish what they have begun.
 func (p *Proposer) Propose(ctx context.Context, fence ids.Fence, to expertmap.MapID) (expertmap.Result, error) {
 	done := make(chan expertmap.Result, 1)
 	busy := make(chan error, 1)
@@ -67,7 +67,7 @@
 	}
 }
 
-// Stop ends a switch under way, for instance since the lease is lost.
+// Stop aborts a switch in progress, for example because the lease is lost.
 func (p *Proposer) Stop() { p.post(p.machine.Stop) }
 
 func (p *Proposer) receive(m expertmap.Message) {
--- a/internal/experts/expertmap/node/slot.go
+++ b/internal/experts/expertmap/node/slot.go
@@ -12,12 +12,12 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/expertmap"
 )
 
-// Loop is a control loop; control.Loop is one. Posted functions run one after the other.
+// Loop is a control loop, such as control.Loop. It runs posted functions one after the other.
 type Loop interface {
 	Post(f func(now time.Time))
 }
 
-// SlotOptions are what a slot is made of.
+// SlotOptions configures a Slot.
 type SlotOptions struct {
 	Group     ids.Group
 	Config    expertmap.SlotConfig
@@ -25,14 +25,14 @@
 	Loop      Loop
 	Transport Transport
 	Logger    log.Logger
-	// Poll is the period of reports from the engine; 0 means DefaultPoll.
+	// Poll is the interval of reports from the engine; 0 means DefaultPoll.
 	Poll time.Duration
 }
 
-// DefaultPoll is the period of the engine's reports and of the machines' ticks.
+// DefaultPoll is the default interval of the engine's reports and of the state machines' ticks.
 const DefaultPoll = 20 * time.Millisecond
 
-// Slot runs a slot's machine on the process's control loop.
+// Slot runs an expertmap.Slot on the process's control loop.
 type Slot struct {
 	opts    SlotOptions
 	rank    expertmap.Rank
@@ -54,7 +54,7 @@
 	return s
 }
 
-// Run drives the slot until ctx ends.
+// Run polls the engine and ticks the slot until ctx ends.
 func (s *Slot) Run(ctx context.Context) {
 	go s.worker.run(ctx)
 	tick(ctx, s.opts.Poll, func() { s.post(s.machine.Tick) })
@@ -92,7 +92,7 @@
 		case expertmap.Order:
 			s.worker.push(e)
 		case expertmap.Alarm:
-			level.Error(s.opts.Logger).Log("msg", "expert map", "group", s.opts.Group, "rank", s.rank, "err", e.Err)
+			level.Error(s.opts.Logger).Log("msg", "expert map alarm", "group", s.opts.Group, "rank", s.rank, "err", e.Err)
 		}
 	}
 }
@@ -102,5 +102,5 @@
 	s.status.Store(&st)
 }
 
-// Status returns the slot's state; it may be called from any goroutine.
+// Status returns the slot's state. It is safe for concurrent use.
 func (s *Slot) Status() expertmap.SlotStatus { return *s.status.Load() }
--- a/internal/experts/expertmap/node/transport.go
+++ b/internal/experts/expertmap/node/transport.go
@@ -13,24 +13,25 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1/cardamomyokev1connect"
 )
 
-// Transport carries messages between processes. It may lose, copy, delay and reorder them, and never waits.
+// Transport sends messages between processes. It may lose, duplicate, delay and reorder them, and it never blocks.
 type Transport interface {
 	Send(group ids.Group, from, to expertmap.Addr, m expertmap.Message)
 }
 
-// Resolve returns the base URL of an address, or false if it is not known now.
+// Resolve returns the base URL of an address, or false if it is currently unknown.
 type Resolve func(group ids.Group, to expertmap.Addr) (url string, ok bool)
 
 const (
-	// queueLength bounds what waits for one destination; what comes on top is lost, and the machines ask again.
+	// queueLength bounds the messages queued for one destination. Further messages are dropped, and the state
+	// machines send them again.
 	queueLength = 256
 	// sendTimeout is longer than any useful delay between two processes.
 	sendTimeout = time.Second
-	// idleTimeout ends the goroutine of a destination that got no message for so long.
+	// idleTimeout is how long a destination may get no message before its goroutine ends.
 	idleTimeout = time.Minute
 )
 
-// ConnectTransport is a Transport over connect-go with one goroutine a destination in use.
+// ConnectTransport is a Transport over connect-go with one goroutine per destination in use.
 type ConnectTransport struct {
 	client  connect.HTTPClient
 	resolve Resolve
@@ -87,7 +88,7 @@
 	}
 }
 
-// removeIdle forgets a destination, unless a message came meanwhile.
+// removeIdle removes a destination unless a message has been queued for it.
 func (c *ConnectTransport) removeIdle(url string, q chan *pb.MapEnvelope) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,7 +99,7 @@
 	return true
 }
 
-// batch takes along whatever waits behind the first envelope.
+// batch returns first and all envelopes queued behind it.
 func batch(first *pb.MapEnvelope, q chan *pb.MapEnvelope) []*pb.MapEnvelope {
 	envelopes := []*pb.MapEnvelope{first}
 	for {
@@ -114,6 +115,6 @@
 func (c *ConnectTransport) deliver(client cardamomyokev1connect.ExpertMapServiceClient, envelopes []*pb.MapEnvelope) {
 	ctx, cancel := context.WithTimeout(c.ctx, sendTimeout)
 	defer cancel()
-	// A message that is not delivered is lost; the machines ask again.
+	// An undelivered message is lost; the state machines send it again.
 	_, _ = client.DeliverMapMessages(ctx, &pb.DeliverMapMessagesRequest{Envelopes: envelopes})
 }
--- a/internal/experts/expertmap/node/wire.go
+++ b/internal/experts/expertmap/node/wire.go
@@ -9,7 +9,7 @@
 	pb "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// UnknownMessageError says that an envelope carries no message that this version knows.
+// UnknownMessageError reports a message or an envelope body of a type that this version does not know.
 type UnknownMessageError struct{ Body any }
 
 // Error implements error.
@@ -57,7 +57,7 @@
 	return numbers
 }
 
-// encode makes an envelope; it returns *BodyError for a message of another package's type.
+// encode wraps a message in an envelope; it returns *UnknownMessageError for a type that is not part of the protocol.
 func encode(group ids.Group, from, to expertmap.Addr, m expertmap.Message) (*pb.MapEnvelope, error) {
 	e := &pb.MapEnvelope{Group: string(group), From: fromAddr(from), To: fromAddr(to)}
 	switch m := m.(type) {
@@ -107,7 +107,7 @@
 	}
 }
 
-// decode reads an envelope's message; it returns *BodyError for a message that this version does not know.
+// decode returns an envelope's message; it returns *UnknownMessageError for a body that this version does not know.
 func decode(e *pb.MapEnvelope) (expertmap.Message, error) {
 	switch b := e.GetBody().(type) {
 	case *pb.MapEnvelope_StageRequest:
--- a/internal/experts/expertmap/proposer.go
+++ b/internal/experts/expertmap/proposer.go
@@ -10,7 +10,7 @@
 
 var proposerChart = charts.MustLoad("map_proposer")
 
-// The states of a proposer; the chart map_proposer says how they follow each other.
+// The states of a proposer; the chart map_proposer defines the transitions.
 const (
 	StateIdle       charts.State = "idle"
 	StateProbing    charts.State = "probing"
@@ -19,25 +19,26 @@
 	StateBackingOff charts.State = "backing-off"
 )
 
-// ProposerTiming holds the proposer's timeouts and bounds. None of them matters to safety.
+// ProposerTiming holds the proposer's timeouts and bounds. Safety depends on none of them.
 type ProposerTiming struct {
-	// Retry is the time after which a message that was not answered is sent again.
+	// Retry is the delay before an unanswered message is sent again.
 	Retry time.Duration `yaml:"retry"`
-	// StageTimeout is how long the ranks may take to load weights.
+	// StageTimeout is the maximum time that the ranks may take to load weights.
 	StageTimeout time.Duration `yaml:"stage_timeout"`
-	// Backoff is the pause after the first refusal; it doubles with each further one.
+	// Backoff is the delay after the first refusal; it doubles with each further refusal, at most six times.
 	Backoff time.Duration `yaml:"backoff"`
-	// Attempts is how many proposals are made before the switch is given up.
+	// Attempts is the maximum number of proposals before the switch is aborted.
 	Attempts int `yaml:"attempts"`
-	// OrderTime is what an order to an engine takes, beyond the message that carries it to the slot.
+	// OrderTime is the time that an order to an engine takes, without the message that carries it to the slot.
 	OrderTime time.Duration `yaml:"order_time"`
-	// ReportAge is how old an engine's report can be when its slot answers.
+	// ReportAge is the maximum age of an engine's report when its slot replies.
 	ReportAge time.Duration `yaml:"report_age"`
-	// Margin multiplies the time measured for the exchange; each refusal for a passed step doubles the lead again.
+	// Margin multiplies the measured time of the exchange. Each refusal because of a passed step doubles it once
+	// more.
 	Margin float64 `yaml:"margin"`
 }
 
-// DefaultProposerTiming suits steps of a few milliseconds and round trips below ten.
+// DefaultProposerTiming returns settings for steps of a few milliseconds and round trips below ten milliseconds.
 func DefaultProposerTiming() ProposerTiming {
 	return ProposerTiming{
 		Retry: 100 * time.Millisecond, StageTimeout: 10 * time.Minute, Backoff: 200 * time.Millisecond,
@@ -45,17 +46,18 @@
 	}
 }
 
-// ProposerConfig says who proposes to whom.
+// ProposerConfig configures a Proposer.
 type ProposerConfig struct {
-	// ID is drawn at random at each start of the process, so that no two lives share a ballot.
+	// ID is generated at random each time the process starts, so that no two incarnations share a ballot.
 	ID     uint64
 	Ranks  int
 	Timing ProposerTiming
 }
 
-// Proposer is the state machine that leads a group from one map to the next. The holder of the group's lease runs
-// it, but nothing unsafe happens if two run at the same time, or if one dies or sleeps at any point: slots that capped
-// finish among themselves. It is not safe for concurrent use; it does no I/O and reads no clock.
+// Proposer is the state machine that drives the switch of a group from one map to the next. It runs on the holder of
+// the group's lease. Safety does not depend on the lease: two proposers may run concurrently, and a proposer may
+// crash or be paused at any point, because slots that have capped finish the switch among themselves. It is not safe
+// for concurrent use; it does no I/O and reads no clock.
 type Proposer struct {
 	cfg     ProposerConfig
 	machine charts.Machine
@@ -63,19 +65,20 @@
 	seq     uint64
 	round   uint64
 	to      MapID
-	// replies holds, by rank, the answer to the present round, and when it came.
+	// replies holds, by rank, the reply to the current round and its time of arrival.
 	replies []*stageReply
-	// roundSentAt is when the present round was sent.
+	// roundSentAt is when the current round was sent.
 	roundSentAt time.Time
 	proposal    Proposal
 	acked       []bool
 	switched    []bool
 	refusal     *Refusal
 	attempts    int
-	// leadFactor multiplies the measured lead after refusals for a passed step.
+	// leadFactor multiplies the lead; it doubles with each refusal because of a passed step.
 	leadFactor float64
 	failure    *FailedError
-	// retryAt and expireAt are when the state repeats itself and when it ends; wait is the pause between repeats.
+	// retryAt is when the current state sends its messages again, wait the interval between such repeats, and
+	// expireAt when the state times out; zero means no timeout.
 	retryAt  time.Time
 	wait     time.Duration
 	expireAt time.Time
@@ -91,11 +94,12 @@
 	return &Proposer{cfg: cfg, machine: proposerChart.Start()}
 }
 
-// State returns the present state.
+// State returns the current state.
 func (p *Proposer) State() charts.State { return p.machine.State() }
 
-// Propose starts the switch to a map under the fencing number of the group's lease. It returns *BusyError if a switch
-// is under way. The version must be one above the map that the group runs, or the Result says which one that is.
+// Propose starts the switch to a map under the fencing token of the group's lease. It returns *BusyError if a switch
+// is in progress. The map's version must be one above that of the group's current map; otherwise the Result is a
+// failure that names the current map.
 func (p *Proposer) Propose(now time.Time, fence ids.Fence, to MapID) ([]Effect, error) {
 	if p.State() != StateIdle {
 		return nil, &BusyError{p.to}
@@ -107,13 +111,14 @@
 	return p.fire(now, "propose"), nil
 }
 
-// Stop ends the proposer's part, for instance since its lease is lost. A proposal that is out may still be committed.
+// Stop aborts the switch in progress, for example because the lease is lost. A proposal that was already sent may
+// still be committed.
 func (p *Proposer) Stop(now time.Time) []Effect {
 	p.fail(ReasonStopped, 0, MapID{})
 	return p.fire(now, "stop")
 }
 
-// Receive takes in a message from a slot.
+// Receive processes a message from a slot.
 func (p *Proposer) Receive(now time.Time, m Message) []Effect {
 	switch m := m.(type) {
 	case StageReply:
@@ -128,7 +133,7 @@
 	return nil
 }
 
-// Tick lets time pass; the shortest timeout is ProposerTiming.Retry.
+// Tick advances the state machine to now; the shortest timeout is ProposerTiming.Retry.
 func (p *Proposer) Tick(now time.Time) []Effect {
 	if !p.expireAt.IsZero() && !now.Before(p.expireAt) {
 		p.expireAt = time.Time{}
@@ -141,15 +146,15 @@
 	p.retryAt = now.Add(p.wait)
 	switch p.State() {
 	case StateStaging:
-		// Weights take minutes: asking less and less often keeps to the network that control may use.
+		// Loading weights takes minutes, so the interval doubles to save bandwidth on the control network.
 		p.wait = min(2*p.wait, maxRetryFactor*p.cfg.Timing.Retry)
 		return p.sendStage()
 	case StateProbing:
-		// A probe that has to be repeated measures nothing; a new round does.
+		// The delay of a repeated probe cannot be measured, so a new round is started.
 		return p.beginRound(now)
 	case StateCapping:
-		// Those that acknowledged are asked as well: if the slots have finished among themselves meanwhile, the
-		// answer is the outcome, and its first copy may be lost.
+		// Ranks that have acknowledged get the request too: if the slots have finished among themselves, the reply is
+		// the outcome, whose first copy may be lost.
 		return p.sendToPending(p.switched, CapRequest{p.proposal})
 	case StateCertifying:
 		return append(p.sendCertificate(), p.sendToPending(p.switched, CapRequest{p.proposal})...)
@@ -157,7 +162,7 @@
 	return nil
 }
 
-// maxRetryFactor bounds the pause between two questions, in units of ProposerTiming.Retry.
+// maxRetryFactor bounds the interval between two requests, in units of ProposerTiming.Retry.
 const maxRetryFactor = 64
 
 func (p *Proposer) fire(now time.Time, ev charts.Event) []Effect {
@@ -195,7 +200,8 @@
 	p.failure = &FailedError{To: p.to, Reason: reason, Rank: r, Current: current}
 }
 
-// report ends the switch. A failure that was met on the way counts only if the ranks have not switched after all.
+// report ends the switch. onOutcome and alreadySwitched have cleared an earlier failure if the ranks have switched
+// after all.
 func (p *Proposer) report() []Effect {
 	p.expireAt = time.Time{}
 	res := Result{To: p.to, Start: p.proposal.Start, Attempts: p.attempts}
@@ -213,7 +219,7 @@
 	return effects
 }
 
-// sendToPending sends to the ranks that have not done their part yet.
+// sendToPending sends m to the ranks for which done is not set.
 func (p *Proposer) sendToPending(done []bool, m Message) []Effect {
 	var effects []Effect
 	for r, d := range done {
@@ -224,7 +230,7 @@
 	return effects
 }
 
-// unreadyRank returns a rank whose word is still out.
+// unreadyRank returns the first rank that has not replied that it is ready, or 0 if all have.
 func (p *Proposer) unreadyRank() Rank {
 	return Rank(max(0, slices.IndexFunc(p.replies, func(r *stageReply) bool { return r == nil || !r.Ready })))
 }
--- a/internal/experts/expertmap/proposer_cap.go
+++ b/internal/experts/expertmap/proposer_cap.go
@@ -42,8 +42,9 @@
 	return p.fire(now, "all-acked")
 }
 
-// sendCertificate gives the certificate to every rank that has not switched. A rank that restarted meanwhile does not
-// hold the proposal any more, so each repeat sends the cap request along: its answer tells how the proposal ended.
+// sendCertificate sends the certificate to every rank that has not switched. A rank that has restarted no longer
+// holds the proposal, so Tick repeats the cap request with the certificate; the reply to it reports how the proposal
+// ended.
 func (p *Proposer) sendCertificate() []Effect {
 	cert := Certificate{Ballot: p.proposal.Ballot, Acks: slices.Clone(p.proposal.Roster)}
 	return p.sendToPending(p.switched, cert)
@@ -80,7 +81,8 @@
 	return p.fire(now, "all-switched")
 }
 
-// backOff passes the refusal on, so that the ranks that capped run on at once, and waits before the next proposal.
+// backOff relays the refusal, so that the ranks that have capped continue immediately, and waits before the next
+// proposal.
 func (p *Proposer) backOff(now time.Time) []Effect {
 	var effects []Effect
 	if p.refusal != nil {
@@ -89,8 +91,8 @@
 	if p.attempts >= p.cfg.Timing.Attempts || p.refusal != nil && p.refusal.Fence > p.fence {
 		return append(effects, p.fire(now, "failed")...)
 	}
-	const longest = 6
-	pause := p.cfg.Timing.Backoff << min(p.attempts-1, longest)
+	const maxDoublings = 6
+	pause := p.cfg.Timing.Backoff << min(p.attempts-1, maxDoublings)
 	p.expireAt = now.Add(pause)
 	return effects
 }
--- a/internal/experts/expertmap/proposer_stage.go
+++ b/internal/experts/expertmap/proposer_stage.go
@@ -12,7 +12,7 @@
 	return p.sendStage()
 }
 
-// sendStage asks the ranks that have not said yet that they are ready.
+// sendStage sends the stage request to the ranks that have not yet replied that they are ready.
 func (p *Proposer) sendStage() []Effect {
 	ready := make([]bool, p.cfg.Ranks)
 	for r, reply := range p.replies {
@@ -52,15 +52,16 @@
 	return p.fire(now, "all-probed")
 }
 
-// alreadySwitched ends the switch: an earlier proposal that was thought lost has been committed by the slots.
+// alreadySwitched ends the switch successfully: the slots have committed an earlier proposal that this proposer
+// considered lost.
 func (p *Proposer) alreadySwitched(now time.Time, m StageReply) []Effect {
 	p.failure = nil
 	p.proposal.Start = m.Since
 	return p.fire(now, "failed")
 }
 
-// startStep picks the proposal's first step: the furthest rank's step when the certificate will have reached the last
-// rank, so that no step waits for the switch unless a message is late.
+// startStep chooses the proposal's first step. It estimates the step that the fastest rank will have reached when the
+// certificate arrives at the last rank, so that no rank has to wait at its limit unless a message is late.
 func (p *Proposer) startStep(now time.Time) Step {
 	var next Step
 	var stepTime, trip time.Duration
@@ -70,11 +71,11 @@
 		trip = max(trip, r.at.Sub(p.roundSentAt))
 	}
 	if p.replies[0].Current.IsZero() || stepTime <= 0 {
-		// No step runs without a map, so nothing comes before the first map's first step.
+		// No step runs without a map, so no running step can precede the first map's first step.
 		return next
 	}
-	// Cap, acknowledgement and certificate cross the network once each, and the engine carries out two orders. The
-	// furthest rank's report is at most one trip and ReportAge old.
+	// The cap request, the acknowledgement and the certificate cross the network once each, and the engine executes
+	// two orders. The report of the fastest rank is at most one round trip plus ReportAge old.
 	exchange := p.leadFactor * p.cfg.Timing.Margin * float64(2*trip+2*p.cfg.Timing.OrderTime)
 	age := float64(now.Sub(p.roundSentAt) + p.cfg.Timing.ReportAge)
 	steps := math.Ceil((exchange + age) / float64(stepTime))
--- a/internal/experts/expertmap/proposer_test.go
+++ b/internal/experts/expertmap/proposer_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// The proposer would wait for ever: it hears one acknowledgement, the others and all that the slots say while they
-// finish among themselves is lost. Met over loopback with 16 ranks (cardamomyoke-bench mapswitch).
+// Guards against a proposer that waits forever: it receives one acknowledgement, but the others and all messages that
+// the slots send while they finish among themselves are lost. Seen over loopback with 16 ranks (cardamomyoke-bench
+// mapswitch).
 func TestProposerLearnsOutcomeAfterLostMessages(t *testing.T) {
 	g := newGroup(t, 3)
 	g.boot()
@@ -30,8 +31,8 @@
 	}
 }
 
-// Callers see a longer first token at worst: a rank is further on than it said, so the first proposal comes too late
-// for it and is refused. The next one leads by more.
+// A rank is further ahead than its report said, so it refuses the first proposal because the step has passed; callers
+// see at most a longer time to first token. The next proposal must double the lead.
 func TestRefusalForPassedStepDoublesLead(t *testing.T) {
 	g := newGroup(t, 3)
 	g.boot()
--- a/internal/experts/expertmap/random_test.go
+++ b/internal/experts/expertmap/random_test.go
@@ -12,7 +12,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// TestMain fixes the length of the random tests; their seeds are fixed in checkSeeds, so each run gives one verdict.
+// TestMain fixes the length of the random tests. checkSeeds fixes their seeds, so every run has the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	setFlag("rapid.nofailfile", "true")
@@ -27,7 +27,7 @@
 	}
 }
 
-// seeds are the first one and those that once showed a fault.
+// seeds are the first seed and those that have revealed a fault.
 var seeds = []string{"20261202", "23467980", "20513607"}
 
 func checkSeeds(t *testing.T, ranks, crashes, losses int) {
@@ -39,12 +39,12 @@
 	}
 }
 
-// randomGroup drives a group at random: messages are delivered late, twice, never and in any order; slots restart with
-// nothing, engines too; proposers are forgotten in the middle and replaced, or wake up late with an old fence.
+// randomGroup drives a group at random. Messages are delayed, duplicated, lost and reordered; slots and engines
+// restart without state; proposers are replaced in the middle of a switch or resume late with an old fencing token.
 type randomGroup struct {
 	*group
 	version uint64
-	// crashes and losses bound the faults of one run, so that switches get through between them.
+	// crashes and losses bound the faults of one run, so that switches complete between them.
 	crashes, losses int
 }
 
@@ -56,17 +56,17 @@
 		}
 		c.deliver(c.remove(pick(len(c.net), "message")))
 	}
-	obey := func(*rapid.T) {
+	executeOrder := func(*rapid.T) {
 		r := pick(c.ranks, "rank")
 		if len(c.orders[r]) == 0 {
-			t.Skip("nothing to obey")
+			t.Skip("no order to execute")
 		}
 		c.executeOrder(r)
 	}
 	step := func(*rapid.T) { c.step(pick(c.ranks, "rank")) }
 	return map[string]func(*rapid.T){
 		"deliver 1": deliver, "deliver 2": deliver, "deliver 3": deliver, "deliver 4": deliver,
-		"obey 1": obey, "obey 2": obey, "step 1": step, "step 2": step,
+		"obey 1": executeOrder, "obey 2": executeOrder, "step 1": step, "step 2": step,
 		"copy": func(*rapid.T) {
 			if len(c.net) == 0 {
 				t.Skip("nothing to copy")
@@ -113,7 +113,8 @@
 	}
 }
 
-// loseEngine replaces an engine by one with nothing. The group forms anew at the step that it could not finish.
+// loseEngine replaces an engine by one without state. The group forms again at the step that the engine could not
+// finish.
 func (c *randomGroup) loseEngine(r int, slotToo bool) {
 	next := c.engines[r].Next
 	for _, e := range c.engines {
@@ -147,7 +148,7 @@
 	c.settleProposers()
 }
 
-// settleProposers fails the test if a proposer never learns how its proposal ended.
+// settleProposers fails the test if a proposer does not learn how its proposal ended.
 func (c *randomGroup) settleProposers() {
 	const rounds = 200
 	for range rounds {
@@ -156,13 +157,13 @@
 	for _, name := range c.proposerNames {
 		p := c.proposers[name]
 		if p.State() == StateCapping || p.State() == StateCertifying {
-			c.fail("proposer %s still is %s: proposal %+v acked %v switched %v", name, p.State(), p.proposal, p.acked, p.switched)
+			c.fail("proposer %s is still %s: proposal %+v acked %v switched %v", name, p.State(), p.proposal, p.acked, p.switched)
 		}
 	}
 }
 
-// Whatever is lost, doubled, late or restarted: no step runs under two maps, the first rank to switch has the
-// certificate, and once the faults end the group runs on.
+// Guards against a step that runs under two maps, a rank that switches first without a certificate, and a group that
+// does not continue once the faults end, whichever messages are lost, duplicated or late and whichever slots restart.
 func TestRandomFaultsOfThreeRanks(t *testing.T) {
 	checkSeeds(t, 3, 4, 0)
 }
@@ -171,7 +172,7 @@
 	checkSeeds(t, 5, 6, 0)
 }
 
-// As above, and engines are lost, alone or together with their slots.
+// The same guarantees when engines lose their state too, alone or together with their slots.
 func TestRandomFaultsWithEngineRestarts(t *testing.T) {
 	checkSeeds(t, 3, 3, 2)
 }
--- a/internal/experts/expertmap/replay_test.go
+++ b/internal/experts/expertmap/replay_test.go
@@ -12,11 +12,12 @@
 )
 
 // replay drives the real code along a counterexample of a mutant of spec/expertmap.pml. Each line of a trace names a
-// transition of the specification; where the mutant had no safeguard, the real code must not follow.
+// transition of the specification. Where the mutant lacks a safeguard, the real code must not follow the trace.
 type replay struct {
 	*group
 	row bool
-	// lateOrders keeps the engines from carrying out orders, for the mutant that acknowledges before them.
+	// lateOrders keeps the engines from executing orders, for the mutant that acknowledges before its engine has
+	// confirmed the limit.
 	lateOrders bool
 	firstStep  Step
 	// incarnations holds, by rank, the incarnations that the specification numbers from 0.
@@ -100,7 +101,7 @@
 	r.proposals[p] = prop
 }
 
-// executeOrders lets an engine carry out every order and report.
+// executeOrders lets an engine execute every order and report.
 func (r *replay) executeOrders(i int) {
 	for len(r.orders[i]) > 0 {
 		r.executeOrder(i)
@@ -118,7 +119,7 @@
 	r.slotEffects(i, r.slots[i].Receive(r.now, from, CapRequest{r.proposals[p]}))
 }
 
-// cap hands the request over. The engine obeys, but its slot does not hear so before the line "ack".
+// cap delivers the cap request. The engine executes the orders, but its slot gets no report before the line "ack".
 func (r *replay) cap(i, p int) {
 	r.report(i)
 	r.stage(i, r.proposals[p].To)
@@ -132,13 +133,14 @@
 	r.orders[i] = nil
 }
 
-// refuse makes the slot refuse at will: it has staged something else.
+// refuse makes the slot refuse the proposal, because it has staged another map.
 func (r *replay) refuse(i, p int) {
 	r.stage(i, MapID{r.proposals[p].To.Version, "other"})
 	r.requestCap(i, p)
 }
 
-// deliverAll delivers every message of a kind to a slot, whoever it was sent to: in the specification all can read all.
+// deliverAll delivers every matching message to a slot, whatever its destination: in the specification all ranks can
+// read all messages.
 func (r *replay) deliverAll(i int, wanted func(Message) bool) {
 	for _, e := range r.net {
 		if wanted(e.msg) {
@@ -179,9 +181,9 @@
 	})
 }
 
-// Each mutant of the specification lacks one safeguard, and Spin found how a step then runs under two maps or the
-// group waits for ever. The real code goes through the same events: no step may run under two maps, the first to
-// switch must have the certificate, and the group must run on in the end.
+// Each mutant of the specification lacks one safeguard, and Spin has found how a step then runs under two maps or the
+// group waits forever. The real code goes through the same events: no step may run under two maps, the first rank to
+// switch must have the certificate, and the group must continue in the end.
 func TestSpecificationCounterexamples(t *testing.T) {
 	var plan struct {
 		Runs []struct{ Name, Mutant string } `yaml:"runs"`
--- a/internal/experts/expertmap/slot.go
+++ b/internal/experts/expertmap/slot.go
@@ -9,7 +9,7 @@
 
 var slotChart = charts.MustLoad("map_slot")
 
-// The states of a slot; the chart map_slot says how they follow each other.
+// The states of a slot; the chart map_slot defines the transitions.
 const (
 	StateStarting   charts.State = "starting"
 	StateRecovering charts.State = "recovering"
@@ -22,27 +22,30 @@
 	StateSwitching  charts.State = "switching"
 )
 
-// SlotTiming holds the slot's timeouts. None of them matters to safety.
+// SlotTiming holds the slot's timeouts. Safety depends on none of them.
 type SlotTiming struct {
-	// Retry is the time after which a question that was not answered, or a failed load of weights, is repeated.
+	// Retry is the delay before an unanswered request is sent again. A failed load of weights is repeated after a
+	// multiple of it, restageFactor.
 	Retry time.Duration `yaml:"retry"`
-	// PeerTimeout is how long a capped slot waits for the proposer before it asks its peers itself, and how often it
-	// asks. Once its engine has run up to the limit, which holds the whole group, it asks without waiting.
+	// PeerTimeout is how long a capped slot waits for the proposer before it sends the cap request to its peers
+	// itself, and the interval at which it repeats that request. Once its engine has reached the limit, and so stalls
+	// the whole group, the slot does not wait for it.
 	PeerTimeout time.Duration `yaml:"patience"`
-	// Stagger delays the first question by this much for each rank, so that seldom many slots ask all others.
+	// Stagger delays the first request to the peers by this much per rank number, so that many slots rarely send
+	// requests to all others concurrently.
 	Stagger time.Duration `yaml:"stagger"`
 }
 
-// DefaultSlotTiming suits steps of a few milliseconds and round trips below ten.
+// DefaultSlotTiming returns settings for steps of a few milliseconds and round trips below ten milliseconds.
 func DefaultSlotTiming() SlotTiming {
 	return SlotTiming{Retry: 50 * time.Millisecond, PeerTimeout: 100 * time.Millisecond, Stagger: 5 * time.Millisecond}
 }
 
-// SlotConfig says whose slot it is.
+// SlotConfig configures a Slot.
 type SlotConfig struct {
 	Rank  Rank
 	Ranks int
-	// Incarnation must be larger than that of every earlier life as far as the clock allows.
+	// Incarnation must be larger than that of every earlier run of the rank's slot, as far as the clock allows.
 	Incarnation Incarnation
 	Timing      SlotTiming
 }
@@ -52,43 +55,45 @@
 	cfg     SlotConfig
 	machine charts.Machine
 	inc     Incarnation
-	// known holds, by rank, the newest incarnation met; a roster counts only if it names exactly these.
+	// known holds, by rank, the newest incarnation that the slot has seen; it accepts a roster only if it names
+	// exactly these.
 	known []Incarnation
-	// answers holds, by rank, what the peers said since this incarnation began.
+	// answers holds, by rank, the peers' answers to this incarnation's Recover.
 	answers []*Answer
 	engine  EngineReport
-	// orders numbers the orders; the engine is busy until its report bears the last number.
+	// orders is the number of the last order issued; the engine is busy until its report carries that number.
 	orders uint64
-	// staging is the map that is or was last staged, and stager who wants to know.
+	// staging is the map that was staged last or is being staged. stageRequester and stageRequest are the sender and
+	// the request to reply to.
 	staging        MapID
 	stageRequester Addr
 	stageRequest   StageRequest
 	held           *Proposal
-	// requesters want the acknowledgement of held.
+	// requesters are the senders that wait for the acknowledgement of held.
 	requesters []Addr
-	// atLimit says that the engine has run up to held's first step.
+	// atLimit is set once the engine has reached held's first step.
 	atLimit bool
-	// deferred says that the slot has once left the question about held to a peer that asked first.
+	// deferred is set once the slot has left it to a peer to request the outcome of held.
 	deferred bool
-	// acks holds, by rank, who acknowledged held, as far as this slot was told.
+	// acks holds, by rank, whether the slot has received an acknowledgement of held.
 	acks []bool
-	// floor is the highest ballot that was refused or held: what is not above it is never capped again.
+	// floor is the highest ballot that was refused or held; the slot never caps a ballot that is not above it.
 	floor Ballot
 	fence ids.Fence
-	// retryAt is when the present state repeats itself.
+	// retryAt is when the current state sends its messages again.
 	retryAt time.Time
 	since   time.Time
 	history slotHistory
 }
 
-// NewSlot returns a slot that has forgotten everything, if it ever knew anything.
+// NewSlot returns a slot without any state from earlier incarnations.
 func NewSlot(cfg SlotConfig) *Slot {
 	s := &Slot{cfg: cfg, machine: slotChart.Start()}
 	s.reset(cfg.Incarnation)
 	return s
 }
 
-// reset begins a life: nothing that an earlier one promised or learned is carried over.
+// reset starts a new incarnation. It keeps nothing that an earlier one has promised or received.
 func (s *Slot) reset(inc Incarnation) {
 	s.inc = inc
 	s.known = make([]Incarnation, s.cfg.Ranks)
@@ -107,13 +112,13 @@
 	s.acks = nil
 }
 
-// State returns the present state.
+// State returns the current state.
 func (s *Slot) State() charts.State { return s.machine.State() }
 
-// Incarnation returns the present incarnation.
+// Incarnation returns the current incarnation.
 func (s *Slot) Incarnation() Incarnation { return s.inc }
 
-// Receive takes in a message.
+// Receive processes a message.
 func (s *Slot) Receive(now time.Time, from Addr, m Message) []Effect {
 	switch m := m.(type) {
 	case StageRequest:
@@ -138,9 +143,9 @@
 	return nil
 }
 
-// ReceiveReport takes in the engine's state. Whoever carries out the orders must see to it that each is answered by a
-// report that bears its number, however long the engine takes, and that the first report of a life is read when no
-// order of an earlier life can take effect any more.
+// ReceiveReport processes the engine's state. The caller must ensure that each order is followed by a report that
+// carries its number, however long the engine takes, and that the first report of an incarnation is read when no
+// order of an earlier incarnation can still take effect.
 func (s *Slot) ReceiveReport(now time.Time, r EngineReport) []Effect {
 	last := s.engine
 	s.engine = r
@@ -167,13 +172,14 @@
 	return nil
 }
 
-// engineRestarted reports whether the engine has restarted with nothing. What the slot promised for its rank is then void, so
-// the slot begins a new life as well; otherwise its old acknowledgement would count for a rank without a limit.
+// engineRestarted reports whether the engine has restarted without state. The slot's promises for its rank are then
+// void, so the slot starts a new incarnation too; otherwise its old acknowledgement would count for a rank without a
+// limit.
 func engineRestarted(last, now EngineReport) bool {
 	return !last.Map.IsZero() && now.Map.IsZero() || now.Next < last.Next
 }
 
-// reconcile removes a limit that no proposal stands behind: an order to lift it can get lost.
+// reconcile removes a limit that belongs to no proposal, since an order to lift it can get lost.
 func (s *Slot) reconcile() []Effect {
 	if s.engine.Limit == NoLimit || s.busy() {
 		return nil
@@ -181,7 +187,7 @@
 	return []Effect{s.order(OrderLift, s.engine.Limit, MapID{})}
 }
 
-// Tick lets time pass. It may be called at any rate; the shortest timeout is SlotTiming.Retry.
+// Tick advances the state machine to now. It may be called at any rate; the shortest timeout is SlotTiming.Retry.
 func (s *Slot) Tick(now time.Time) []Effect {
 	if now.Before(s.retryAt) {
 		return nil
@@ -198,7 +204,7 @@
 	return nil
 }
 
-// fire applies an event of the chart and carries out its actions.
+// fire applies an event of the chart and executes its actions.
 func (s *Slot) fire(now time.Time, ev charts.Event) []Effect {
 	before := s.State()
 	actions, err := s.machine.Fire(ev)
@@ -256,7 +262,7 @@
 	return Order{ID: s.orders, Kind: kind, Map: s.engine.Map, Step: step, To: to}
 }
 
-// lift removes the engine's limit, which may be one that an older incarnation set.
+// lift removes the engine's limit, including one that an older incarnation has set.
 func (s *Slot) lift() []Effect {
 	step := s.engine.Limit
 	if s.held != nil {
--- a/internal/experts/expertmap/slot_recover.go
+++ b/internal/experts/expertmap/slot_recover.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// startRecovery starts the questions of a new life.
+// startRecovery sends the Recover requests of a new incarnation. A group of one rank has no peers and needs none.
 func (s *Slot) startRecovery(now time.Time) []Effect {
 	s.retryAt = now.Add(s.cfg.Timing.Retry)
 	if s.cfg.Ranks == 1 {
@@ -11,7 +11,7 @@
 	return s.sendRecover()
 }
 
-// sendRecover repeats the question to the peers that have not answered.
+// sendRecover sends Recover to the peers that have not answered yet.
 func (s *Slot) sendRecover() []Effect {
 	var effects []Effect
 	for _, p := range s.peers() {
@@ -22,9 +22,10 @@
 	return effects
 }
 
-// onRecover answers a restarted peer. The answer is a promise: from now on the slot counts no roster that names an
+// onRecover answers a restarted peer. The answer is a promise: from now on the slot accepts no roster that names an
 // older incarnation of the peer. Without it, the old acknowledgement could complete a certificate after the restarted
-// peer has run on. A slot that recovers itself answers too, or two that restarted together would wait for each other.
+// peer has run on. A slot that is recovering itself answers too; otherwise two slots that restarted together would
+// wait for each other.
 func (s *Slot) onRecover(m Recover) []Effect {
 	if m.Rank == s.cfg.Rank || int(m.Rank) >= s.cfg.Ranks {
 		return nil
@@ -35,7 +36,7 @@
 	}
 	switch s.State() {
 	case StateStarting, StateSwitching:
-		// The engine's word is still out; the peer asks again.
+		// The engine has not reported yet, or has not confirmed the switch; the peer asks again.
 		return nil
 	}
 	s.known[m.Rank] = m.Incarnation
@@ -45,7 +46,7 @@
 	}}}
 }
 
-// onSuperseded takes a larger number if the host's clock stood behind that of an earlier life.
+// onSuperseded chooses a larger incarnation if the host's clock is behind the one that an earlier incarnation used.
 func (s *Slot) onSuperseded(now time.Time, m Superseded) []Effect {
 	if s.State() != StateRecovering || m.Known <= s.inc {
 		return nil
@@ -71,7 +72,7 @@
 	return s.fire(now, "heard-all")
 }
 
-// newest returns the newest map that this slot's engine or the peers' answers name, with its first step.
+// newest returns the newest map, and its first step, that this slot's engine or the peers' answers name.
 func (s *Slot) newest() (MapID, Step) {
 	m, start := s.engine.Map, s.engine.Start
 	for _, a := range s.answers {
@@ -82,7 +83,8 @@
 	return m, start
 }
 
-// adopt brings the engine to the group's map. The older incarnation may have acknowledged it, or the engine is new.
+// adopt moves the engine to the group's newest map. The engine may lack it because the older incarnation acknowledged
+// the switch but did not complete it, or because the engine is new.
 func (s *Slot) adopt(now time.Time) []Effect {
 	m, start := s.newest()
 	if s.engine.Map == m {
@@ -104,14 +106,14 @@
 	return []Effect{s.order(OrderStage, 0, m)}
 }
 
-// busy reports whether an order to the engine is not answered yet.
+// busy reports whether the engine has an order that it has not executed or refused yet.
 func (s *Slot) busy() bool { return s.engine.Order < s.orders }
 
 // restageFactor is the time between two orders to load the same weights, in units of SlotTiming.Retry.
 const restageFactor = 20
 
-// restage orders the weights again: they could not be loaded, or the engine restarted while it loaded them. An engine
-// that is loading them goes on.
+// restage orders the weights again if they could not be loaded or the engine restarted while loading them. An engine
+// that is still loading them is not disturbed by the repeated order.
 func (s *Slot) restage(now time.Time) []Effect {
 	s.retryAt = now.Add(restageFactor * s.cfg.Timing.Retry)
 	if s.busy() || s.engine.Staged == s.staging {
--- a/internal/experts/expertmap/slot_test.go
+++ b/internal/experts/expertmap/slot_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Callers see nothing: the group goes on under its old map. One rank cannot load the new map's weights, so the
-// proposer gives the map up before anything was capped.
+// One rank cannot load the new map's weights. The proposer must abort the switch before any rank caps, and the group
+// continues under its old map.
 func TestLoadFailureEndsSwitchBeforeAnyCap(t *testing.T) {
 	g := newGroup(t, 3)
 	g.boot()
@@ -47,8 +47,8 @@
 	}
 }
 
-// Without the rule a step runs under two maps: map 2 is to start at step 55, a second proposer caps step 6 for map 3,
-// and the engines, which remember one map before their newest, run steps 3 to 5 under map 2. Found by
+// Guards against a step that runs under two maps. Map 2 starts at step 55, a second proposer caps step 6 for map 3,
+// and the engines, which remember one map before their newest, would run steps 3 to 5 under map 2. Found by
 // TestRandomFaultsOfThreeRanks with seed 23467980.
 func TestSlotRefusesCapBeforeItsMapIsInForce(t *testing.T) {
 	g := newGroup(t, 3)
@@ -99,9 +99,9 @@
 	return p
 }
 
-// A rank would go on under the old map alone: rank 0 has the certificate, its engine has switched but the slot has not
-// heard so yet. The slot of rank 1 restarts and asks. "Not switched" would let it abort, so rank 0 must not answer
-// before its engine does.
+// Guards against a rank that continues alone under the old map. Rank 0 has the certificate and its engine has
+// switched, but the slot has no report of it yet when the restarted slot of rank 1 sends Recover. An answer "not
+// switched" would let rank 1 abort, so rank 0 must not answer before its engine reports.
 func TestSwitchingSlotDoesNotAnswerRecover(t *testing.T) {
 	g := newGroup(t, 3)
 	g.boot()
@@ -110,8 +110,8 @@
 	g.engines[0].Obey(g.orders[0][0])
 	g.orders[0] = nil
 	g.start(1)
-	question := Recover{1, g.slots[1].Incarnation()}
-	if got := g.slots[0].Receive(g.now, Addr{Rank: 1}, question); got != nil {
+	request := Recover{1, g.slots[1].Incarnation()}
+	if got := g.slots[0].Receive(g.now, Addr{Rank: 1}, request); got != nil {
 		t.Fatalf("answered %+v", got)
 	}
 	g.report(0)
@@ -121,19 +121,20 @@
 	}
 }
 
-// A rank would pass the first step of the new map without its limit: the engine restarts with nothing while its slot
-// lives on, and the slot's acknowledgement still counts. So the slot begins a new life, and the proposal is aborted.
+// Guards against a rank that passes the first step of the new map without its limit. The engine restarts without
+// state while its slot keeps running, and the slot's acknowledgement still counts. The slot must start a new
+// incarnation, and the proposal is aborted.
 func TestEngineRestartVoidsAcknowledgement(t *testing.T) {
 	g := newGroup(t, 3)
 	g.boot()
 	p := capAllRanks(t, g)
-	was := g.slots[2].Incarnation()
-	fresh := newEngine(g.engines[2].Next)
-	fresh.Order = g.engines[2].Order
-	g.engines[2] = fresh
+	before := g.slots[2].Incarnation()
+	restarted := newEngine(g.engines[2].Next)
+	restarted.Order = g.engines[2].Order
+	g.engines[2] = restarted
 	g.report(2)
-	if s := g.slots[2]; s.Incarnation() <= was || s.State() != StateRecovering {
-		t.Fatalf("incarnation %d after %d, state %s", s.Incarnation(), was, s.State())
+	if s := g.slots[2]; s.Incarnation() <= before || s.State() != StateRecovering {
+		t.Fatalf("incarnation %d after %d, state %s", s.Incarnation(), before, s.State())
 	}
 	g.settle(5)
 	for r, e := range g.engines {
@@ -143,8 +144,9 @@
 	}
 }
 
-// The group would wait for ever: a slot restarts on a host whose clock stands behind, so its incarnation is smaller
-// than the last one, and peers take its question for a late copy. They tell it, and it takes a larger number.
+// Guards against a group that waits forever. A slot restarts on a host whose clock was set back, so its incarnation
+// is smaller than the last one and peers take its Recover for a late copy. They reply Superseded, and it must choose
+// a larger number.
 func TestSlotRestartWithClockBehind(t *testing.T) {
 	g := newGroup(t, 3)
 	g.boot()
@@ -153,7 +155,7 @@
 	g.lastIncarnation = 0
 	g.start(1)
 	if g.slots[1].Incarnation() >= known {
-		t.Fatal("the clock is not behind")
+		t.Fatal("the new incarnation is not smaller")
 	}
 	g.settle(5)
 	if got := g.slots[1].Incarnation(); got <= known {
--- a/internal/experts/expertmap/slot_vote.go
+++ b/internal/experts/expertmap/slot_vote.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// onStage answers with the rank's state, and loads the weights of the map if they are not there yet.
+// onStage replies with the rank's state and has the engine load the map's weights if they are not loaded yet.
 func (s *Slot) onStage(now time.Time, from Addr, m StageRequest) []Effect {
 	if !s.mayVote() {
 		return nil
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// mayVote reports whether the slot may take part in proposals. One that recovers may not: its older incarnation may
-// have acknowledged, and a refusal now would abort what others have already switched to.
+// mayVote reports whether the slot may take part in proposals. A recovering slot may not: its older incarnation may
+// have acknowledged a proposal, and a refusal now would abort a switch that other ranks have already made.
 func (s *Slot) mayVote() bool {
 	switch s.State() {
 	case StateStarting, StateRecovering, StateAdopting:
@@ -65,12 +65,12 @@
 	return true
 }
 
-// hasSwitched reports whether the rank's engine has switched by the proposal.
+// hasSwitched reports whether the rank's engine has switched as p proposes.
 func (s *Slot) hasSwitched(p Proposal) bool {
 	return s.engine.Map == p.To && s.engine.Start == p.Start
 }
 
-// onCap caps, refuses, or tells how the proposal ended.
+// onCap caps the proposal, refuses it, or replies with its outcome.
 func (s *Slot) onCap(now time.Time, from Addr, p Proposal) []Effect {
 	if !s.mayVote() || len(p.Roster) != s.cfg.Ranks || p.To.Version < s.engine.Map.Version {
 		return nil
@@ -86,9 +86,9 @@
 		return nil
 	}
 	if named < s.inc {
-		// The older incarnation's vote is unknown, but every peer has answered this one: nobody had switched
-		// by then, and each answer froze the peer's cap. So nobody ever will, and a capped group need not wait
-		// for a vote that never comes.
+		// The older incarnation's vote is unknown, but every peer has answered this incarnation. No peer had switched
+		// by then, and each answer keeps the peer from accepting a certificate with the older incarnation. The
+		// proposal can therefore never be committed, and a capped group need not wait for a vote that never comes.
 		return []Effect{s.outcome(from, p.Ballot, false)}
 	}
 	if reason := s.refusalReason(p); reason != ReasonNone {
@@ -102,7 +102,7 @@
 	return s.fire(now, "cap")
 }
 
-// onHeldCap answers a further copy of the held proposal.
+// onHeldCap handles a further copy of the proposal that the slot holds.
 func (s *Slot) onHeldCap(now time.Time, from Addr) []Effect {
 	switch s.State() {
 	case StateCapped:
@@ -116,8 +116,9 @@
 	return nil
 }
 
-// deferToPeer leaves the question to a peer that asks already, once: if every rank of a large group asked every other, the
-// answers would take longer than the question is worth. Only once, since the peer may not reach whom this slot does.
+// deferToPeer lets a peer that has already sent its request find out the outcome. If every rank of a large group sent
+// requests to every other, processing them would take longer than the request is worth. The slot defers only once,
+// since that peer may not reach the ranks that this slot can reach.
 func (s *Slot) deferToPeer(now time.Time, from Addr) {
 	if from.IsProposer() || s.deferred {
 		return
@@ -126,8 +127,8 @@
 	s.retryAt = now.Add(s.cfg.Timing.PeerTimeout)
 }
 
-// raiseFloor makes the slot remember that it refused or held a ballot: a late copy must not be capped after a refusal,
-// since the refusal lets other ranks run on under the old map.
+// raiseFloor records a ballot that the slot refused or held. A late copy must not be capped after a refusal, since
+// the refusal lets other ranks run on under the old map.
 func (s *Slot) raiseFloor(b Ballot) {
 	if b.Compare(s.floor) > 0 {
 		s.floor = b
@@ -149,8 +150,8 @@
 	case !s.rosterIsCurrent(p):
 		return ReasonRoster
 	case s.engine.Next < s.engine.Start || p.Start <= s.engine.Start && !p.From.IsZero():
-		// The engine remembers one map before its newest: a second switch ahead would make it run the steps
-		// before the first one under the wrong map.
+		// The engine remembers only one map before its newest. A second switch that is scheduled while the first is
+		// still ahead would make it run the steps before the first one under the wrong map.
 		return ReasonAhead
 	case s.State() != StateStaged || s.engine.Staged != p.To:
 		return ReasonNotStaged
@@ -160,10 +161,11 @@
 	return ReasonNone
 }
 
-// rosterIsCurrent reports whether the roster names exactly the newest incarnations that the slot knows.
+// rosterIsCurrent reports whether the roster names exactly the newest incarnations that the slot has seen.
 func (s *Slot) rosterIsCurrent(p Proposal) bool { return slices.Equal(p.Roster, s.known) }
 
-// onLimitReport acknowledges only what the engine has confirmed: it may have started the step meanwhile.
+// onLimitReport acknowledges only a limit that the engine has confirmed, since the engine may have started the step
+// before the order arrived.
 func (s *Slot) onLimitReport(now time.Time) []Effect {
 	if s.busy() {
 		return nil
@@ -208,7 +210,8 @@
 	return Send{to, Outcome{Ballot: b, Committed: committed, Rank: s.cfg.Rank, Incarnation: s.inc}}
 }
 
-// onCappedReport hastens the question to the peers once the group stands still for want of the certificate.
+// onCappedReport sends the request to the peers earlier once the engine has reached the limit, because the group is
+// then stalled until the certificate arrives.
 func (s *Slot) onCappedReport(now time.Time) []Effect {
 	if s.atLimit || s.deferred || s.engine.Next < s.held.Start {
 		return nil
@@ -221,8 +224,8 @@
 	return s.Tick(now)
 }
 
-// sendCapToPeers lets a capped slot finish without the proposer, which may be dead or paused: whoever can answer the cap
-// request does, and then either all acknowledgements are there or a refusal is.
+// sendCapToPeers lets a capped slot finish without the proposer, which may be dead or paused. Every peer that can
+// reply to the cap request does, so the slot collects either all acknowledgements, a refusal or an outcome.
 func (s *Slot) sendCapToPeers(now time.Time) []Effect {
 	s.retryAt = now.Add(s.cfg.Timing.PeerTimeout)
 	return s.sendToPeers(CapRequest{*s.held})
@@ -230,7 +233,8 @@
 
 func (s *Slot) holds(b Ballot) bool { return s.held != nil && s.held.Ballot == b }
 
-// onAck collects the certificate.
+// onAck records an acknowledgement. When all are present, the slot has the certificate; it switches and sends it to
+// its peers.
 func (s *Slot) onAck(now time.Time, m Ack) []Effect {
 	if s.State() != StateCapped || !s.holds(m.Ballot) || !s.inRoster(m.Rank, m.Incarnation) {
 		return nil
@@ -252,7 +256,8 @@
 }
 
 // onCertificate switches, unless a member of the roster has restarted since the slot capped. That member's new
-// incarnation was told that this slot had not switched and may have aborted on that; its word is waited for.
+// incarnation was told that this slot had not switched and may have aborted the proposal for that reason, so the slot
+// waits for its outcome.
 func (s *Slot) onCertificate(now time.Time, m Certificate) []Effect {
 	if s.State() != StateCapped || !s.holds(m.Ballot) {
 		return nil
@@ -263,7 +268,8 @@
 	return s.fire(now, "certificate")
 }
 
-// onRefusal aborts: a certificate would need the acknowledgement of an incarnation that never gives it.
+// onRefusal aborts the held proposal: its certificate would need the acknowledgement of an incarnation that never
+// gives it.
 func (s *Slot) onRefusal(now time.Time, m Refusal) []Effect {
 	if !s.holds(m.Ballot) || !s.inRoster(m.Rank, m.Incarnation) {
 		return nil
@@ -281,8 +287,8 @@
 	return s.fire(now, "aborted")
 }
 
-// onSwitchReport waits for the engine's word: an order can get lost with the slot, and a peer that was told of a switch
-// that no engine made could run on under the new map alone.
+// onSwitchReport waits until the engine reports the new map. An order can get lost with the slot, and a peer that was
+// told of a switch that no engine has made could run on alone under the new map.
 func (s *Slot) onSwitchReport(now time.Time) []Effect {
 	if s.engine.Map != s.held.To {
 		return nil
--- a/internal/experts/lockstep/balance.go
+++ b/internal/experts/lockstep/balance.go
@@ -32,7 +32,7 @@
 	demand      []float64
 	speed       []float64
 	before      [][]int // by rank, before the search
-	experts     [][]int // by rank, now
+	held        [][]int // by rank, now
 	holders     [][]int // by expert: the ranks that hold it
 	loads       []float64
 	mean        float64
@@ -50,7 +50,7 @@
 		order: make([]int, len(had)),
 	}
 	for r, experts := range had {
-		s.experts = append(s.experts, slices.Clone(experts))
+		s.held = append(s.held, slices.Clone(experts))
 		for _, e := range experts {
 			s.holders[e] = append(s.holders[e], r)
 		}
@@ -59,7 +59,7 @@
 		s.mean += d
 	}
 	if s.mean == 0 {
-		return s.experts
+		return s.held
 	}
 	s.mean /= float64(len(had))
 	for r := range had {
@@ -72,7 +72,7 @@
 		}
 		s.apply(c)
 	}
-	return s.experts
+	return s.held
 }
 
 // change replaces expert `out` by expert `in` on rank `at`, and, if a second rank is named, `in` by `out` there. none
@@ -117,7 +117,7 @@
 		s.changed = s.changed[:0]
 	}
 	for _, hot := range order[max(0, len(order)-maxOverloaded):] {
-		for _, e := range slices.Clone(s.experts[hot]) {
+		for _, e := range slices.Clone(s.held[hot]) {
 			if len(s.holders[e]) > 1 {
 				try(change{rank: hot, add: none, remove: e, swapWith: none})
 			}
@@ -140,15 +140,15 @@
 
 // tryMoves tries what gives rank r a part of expert e, which the hot rank holds, or takes e over in exchange.
 func (s *search) tryMoves(hot, e, r int, try func(change)) {
-	if r == hot || slices.Contains(s.experts[r], e) {
+	if r == hot || slices.Contains(s.held[r], e) {
 		return
 	}
 	try(change{rank: r, add: e, remove: none, swapWith: none})
-	for _, x := range slices.Clone(s.experts[r]) {
+	for _, x := range slices.Clone(s.held[r]) {
 		if len(s.holders[x]) > 1 {
 			try(change{rank: r, add: e, remove: x, swapWith: none})
 		}
-		if !slices.Contains(s.experts[hot], x) {
+		if !slices.Contains(s.held[hot], x) {
 			try(change{rank: r, add: e, remove: x, swapWith: hot})
 		}
 	}
@@ -163,7 +163,7 @@
 }
 
 func (s *search) fits(rank, in, out int) bool {
-	size := len(s.experts[rank])
+	size := len(s.held[rank])
 	loads := s.loaded[rank]
 	if in != none {
 		size++
@@ -197,8 +197,8 @@
 
 func (s *search) replace(rank, in, out int) {
 	if out != none {
-		i := slices.Index(s.experts[rank], out)
-		s.experts[rank] = slices.Delete(s.experts[rank], i, i+1)
+		i := slices.Index(s.held[rank], out)
+		s.held[rank] = slices.Delete(s.held[rank], i, i+1)
 		s.loaded[rank] -= s.loadsNeeded(rank, out)
 		s.totalLoaded -= s.loadsNeeded(rank, out)
 		i = slices.Index(s.holders[out], rank)
@@ -206,7 +206,7 @@
 		s.updateHolders(out)
 	}
 	if in != none {
-		s.experts[rank] = append(s.experts[rank], in)
+		s.held[rank] = append(s.held[rank], in)
 		s.loaded[rank] += s.loadsNeeded(rank, in)
 		s.totalLoaded += s.loadsNeeded(rank, in)
 		s.holders[in] = append(s.holders[in], rank)
@@ -223,7 +223,7 @@
 
 func (s *search) updateLoad(rank int) {
 	load := 0.0
-	for _, e := range s.experts[rank] {
+	for _, e := range s.held[rank] {
 		load += s.demand[e] / float64(len(s.holders[e]))
 	}
 	load /= s.speed[rank] * s.mean
--- a/internal/experts/lockstep/servicecontroller_test.go
+++ b/internal/experts/lockstep/servicecontroller_test.go
@@ -20,10 +20,10 @@
 
 // testService is a service with several groups, whose ranks have the same numbers.
 type testService struct {
-	mu     sync.Mutex
-	groups map[string]*group
-	ranks  map[ids.Upstream]rankAddress
-	counts float64
+	mu        sync.Mutex
+	groups    map[string]*group
+	addresses map[ids.Upstream]rankAddress
+	counts    float64
 }
 
 type rankAddress struct {
@@ -34,7 +34,7 @@
 var errUnknown = errors.New("no such rank")
 
 func newTestService(names []string, ranks int) (*testService, []*catalog.Upstream) {
-	s := &testService{groups: map[string]*group{}, ranks: map[ids.Upstream]rankAddress{}}
+	s := &testService{groups: map[string]*group{}, addresses: map[ids.Upstream]rankAddress{}}
 	var list []*catalog.Upstream
 	for r := range ranks {
 		for _, name := range names {
@@ -42,7 +42,7 @@
 				s.groups[name] = newGroup(ranks)
 			}
 			id := ids.Upstream(fmt.Sprintf("%s-%d", name, r))
-			s.ranks[id] = rankAddress{name, r}
+			s.addresses[id] = rankAddress{name, r}
 			list = append(list, &catalog.Upstream{ID: id})
 		}
 	}
@@ -50,7 +50,7 @@
 }
 
 func (s *testService) find(u *catalog.Upstream) (*group, rankAddress, error) {
-	p, ok := s.ranks[u.ID]
+	p, ok := s.addresses[u.ID]
 	if !ok {
 		return nil, p, errUnknown
 	}
