--- a/internal/experts/expertmap/group_test.go
+++ b/internal/experts/expertmap/group_test.go
@@ -195,8 +195,8 @@
 			return false
 		}
 	}
-	if was, ok := g.mapOfStep[e.Next]; ok && was != m {
-		g.fail("step %d runs under map %s on rank %d and under %s elsewhere", e.Next, m, r, was)
+	if first, ok := g.mapOfStep[e.Next]; ok && first != m {
+		g.fail("step %d runs under map %s on rank %d and under %s elsewhere", e.Next, m, r, first)
 	}
 	g.mapOfStep[e.Next] = m
 	g.tracef("rank %d runs step %d under %s", r, e.Next, m)
--- a/internal/experts/expertmap/replay_test.go
+++ b/internal/experts/expertmap/replay_test.go
@@ -88,14 +88,14 @@
 	}
 }
 
-func (r *replay) proposal(p int, lives []int) {
+func (r *replay) proposal(p int, incarnations []int) {
 	prop := Proposal{
 		Ballot: Ballot{2, uint64(p) + 1, 1}, From: MapID{1, "first"}, To: MapID{2, fmt.Sprint("of-", p)}, Start: r.firstStep + 1,
 	}
 	if r.row && p == 1 {
 		prop.From, prop.To, prop.Start = MapID{2, "of-0"}, MapID{3, "of-1"}, r.firstStep+2
 	}
-	for rank, n := range lives {
+	for rank, n := range incarnations {
 		prop.Roster = append(prop.Roster, r.incarnations[rank][n])
 	}
 	r.proposals[p] = prop
--- a/internal/experts/lockstep/balance.go
+++ b/internal/experts/lockstep/balance.go
@@ -5,51 +5,51 @@
 	"slices"
 )
 
-// RankLimits is what a rank may hold of each set.
+// RankLimits bounds the experts of each set on one rank.
 type RankLimits struct {
-	// Placements is the most experts of one set on a rank.
+	// Placements is the maximum number of experts of one set on a rank.
 	Placements int
-	// Spare is the most experts of one set that a rank may load in one switch.
+	// Spare is the maximum number of experts of one set that a rank may load in one switch.
 	Spare int
 }
 
-// Balance looks for a placement with less skew that one switch can reach. price is the skew of one set that a copy must
-// save, so that a small gain does not move weights. Each set is a problem of its own.
-func Balance(from Placement, demand [][]float64, speed []float64, room RankLimits, price float64) Placement {
+// Balance searches for a placement with less skew that one switch can reach. price is the skew of one set that a copy
+// must save, so that a small gain does not move weights. Each set is balanced separately.
+func Balance(from Placement, demand [][]float64, speed []float64, limits RankLimits, price float64) Placement {
 	out := make(Placement, len(from))
 	for s := range from {
-		out[s] = balanceSet(from[s], demand[s], speed, room, price)
+		out[s] = balanceSet(from[s], demand[s], speed, limits, price)
 	}
 	return out
 }
 
-// search is a local search for one set: each round takes the most loaded ranks and tries every change that moves a part
-// of their load to another rank, and keeps the best. Loads, their squares and the copies are kept in step, so that a
-// change is judged by what it touches.
+// search is a local search for one set. Each round tries every change that moves a share of the load of the most
+// loaded ranks to another rank, and applies the best one. Loads, their squares and the experts to load are updated
+// incrementally, so that a change costs only the ranks that it affects.
 type search struct {
 	limits      RankLimits
 	price       float64
 	demand      []float64
 	speed       []float64
 	before      [][]int // by rank, before the search
-	held        [][]int // by rank, now
+	held        [][]int // by rank, in the current state of the search
 	holders     [][]int // by expert: the ranks that hold it
 	loads       []float64
 	mean        float64
-	squares     float64 // of loads
-	loaded      []int   // by rank: experts that it had not
-	totalLoaded int     // of copies
-	order       []int   // the ranks by their loads at the start of a round, the least first
-	changed     []int   // the ranks whose loads have changed since
+	squares     float64 // sum of the squared loads
+	toLoad      []int   // by rank: experts that it must load
+	totalToLoad int     // sum of toLoad
+	order       []int   // the ranks at the start of a round, by ascending load
+	changed     []int   // the ranks whose loads have changed since then
 }
 
-func balanceSet(had [][]int, demand, speed []float64, room RankLimits, price float64) [][]int {
+func balanceSet(before [][]int, demand, speed []float64, limits RankLimits, price float64) [][]int {
 	s := &search{
-		limits: room, price: price, demand: demand, speed: speed, before: had,
-		holders: make([][]int, len(demand)), loads: make([]float64, len(had)), loaded: make([]int, len(had)),
-		order: make([]int, len(had)),
+		limits: limits, price: price, demand: demand, speed: speed, before: before,
+		holders: make([][]int, len(demand)), loads: make([]float64, len(before)), toLoad: make([]int, len(before)),
+		order: make([]int, len(before)),
 	}
-	for r, experts := range had {
+	for r, experts := range before {
 		s.held = append(s.held, slices.Clone(experts))
 		for _, e := range experts {
 			s.holders[e] = append(s.holders[e], r)
@@ -61,11 +61,11 @@
 	if s.mean == 0 {
 		return s.held
 	}
-	s.mean /= float64(len(had))
-	for r := range had {
+	s.mean /= float64(len(before))
+	for r := range before {
 		s.updateLoad(r)
 	}
-	for range roundsPerRank * len(had) {
+	for range roundsPerRank * len(before) {
 		c, ok := s.bestChange()
 		if !ok {
 			break
@@ -75,8 +75,8 @@
 	return s.held
 }
 
-// change replaces expert `out` by expert `in` on rank `at`, and, if a second rank is named, `in` by `out` there. none
-// stands for no expert or no second rank.
+// change replaces expert `remove` by expert `add` on `rank` and, if `swapWith` names a second rank, `add` by `remove`
+// there. The value none means no expert or no second rank.
 type change struct {
 	rank, add, remove int
 	swapWith          int
@@ -84,17 +84,18 @@
 
 const (
 	none = -1
-	// minGain ends the search when rounds gain next to nothing.
+	// minGain is the cost that a round must save; the search ends with the first round that saves less.
 	minGain = 1e-6
-	// maxOverloaded is how many of the most loaded ranks are relieved in a round: where the first cannot be, the next may, and
-	// what that frees lets the first go on.
+	// maxOverloaded is how many of the most loaded ranks a round tries to relieve. Where the first cannot be
+	// relieved, the next may be, and the capacity that this frees may then allow a change to the first.
 	maxOverloaded = 2
-	// maxReceivers is how many of the least loaded ranks may take load over; twice as many cost twice the time and gain nothing.
+	// maxReceivers is how many of the least loaded ranks may take over load; twice as many take twice the time and
+	// gain nothing.
 	maxReceivers = 10
-	// roundsPerRank bounds the search; each round changes one or two ranks.
+	// roundsPerRank bounds the number of rounds; each round changes one or two ranks.
 	roundsPerRank = 4
-	// spreadWeight adds to the most loaded rank's load how uneven all are, so that rounds which relieve other ranks count as
-	// progress.
+	// spreadWeight is the weight of the mean squared load, which is added to the load of the most loaded rank, so
+	// that rounds which relieve other ranks count as progress.
 	spreadWeight = 0.3
 )
 
@@ -103,33 +104,33 @@
 	s.sortRanks()
 	order := s.order
 	found, best := false, change{}
-	least := s.cost() - minGain
+	lowest := s.cost() - minGain
 	try := func(c change) {
 		if !s.allowed(c) {
 			return
 		}
 		undo := s.inverse(c)
 		s.apply(c)
-		if cost := s.cost(); cost < least {
-			found, best, least = true, c, cost
+		if cost := s.cost(); cost < lowest {
+			found, best, lowest = true, c, cost
 		}
 		s.apply(undo)
 		s.changed = s.changed[:0]
 	}
-	for _, hot := range order[max(0, len(order)-maxOverloaded):] {
-		for _, e := range slices.Clone(s.held[hot]) {
+	for _, overloaded := range order[max(0, len(order)-maxOverloaded):] {
+		for _, e := range slices.Clone(s.held[overloaded]) {
 			if len(s.holders[e]) > 1 {
-				try(change{rank: hot, add: none, remove: e, swapWith: none})
+				try(change{rank: overloaded, add: none, remove: e, swapWith: none})
 			}
 			for _, r := range order[:min(maxReceivers, (len(order)+1)/2)] {
-				s.tryMoves(hot, e, r, try)
+				s.tryMoves(overloaded, e, r, try)
 			}
 		}
 	}
 	return best, found
 }
 
-// sortRanks orders the ranks by their loads.
+// sortRanks sorts the ranks by load and starts a new round.
 func (s *search) sortRanks() {
 	for r := range s.order {
 		s.order[r] = r
@@ -138,9 +139,10 @@
 	s.changed = s.changed[:0]
 }
 
-// tryMoves tries what gives rank r a part of expert e, which the hot rank holds, or takes e over in exchange.
-func (s *search) tryMoves(hot, e, r int, try func(change)) {
-	if r == hot || slices.Contains(s.held[r], e) {
+// tryMoves tries the changes that give rank r a share of expert e, which an overloaded rank holds, or that move e to
+// r in exchange for another expert.
+func (s *search) tryMoves(overloaded, e, r int, try func(change)) {
+	if r == overloaded || slices.Contains(s.held[r], e) {
 		return
 	}
 	try(change{rank: r, add: e, remove: none, swapWith: none})
@@ -148,13 +150,13 @@
 		if len(s.holders[x]) > 1 {
 			try(change{rank: r, add: e, remove: x, swapWith: none})
 		}
-		if !slices.Contains(s.held[hot], x) {
-			try(change{rank: r, add: e, remove: x, swapWith: hot})
+		if !slices.Contains(s.held[overloaded], x) {
+			try(change{rank: r, add: e, remove: x, swapWith: overloaded})
 		}
 	}
 }
 
-// allowed checks places and spare of the ranks that a change touches.
+// allowed checks the limits of the ranks that a change affects.
 func (s *search) allowed(c change) bool {
 	if !s.fits(c.rank, c.add, c.remove) {
 		return false
@@ -164,7 +166,7 @@
 
 func (s *search) fits(rank, in, out int) bool {
 	size := len(s.held[rank])
-	loads := s.loaded[rank]
+	loads := s.toLoad[rank]
 	if in != none {
 		size++
 		loads += s.loadsNeeded(rank, in)
@@ -183,7 +185,7 @@
 	return 1
 }
 
-// inverse returns the change that takes c back.
+// inverse returns the change that reverts c.
 func (s *search) inverse(c change) change {
 	return change{rank: c.rank, add: c.remove, remove: c.add, swapWith: c.swapWith}
 }
@@ -199,16 +201,16 @@
 	if out != none {
 		i := slices.Index(s.held[rank], out)
 		s.held[rank] = slices.Delete(s.held[rank], i, i+1)
-		s.loaded[rank] -= s.loadsNeeded(rank, out)
-		s.totalLoaded -= s.loadsNeeded(rank, out)
+		s.toLoad[rank] -= s.loadsNeeded(rank, out)
+		s.totalToLoad -= s.loadsNeeded(rank, out)
 		i = slices.Index(s.holders[out], rank)
 		s.holders[out] = slices.Delete(s.holders[out], i, i+1)
 		s.updateHolders(out)
 	}
 	if in != none {
 		s.held[rank] = append(s.held[rank], in)
-		s.loaded[rank] += s.loadsNeeded(rank, in)
-		s.totalLoaded += s.loadsNeeded(rank, in)
+		s.toLoad[rank] += s.loadsNeeded(rank, in)
+		s.totalToLoad += s.loadsNeeded(rank, in)
 		s.holders[in] = append(s.holders[in], rank)
 		s.updateHolders(in)
 	}
@@ -232,12 +234,14 @@
 	s.changed = append(s.changed, rank)
 }
 
-// cost is the skew, with the price of what must be copied.
+// cost is the load of the most loaded rank, plus the weighted spread of the loads and the price of the experts to
+// load.
 func (s *search) cost() float64 {
-	return s.maxLoad() + spreadWeight*s.squares/float64(len(s.loads)) + s.price*float64(s.totalLoaded)
+	return s.maxLoad() + spreadWeight*s.squares/float64(len(s.loads)) + s.price*float64(s.totalToLoad)
 }
 
-// maxLoad is the load of the most loaded rank: the first in order that has not changed, or one that has.
+// maxLoad returns the load of the most loaded rank: either the last rank in order that has not changed, or one that
+// has.
 func (s *search) maxLoad() float64 {
 	most := 0.0
 	for _, r := range s.changed {
--- a/internal/experts/lockstep/balance_test.go
+++ b/internal/experts/lockstep/balance_test.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/lockstep"
 )
 
-// popularity is a Zipf-like demand for experts, dealt in random order.
+// popularity returns a Zipf-like demand for experts in random order.
 func popularity(rng *rand.Rand, experts int, exponent float64) []float64 {
 	demand := make([]float64, experts)
 	for i, e := range rng.Perm(experts) {
@@ -18,7 +18,7 @@
 	return demand
 }
 
-// roundRobin deals the experts of one set to ranks in turn.
+// roundRobin assigns the experts of one set to ranks in turn.
 func roundRobin(experts, ranks int) lockstep.Placement {
 	p := lockstep.Placement{make([][]int, ranks)}
 	for e := range experts {
@@ -27,18 +27,18 @@
 	return p
 }
 
-// Callers see long pauses between tokens while one rank does most of the experts' work. Each switch may bring two new
-// experts to a rank, so that the most loaded one is relieved step by step; where it cannot be relieved at once, the next
-// most loaded ranks are, or the search would end there and the group would stay slow.
+// Guards against a search that stops while one rank still does most of the experts' work, which callers see as long
+// pauses between tokens. A switch may bring only two new experts to a rank, so the most loaded rank is relieved step
+// by step. Where that is not immediately possible, the next most loaded ranks must be relieved first.
 func TestBalanceRelievesTheMostLoadedRank(t *testing.T) {
 	for _, c := range []struct {
-		name                   string
-		ranks, experts, places int
-		exponent, most         float64
-		switches               int
+		name                       string
+		ranks, experts, placements int
+		exponent, maxSkew          float64
+		switches                   int
 	}{
-		{"few ranks with many places", 16, 64, 5, 1.1, 1.10, 3},
-		{"many ranks with few places", 72, 144, 3, 0.52, 1.10, 3},
+		{"few ranks, many placements", 16, 64, 5, 1.1, 1.10, 3},
+		{"many ranks, few placements", 72, 144, 3, 0.52, 1.10, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, 2))
@@ -47,22 +47,22 @@
 			for i := range speed {
 				speed[i] = 1
 			}
-			room := lockstep.RankLimits{Placements: c.places, Spare: 2}
+			limits := lockstep.RankLimits{Placements: c.placements, Spare: 2}
 			p := roundRobin(c.experts, c.ranks)
 			for range c.switches {
-				next := lockstep.Balance(p, demand, speed, room, 0.001)
-				checkLimits(t, p, next, room, c.experts)
+				next := lockstep.Balance(p, demand, speed, limits, 0.001)
+				checkLimits(t, p, next, limits, c.experts)
 				p = next
 			}
-			if got := lockstep.Skew(p, demand, speed); got > c.most {
-				t.Fatalf("skew %.3f after %d switches, want %.2f at most", got, c.switches, c.most)
+			if got := lockstep.Skew(p, demand, speed); got > c.maxSkew {
+				t.Fatalf("skew %.3f after %d switches, want %.2f at most", got, c.switches, c.maxSkew)
 			}
 		})
 	}
 }
 
-// checkLimits fails if a placement loses an expert, holds one twice on a rank, or breaks the ranks' limits.
-func checkLimits(t *testing.T, from, to lockstep.Placement, room lockstep.RankLimits, experts int) {
+// checkLimits fails if a placement loses an expert, holds one twice on a rank, or exceeds the ranks' limits.
+func checkLimits(t *testing.T, from, to lockstep.Placement, limits lockstep.RankLimits, experts int) {
 	t.Helper()
 	held := map[int]bool{}
 	for r, list := range to[0] {
@@ -80,7 +80,7 @@
 				loads++
 			}
 		}
-		if len(list) > room.Placements || loads > room.Spare {
+		if len(list) > limits.Placements || loads > limits.Spare {
 			t.Fatalf("rank %d holds %d experts and loads %d", r, len(list), loads)
 		}
 	}
@@ -89,7 +89,7 @@
 	}
 }
 
-// BenchmarkBalance is one set from map 0 on, at a low price of copies: the longest search that there is.
+// BenchmarkBalance balances one set from the first map at a low price of copies, which is the longest search.
 func BenchmarkBalance(b *testing.B) {
 	for _, size := range []struct{ ranks, experts int }{{16, 64}, {72, 144}, {192, 384}} {
 		b.Run(fmt.Sprintf("%d ranks, %d experts", size.ranks, size.experts), func(b *testing.B) {
@@ -98,14 +98,14 @@
 			for i := range speed {
 				speed[i] = 1
 			}
-			room := lockstep.RankLimits{Placements: 3, Spare: 2}
+			limits := lockstep.RankLimits{Placements: 3, Spare: 2}
 			if size.experts/size.ranks == 4 {
-				room.Placements = 5
+				limits.Placements = 5
 			}
 			p := roundRobin(size.experts, size.ranks)
 			demand := [][]float64{popularity(rng, size.experts, 0.52)}
 			for b.Loop() {
-				lockstep.Balance(p, demand, speed, room, 0.01)
+				lockstep.Balance(p, demand, speed, limits, 0.01)
 			}
 		})
 	}
--- a/internal/experts/lockstep/controller.go
+++ b/internal/experts/lockstep/controller.go
@@ -15,88 +15,91 @@
 )
 
 const (
-	// pollInterval is how often a switch looks whether the ranks have prepared its map, if they do not say so in answer to
-	// the order. Each look is a call to each rank.
+	// pollInterval is the interval at which a switch checks whether the ranks have prepared its map, in case they do
+	// not report it in the reply to the order. Each check is a call to each rank.
 	pollInterval = 150 * time.Millisecond
-	// retryTick is the period in which a switch sends again what got no answer.
+	// retryTick is the interval at which a switch checks for orders to send again.
 	retryTick = 5 * time.Millisecond
-	// prepareSlack is added to the time that the copies take before a switch is given up.
+	// prepareSlack is added to the time that copies take to get the deadline at which a switch is aborted.
 	prepareSlack = 1500 * time.Millisecond
-	// unfinishedAfter is for how long a group must be seen held that no running switch explains, so that another leader's switch
-	// may end; one takes some milliseconds. Reports that are not fresh show a hold for as long as they lag.
+	// unfinishedAfter is how long a group must be held without a switch of this leader before it is released. It lets
+	// a switch of another leader finish, which takes some milliseconds. Reports that are not fresh show a hold for as
+	// long as they lag.
 	unfinishedAfter = 100 * time.Millisecond
 )
 
-// Group is the group that a Controller leads.
+// Group is a group to control.
 type Group struct {
-	// Name is the group's, as its ranks report it.
+	// Name is the name of the group in its ranks' reports.
 	Name      string
 	Upstreams []*catalog.Upstream
-	// Engine is the ranks' model; it has experts.
+	// Engine is the performance model of the ranks' engine; its Experts must be set.
 	Engine *catalog.Engine
 }
 
 func (g *Group) experts() *catalog.Experts { return g.Engine.Experts }
 
-// ControllerOptions are what a Controller is built from.
+// ControllerOptions configures a Controller.
 type ControllerOptions struct {
 	RankClient RankClient
 	Logger     log.Logger
-	// Group returns the group now, or nil if there is none; Fence the leader's fencing number, 0 while this node does not
-	// lead.
+	// Group returns the current group, or nil if there is none. Fence returns the leader's fencing token, or 0 while
+	// this node does not lead.
 	Group func() *Group
 	Fence func() ids.Fence
-	// Standby reports whether this node may lead soon; it may be nil.
+	// Standby reports whether this node may become the leader soon; it may be nil.
 	Standby func() bool
-	// Wake makes the controller look at once, as when its node begins to lead; it may be nil.
+	// Wake triggers a check immediately, for example when this node becomes the leader; it may be nil.
 	Wake <-chan struct{}
-	// Period is the time between two looks at the group, Half the half-life of the estimated demand.
+	// Period is the interval between two checks of the group, HalfLife the half-life of the estimated demand.
 	Period, Half time.Duration
-	// Serials count the tasks of all controllers of this node.
+	// Serials counts the tasks of all controllers of this node.
 	Serials *Serials
-	// PeriodFactor returns by how much the period is longer, as other groups are led beside this one; it may be nil.
+	// PeriodFactor returns the factor by which the period is longer because this node leads other groups too; it may
+	// be nil.
 	PeriodFactor func() int
-	// Sample is how many ranks' counts are read each time, SampleLocal the same where all can be read at no cost to the
-	// group.
+	// Sample is the number of ranks whose counts are read in each check. Local ranks, which can be read at no cost to
+	// the group, are read first, and SampleLocal limits them instead of Sample.
 	Sample, SampleLocal int
 	Policy              Options
-	// Read is called with the reports of a whole group, by rank; it may be nil.
+	// OnReports is called with the reports of a complete group, by rank; it may be nil.
 	Read func(upstreams []*catalog.Upstream, reports []Report)
-	// Outdated is called with the number of a later leader whose maps the ranks have, or with the next one when this one's
-	// versions are used up; the present number is obsolete then. It may be nil.
+	// OnStaleFence is called when the current fencing token is obsolete: with the token of a later leader whose maps
+	// the ranks have, or with the next token when the versions of the current one are used up. It may be nil.
 	Outdated func(newer ids.Fence)
-	// Switched is called after each switch; it may be nil.
+	// OnSwitched is called after each switch with the skews before and after it and the number of copies; it may be
+	// nil.
 	Switched func(before, after float64, copies int)
 }
 
-// Controller keeps the map of one group in step with the demand while its node leads. Only Run's goroutine uses it.
+// Controller adapts the map of one group to the demand while its node leads. Only Run's goroutine may use it.
 type Controller struct {
 	o      ControllerOptions
 	demand *Demand
 	epoch  uint64
-	// startTimes are the starts of its ranks: all of a group may start again and form with the same epoch, with nothing of what
-	// they held.
+	// startTimes are the start times of the ranks. All ranks of a group may restart and form it with the same epoch,
+	// without any of the maps that they held.
 	startTimes []int64
-	// formedAt is when the group was first seen in its epoch and its ranks' lives.
+	// formedAt is when the group was first seen with this epoch and these start times.
 	formedAt time.Time
-	// placement is the one in use at version; nil if it must be read.
+	// placement is the placement in use at version; nil if it must be read.
 	placement Placement
 	version   uint64
 	// switchedAt is the pass of the last switch.
 	switchedAt      uint64
 	fence           ids.Fence
 	unfinishedSince time.Time
-	complete        bool
-	// responseTime is how long half of the ranks took to answer when all were asked last.
+	wasComplete     bool
+	// responseTime is the median response time of the ranks, in ns, when all were last read concurrently.
 	responseTime atomic.Int64
 }
 
-// NewController returns a controller that has seen nothing.
+// NewController returns a controller for the group that the options return.
 func NewController(o ControllerOptions) *Controller {
 	return &Controller{o: o, demand: NewDemand(o.Half)}
 }
 
-// Run leads the group until ctx ends.
+// Run controls the group until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	timer := time.NewTimer(c.o.Period)
 	defer timer.Stop()
@@ -113,13 +116,14 @@
 	}
 }
 
-// minWait is the least wait between two looks.
+// minWait is the minimum wait between two checks.
 const minWait = time.Millisecond
 
-// shortInterval is the time to the next look when something is due before the period is over.
+// shortInterval is the interval to the next check when something is due before the period ends.
 const shortInterval = 50 * time.Millisecond
 
-// check reads the group and switches it if that earns its cost; it returns the time from its start to the next look.
+// check reads the group and switches it if the gain is worth the cost. It returns the time from its start to the next
+// check.
 func (c *Controller) check(ctx context.Context) time.Duration {
 	fence := c.o.Fence()
 	group := c.o.Group()
@@ -131,40 +135,40 @@
 		c.reset()
 		c.fence = fence
 	}
-	state := c.readGroup(ctx, group)
-	if state == nil {
+	snap := c.readGroup(ctx, group)
+	if snap == nil {
 		return min(c.period(), 2*shortInterval*time.Duration(c.period()/c.o.Period))
 	}
 	if c.o.Read != nil {
-		c.o.Read(state.upstreams, state.reports)
+		c.o.Read(snap.upstreams, snap.reports)
 	}
-	if newer := c.newerFence(state); newer > 0 {
+	if newer := c.newerFence(snap); newer > 0 {
 		c.reportStaleFence(newer)
 		return c.period()
 	}
-	if c.undoUnfinished(ctx, state) {
+	if c.undoUnfinished(ctx, snap) {
 		return shortInterval
 	}
-	if !c.loadPlacement(ctx, state) {
+	if !c.loadPlacement(ctx, snap) {
 		return 2 * shortInterval
 	}
-	c.readCounts(ctx, state)
+	c.readCounts(ctx, snap)
 	if c.demand.Value() == nil || c.countsDue(time.Now()) {
 		return 2 * shortInterval
 	}
-	if c.improve(ctx, state) {
+	if c.improve(ctx, snap) {
 		return 2 * shortInterval
 	}
 	return c.period()
 }
 
-// recentlyFormed is how long a group counts as one that has just formed: it has counted enough within some passes.
+// recentlyFormed is how long a group counts as newly formed; within some passes it has counted enough.
 const recentlyFormed = 2 * time.Second
 
-// countsDue reports whether a group that has just formed should be looked at again soon, as it has counted too little yet.
+// countsDue reports whether a newly formed group should be checked again soon because it has too few counts.
 //
-// A group that has just formed runs on its first map, with several times the mean's load at one rank, while the requests of
-// the outage are read. The next look is therefore soon.
+// A newly formed group runs on its first map, with several times the mean load on one rank, while it processes the
+// requests that waited during the outage. The next check is therefore soon.
 func (c *Controller) countsDue(now time.Time) bool {
 	return c.demand.Total() < c.o.Policy.MinCounts && now.Sub(c.formedAt) < recentlyFormed
 }
@@ -192,7 +196,7 @@
 	pass      uint64
 }
 
-// startTimes are the starts of the ranks, by rank.
+// startTimes returns the start times of the ranks, by rank.
 func (s *snapshot) startTimes() []int64 {
 	out := make([]int64, len(s.reports))
 	for rank, r := range s.reports {
@@ -201,7 +205,7 @@
 	return out
 }
 
-// readGroup reads all ranks; nil unless the group is whole and works.
+// readGroup reads the reports of all ranks. It returns nil unless the group is complete and all its ranks are open.
 func (c *Controller) readGroup(ctx context.Context, g *Group) *snapshot {
 	reports := c.reports(ctx, g.Upstreams)
 	s := &snapshot{group: g}
@@ -220,34 +224,35 @@
 			s.pass = max(s.pass, r.Pass)
 		}
 	}
-	whole := s.reports != nil
+	complete := s.reports != nil
 	for _, u := range s.upstreams {
-		whole = whole && u != nil
+		complete = complete && u != nil
 	}
-	if whole != c.complete {
-		c.complete = whole
-		_ = level.Info(c.o.Logger).Log("msg", "group", "whole", whole, "epoch", s.epoch, "ranks", len(s.upstreams), "pass", s.pass)
+	if complete != c.wasComplete {
+		c.wasComplete = complete
+		_ = level.Info(c.o.Logger).Log("msg", "group completeness changed", "whole", complete, "epoch", s.epoch, "ranks", len(s.upstreams), "pass", s.pass)
 	}
-	if !whole {
+	if !complete {
 		return nil
 	}
-	if lives := s.startTimes(); s.epoch != c.epoch || !slices.Equal(lives, c.startTimes) {
-		// What is in demand does not change because the group formed anew, and its first map knows nothing of it.
-		c.epoch, c.startTimes, c.formedAt = s.epoch, lives, time.Now()
+	if started := s.startTimes(); s.epoch != c.epoch || !slices.Equal(started, c.startTimes) {
+		// The estimated demand is retained: it does not change when the group forms again, and the first map is not
+		// based on it.
+		c.epoch, c.startTimes, c.formedAt = s.epoch, started, time.Now()
 		c.reset()
 	}
 	return s
 }
 
-// reports reads all ranks at once; a rank that does not answer has none.
+// reports reads the reports of all ranks concurrently; the report of a rank that does not respond is nil.
 func (c *Controller) reports(ctx context.Context, list []*catalog.Upstream) []*Report {
 	out := make([]*Report, len(list))
-	took := make([]time.Duration, len(list))
+	elapsed := make([]time.Duration, len(list))
 	began := time.Now()
 	var wait sync.WaitGroup
 	for i, u := range list {
 		wait.Go(func() {
-			defer func() { took[i] = time.Since(began) }()
+			defer func() { elapsed[i] = time.Since(began) }()
 			if r, err := c.o.RankClient.Report(ctx, u); err == nil {
 				out[i] = &r
 			} else {
@@ -256,15 +261,15 @@
 		})
 	}
 	wait.Wait()
-	slices.Sort(took)
-	if len(took) > 0 {
-		c.responseTime.Store(int64(took[(len(took)-1)/2]))
+	slices.Sort(elapsed)
+	if len(elapsed) > 0 {
+		c.responseTime.Store(int64(elapsed[(len(elapsed)-1)/2]))
 	}
 	return out
 }
 
-// improve switches to a better placement if there is one. It reports whether the group should be looked at soon: an order
-// to hold it was sent more than once, and one that comes late would hold it again.
+// improve switches to a better placement if there is one. It reports whether the group should be checked again soon
+// because an order to hold it was sent more than once: a late copy could hold it again.
 func (c *Controller) improve(ctx context.Context, s *snapshot) bool {
 	speed := make([]float64, len(s.reports))
 	running := 0
@@ -272,8 +277,8 @@
 		speed[r] = 1 / max(1, report.Pace)
 		running += report.Running
 	}
-	part := expertShare(s.group.Engine, float64(running)/float64(len(s.reports)))
-	plan, before := Decide(c.o.Policy, c.placement, c.demand, speed, s.group.experts(), part)
+	share := expertShare(s.group.Engine, float64(running)/float64(len(s.reports)))
+	plan, before := Decide(c.o.Policy, c.placement, c.demand, speed, s.group.experts(), share)
 	if plan == nil {
 		_ = level.Debug(c.o.Logger).Log("msg", "map kept", "version", c.version, "skew", before)
 		return false
@@ -288,7 +293,7 @@
 	c.runSwitch(ctx, s, sw, sw.Start(now))
 	_ = level.Info(c.o.Logger).Log("msg", "map switch", "version", task.Version, "epoch", task.Epoch, "end", sw.State(),
 		"switched", sw.Switched(), "pass", sw.Pass(), "before", plan.Before, "after", plan.After, "copies", plan.Copies,
-		"most_copies", plan.MaxCopies, "expert_part", part, "took", time.Since(now))
+		"most_copies", plan.MaxCopies, "expert_part", share, "took", time.Since(now))
 	if !sw.Switched() {
 		c.reset()
 		return false
--- a/internal/experts/lockstep/controller_test.go
+++ b/internal/experts/lockstep/controller_test.go
@@ -12,9 +12,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// startController leads a group of two ranks with four experts, which switches for any gain once it has counted so much, until the
-// test's end or stop.
-func startController(t *testing.T, client lockstep.RankClient, list []*catalog.Upstream, leastCounts float64) (stop func()) {
+// startController controls a group of two ranks with four experts until the test's end or stop. It switches for any
+// gain once it has minCounts counts.
+func startController(t *testing.T, client lockstep.RankClient, list []*catalog.Upstream, minCounts float64) (stop func()) {
 	t.Helper()
 	c := lockstep.NewController(lockstep.ControllerOptions{
 		RankClient: client, Logger: log.NewNopLogger(), Serials: lockstep.NewSerials(),
@@ -23,7 +23,7 @@
 		},
 		Fence:  func() ids.Fence { return 7 },
 		Period: 500 * time.Millisecond, Half: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
-		Policy: lockstep.Options{MinGain: 0.01, MinCounts: leastCounts},
+		Policy: lockstep.Options{MinGain: 0.01, MinCounts: minCounts},
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go c.Run(ctx)
--- a/internal/experts/lockstep/counts.go
+++ b/internal/experts/lockstep/counts.go
@@ -10,7 +10,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// validCounts reports whether counts are of the service's experts.
+// validCounts reports whether counts has the shape of the service's experts.
 func validCounts(counts Counts, x *catalog.Experts) bool {
 	if len(counts) != x.Sets {
 		return false
@@ -23,22 +23,23 @@
 	return true
 }
 
-// sampledRanks names the ranks whose counts are read now: many that cost the group nothing, and else a few of the others. The same few each
-// time, since two reads of one rank are needed to tell what it did between them.
+// sampledRanks returns the ranks whose counts are read: up to SampleLocal local ones, which cost the group nothing,
+// and remote ones if these are fewer than Sample. It returns the same ranks each time, since the counts between two
+// reads of one rank are needed.
 func (c *Controller) sampledRanks(s *snapshot) []int {
-	var near, far []int
+	var local, remote []int
 	for r, u := range s.upstreams {
 		if c.o.RankClient.IsLocal(u) {
-			near = append(near, r)
+			local = append(local, r)
 		} else {
-			far = append(far, r)
+			remote = append(remote, r)
 		}
 	}
-	near = evenlySpaced(near, c.o.SampleLocal)
-	return append(near, evenlySpaced(far, c.o.Sample-len(near))...)
+	local = evenlySpaced(local, c.o.SampleLocal)
+	return append(local, evenlySpaced(remote, c.o.Sample-len(local))...)
 }
 
-// evenlySpaced returns n of the ranks, evenly apart.
+// evenlySpaced returns n of the ranks at even distances.
 func evenlySpaced(ranks []int, n int) []int {
 	n = max(0, min(n, len(ranks)))
 	out := make([]int, 0, n)
@@ -65,7 +66,7 @@
 			case err != nil:
 				_ = level.Debug(c.o.Logger).Log("msg", "no counts", "rank", rank, "err", err)
 			case !validCounts(counts, s.group.experts()):
-				_ = level.Warn(c.o.Logger).Log("msg", "counts not taken", "reason", "they are not of the service's experts", "rank", rank)
+				_ = level.Warn(c.o.Logger).Log("msg", "counts ignored", "reason", "they are not of the service's experts", "rank", rank)
 			default:
 				reads[i] = &read{rank, since, counts}
 			}
--- a/internal/experts/lockstep/demand.go
+++ b/internal/experts/lockstep/demand.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Counts are how often a rank's requests chose each expert since it started, by set.
+// Counts holds how often a rank's requests chose each expert since it started, by set and expert.
 type Counts [][]float64
 
-// Demand estimates which experts are in demand from the counts of the ranks, which may be read at unlike times and not
-// from all ranks.
+// Demand estimates which experts are in demand from the counts of the ranks. The ranks may be read at different
+// times, and some not at all.
 type Demand struct {
 	half  time.Duration
 	last  map[int]reading
@@ -22,12 +22,13 @@
 	counts Counts
 }
 
-// NewDemand returns an estimate that forgets half of what it knows in the given time.
+// NewDemand returns an empty estimate in which counts decay with the given half-life.
 func NewDemand(half time.Duration) *Demand {
 	return &Demand{half: half, last: map[int]reading{}}
 }
 
-// Observe takes in one rank's counts.
+// Observe records one rank's counts. The first counts after a restart or a new epoch are only the base for the next
+// ones.
 func (d *Demand) Observe(now time.Time, rank int, since Since, counts Counts) {
 	old, known := d.last[rank]
 	d.last[rank] = reading{since, counts}
@@ -63,10 +64,11 @@
 	}
 }
 
-// Value returns the estimate by set and expert, in counts; nil before two reads of one rank. It must not be changed.
+// Value returns the estimate by set and expert, in counts; nil before two reads of one rank. The caller must not
+// modify it.
 func (d *Demand) Value() [][]float64 { return d.value }
 
-// Total returns the counts that the estimate of one set rests on.
+// Total returns the sum of the decayed counts of one set.
 func (d *Demand) Total() float64 {
 	if len(d.value) == 0 {
 		return 0
--- a/internal/experts/lockstep/group_test.go
+++ b/internal/experts/lockstep/group_test.go
@@ -8,15 +8,16 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/lockstep"
 )
 
-// rank is an engine as the platform's pages describe it, reduced to what a switch touches.
+// rank is a model of an engine as the platform documentation describes it, reduced to the state that a switch
+// affects.
 type rank struct {
 	inUse, prepared, newest uint64
 	armed                   *lockstep.Armed
 	held                    *uint64
-	placement               map[uint64]string // content of each version, to see two maps under one name
+	placement               map[uint64]string // content of each version, to detect two maps with the same version
 }
 
-// group is a group of ranks in lock-step. pass is the last that was begun.
+// group is a group of ranks in lock-step. pass is the last pass that has begun.
 type group struct {
 	ranks []*rank
 	pass  uint64
@@ -34,7 +35,8 @@
 
 func newRank() *rank { return &rank{placement: map[uint64]string{0: "first"}} }
 
-// reform is what a crash of a rank leads to: a new epoch, the first map, and nothing prepared, armed or held.
+// reform models the crash of a rank: the group has a new epoch and its first map, with nothing prepared, armed or
+// held.
 func (g *group) reform() {
 	g.epoch++
 	for i := range g.ranks {
@@ -42,7 +44,7 @@
 	}
 }
 
-// step begins the next pass unless a rank holds it.
+// step begins the next pass unless a rank holds it, and records in mixed if the ranks run it under different maps.
 func (g *group) step() {
 	next := g.pass + 1
 	for _, r := range g.ranks {
@@ -69,7 +71,7 @@
 	return slices.ContainsFunc(g.ranks, func(r *rank) bool { return r.held != nil && *r.held == g.pass+1 })
 }
 
-// order carries out an order as the pages tell it.
+// order executes an order as the platform documentation describes it.
 func (g *group) order(o lockstep.Order) lockstep.Reply {
 	if o.Epoch != g.epoch {
 		return lockstep.ReplyRefused
@@ -141,7 +143,7 @@
 	return out
 }
 
-// placementOf makes placements that tell versions apart.
+// placementOf returns a random placement, so that versions can be told apart by content.
 func placementOf(n int, rng *rand.Rand) lockstep.Placement {
 	p := lockstep.Placement{make([][]int, n)}
 	for r := range n {
--- a/internal/experts/lockstep/groupindex.go
+++ b/internal/experts/lockstep/groupindex.go
@@ -9,30 +9,31 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// maxGroupReads is how many upstreams are asked for their group at once.
+// maxGroupReads is the maximum number of upstreams that one update reads.
 const maxGroupReads = 64
 
-// GroupIndex knows which group each upstream is a rank of. It is safe for concurrent use.
+// GroupIndex maps each upstream to the group that it is a rank of. It is safe for concurrent use.
 //
-// A service may have several groups, whose ranks have the same numbers; taken for one, each would run passes under two maps.
-// A life belongs to one group as long as it lasts, so that asking it once is enough.
+// A service may have several groups whose ranks have the same numbers. If they were treated as one group, each would
+// run passes under two maps. An upstream incarnation belongs to one group for its whole run, so reading it once is
+// enough.
 type GroupIndex struct {
 	mu    sync.Mutex
 	group map[ids.UpstreamIncarnation]string
 }
 
-// NewGroupIndex returns an index that knows nobody.
+// NewGroupIndex returns an empty index.
 func NewGroupIndex() *GroupIndex { return &GroupIndex{group: map[ids.UpstreamIncarnation]string{}} }
 
-// Update asks those of the upstreams that are not known yet, forgets those that are gone, and returns the groups' names in
-// order. An upstream that does not answer is asked again the next time.
+// Update reads the groups of upstreams that are not in the index, removes those that are not in list, and returns the
+// sorted names of the groups. An upstream that does not respond is read again in the next update.
 func (g *GroupIndex) Update(ctx context.Context, client RankClient, list []*catalog.Upstream) []string {
 	var wait sync.WaitGroup
 	for _, u := range g.unknown(list) {
 		wait.Go(func() {
 			report, err := client.Report(ctx, u)
 			if err != nil {
-				return // asked again with the next update
+				return // retried in the next update
 			}
 			g.mu.Lock()
 			defer g.mu.Unlock()
@@ -73,7 +74,7 @@
 	return slices.Compact(names)
 }
 
-// Of returns those of the upstreams that are known to be ranks of a group.
+// Of returns the upstreams in list that the index has as ranks of the named group.
 func (g *GroupIndex) Of(name string, list []*catalog.Upstream) []*catalog.Upstream {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/experts/lockstep/latehold_test.go
+++ b/internal/experts/lockstep/latehold_test.go
@@ -10,7 +10,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// delayedHold is a site where the first order to hold a group is carried out only after the group was released.
+// delayedHold is a service where the first order to hold a group is executed only after the group was released.
 type delayedHold struct {
 	*testService
 	first *lockstep.Order
@@ -20,7 +20,7 @@
 
 func (l *delayedHold) Order(ctx context.Context, up *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
 	if o.Op == lockstep.OpHold && l.delayFirst(up, o) {
-		time.Sleep(lostAfter)
+		time.Sleep(orderTimeout)
 		return lockstep.ReplyLost, errUnknown
 	}
 	reply, err := l.testService.Order(ctx, up, o)
@@ -30,7 +30,8 @@
 	return reply, err
 }
 
-// delayFirst keeps the first order back; take reports once that it is to be carried out.
+// delayFirst holds back the first order and reports whether it did; deliverOnce reports true once, when the order is
+// to be executed.
 func (l *delayedHold) delayFirst(up *catalog.Upstream, o lockstep.Order) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,9 +50,9 @@
 	return first
 }
 
-// All streams of a group stand still until their callers leave, and no line tells why. An order to hold the group got no
-// answer and was sent again; the ranks were armed and the group released; then the first order arrived, before the pass had
-// begun, and held the group once more. Its leader takes its own switch for complete.
+// Guards against a group that stays held until its callers time out, without a log line. An order to hold the group
+// got no reply and was sent again; the ranks were armed and the group released. Then the first copy was executed
+// before the pass began and held the group once more, while the leader considered its switch complete.
 func TestLateHoldAfterReleaseIsUndone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, list := newTestService([]string{"a"}, 2)
@@ -70,12 +71,12 @@
 			}
 		}
 		cancel()
-		time.Sleep(2 * lostAfter) // calls that are on their way end
+		time.Sleep(2 * orderTimeout) // lets pending calls end
 		if len(g.mixed) > 0 {
 			t.Fatal(g.mixed[0])
 		}
 		if !l.done {
-			t.Fatal("the late order was not carried out")
+			t.Fatal("the late order was not executed")
 		}
 		if held > 400 {
 			t.Fatalf("the group was held for %d ms", held)
--- a/internal/experts/lockstep/loadplacement.go
+++ b/internal/experts/lockstep/loadplacement.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// loadPlacement reads the map in use unless it is known; false if it cannot be read now.
+// loadPlacement reads the map in use unless the controller has it. It returns false if the map cannot be read now.
 func (c *Controller) loadPlacement(ctx context.Context, s *snapshot) bool {
 	version := s.reports[0].Version
 	for _, r := range s.reports {
@@ -55,8 +55,8 @@
 	return true
 }
 
-// validExperts reports whether a rank's experts, by set, are among those of its service. The configuration may be older than the
-// rank, or wrong.
+// validExperts reports whether a rank's experts, by set, are among those of its service. The configuration may be
+// older than the rank, or wrong.
 func validExperts(held [][]int, x *catalog.Experts) bool {
 	if len(held) != x.Sets {
 		return false
--- a/internal/experts/lockstep/newlyformed_test.go
+++ b/internal/experts/lockstep/newlyformed_test.go
@@ -10,7 +10,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// delayedCounts is a site whose ranks have counted next to nothing before some time.
+// delayedCounts is a service whose ranks have hardly any counts before a given time.
 type delayedCounts struct {
 	*testService
 	from time.Time
@@ -23,8 +23,9 @@
 	return s.testService.Counts(ctx, u, sets)
 }
 
-// A group has just formed. It runs on its first map, which knows nothing of the demand, and callers who waited for it are
-// late for as long as it does. The leader's second look finds too few counts, and the next one must not be a period away.
+// A newly formed group runs on its first map, which ignores the demand, and callers who waited for the group get slow
+// responses until it is switched. The leader's second check finds too few counts; the next one must not be a full
+// period later.
 func TestNewlyFormedGroupIsSwitchedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, list := newTestService([]string{"a"}, 2)
--- a/internal/experts/lockstep/order.go
+++ b/internal/experts/lockstep/order.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Op is what an order asks of a rank.
+// Op is the action that an order requests of a rank.
 type Op string
 
-// The orders that engines know.
+// The orders that engines support.
 const (
-	// OpPrepare has the rank load what a map needs.
+	// OpPrepare loads the experts that a map needs.
 	OpPrepare Op = "prepare"
-	// OpArm has the rank switch to a prepared map as a pass begins.
+	// OpArm schedules the switch to a prepared map at the beginning of a pass.
 	OpArm Op = "arm"
-	// OpDisarm takes OpArm back.
+	// OpDisarm reverts OpArm.
 	OpDisarm Op = "disarm"
 	// OpHold keeps the group from beginning a pass until OpRelease with the same pass.
 	OpHold Op = "hold"
@@ -19,7 +19,7 @@
 	OpRelease Op = "release"
 )
 
-// Order is one order to one rank. A rank refuses it in another epoch of its group.
+// Order is one order to one rank. The rank refuses it if its group has another epoch.
 type Order struct {
 	Rank      int
 	Op        Op
@@ -27,51 +27,53 @@
 	Version   uint64
 	Pass      uint64
 	Placement Placement
-	// Wait is for how long an agent beside the rank gives the order again while it gets no answer, and how long the answer to
-	// OpPrepare may take to be ReplyPrepared.
+	// Wait is how long an agent on the rank's host repeats the order while the rank does not respond. For OpPrepare
+	// it is also the maximum time until the reply ReplyPrepared.
 	Wait time.Duration
 }
 
-// Reply is how a rank answered an order.
+// Reply is a rank's reply to an order.
 type Reply int
 
 const (
-	// ReplyLost: no answer came. The order may have been carried out, or may be seconds later.
+	// ReplyLost: no response arrived. The order may have been executed, or may be executed seconds later.
 	ReplyLost Reply = iota
 	// ReplyBegun: the rank accepted the order.
 	ReplyBegun
-	// ReplyHolds: what the order asks for is so already.
+	// ReplyHolds: the rank is already in the state that the order requests.
 	ReplyHolds
-	// ReplyPrepared: the rank has prepared the map that it was ordered to; some answer so at once, some with ReplyBegun.
+	// ReplyPrepared: the rank has prepared the map of the order. Some ranks reply so immediately, some reply
+	// ReplyBegun first.
 	ReplyPrepared
-	// ReplyRefused: the order does not fit the rank's state, and changed nothing.
+	// ReplyRefused: the order does not fit the rank's state and changed nothing.
 	ReplyRefused
 )
 
-// Armed is a switch that a rank has been told to make.
+// Armed is a switch that a rank is armed for.
 type Armed struct{ Version, Pass uint64 }
 
-// Report is what a rank says of itself.
+// Report is the state that a rank reports.
 type Report struct {
-	// StartedAtMS tells the rank's lives apart; see ids.UpstreamIncarnation.
+	// StartedAtMS is the rank's start time in Unix ms, which distinguishes its incarnations; see
+	// ids.UpstreamIncarnation.
 	StartedAtMS int64
 	// Group is the name of the rank's group.
 	Group      string
 	Rank, Size int
 	Epoch      uint64
-	// Open says that the group works.
+	// Open is set if the group is operational.
 	Open bool
-	// Pass is the last pass that was begun.
+	// Pass is the last pass that has begun.
 	Pass uint64
-	// Version is that of the map in use, Prepared that of the newest map whose experts are loaded, 0 for none.
+	// Version is the version of the map in use, Prepared that of the newest map whose experts are loaded; 0 for none.
 	Version, Prepared uint64
 	Armed             *Armed
-	// Held is the pass that this rank keeps the group from beginning, or nil.
+	// HeldPass is the pass that this rank keeps the group from beginning, or nil.
 	Held *uint64
-	// Pace is how many times as long as usual the rank's work takes.
+	// Slowdown is how many times as long as normal the rank's work takes; 1 is normal.
 	Pace float64
-	// Fresh says that the report is of now; others are some hundred ms old.
+	// Fresh is set if the report is current; other reports are some hundred ms old.
 	Fresh bool
-	// Running and Waiting count requests; CacheTokens is the KV cache in use.
+	// Running and Waiting are numbers of requests; CacheTokens is the used KV cache in tokens.
 	Running, Waiting, CacheTokens int
 }
--- a/internal/experts/lockstep/placement.go
+++ b/internal/experts/lockstep/placement.go
@@ -5,7 +5,7 @@
 // Placement lists, for each set of layers and each rank, the experts that the rank holds.
 type Placement [][][]int
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (p Placement) Clone() Placement {
 	out := make(Placement, len(p))
 	for s, ranks := range p {
@@ -17,7 +17,7 @@
 	return out
 }
 
-// Copies counts the experts that a rank must load to go from one placement to another, over all ranks and sets.
+// Copies returns the number of experts that ranks must load for a change of placement, over all ranks and sets.
 func Copies(from, to Placement) int {
 	n := 0
 	for s := range to {
@@ -28,35 +28,36 @@
 	return n
 }
 
-// MaxCopies is the most experts that one rank must load, over all sets: it loads one after the other.
+// MaxCopies returns the maximum number of experts that one rank must load, over all sets; a rank loads them one after
+// the other.
 func MaxCopies(from, to Placement) int {
 	if len(to) == 0 {
 		return 0
 	}
-	most := 0
+	maximum := 0
 	for r := range to[0] {
 		n := 0
 		for s := range to {
 			n += newExperts(from[s][r], to[s][r])
 		}
-		most = max(most, n)
+		maximum = max(maximum, n)
 	}
-	return most
+	return maximum
 }
 
-func newExperts(had, has []int) int {
+func newExperts(before, after []int) int {
 	n := 0
-	for _, e := range has {
-		if !slices.Contains(had, e) {
+	for _, e := range after {
+		if !slices.Contains(before, e) {
 			n++
 		}
 	}
 	return n
 }
 
-// Skew returns the time that the sets' experts take over the time that a perfect balance would take: the mean over sets
-// of the most loaded rank over the mean. Weights gives each set's demand by expert; speed is each rank's, 1 for a usual
-// one.
+// Skew returns the time that the sets' experts take relative to a perfect balance: the load of the most loaded rank
+// divided by the mean load, averaged over the sets. demand holds each set's demand by expert, speed each rank's
+// speed, 1 for a normal one.
 func Skew(p Placement, demand [][]float64, speed []float64) float64 {
 	sum := 0.0
 	for s := range p {
--- a/internal/experts/lockstep/policy.go
+++ b/internal/experts/lockstep/policy.go
@@ -6,37 +6,38 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// Options say when a switch earns its cost.
+// Options configures when a switch is worth its cost.
 type Options struct {
-	// CopyPrice is what a second in which one rank loads experts must save: skew of the whole group, times its ranks, if a pass
-	// had no other work than that of experts.
+	// CopyPrice is the minimum saving for each second that one rank spends loading experts: skew of the whole group
+	// multiplied by its number of ranks, for passes that consist of experts' work only.
 	CopyPrice float64
-	// MinGain is the skew that a new map must save over the present one.
+	// MinGain is the minimum skew that a new map must save over the current one.
 	MinGain float64
-	// MinCounts is what the estimate must rest on.
+	// MinCounts is the minimum number of counts behind the estimate.
 	MinCounts float64
 }
 
-// DefaultOptions suit drifts of some seconds. MinGain is about as much as two estimates of the same demand differ by.
+// DefaultOptions returns options for demand that drifts within some seconds. MinGain is about the difference between
+// two estimates of the same demand.
 func DefaultOptions() Options {
 	return Options{CopyPrice: 1.2, MinGain: 0.08, MinCounts: 2000}
 }
 
-// copyPrice is the skew of one set that a copy of an expert must save: what a set saves counts for its part of all sets, and the
-// more ranks go faster for it, and the more of a pass is the experts', the more it is worth.
-func (o Options) copyPrice(copyTime time.Duration, sets, ranks int, part float64) float64 {
-	return o.CopyPrice * copyTime.Seconds() * float64(sets) / (float64(max(1, ranks)) * max(minShare, part))
+// copyPrice returns the skew of one set that a copy of an expert must save. The skew of one set counts for its share
+// of all sets. A saving is worth more the more ranks it speeds up and the larger the experts' share of a pass is.
+func (o Options) copyPrice(copyTime time.Duration, sets, ranks int, share float64) float64 {
+	return o.CopyPrice * copyTime.Seconds() * float64(sets) / (float64(max(1, ranks)) * max(minShare, share))
 }
 
-// minShare stands for the part of a group that has hardly any work.
+// minShare is the lower bound of the experts' share of a pass, for a group that has hardly any work.
 const minShare = 0.05
 
-// expertShare is the part of a usual pass that experts' work takes, by the engine's published model, with so many requests that
-// write at each rank.
+// expertShare returns the share of a normal pass that experts' work takes according to the engine's performance
+// model, for the given number of running requests per rank.
 func expertShare(e *catalog.Engine, running float64) float64 {
 	work := running * e.StepPerRequest.Seconds()
-	if all := e.StepBase.Seconds() + work; all > 0 {
-		return e.Experts.Share * work / all
+	if total := e.StepBase.Seconds() + work; total > 0 {
+		return e.Experts.Share * work / total
 	}
 	return e.Experts.Share
 }
@@ -44,22 +45,22 @@
 // Plan is a switch that is worth its cost.
 type Plan struct {
 	Placement Placement
-	// Before and After are the skews of the present and the new placement under the estimated demand.
+	// Before and After are the skews of the current and the new placement under the estimated demand.
 	Before, After float64
-	// Copies counts the experts to load over all ranks; MaxCopies is the most on one rank.
+	// Copies is the number of experts to load over all ranks, MaxCopies the maximum on one rank.
 	Copies, MaxCopies int
 }
 
-// Decide returns a plan, or nil if the present placement stays; before is its skew under the estimated demand. part is the part of a
-// pass that experts' work takes.
-func Decide(o Options, from Placement, d *Demand, speed []float64, x *catalog.Experts, part float64) (plan *Plan, before float64) {
+// Decide returns a plan, or nil if the current placement should stay. before is the skew of the current placement
+// under the estimated demand, 0 if there are too few counts. share is the share of a pass that experts' work takes.
+func Decide(o Options, from Placement, d *Demand, speed []float64, x *catalog.Experts, share float64) (plan *Plan, before float64) {
 	demand := d.Value()
 	if demand == nil || len(demand) != len(from) || d.Total() < o.MinCounts {
 		return nil, 0
 	}
 	before = Skew(from, demand, speed)
-	room := RankLimits{Placements: x.Placements, Spare: x.Spare}
-	to := Balance(from, demand, speed, room, o.copyPrice(x.CopyTime, len(from), len(speed), part))
+	limits := RankLimits{Placements: x.Placements, Spare: x.Spare}
+	to := Balance(from, demand, speed, limits, o.copyPrice(x.CopyTime, len(from), len(speed), share))
 	after := Skew(to, demand, speed)
 	if before-after < o.MinGain {
 		return nil, before
@@ -70,7 +71,7 @@
 	}, before
 }
 
-// CopyTime is how long the ranks take to prepare a plan.
+// CopyTime returns how long the ranks take to prepare a plan, given the time to load one expert.
 func (p *Plan) CopyTime(expert time.Duration) time.Duration {
 	return time.Duration(p.MaxCopies) * expert
 }
--- a/internal/experts/lockstep/resend_test.go
+++ b/internal/experts/lockstep/resend_test.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// lateReport is just within the time in which a rank's report must come.
-	lateReport = 140 * time.Millisecond
-	// lostAfter is when an order without an answer is given up.
-	lostAfter = 150 * time.Millisecond
+	// lateReportDelay is just below the timeout for a rank's report.
+	lateReportDelay = 140 * time.Millisecond
+	// orderTimeout is the timeout of an order without a reply.
+	orderTimeout = 150 * time.Millisecond
 )
 
-// faultyRanks is a site where one rank reports late, and another loses its first orders to arm.
+// faultyRanks is a service where one rank reports late and another loses its first orders to arm.
 type faultyRanks struct {
 	*testService
 	late, losing ids.Upstream
@@ -27,7 +27,7 @@
 
 func (u *faultyRanks) Report(ctx context.Context, up *catalog.Upstream) (lockstep.Report, error) {
 	if up.ID == u.late {
-		time.Sleep(lateReport)
+		time.Sleep(lateReportDelay)
 	}
 	return u.testService.Report(ctx, up)
 }
@@ -40,13 +40,13 @@
 	}
 	u.mu.Unlock()
 	if lost {
-		time.Sleep(lostAfter)
+		time.Sleep(orderTimeout)
 		return lockstep.ReplyLost, errUnknown
 	}
 	return u.testService.Order(ctx, up, o)
 }
 
-// heldFor counts the milliseconds in which the groups are held.
+// heldFor returns the number of groups that are held now, which the test adds up once per millisecond.
 func (u *faultyRanks) heldFor() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -59,9 +59,9 @@
 	return n
 }
 
-// Callers of all ranks see a pause of over a second in the middle of their streams. One rank loses some orders in a row
-// while the group is held for a switch; orders are sent again every few milliseconds, but another rank reports late, and
-// while the leader waited for its report it sent nothing.
+// Guards against a pause of over a second in all streams of a group. One rank loses some consecutive orders while the
+// group is held for a switch. The leader sends orders again every few milliseconds, but it sent none while it waited
+// for the late report of another rank.
 func TestOrdersAreResentWhileReportsArePending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, list := newTestService([]string{"a"}, 2)
@@ -74,7 +74,7 @@
 			s.step()
 		}
 		cancel()
-		time.Sleep(2 * lostAfter) // calls that are on their way end
+		time.Sleep(2 * orderTimeout) // lets pending calls end
 		g := s.groups["a"]
 		if len(g.mixed) > 0 {
 			t.Fatal(g.mixed[0])
@@ -82,7 +82,7 @@
 		if g.ranks[0].inUse == 0 || u.toLose > 0 {
 			t.Fatalf("switched to %d, %d orders not lost yet", g.ranks[0].inUse, u.toLose)
 		}
-		// Twelve orders, 15 ms apart, and the ways of the others.
+		// Twelve lost orders, 15 ms apart, and the round trips of the other orders.
 		if held > 300 {
 			t.Fatalf("the group was held for %d ms", held)
 		}
--- a/internal/experts/lockstep/restart_test.go
+++ b/internal/experts/lockstep/restart_test.go
@@ -8,7 +8,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// restartedTask is a switch of a group of two ranks in their second and third life.
+// restartedTask returns the task of switching two ranks that started at 2 and 3.
 func restartedTask(now time.Time) Task {
 	return Task{
 		Epoch: 1, Ranks: 2, StartTimes: []int64{2, 3}, Version: 10, Fallback: 11, PrepareBy: now.Add(time.Hour),
@@ -16,11 +16,11 @@
 	}
 }
 
-func preparedReports(born0, born1 int64) []*Report {
-	return []*Report{{Epoch: 1, StartedAtMS: born0, Prepared: 10}, {Epoch: 1, StartedAtMS: born1, Prepared: 10}}
+func preparedReports(started0, started1 int64) []*Report {
+	return []*Report{{Epoch: 1, StartedAtMS: started0, Prepared: 10}, {Epoch: 1, StartedAtMS: started1, Prepared: 10}}
 }
 
-// acknowledgeAll acknowledges all orders until the switch is in a state.
+// acknowledgeAll acknowledges all orders until the switch reaches a state.
 func acknowledgeAll(t *testing.T, sw *Switch, now time.Time, orders []Order, until string) []Order {
 	t.Helper()
 	for string(sw.State()) != until {
@@ -33,10 +33,10 @@
 	return orders
 }
 
-// A rank starts again in the middle of a switch, before it has prepared the map, while the group is held, or while ranks are
-// armed, and its group forms with the epoch that it had. What it acknowledged before holds no longer: a switch that counted on
-// it would release the group with a rank that has nothing to switch to, and every caller of the group would wait or read
-// from two maps. So the switch ends, as with a new epoch.
+// A rank restarts during a switch (before it has prepared the map, while the group is held, or while ranks are
+// armed), and its group forms with the same epoch. Its acknowledgement is void: if the switch counted it, the group
+// would be released with a rank that has no map to switch to, and callers would wait or get output from two maps. The
+// switch must fail as with a new epoch.
 func TestSwitchFailsWhenRankRestarts(t *testing.T) {
 	now := time.Unix(0, 0)
 	for _, state := range []string{string(statePreparing), string(stateHolding), string(stateArming)} {
@@ -49,13 +49,13 @@
 			acknowledgeAll(t, sw, now, orders, state)
 			sw.OnReports(now, preparedReports(2, 4))
 			if !sw.Finished() || sw.Switched() {
-				t.Fatalf("in state %s, switched %v; want it ended and not switched", sw.State(), sw.Switched())
+				t.Fatalf("in state %s, switched %v; want it finished and not switched", sw.State(), sw.Switched())
 			}
 		})
 	}
 }
 
-// Reports of the same lives, late ones among them, end nothing.
+// Reports with unchanged start times, including late ones, must not end a switch.
 func TestSwitchContinuesWithSameIncarnations(t *testing.T) {
 	now := time.Unix(0, 0)
 	sw := NewSwitch(restartedTask(now))
@@ -68,23 +68,23 @@
 	}
 }
 
-// A rank that starts again counts from 0. Taken for a rank that has counted on, what it counted since its start would be lost
-// or compared with what an ended life counted, and the map would follow a demand that nobody has.
+// A rank that restarts counts from 0. If its counts were compared with those of its previous incarnation, the new
+// counts would be lost or distorted, and the map would follow a demand that does not exist.
 func TestCountsOfDifferentIncarnationsAreNotCompared(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
 	d := NewDemand(time.Hour)
 	d.Observe(at(0), 0, Since{StartedAtMS: 1, Epoch: 1}, Counts{{100, 0}})
 	d.Observe(at(1), 0, Since{StartedAtMS: 2, Epoch: 1}, Counts{{900, 50}})
 	if d.Value() != nil {
-		t.Fatalf("demand %v from counts of two lives", d.Value())
+		t.Fatalf("demand %v from counts of two incarnations", d.Value())
 	}
 	d.Observe(at(2), 0, Since{StartedAtMS: 2, Epoch: 1}, Counts{{910, 50}})
 	if got := d.Total(); got < 9 || got > 10 {
-		t.Fatalf("%v counts, want the 10 of the second life", got)
+		t.Fatalf("%v counts, want the 10 of the second incarnation", got)
 	}
 }
 
-// countingClient reports the same group for all but counts how often it is asked.
+// countingClient reports the same group for all ranks and counts the calls.
 type countingClient struct {
 	RankClient
 	calls int
@@ -95,14 +95,14 @@
 	return Report{Group: "g"}, nil
 }
 
-// An upstream starts again under its id, maybe as a rank of another group. It must be asked once more: taken for one of the
-// group that it was of, a part of two groups' ranks would be switched together.
+// An upstream may restart under its id as a rank of another group, so its group must be read again. Otherwise a
+// switch would include ranks of two groups.
 func TestNewIncarnationIsQueriedForItsGroup(t *testing.T) {
 	g, ranks := NewGroupIndex(), &countingClient{}
-	for _, born := range []int64{1, 1, 2} {
-		g.Update(t.Context(), ranks, []*catalog.Upstream{{ID: "u", StartedAtMS: born}})
+	for _, started := range []int64{1, 1, 2} {
+		g.Update(t.Context(), ranks, []*catalog.Upstream{{ID: "u", StartedAtMS: started}})
 	}
 	if ranks.calls != 2 {
-		t.Fatalf("asked %d times for two lives", ranks.calls)
+		t.Fatalf("%d reads for two incarnations", ranks.calls)
 	}
 }
--- a/internal/experts/lockstep/running.go
+++ b/internal/experts/lockstep/running.go
@@ -2,13 +2,14 @@
 
 import "context"
 
-// Running is a Controller or a ServiceController in a goroutine of its own.
+// Running is a Controller or a ServiceController that runs in its own goroutine.
 type Running struct {
 	stop context.CancelFunc
 	wake chan struct{}
 }
 
-// Start runs what run says until Stop is called or ctx ends; wake is what Wake writes to.
+// Start calls run in a new goroutine. The context that run gets ends with ctx or on Stop; the channel receives a
+// value on Wake.
 func Start(ctx context.Context, run func(ctx context.Context, wake <-chan struct{})) *Running {
 	ctx, cancel := context.WithCancel(ctx)
 	r := &Running{stop: cancel, wake: make(chan struct{}, 1)}
@@ -16,13 +17,13 @@
 	return r
 }
 
-// Wake has it look at its group at once.
+// Wake triggers an immediate check.
 func (r *Running) Wake() {
 	select {
 	case r.wake <- struct{}{}:
-	default: // it is about to look
+	default: // a check is already due
 	}
 }
 
-// Stop ends it.
+// Stop ends the controller without waiting for its goroutine.
 func (r *Running) Stop() { r.stop() }
--- a/internal/experts/lockstep/runswitch.go
+++ b/internal/experts/lockstep/runswitch.go
@@ -7,7 +7,7 @@
 	"github.com/go-kit/log/level"
 )
 
-// lagPasses is how many passes a report is behind, from the reports' age and a usual pass.
+// lagPasses returns by how many passes the reports are behind, from their age and the length of a normal pass.
 func (c *Controller) lagPasses(s *snapshot) uint64 {
 	if s.reports[0].Fresh {
 		return 0
@@ -15,11 +15,12 @@
 	return uint64(s.group.Engine.ReportLag / normalPass)
 }
 
-// normalPass is the length of a pass of a loaded group; a shorter one costs another try at holding the group.
+// normalPass is the length of a pass of a loaded group. If passes are shorter, the attempt to hold the group fails
+// and is repeated.
 const normalPass = 50 * time.Millisecond
 
-// newTask is a new task for the present leader. Its version is unique: leaders' numbers are, and versions of one leader
-// count up from its own.
+// newTask returns a task under the current fencing token. Its version is unique, because fencing tokens are unique
+// and the versions under one token count up.
 func (c *Controller) newTask(s *snapshot) Task {
 	serial := c.o.Serials.next(c.fence)
 	return Task{
@@ -41,17 +42,17 @@
 	reply Reply
 }
 
-// runSwitch runs a switch to its end, or until ctx ends.
+// runSwitch runs a switch until it finishes or ctx ends.
 func (c *Controller) runSwitch(ctx context.Context, s *snapshot, sw *Switch, orders []Order) {
 	replies := make(chan orderResult)
-	ended := make(chan struct{})
-	defer close(ended)
+	finished := make(chan struct{})
+	defer close(finished)
 	tick := time.NewTicker(retryTick)
 	defer tick.Stop()
 	poll := newReportPoller(c, s)
 	prepared := map[int]bool{}
 	for !sw.Finished() {
-		c.sendOrders(ctx, s, orders, replies, ended)
+		c.sendOrders(ctx, s, orders, replies, finished)
 		orders = nil
 		select {
 		case <-ctx.Done():
@@ -77,18 +78,18 @@
 	}
 }
 
-// reportPoller asks all ranks for their reports, one round at a time, beside the loop that gives orders.
+// reportPoller reads the reports of all ranks, one round at a time, concurrently with the loop that sends orders.
 //
-// The rounds of orders do not wait for reports: while one rank loses orders and another reports late, the group would be held
-// for as long as both last.
+// The orders must not wait for reports: if one rank loses orders while another reports late, each resend would wait
+// for the late report, and the group would stay held meanwhile.
 type reportPoller struct {
 	controller *Controller
 	snapshot   *snapshot
-	// done gets the reports of a round; it takes one without a reader, so that no round outlives its switch for long.
+	// done receives the reports of a round. It buffers one, so that a round can end after its switch has finished.
 	done      chan []*Report
 	startedAt time.Time
 	busy      bool
-	// again says that a round is due as soon as the present one is over.
+	// again is set if another round is due as soon as the current one is done.
 	again bool
 }
 
@@ -96,14 +97,14 @@
 	return &reportPoller{controller: c, snapshot: s, done: make(chan []*Report, 1), startedAt: time.Now()}
 }
 
-// tick begins a round when it is due.
+// tick starts a round when it is due.
 func (p *reportPoller) tick(ctx context.Context, now time.Time) {
 	if !p.busy && now.Sub(p.startedAt) >= pollInterval {
 		p.start(ctx)
 	}
 }
 
-// start begins a round at once, or after the present one, which may have asked too early.
+// start starts a round immediately or, if one is running, after it, since that round may have read reports too early.
 func (p *reportPoller) start(ctx context.Context) {
 	if p.busy {
 		p.again = true
@@ -113,7 +114,7 @@
 	go func() { p.done <- p.controller.currentReports(ctx, p.snapshot) }()
 }
 
-// finish notes that a round's reports were taken.
+// finish records that a round's reports were received.
 func (p *reportPoller) finish(ctx context.Context) {
 	p.busy = false
 	if p.again {
@@ -122,7 +123,7 @@
 	}
 }
 
-// currentReports are the ranks' reports, those that lag carried on to the present.
+// currentReports returns the ranks' reports; the pass of a lagging report is extrapolated to now.
 func (c *Controller) currentReports(ctx context.Context, s *snapshot) []*Report {
 	reports := c.reports(ctx, s.upstreams)
 	for _, r := range reports {
@@ -133,7 +134,7 @@
 	return reports
 }
 
-func (c *Controller) sendOrders(ctx context.Context, s *snapshot, orders []Order, replies chan<- orderResult, ended <-chan struct{}) {
+func (c *Controller) sendOrders(ctx context.Context, s *snapshot, orders []Order, replies chan<- orderResult, finished <-chan struct{}) {
 	for _, o := range orders {
 		u := s.upstreams[o.Rank]
 		go func() {
@@ -144,16 +145,17 @@
 			}
 			select {
 			case replies <- orderResult{o, reply}:
-			case <-ended:
+			case <-finished:
 			}
 		}()
 	}
 }
 
-// undoUnfinished undoes what was left behind: a group that is held. It reports whether there is such a group.
+// undoUnfinished undoes an unfinished switch if the group is held without one in progress. It reports whether the
+// group is held.
 //
-// A leader that dies between holding a group and releasing it leaves ranks that begin no pass, and so does its own order to
-// hold that is carried out late.
+// A leader that dies between holding a group and releasing it leaves ranks that begin no pass. A hold order that is
+// executed late has the same effect, even if it is the leader's own.
 func (c *Controller) undoUnfinished(ctx context.Context, s *snapshot) bool {
 	now := time.Now()
 	unfinished := FindUnfinishedSwitch(s.reports)
@@ -164,14 +166,15 @@
 	if c.unfinishedSince.IsZero() {
 		c.unfinishedSince = now
 	}
-	patience := unfinishedAfter
+	timeout := unfinishedAfter
 	if !s.reports[unfinished.Holders[0]].Fresh {
-		patience += 2 * s.group.Engine.ReportLag
+		timeout += 2 * s.group.Engine.ReportLag
 	}
-	if unfinished.Pending && !unfinished.Ahead || now.Sub(c.unfinishedSince) < patience {
+	if unfinished.Pending && !unfinished.Ahead || now.Sub(c.unfinishedSince) < timeout {
 		return true
 	}
-	// The map in use is read anew: the one that this leader has switched to is not in use as long as the pass is held.
+	// The map in use is read again: as long as the pass is held, the map that this leader has switched to is not in
+	// use.
 	c.resetPlacement()
 	if !c.loadPlacement(ctx, s) {
 		return true
--- a/internal/experts/lockstep/serials.go
+++ b/internal/experts/lockstep/serials.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	// versionsPerTask are reserved for each switch: the new map, and the present one again if it is undone.
+	// versionsPerTask is the number of versions reserved for each switch: one for the new map and one for the current
+	// map in case the switch is undone.
 	versionsPerTask = 2
-	// fenceShift leaves room for the versions of one leader below those of the next.
+	// fenceShift is the number of low bits of a version that count the tasks of one leader, so that its versions are
+	// below those of the next leader.
 	fenceShift = 16
-	// lastSerial is the last task that one number has versions for.
+	// lastSerial is the last serial of a fencing token that leaves versions for its task.
 	lastSerial = 1<<fenceShift - versionsPerTask
 )
 
-// Serials count the tasks that a node begins under each of its numbers. It is safe for concurrent use.
+// Serials counts the tasks that a node starts under each of its fencing tokens. It is safe for concurrent use.
 //
-// Two controllers under one number may follow each other; if the second counted from the start, two maps would have one
-// version, and a rank that has prepared the first would take the second for it.
+// Two controllers may run one after the other under the same token. If the second one counted from the start, two
+// maps would share a version, and a rank that has prepared the first would mistake the second for it.
 type Serials struct {
 	mu   sync.Mutex
 	last map[ids.Fence]uint64
 }
 
-// NewSerials returns a counter that has counted nothing.
+// NewSerials returns a counter at zero for every token.
 func NewSerials() *Serials { return &Serials{last: map[ids.Fence]uint64{}} }
 
 func (s *Serials) next(f ids.Fence) uint64 {
@@ -36,20 +38,20 @@
 	return s.last[f]
 }
 
-// exhausted reports whether a number has no versions left: the next ones would be those of a later leader.
+// exhausted reports whether a token has no versions left: the next ones would be those of a later leader.
 func (s *Serials) exhausted(f ids.Fence) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.last[f] >= lastSerial
 }
 
-// versionOf is the version of a task's map under a number.
+// versionOf returns the version of a task's map under a fencing token.
 func versionOf(f ids.Fence, serial uint64) uint64 { return uint64(f)<<fenceShift + serial }
 
-// newerFence returns the later number that makes the leader's present one obsolete, or 0.
+// newerFence returns the later fencing token that makes the leader's current one obsolete, or 0.
 //
-// A leader that was paused may never hear of the one that led meanwhile, has all its orders refused, and would leave a group
-// held that the other has held. What the ranks report tells it.
+// A leader that was paused may never learn that another one led in the meantime. All its orders would be refused, and
+// a group that the other leader has held would stay held. The versions in the ranks' reports reveal the later token.
 func (c *Controller) newerFence(s *snapshot) ids.Fence {
 	newest := c.fence
 	for _, r := range s.reports {
@@ -65,7 +67,7 @@
 }
 
 func (c *Controller) reportStaleFence(newer ids.Fence) {
-	_ = level.Info(c.o.Logger).Log("msg", "number outdated", "number", c.fence, "newer", newer)
+	_ = level.Info(c.o.Logger).Log("msg", "fencing token outdated", "number", c.fence, "newer", newer)
 	if c.o.Outdated != nil {
 		c.o.Outdated(newer)
 	}
--- a/internal/experts/lockstep/serials_test.go
+++ b/internal/experts/lockstep/serials_test.go
@@ -13,32 +13,32 @@
 	return c.newerFence(&snapshot{reports: reports})
 }
 
-// A leader is paused while another takes over, switches the group, holds it once more and ends. The first wakes, is still
-// believed by all to lead, and has each of its orders refused, so that the group stays held. The ranks' versions tell it
-// that its number is obsolete.
+// A leader is paused while another one takes over, switches the group, holds it again and dies. When the first
+// resumes, all nodes still consider it the leader, but the ranks refuse its orders and the group stays held. It must
+// detect from the ranks' versions that its fencing token is obsolete.
 func TestStaleFenceIsDetectedFromRankVersions(t *testing.T) {
 	c := NewController(ControllerOptions{Serials: NewSerials(), Logger: log.NewNopLogger()})
 	c.fence = 6
 	own := Report{Version: versionOf(6, 4), Prepared: versionOf(6, 6)}
 	if got := newerFenceOf(t, c, own, Report{Version: versionOf(4, 8)}); got != 0 {
-		t.Fatalf("outdated by %d, want by none", got)
+		t.Fatalf("newer fence %d, want none", got)
 	}
 	if got := newerFenceOf(t, c, own, Report{Version: versionOf(4, 8), Prepared: versionOf(7, 2)}); got != 7 {
-		t.Fatalf("outdated by %d, want 7", got)
+		t.Fatalf("newer fence %d, want 7", got)
 	}
 }
 
-// A leader that goes on for hours begins more tasks than one number has versions for. The next would have versions of a
-// later leader's, and two maps one name.
+// A leader that runs for hours starts more tasks than one fencing token has versions for. The next versions would be
+// those of a later leader, and two maps would share one.
 func TestFenceVersionsAreExhausted(t *testing.T) {
 	c := NewController(ControllerOptions{Serials: NewSerials(), Logger: log.NewNopLogger()})
 	c.fence = 6
 	for c.newerFence(&snapshot{}) == 0 {
 		if last := c.o.Serials.next(c.fence) + versionsPerTask; versionOf(6, last) > versionOf(7, 0) {
-			t.Fatalf("task %d has versions of the next number", last)
+			t.Fatalf("task %d has versions of the next fence", last)
 		}
 	}
 	if got := c.newerFence(&snapshot{}); got != 7 {
-		t.Fatalf("outdated by %d, want 7", got)
+		t.Fatalf("newer fence %d, want 7", got)
 	}
 }
--- a/internal/experts/lockstep/servicecontroller.go
+++ b/internal/experts/lockstep/servicecontroller.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// groupIndexInterval is how often a leader looks for new groups and ranks. A rank that is not known yet only delays its group's
-	// next switch.
+	// groupIndexInterval is the interval at which a leader checks for new groups and ranks. A rank that is not in the
+	// index yet only delays its group's next switch.
 	groupIndexInterval = 250 * time.Millisecond
-	// maxGroups is how many groups of a service one leader conducts; the others keep the map that they have, which is safe.
-	// Each takes about a tenth of a second of a host's processor for a switch.
+	// maxGroups is the maximum number of groups of a service that one leader controls; the others safely stay on
+	// their maps. A switch of one group takes about a tenth of a second of a host's processor.
 	maxGroups = 32
-	// groupsPerPeriod is how many groups are looked at in one period; with more of them each is looked at less often.
+	// groupsPerPeriod is how many groups are checked within one period; with more groups each is checked less often.
 	groupsPerPeriod = 4
 )
 
-// ServiceController conducts all groups of one service. Only Run's goroutine uses it.
+// ServiceController controls all groups of one service. Only Run's goroutine may use it.
 type ServiceController struct {
 	o          ControllerOptions
 	groups     *GroupIndex
@@ -28,13 +28,14 @@
 	controlled atomic.Int64
 }
 
-// NewServiceController returns a controller without groups. The options' Group returns all upstreams of the service.
+// NewServiceController returns a controller without groups. The options' Group must return all upstreams of the
+// service.
 func NewServiceController(o ControllerOptions) *ServiceController {
 	o.Serials = NewSerials()
 	return &ServiceController{o: o, groups: NewGroupIndex(), running: map[string]*Running{}}
 }
 
-// Run conducts until ctx ends.
+// Run controls the groups until ctx ends.
 func (s *ServiceController) Run(ctx context.Context) {
 	timer := time.NewTimer(groupIndexInterval)
 	defer timer.Stop()
@@ -59,17 +60,17 @@
 
 func (s *ServiceController) tick(ctx context.Context) {
 	group := s.o.Group()
-	leads := s.o.Fence() != 0
-	if group == nil || !leads && !s.isStandby() {
+	isLeader := s.o.Fence() != 0
+	if group == nil || !isLeader && !s.isStandby() {
 		return
 	}
 	names := s.groups.Update(ctx, s.o.RankClient, group.Upstreams)
-	if !leads {
+	if !isLeader {
 		return
 	}
 	if len(names) > maxGroups {
 		if s.controlled.Load() != maxGroups {
-			_ = level.Warn(s.o.Logger).Log("msg", "groups left as they are", "groups", len(names), "conducted", maxGroups)
+			_ = level.Warn(s.o.Logger).Log("msg", "too many groups for one leader", "groups", len(names), "conducted", maxGroups)
 		}
 		names = names[:maxGroups]
 	}
@@ -89,9 +90,10 @@
 	}
 }
 
-// isStandby reports whether the roster is kept without leading.
+// isStandby reports whether the node updates the group index without leading.
 //
-// The group may be held by a leader that has ended, and stands still while its successor asks every rank for its group.
+// If a leader dies while it holds a group, the group is paused until its successor releases it. The successor must
+// not spend that time reading each rank's group.
 func (s *ServiceController) isStandby() bool { return s.o.Standby != nil && s.o.Standby() }
 
 func (s *ServiceController) startController(ctx context.Context, name string) *Running {
--- a/internal/experts/lockstep/servicecontroller_test.go
+++ b/internal/experts/lockstep/servicecontroller_test.go
@@ -18,7 +18,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// testService is a service with several groups, whose ranks have the same numbers.
+// testService is a service with several groups whose ranks have the same numbers.
 type testService struct {
 	mu        sync.Mutex
 	groups    map[string]*group
@@ -69,7 +69,7 @@
 	return report, nil
 }
 
-// Counts say that one expert is in demand, another in each group.
+// Counts reports one expert in demand, a different one in each group.
 func (s *testService) Counts(_ context.Context, u *catalog.Upstream, _ int) (lockstep.Since, lockstep.Counts, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,9 +117,9 @@
 	}
 }
 
-// A service has three groups, and their ranks are listed in no order. All callers of a group whose ranks run a pass under
-// two maps get wrong answers; taken for one group, two thirds of the ranks of each would be left out of a switch. Each group
-// must be switched by itself, to a map of its own ranks.
+// A service has three groups whose ranks are listed in mixed order. If they were treated as one group, a switch would
+// leave out two thirds of each group's ranks, and callers would get wrong responses from passes under two maps. Each
+// group must be switched separately, to a map of its own ranks.
 func TestEachGroupIsSwitchedSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, list := newTestService([]string{"a", "bb", "ccc"}, 2)
@@ -159,38 +159,38 @@
 	})
 }
 
-// slowReports is a site that counts the reports it gives, each after some time.
+// slowReports is a service that counts the reports it returns, each after reportTakes.
 type slowReports struct {
 	*testService
 	reports atomic.Int64
 }
 
-const reportTakes = 100 * time.Millisecond
+const reportDelay = 100 * time.Millisecond
 
 func (a *slowReports) Report(ctx context.Context, u *catalog.Upstream) (lockstep.Report, error) {
 	a.reports.Add(1)
 	select {
 	case <-ctx.Done():
 		return lockstep.Report{}, ctx.Err()
-	case <-time.After(reportTakes):
+	case <-time.After(reportDelay):
 		return a.testService.Report(ctx, u)
 	}
 }
 
-// Failure: a leader ends while it holds a group, and the group stands still while its successor asks every rank to which group it
-// belongs before it looks at the group.
+// A leader dies while it holds a group. The group would stay paused while its successor first reads the group of
+// every rank, so a standby must keep its group index up to date.
 func TestStandbyKeepsGroupIndex(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		standby bool
 		before  int64
-	}{{"that stands by", true, 2}, {"that does not", false, 0}} {
+	}{{"standby", true, 2}, {"no standby", false, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s, list := newTestService([]string{"a"}, 2)
 				ranks := &slowReports{testService: s}
 				var leads atomic.Bool
-				looked := make(chan time.Time, 1)
+				checked := make(chan time.Time, 1)
 				wake := make(chan struct{}, 1)
 				controller := lockstep.NewServiceController(lockstep.ControllerOptions{
 					RankClient: ranks, Logger: log.NewNopLogger(), Wake: wake,
@@ -207,7 +207,7 @@
 					Period:  500 * time.Millisecond, Half: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
 					Read: func([]*catalog.Upstream, []lockstep.Report) {
 						select {
-						case looked <- time.Now():
+						case checked <- time.Now():
 						default:
 						}
 					},
@@ -217,14 +217,14 @@
 				go controller.Run(ctx)
 				time.Sleep(3 * time.Second)
 				if got := ranks.reports.Load(); got != c.before {
-					t.Errorf("%d reports before it leads, %d are due", got, c.before)
+					t.Errorf("%d reports before it leads, want %d", got, c.before)
 				}
 				leads.Store(true)
 				began := time.Now()
 				wake <- struct{}{}
-				took := (<-looked).Sub(began)
-				if known := took == reportTakes; known != c.standby {
-					t.Errorf("the first look took %v, one report %v", took, reportTakes)
+				took := (<-checked).Sub(began)
+				if known := took == reportDelay; known != c.standby {
+					t.Errorf("the first check took %v, one report %v", took, reportDelay)
 				}
 				cancel()
 				synctest.Wait()
@@ -233,7 +233,7 @@
 	}
 }
 
-// unknownExperts is a site whose ranks hold an expert, and count experts, that the configuration does not have.
+// unknownExperts is a service whose ranks hold and count an expert that the configuration does not have.
 type unknownExperts struct {
 	*testService
 	heldToo bool
@@ -253,8 +253,8 @@
 	return since, counts, err
 }
 
-// The operators' configuration names fewer experts than the ranks have. Nothing may be decided on such numbers, and the
-// leader must not end by them: requests of all services go through it.
+// The configuration names fewer experts than the ranks have. The leader must not decide anything on such data, and
+// must not crash, since it also serves the requests of all services.
 func TestUnknownExpertsPreventSwitch(t *testing.T) {
 	for _, heldToo := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/experts/lockstep/switch.go
+++ b/internal/experts/lockstep/switch.go
@@ -31,66 +31,69 @@
 )
 
 const (
-	// resendAfter is how long an answer is waited for before the order is sent once more; the first may still be answered.
-	// An answer takes some ms, and while ranks are armed the group may stand still, which every caller sees.
+	// resendAfter is how long to wait for a reply before an order is sent again; the first copy may still be
+	// executed. A reply takes some ms. While ranks are armed the group may be paused, which all its callers notice.
 	resendAfter = 15 * time.Millisecond
-	// responseFactor is how many times as long as those of half of the ranks the answers of all may take, and maxFirst the most
-	// that is waited for the first of each.
+	// responseFactor times the median response time, but at most maxFirstWait, is the wait before OpArm is first sent
+	// again, since the last ranks of a large group respond later than half of them.
 	responseFactor = 3
-	maxFirst       = 100 * time.Millisecond
-	// armWait is for how long agents try to have their ranks armed or disarmed: some tries, while the group may stand still.
+	maxFirstWait   = 100 * time.Millisecond
+	// armWait is how long agents repeat an order to arm or disarm their rank: long enough for some attempts, during
+	// which the group may be paused.
 	armWait = 60 * time.Millisecond
-	// prepareResend is the same for the order that carries a whole map, and that nothing waits for.
+	// prepareResend is the resend delay of the order that carries a complete map; nothing waits for its reply.
 	prepareResend = 100 * time.Millisecond
-	// prepareMargin is added to the time that copies take, as passes meanwhile take longer.
+	// prepareMargin is added to the time that copies take, since passes take longer meanwhile.
 	prepareMargin = 50 * time.Millisecond
-	// maxHolds is how many passes are tried to be held; each begins before the order arrives only if the group is faster
-	// than it was reported to be.
+	// maxHolds is the maximum number of passes that a switch tries to hold. An attempt fails if the pass begins
+	// before the order arrives, which happens only if the group is faster than reported.
 	maxHolds = 6
-	// maxClears is how often one rank may refuse the newer version of the present map; it does as long as another leader
-	// has it armed.
+	// maxClears is how often one rank may refuse the newer version of the current map, which it does while another
+	// leader has it armed.
 	maxClears = 20
-	// holdLead is how many passes after the last one known the switch is to be.
+	// holdLead is how many passes after the latest reported one the switch is to take effect.
 	holdLead = 2
 )
 
-// Task is what a Switch is to do.
+// Task describes the switch that a Switch carries out.
 type Task struct {
 	Epoch uint64
 	Ranks int
-	// StartTimes are the ranks' starts, by rank. A rank in another life holds nothing that it acknowledged.
+	// StartTimes are the ranks' start times, by rank. A rank that has restarted holds nothing that it acknowledged
+	// before.
 	StartTimes []int64
-	// Version names the new map, and Fallback the present one if the switch is undone. No two tasks of any node may share
-	// one: a rank would take one map for the other.
+	// Version is the version of the new map, Fallback that of the current map if the switch is undone. No two tasks
+	// of any node may share a version: a rank would mistake one map for the other.
 	Version, Fallback uint64
 	Placement         Placement
-	// Current is the placement in use, to go back to.
+	// Current is the placement in use, which an undone switch returns to.
 	Current Placement
 	// HoldRank is the rank that holds the group.
 	HoldRank int
-	// PrepareBy is when a switch whose experts are not loaded is given up.
+	// PrepareBy is the deadline by which the experts must be loaded; the switch is aborted otherwise.
 	PrepareBy time.Time
-	// CopyTime is how long the rank with most to load takes.
+	// CopyTime is the load time of the rank that has the most experts to load.
 	CopyTime time.Duration
-	// ResponseTime is how long it takes until half of the ranks have answered when all are asked at once.
+	// ResponseTime is the median response time of the ranks when all are called concurrently.
 	ResponseTime time.Duration
 }
 
 // Switch moves a group to a new map. It is pure and not safe for concurrent use.
 //
-// What it rests on: a group begins no pass that one of its ranks holds. The ranks are armed only while the pass is
-// held, and it is released only when all of them are armed for it, or when none is and none can be. An order that got
-// no answer is sent until it gets one; what it may still do when it is carried out late is listed at each state. Two
-// leaders at once are safe: one that undoes another's switch holds the pass at a rank of its own first, and gives every
-// rank a newer version, after which the other's orders are refused.
+// Its safety depends on the rule that a group begins no pass that one of its ranks holds. The ranks are armed only
+// while the pass is held. It is released only when all of them are armed for it, or when none is and none can be. An
+// order without a reply is sent again until one arrives; orderFor lists for each state what a copy that is executed
+// late can still do. Two leaders at the same time are safe: a leader that undoes another's switch first holds the
+// pass at a rank of its own, and gives every rank a newer version, after which the ranks refuse the other's orders.
 type Switch struct {
 	task    Task
 	machine charts.Machine
-	// acked counts the orders of the present state that a rank has acknowledged; refusals those that it refused.
+	// acked counts, by rank, the orders of the current state that the rank has acknowledged; refusals those that it
+	// has refused.
 	acked, refusals map[int]int
-	// due is when an order is sent, or sent again, by rank.
+	// due is when an order is to be sent, or sent again, by rank.
 	due map[int]time.Time
-	// releaseRanks are the ranks to be told to let the pass begin.
+	// releaseRanks are the ranks that get the order to release the pass.
 	releaseRanks []int
 	pass         uint64
 	holdsRefused int
@@ -100,37 +103,38 @@
 	switched   bool
 }
 
-// NewSwitch returns a switch that has not begun.
+// NewSwitch returns a switch that has not started.
 func NewSwitch(t Task) *Switch {
 	return &Switch{task: t, machine: chart.Start(), releaseRanks: []int{t.HoldRank}}
 }
 
-// State returns the state in the chart.
+// State returns the current state in the chart map_orders.
 func (s *Switch) State() charts.State { return s.machine.State() }
 
-// Finished reports whether nothing is left to do.
+// Finished reports whether the switch is done or has failed.
 func (s *Switch) Finished() bool { return s.machine.Final() }
 
 // Switched reports whether all ranks were armed, so that the new map is in force from Pass on.
 func (s *Switch) Switched() bool { return s.switched }
 
-// Pass is the pass of the switch; 0 before it is chosen.
+// Pass returns the pass of the switch; 0 before it is chosen.
 func (s *Switch) Pass() uint64 { return s.pass }
 
-// HoldResent reports whether the order to hold the group was given more than once.
+// HoldResent reports whether the order to hold the group was sent more than once for a pass.
 func (s *Switch) HoldResent() bool { return s.holdsSent > 1+s.holdsRefused }
 
-// Start begins the switch.
+// Start starts the switch and returns the first orders.
 func (s *Switch) Start(now time.Time) []Order {
 	s.fire(evBegin)
 	return s.Tick(now)
 }
 
-// Undo begins to undo a switch that another leader left. The task must be the one that left.Task returned, and nothing
-// may be pending: disarming ranks for a pass that is not held would mix maps.
+// Undo starts to undo a switch that another leader has left unfinished. The task must be the one that unfinished.Task
+// returned, and nothing may be pending unless unfinished.Ahead is set: disarming ranks for a pass that is not held
+// would mix maps.
 //
-// A hold that is carried out late stops a group whose switch is complete, with nothing to disarm. A rank is armed for one
-// pass at a time, so that releasing the held one is safe.
+// If unfinished.Ahead is set, a hold that was executed late blocks a group whose switch is complete, and there is
+// nothing to disarm. A rank is armed for one pass at a time, so releasing the held pass is safe.
 func (s *Switch) Undo(now time.Time, unfinished *UnfinishedSwitch) []Order {
 	s.pass = unfinished.Pass
 	if unfinished.Ahead {
@@ -179,48 +183,50 @@
 	return out
 }
 
-// resendInterval is how long an answer is waited for. The first order to all ranks of a large group is not lost because the answers
-// take longer than those of a small one: all sent again would take the time of those that are under way.
+// resendInterval returns how long to wait for the reply to an order. The first arm order to all ranks of a large
+// group waits longer: the replies take longer than those of a small group, and sending all orders again would delay
+// the ones in progress.
 func (s *Switch) resendInterval(o Order) time.Duration {
 	switch {
 	case o.Op == OpPrepare:
 		return prepareResend + o.Wait
 	case o.Op == OpArm && s.due[o.Rank].IsZero():
-		return max(resendAfter, min(responseFactor*s.task.ResponseTime, maxFirst))
+		return max(resendAfter, min(responseFactor*s.task.ResponseTime, maxFirstWait))
 	}
 	return resendAfter
 }
 
-// orderFor returns what the present state still wants of a rank.
+// orderFor returns the order that the current state still requires of a rank.
 func (s *Switch) orderFor(r int) (Order, bool) {
 	o := Order{Rank: r, Epoch: s.task.Epoch, Version: s.task.Version, Pass: s.pass}
 	switch s.machine.State() {
 	case statePreparing:
-		// Late: an older version is refused; nothing is armed by it.
+		// If executed late: an older version is refused, and nothing is armed by it.
 		o.Op, o.Placement = OpPrepare, s.task.Placement
 		o.Wait = s.task.CopyTime + prepareMargin
 		return o, s.acked[r] == 0
 	case stateHolding, stateGuarding:
-		// Late: refused once the pass has begun. If it has not, the hold stands in the rank's report and is released by
-		// whoever leads next.
+		// If executed late: refused once the pass has begun. If it has not, the rank's report shows the hold, and the
+		// next leader releases it.
 		o.Op = OpHold
 		return o, r == s.task.HoldRank && s.acked[r] == 0
 	case stateArming:
-		// Late: refused once the pass has begun, or a newer map is prepared.
+		// If executed late: refused once the pass has begun or a newer map is prepared.
 		o.Op, o.Wait = OpArm, armWait
 		return o, s.acked[r] == 0
 	case stateClearing:
 		return s.clearOrder(o)
 	case stateReleasing:
-		// Late: releases this pass only, which has begun by then.
+		// If executed late: releases this pass only, which has begun by then.
 		o.Op = OpRelease
 		return o, slices.Contains(s.releaseRanks, r) && s.acked[r] == 0
 	}
 	return Order{}, false
 }
 
-// clearOrder disarms a rank, and then prepares the present map under a newer version. Without the second, an arm order
-// that got no answer could still be carried out after the disarm, before the pass, and the rank would switch alone.
+// clearOrder disarms a rank and then prepares the current map under a newer version. Without the newer version, an
+// arm order without a reply could still be executed after the disarm and before the pass, and the rank would switch
+// alone.
 func (s *Switch) clearOrder(o Order) (Order, bool) {
 	switch s.acked[o.Rank] {
 	case 0:
@@ -233,7 +239,7 @@
 	return Order{}, false
 }
 
-// OnReply takes in the answer to an order and returns the orders that follow.
+// OnReply processes the reply to an order and returns the orders that follow.
 func (s *Switch) OnReply(now time.Time, o Order, reply Reply) []Order {
 	if !s.isCurrent(o) {
 		return nil
@@ -252,21 +258,21 @@
 	return s.Tick(now)
 }
 
-// restarted reports whether a rank has started again since the switch began.
+// restarted reports whether a rank has restarted since the switch started.
 //
-// A rank that starts again after it has acknowledged may be in a group of the same epoch. Its acknowledgement must not count,
-// or the group is released with one rank that has nothing to switch to.
+// A rank that restarts after it has acknowledged an order may be in a group of the same epoch. Its acknowledgement
+// must not count; otherwise the group would be released with one rank that has no map to switch to.
 func (s *Switch) restarted(rank int, r *Report) bool {
 	return rank < len(s.task.StartTimes) && r.StartedAtMS != s.task.StartTimes[rank]
 }
 
-// isCurrent reports whether an order is what the present state still wants of its rank.
+// isCurrent reports whether the current state still requires the order of its rank.
 func (s *Switch) isCurrent(o Order) bool {
 	if s.Finished() {
 		return false
 	}
-	want, ok := s.orderFor(o.Rank)
-	return ok && want.Op == o.Op && want.Pass == o.Pass && want.Version == o.Version
+	expected, ok := s.orderFor(o.Rank)
+	return ok && expected.Op == o.Op && expected.Pass == o.Pass && expected.Version == o.Version
 }
 
 func (s *Switch) onAccepted() {
@@ -320,14 +326,15 @@
 	case stateClearing:
 		s.onClearRefused(now, o)
 	case stateReleasing:
-		// Nothing is held for this pass there any more.
+		// The rank no longer holds this pass.
 		s.acked[o.Rank]++
 		s.checkReleased()
 	}
 }
 
-// onClearRefused: a rank that is not armed for the version refuses to disarm, which is what is wanted. One that refuses
-// the newer version is armed for another leader's; that one ends within milliseconds, or is undone in its turn.
+// onClearRefused handles a refusal while ranks are being cleared. A rank that is not armed for the version refuses to
+// disarm, which is the desired state. A rank that refuses the newer version is armed for another leader's switch,
+// which finishes within milliseconds or is undone in turn.
 func (s *Switch) onClearRefused(now time.Time, o Order) {
 	if o.Op == OpDisarm {
 		s.acked[o.Rank]++
@@ -340,11 +347,12 @@
 	}
 }
 
-// OnReports takes in what the ranks said when they were all asked at once, by rank; nil stands for no answer. It returns
+// OnReports processes the reports of all ranks from one concurrent round, by rank; nil means no response. It returns
 // the orders that follow.
 //
-// If a rank's host freezes in between, nobody knows whether it is armed, and the group stays held until it wakes. So the
-// group is held only right after a round in which every rank answered.
+// If a rank's host pauses during the switch, the leader cannot determine whether the rank is armed, and the group
+// stays held until the host resumes. The group is therefore held only right after a round in which every rank
+// responded.
 func (s *Switch) OnReports(now time.Time, reports []*Report) []Order {
 	prepared := 0
 	for rank, r := range reports {
--- a/internal/experts/lockstep/switch_test.go
+++ b/internal/experts/lockstep/switch_test.go
@@ -12,7 +12,7 @@
 
 var seeds = flag.Int("lockstep.seeds", 400, "random runs of two leaders against one group")
 
-// leader is one node that switches the group's map. It may be paused, and may be one of two at once.
+// leader is a node that switches the group's map. It may be paused, and two may lead at the same time.
 type leader struct {
 	fence, serial uint64
 	sw            *lockstep.Switch
@@ -20,8 +20,8 @@
 	paused        bool
 }
 
-// simulation runs leaders against a group under a random schedule: orders are carried out in any order, their answers may be
-// lost, and an order whose answer was lost may be carried out once more much later.
+// simulation runs leaders against a group under a random schedule: orders are executed in any sequence, replies may
+// be lost, and an order whose reply was lost may be executed again much later.
 type simulation struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -29,7 +29,7 @@
 	group   *group
 	leaders []*leader
 	late    []lockstep.Order
-	// lateShare is the part of events, in 100, that carry out an order late.
+	// lateShare is the percentage of events that execute an order late.
 	lateShare int
 	done      int
 	undone    int
@@ -46,7 +46,7 @@
 	}
 }
 
-// act lets a leader do one thing: deliver one of its orders, read the ranks, or begin a switch.
+// act lets a leader do one thing: deliver one of its orders, read the ranks, or start a switch.
 func (w *simulation) act(l *leader) {
 	if l.paused {
 		return
@@ -77,7 +77,7 @@
 	}
 }
 
-// begin starts a switch, or undoes what another leader left, as the controller does.
+// begin starts a switch, or undoes another leader's unfinished one, as the controller does.
 func (w *simulation) begin(l *leader) {
 	task := w.task(l)
 	l.sw = lockstep.NewSwitch(task)
@@ -103,16 +103,16 @@
 	return out
 }
 
-// deliver carries out one order of the leader's, drawn at random, and perhaps loses the answer.
+// deliver executes a random one of the leader's orders, and may lose the order or its reply.
 func (w *simulation) deliver(l *leader) {
 	i := w.rng.IntN(len(l.orders))
 	o := l.orders[i]
 	l.orders = append(l.orders[:i:i], l.orders[i+1:]...)
 	reply := lockstep.ReplyLost
 	switch w.rng.IntN(10) {
-	case 0: // lost on the way, and carried out late
+	case 0: // the order is lost now and executed late
 		w.late = append(w.late, o)
-	case 1: // carried out, the answer lost
+	case 1: // executed, but the reply is lost
 		w.group.order(o)
 		w.late = append(w.late, o)
 	default:
@@ -145,9 +145,9 @@
 	}
 }
 
-// A gateway that leads is paused at any moment, another takes over, orders and answers get lost, and some orders are
-// carried out seconds later. What a caller would see of two maps in one pass is a wrong token that nothing explains.
-// No pass may ever begin with two maps, by version or by content, whatever the order of events.
+// Guards against a pass that begins under two maps, by version or by content; callers would get a wrong token without
+// any error. The leading gateway is paused at random, another takes over, orders and replies get lost, and some
+// orders are executed seconds later.
 func TestNoPassBeginsWithTwoMaps(t *testing.T) {
 	done, undone := 0, 0
 	for seed := range *seeds {
@@ -156,7 +156,7 @@
 		undone += w.undone
 	}
 	if done == 0 || undone == 0 {
-		t.Fatalf("%d switches were made and %d undone: the schedule is too kind or too harsh to show anything", done, undone)
+		t.Fatalf("%d switches were made and %d undone: the schedule must exercise both outcomes", done, undone)
 	}
 	t.Logf("%d switches made, %d undone", done, undone)
 }
@@ -175,7 +175,7 @@
 	return w
 }
 
-// Seeds of runs that once mixed maps, with the cause.
+// These seeds have mixed maps before; the name of each case is the cause.
 func TestPreviouslyFailingSeeds(t *testing.T) {
 	for seed, cause := range map[int]string{
 		2362: "ranks armed for the pass before the held one were disarmed, one of them too late",
@@ -184,8 +184,8 @@
 	}
 }
 
-// One leader has armed all ranks for pass 6 and released it; another holds pass 7 and dies. A rescuer that disarmed the
-// ranks for pass 6, which nothing holds, would be overtaken by it, and some ranks would have switched.
+// One leader has armed all ranks for pass 6 and released it; another holds pass 7 and dies. If the next leader
+// disarmed the ranks for pass 6, which is not held, that pass could begin first and some ranks would have switched.
 func TestCompleteSwitchIsReportedPending(t *testing.T) {
 	held := uint64(7)
 	unfinished := lockstep.FindUnfinishedSwitch([]lockstep.Report{
@@ -197,8 +197,8 @@
 	}
 }
 
-// A hold is carried out late, for the pass before the one that all ranks are armed for. Callers would wait for good: the
-// switch ahead is complete and must not be undone, and no rank begins the pass before it. Only the hold is taken away.
+// A hold is executed late, for the pass before the one that all ranks are armed for, and callers would wait forever.
+// The switch ahead is complete and must not be undone; only the hold must be released.
 func TestHoldBeforeCompleteSwitchIsReleased(t *testing.T) {
 	g := newGroup(3)
 	g.pass = 5
@@ -220,12 +220,12 @@
 	g.step()
 	g.step()
 	if !sw.Finished() || g.pass != 7 || g.ranks[0].inUse != 20 || len(g.mixed) > 0 {
-		t.Fatalf("ended %t, pass %d, map %d, mixed %v", sw.Finished(), g.pass, g.ranks[0].inUse, g.mixed)
+		t.Fatalf("finished %t, pass %d, map %d, mixed %v", sw.Finished(), g.pass, g.ranks[0].inUse, g.mixed)
 	}
 }
 
-// The gateway that leads dies at any moment of a switch. Callers would see their streams stand still for good if the
-// group stayed held; the next leader undoes the switch, so that passes begin again.
+// The leading gateway dies at any moment of a switch. A group that stayed held would pause its callers' streams
+// forever, so the next leader must undo the switch and passes must begin again.
 func TestUnfinishedSwitchIsUndone(t *testing.T) {
 	for stop := range 60 {
 		t.Run(fmt.Sprint(stop), func(t *testing.T) {
@@ -251,7 +251,8 @@
 	}
 }
 
-// All answers come: the switch holds one rank, arms all and releases, and every rank has the new map from one pass on.
+// Without faults the switch holds one rank, arms all and releases the group, and every rank has the new map from the
+// same pass on.
 func TestSwitchWithoutFaults(t *testing.T) {
 	g := newGroup(4)
 	now := time.Unix(0, 0)
@@ -273,10 +274,10 @@
 		orders = append(orders[1:], sw.OnReply(now, o, g.order(o))...)
 	}
 	if !sw.Switched() || sw.State() != "done" {
-		t.Fatalf("ended as %s", sw.State())
+		t.Fatalf("finished as %s", sw.State())
 	}
 	if counts[lockstep.OpHold] != 1 || counts[lockstep.OpRelease] != 1 || counts[lockstep.OpArm] != 4 || counts[lockstep.OpPrepare] != 4 {
-		t.Fatalf("orders given: %v", counts)
+		t.Fatalf("orders sent: %v", counts)
 	}
 	for g.pass < sw.Pass() {
 		g.step()
@@ -288,8 +289,8 @@
 	}
 }
 
-// A rank crashes while the others are armed. The group forms anew with the first map, and the switch ends: its orders
-// name the epoch before.
+// A rank crashes while the others are armed, and the group forms again with its first map. The switch must fail,
+// since its orders name the previous epoch.
 func TestNewEpochFailsSwitch(t *testing.T) {
 	g := newGroup(2)
 	now := time.Unix(0, 0)
@@ -307,8 +308,8 @@
 	}
 }
 
-// Failure: the ranks of a large group answer later than those of a small one, all orders are sent again while the group is held,
-// and it is held for longer by them.
+// The ranks of a large group respond later than those of a small one. If all orders were sent again while the group
+// is held, it would be held even longer.
 func TestFirstResendAllowsForLargeGroup(t *testing.T) {
 	const ranks, half = 192, 25 * time.Millisecond
 	now := time.Unix(1000, 0)
@@ -322,7 +323,7 @@
 	}
 	holds := sw.OnReports(now, reports)
 	if len(holds) != 1 || holds[0].Op != lockstep.OpHold {
-		t.Fatalf("%d orders where one to hold was due", len(holds))
+		t.Fatalf("got %d orders, want one hold", len(holds))
 	}
 	arms := sw.OnReply(now, holds[0], lockstep.ReplyBegun)
 	if len(arms) != ranks {
--- a/internal/experts/lockstep/unfinished.go
+++ b/internal/experts/lockstep/unfinished.go
@@ -2,21 +2,23 @@
 
 import "slices"
 
-// UnfinishedSwitch is a switch that a leader began and that is not over.
+// UnfinishedSwitch is a switch that a leader started and that is not finished.
 type UnfinishedSwitch struct {
-	// Holders are the ranks that hold Pass, the earliest pass that is held.
+	// Holders are the ranks that hold Pass, the earliest held pass.
 	Holders []int
 	Pass    uint64
-	// Version is what ranks are armed for at that pass or, as long as none is, what they may be armed for next.
+	// Version is the version that ranks are armed for at that pass or, as long as none is, the one that they may be
+	// armed for next.
 	Version uint64
-	// Pending says that ranks are armed for another pass: a switch that is complete, and begins before the held pass.
+	// Pending is set if ranks are armed for another pass. If that pass is before the held one, its switch is complete
+	// and takes effect there.
 	Pending bool
-	// Ahead says that all ranks are armed for one version at one pass after the held one, so that none is, or can be, armed
-	// for the held pass.
+	// Ahead is set if all ranks are armed for one version at one pass after the held one, so that no rank is, or can
+	// be, armed for the held pass.
 	Ahead bool
 }
 
-// FindUnfinishedSwitch returns the switch that the reports show, or nil if no rank holds the group.
+// FindUnfinishedSwitch returns the unfinished switch that the reports show, or nil if no rank holds the group.
 func FindUnfinishedSwitch(reports []Report) *UnfinishedSwitch {
 	u := &UnfinishedSwitch{}
 	for _, r := range reports {
@@ -50,7 +52,7 @@
 	return u
 }
 
-// armedAhead reports whether all ranks are armed for one version at one pass after the given one.
+// armedAhead reports whether all ranks are armed for the same version at the same pass after the given one.
 func armedAhead(reports []Report, pass uint64) bool {
 	first := reports[0].Armed
 	if first == nil || first.Pass <= pass {
@@ -59,7 +61,8 @@
 	return !slices.ContainsFunc(reports, func(r Report) bool { return r.Armed == nil || *r.Armed != *first })
 }
 
-// Task returns the task of undoing it: t for another rank to hold the group at, and the version to take back.
+// Task returns t as the task of undoing the switch: the version to undo and, if there is one, a rank to hold the
+// group that does not hold it yet.
 func (u *UnfinishedSwitch) Task(t Task) Task {
 	t.Version = u.Version
 	for slices.Contains(u.Holders, t.HoldRank) && len(u.Holders) < t.Ranks {
