--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -1,11 +1,11 @@
 /*
- * Claims on one idempotency key. Attempt 0 is the caller's first send, attempts 1 and 2 are resends; attempt 0 goes to
- * slot 0, attempt 1 to slot 1, attempt 2 to either. One slot may crash and restart at any time. With COPY a copy of
- * attempt 0 may arrive late; with IN_TURN the caller sends attempt 2 once attempt 1 is answered. Writes to the table
- * are delayed at will, reordered, sent twice, and lost with or without effect.
+ * Claims on one idempotency key. Attempt 0 is the caller's first send, attempts 1 and 2 are resends. Attempt 0 goes to
+ * slot 0, attempt 1 to slot 1, attempt 2 to either. One slot may crash and restart at any time. With COPY, a copy of
+ * attempt 0 may arrive late. With IN_TURN, the caller sends attempt 2 only after the response to attempt 1. Writes to
+ * the table may be delayed, reordered, sent twice, and lost with or without effect.
  *
- * Safety: the request runs at most once; an attempt that was said not to have run never runs. In the end no row is
- * held by an attempt that will never start, unless its slot died.
+ * Safety: the request runs at most once, and an attempt that was reported as not run never runs. In the end no row is
+ * held by an attempt that will never start, unless its slot has crashed.
  */
 #ifndef RESENDS
 #define RESENDS 2
@@ -14,30 +14,30 @@
 #define LOSSES 1
 #endif
 #define ATTEMPTS 3
-#define OPS 9 /* three operations an attempt: first, after a conflict of others in its batch, of a copy */
+#define OPS 9 /* three operations per attempt: the first, one after a conflict of other keys in its batch, one of a copy */
 #define NOBODY 9
 
 mtype = { NONE, APPLIED, FENCED, TAKEN, INNOCENT };
 
-/* The table: the row's holder, and what each operation did. */
+/* The table: the attempt that holds the row, and the result of each operation. */
 byte holder = NOBODY;
 mtype op[OPS] = NONE;
 
-/* Writes in flight and answers. */
+/* Writes in flight, and the table's responses. */
 byte inClaim[OPS];
 bool inFence[OPS];
 bool inRelease[ATTEMPTS];
 mtype answer[OPS] = NONE;
 mtype fenceAnswer[OPS] = NONE;
 
-/* Slots. memory holds the incarnation (plus one) that remembers the attempt as answered. */
+/* Slots. memory[a] is 1 + the incarnation that has recorded attempt a as started or refused as not run. */
 byte incarnation[2];
 byte slotOf[ATTEMPTS];
 byte meantFor[ATTEMPTS];
 byte memory[ATTEMPTS];
 byte losses = LOSSES;
 
-/* The history. */
+/* History, for the assertions. */
 byte runs;
 bool ran[ATTEMPTS];
 bool notRun[ATTEMPTS];
@@ -53,7 +53,7 @@
   remember()
 }
 
-/* applyClaim is the table's conditional write. Another key of the batch may be taken as well. */
+/* applyClaim is the table's conditional write. It also fails if another key of the batch is taken. */
 inline applyClaim(o) {
   if
   :: op[o] != NONE -> result = op[o]
@@ -91,11 +91,11 @@
       fi;
       inClaim[i]--;
       if
-      :: losses > 0 -> losses-- /* lost on the way */
+      :: losses > 0 -> losses-- /* the request is lost */
       :: applyClaim(i);
         if
         :: answer[i] = result
-        :: losses > 0 -> losses-- /* the answer is lost */
+        :: losses > 0 -> losses-- /* the response is lost */
         fi
       fi;
       i = 0; result = NONE
@@ -148,7 +148,7 @@
   }
 }
 
-/* Attempt is what a slot does with one arrival of an attempt. */
+/* Attempt is a slot's processing of one arrival of an attempt. */
 proctype Attempt(byte a; bool copy) {
   byte s = slotOf[a];
   byte mine;
@@ -160,7 +160,7 @@
   atomic {
     if
     :: copy ->
-      answered[a]; /* until then the slot knows the attempt as live */
+      answered[a]; /* until then the attempt is in progress, and the slot recognizes a copy */
 #ifndef MUTANT_NO_INCARNATION
       if
       :: incarnation[s] != meantFor[a] -> goto done
@@ -194,7 +194,7 @@
     :: incarnation[s] != mine -> goto dead
     :: answer[o] != NONE -> found = answer[o]; answer[o] = NONE; goto decide
     :: answer[o] == NONE && !unknown && inClaim[o] == 1 && op[o] == NONE ->
-      inClaim[o]--; /* the table says that it is down: not applied, and not later */
+      inClaim[o]--; /* the table responds that it is unavailable: the write is not applied, now or later */
       printf("EV unavailable %d\n", a);
       sayNotRun();
       goto done
@@ -279,7 +279,7 @@
     fi;
 #endif
     printf("EV taken %d\n", a);
-    answered[a] = true; /* "running", "outcome unknown" or the outcome; no promise */
+    answered[a] = true; /* the response is "running", "outcome unknown" or the outcome, never "not run" */
     goto done
   }
 
@@ -320,7 +320,7 @@
       printf("EV run %d\n", a);
       assert(runs <= 1);
       goto done
-    :: !ran[a] -> printf("EV not-started %d\n", a); sayNotRun(); goto release /* the upstream refused it */
+    :: !ran[a] -> printf("EV not-started %d\n", a); sayNotRun(); goto release /* the upstream refused the request */
     fi
   }
 
@@ -357,6 +357,6 @@
     run Attempt(0, true)
 #endif
   }
-  /* When nothing can move any more, nobody may hold the row in vain. */
+  /* When no transition is possible any more, the row must be free, or its holder must have run or its slot crashed. */
   timeout -> assert(holder == NOBODY || ran[holder] || died[holder])
 }
--- a/spec/expertmap.pml
+++ b/spec/expertmap.pml
@@ -1,21 +1,21 @@
 /*
- * Expert map switch: three ranks in lock-step, two proposers, slots that restart with nothing.
+ * Expert map switch: three ranks in lock-step, two proposers, and slots that restart without state.
  *
- * What is modelled
- *  - Each rank has an engine, which lives on when its slot dies, and a slot, which forgets everything.
- *  - Messages are facts that stay readable for ever once sent: reading one late, never, twice or in any order covers
- *    loss, copies and reordering. What a slot sent before it died may be lost as a whole (CRASH).
- *  - A proposer proposes at any time, with incarnations that it saw at any earlier time, or never: this covers the
- *    proposer that dies or is paused at each point and comes back with a lapsed lease. It sends nothing but Cap;
- *    slots pass on everything else themselves, so no step of the protocol needs the proposer again.
+ * Model
+ *  - Each rank has an engine, which keeps its state when the slot crashes, and a slot, which loses all its state.
+ *  - A message stays readable forever once sent. Reading it late, never, twice or in any order models loss,
+ *    duplication and reordering. All messages that a slot sent before a crash may be lost together (see crash).
+ *  - A proposer proposes at any time or never, with incarnations that it saw at any earlier time. This covers a
+ *    proposer that dies or is paused at any point and resumes with an expired lease. It sends only Cap; the slots
+ *    relay everything else themselves, so no later step of the protocol needs the proposer.
  *  - Every transition makes something true that stays true, so each run is finite. A run that ends before all ranks
- *    ran all steps is an invalid end state: absence of those is progress.
+ *    have run all steps is an invalid end state. If there are none, the group always makes progress.
  *
- * Left out: staging of weights (a slot refuses at will, which covers weights that are not there), the loss of an
- * engine, more than one Recover in flight from one incarnation.
+ * Not modelled: staging of weights (a slot may refuse at any time, which covers missing weights), the loss of an
+ * engine, and more than one Recover in flight from one incarnation.
  *
- * Configurations: RIVALS (default): proposals 0 and 1 both start from map 0. ROW: proposal 1 starts from the map of
- * proposal 0. ONE: proposal 0 alone. Map 0 is the first one; the map of proposal p is p+1.
+ * Configurations: by default (RIVALS) proposals 0 and 1 both start from map 0. With ROW, proposal 1 starts from the
+ * map of proposal 0. With ONE, there is only proposal 0. Map 0 is the first map; the map of proposal p is p+1.
  */
 #ifndef CRASHES
 #define CRASHES 2
@@ -28,7 +28,7 @@
 #endif
 #define NONE 9
 
-/* Steps are 0..STEPS-1; proposal 0 starts at step 1, proposal 1 at step 2 (ROW) or 1 (RIVALS). */
+/* Steps are 0..STEPS-1. Proposal 0 starts at step 1, proposal 1 at step 2 (ROW) or 1 (RIVALS). */
 #ifdef ROW
 #define START(p) ((p) + 1)
 #define FROM(p) (p)
@@ -37,33 +37,33 @@
 #define FROM(p) 0
 #endif
 
-/* Engines. done[i]: steps that rank i has started. */
+/* Engines. done[i] is the number of steps that rank i has started. */
 byte done[N];
-byte limit[N] = NONE;	/* runs no step >= limit */
-byte have[N];		/* bit p: ordered to switch by proposal p */
-byte used[STEPS] = NONE;	/* the map that the step's first rank used */
+byte limit[N] = NONE;	/* the engine runs no step >= limit */
+byte have[N];		/* bit p: the engine has switched by proposal p */
+byte used[STEPS] = NONE;	/* by step: the map under which the first rank ran it */
 
 /* Slots. */
 byte inc[N];
-bool rec[N];		/* recovering */
-byte held[N] = NONE;	/* the proposal capped */
-bool acked[N];		/* held was acknowledged */
-bool pend[N];		/* certificate seen, engine not yet switched */
-byte refused[N];	/* bit p */
-byte known[9];		/* known[i*N+k]: newest incarnation of k that i knows */
-byte answered[N];	/* bit k: the recovering slot i has k's answer */
-byte told[N];		/* what those answers say was committed */
+bool rec[N];		/* the slot is recovering */
+byte held[N] = NONE;	/* the proposal that the slot has capped */
+bool acked[N];		/* the slot has acknowledged held */
+bool pend[N];		/* the slot has ordered the switch, but the engine has not confirmed it */
+byte refused[N];	/* bit p: the slot has refused or aborted proposal p */
+byte known[9];		/* known[i*N+k]: newest incarnation of k that slot i has seen */
+byte answered[N];	/* bit k: the recovering slot has k's answer */
+byte told[N];		/* bit p: one of those answers reports that p was committed */
 
 /* Messages. */
-byte proposed;		/* bit p */
-byte roster[6];		/* roster[p*N+i] */
-byte acks[2];		/* bit i */
-byte refusal[2];	/* bit i, from the incarnation in the roster */
-byte aborted;		/* bit p: a recovered slot said so */
+byte proposed;		/* bit p: proposal p was made */
+byte roster[6];		/* roster[p*N+i]: the incarnation of rank i that proposal p names */
+byte acks[2];		/* by proposal, bit i: acknowledged by rank i */
+byte refusal[2];	/* by proposal, bit i: refused by the incarnation of rank i in the roster */
+byte aborted;		/* bit p: a recovered slot has reported p as aborted */
 byte crashes;
 
 #define mapof(i)	((have[i] & 2) -> 2 : ((have[i] & 1) -> 1 : 0))
-/* An engine remembers its newest map, the map's first step and the one map before it. */
+/* An engine remembers its newest map, that map's first step and the map before it. */
 #define first(i)	((have[i] & 2) -> START(1) : ((have[i] & 1) -> START(0) : 0))
 #define before(i)	((have[i] & 2) -> FROM(1) : 0)
 #define mapat(i, t)	(t >= first(i) -> mapof(i) : before(i))
@@ -83,14 +83,14 @@
 	}
 }
 
-/* Rivals are alike but for their names, so the first to be made is number 0. */
+/* RIVALS: the two proposals are symmetric, so the first one made is number 0. */
 #ifdef ROW
 #define turn(p) true
 #else
 #define turn(p) (p == 0 || (proposed & 1))
 #endif
 
-/* A proposer sees each rank's incarnation at some time, not all at the same time. */
+/* A proposer may see the ranks' incarnations at different times. */
 inline propose(p, a, b, c) {
 	d_step {
 		!(proposed & bit(p)) && turn(p) && a <= inc[0] && b <= inc[1] && c <= inc[2] ->
@@ -171,7 +171,7 @@
 }
 #endif
 
-/* For a reason of the protocol or at will: the weights are not there. */
+/* For a reason of the protocol, or at any time, as when weights are missing. */
 inline refuse(p, i) {
 	d_step {
 		mayanswer(p, i) && !(refused[i] & bit(p)) ->
@@ -182,7 +182,7 @@
 }
 
 #ifdef MUTANT_REFUSE_DONE
-/* A late copy of Cap is answered by a refusal though the switch was made. */
+/* The slot replies to a late copy of Cap with a refusal although its engine has switched. */
 inline refusedone(p, i) {
 	d_step {
 		(proposed & bit(p)) && !rec[i] && (have[i] & bit(p)) && !(refused[i] & bit(p)) ->
@@ -212,7 +212,7 @@
 	}
 }
 
-/* The engine carries the order out. */
+/* The engine executes the order to switch. */
 inline switched(i) {
 	d_step {
 		pend[i] ->
@@ -230,7 +230,7 @@
 #define says(k, p) (have[k] & bit(p))
 #endif
 
-/* A peer says that the switch was made, which it does only once its own engine confirmed it. */
+/* A peer reports that it has switched, which it does only once its own engine has confirmed it. */
 inline committed(i) {
 	d_step {
 		held[i] != NONE && !pend[i] &&
@@ -286,9 +286,9 @@
 #endif
 
 /*
- * k answers the recovering slot i, and thereby promises to refuse each roster with an older incarnation of i. The
- * answer stays good if k restarts before i has heard all: what k had not switched then, its next life does not switch
- * either unless someone had, who then says so.
+ * k answers the recovering slot i and thereby promises to refuse every roster with an older incarnation of i. The
+ * answer stays valid if k restarts before i has received all answers: k's next incarnation does not make a switch
+ * that k had not made by then, unless another rank has made it and reports so.
  */
 inline answer(k, i) {
 	d_step {
@@ -307,7 +307,7 @@
 #define heard(i) (answered[i] == others(i))
 #endif
 
-/* With every peer's answer the slot knows the outcome of each proposal that its older incarnations voted on. */
+/* From all peers' answers the slot derives the outcome of each proposal that its older incarnations voted on. */
 inline recovered(i) {
 	d_step {
 		rec[i] && heard(i) ->
@@ -327,7 +327,7 @@
 #define mayabort(i) (!rec[i])
 #endif
 
-/* A recovered slot speaks for its older incarnations: what nobody had switched by then never will be. */
+/* A recovered slot aborts for its older incarnations: a switch that no rank had made by then is never made. */
 inline resolve(p, i) {
 	d_step {
 		(proposed & bit(p)) && mayabort(i) && roster[(p)*N+i] < inc[i] && !(have[i] & bit(p)) && !(aborted & bit(p)) ->
@@ -380,12 +380,12 @@
 	}
 }
 
-/* Crashes end at some time: without this the next crash could free a group that waits for ever. */
+/* Crashes end at some time. Otherwise the next crash could release a group that waits forever and hide the fault. */
 proctype Calm() {
 end:	crashes < CRASHES -> crashes = CRASHES
 }
 
-/* The group must not wait for ever: when nothing more can happen, every rank has run every step. */
+/* Progress: when no transition is possible any more, every rank must have run every step. */
 proctype Progress() {
 	timeout -> printf("EV stuck\n");
 	done[0] == STEPS && done[1] == STEPS && done[2] == STEPS
--- a/spec/maporders.pml
+++ b/spec/maporders.pml
@@ -1,8 +1,9 @@
-/* A switch of a group's expert map by the engines' own orders, and the undoing of one that its leader left.
+/* A switch of a group's expert map by the engines' own orders, and undoing a switch that its leader left unfinished.
 
    Ranks begin passes in lock-step: a pass begins unless one of them holds it. Leader 1 prepares version 1, holds a pass,
-   arms all ranks for it and releases it; it may end at any moment. Leader 2 undoes what is held, also while leader 1 is
-   alive. An order may be lost, or be carried out at any later time after its leader gave up waiting for an answer. */
+   arms all ranks for it and releases it; it may die at any moment. Leader 2 undoes a held switch, even while leader 1 is
+   alive. A reply may be lost, and an order may be executed late, at any time after its leader has stopped waiting for
+   the reply, or never. */
 
 #define RANKS 2
 #define LAST_FALLBACK 5
@@ -18,20 +19,20 @@
 
 mtype = { PREPARE, ARM, DISARM, HOLD, RELEASE };
 
-byte pass;               /* the last that was begun */
+byte pass;               /* the last pass that has begun */
 byte inUse[RANKS];       /* version of the map in use */
 byte prepared[RANKS];
-byte newest[RANKS];      /* the highest version that the rank ever had */
+byte newest[RANKS];      /* the highest version that the rank has ever prepared */
 byte armedV[RANKS];      /* 0: not armed */
 byte armedS[RANKS];
 byte heldS[RANKS];       /* 0: nothing held */
 
-chan late = [LATES] of { mtype, byte, byte, byte }; /* op, rank, version, pass: carried out at any later time */
+chan late = [LATES] of { mtype, byte, byte, byte }; /* op, rank, version, pass: orders to be executed at any later time */
 byte lates, losses;
 
 #define BUSY(r) (heldS[r] > pass)
 
-/* What a rank does with an order; ok is its answer. */
+/* carryOut executes an order at a rank; ok is set unless the rank refuses it. */
 inline carryOut(op, r, v, s, ok) {
   ok = 0;
   if
@@ -66,12 +67,12 @@
   fi
 }
 
-/* A leader gives an order until it gets an answer. */
+/* give sends an order until the leader gets a reply. */
 inline give(op, r, v, s, ok) {
   do
   :: atomic { carryOut(op, r, v, s, ok) }; break
-  :: atomic { losses < LOSSES -> losses++; carryOut(op, r, v, s, ok) } /* the answer is lost: once more */
-  :: atomic { lates < LATES && nfull(late) -> lates++; late!op, r, v, s } /* carried out later */
+  :: atomic { losses < LOSSES -> losses++; carryOut(op, r, v, s, ok) } /* the reply is lost: send again */
+  :: atomic { lates < LATES && nfull(late) -> lates++; late!op, r, v, s } /* executed later: send again */
   od
 }
 
@@ -104,8 +105,8 @@
   od
 }
 
-/* clear takes version v back on all ranks; fallback is the present map under a newer version. done is set unless a rank
-   is armed for yet another version. */
+/* clear undoes version v on all ranks; fallback is a newer version for the current map. done is set unless a rank is
+   armed for another version. */
 inline clear(v, fallback, done) {
   done = 1;
   r = 0;
@@ -189,7 +190,7 @@
   :: pass == PASSES -> break
   :: atomic {
        pass < PASSES && (BUSY(0) || BUSY(1)) ->
-       /* What the reports show: the earliest pass that is held, and what may be armed for it. */
+       /* From the reports: the earliest held pass, and the version that ranks may be armed for at it. */
        if
        :: BUSY(0) && (!BUSY(1) || heldS[0] <= heldS[1]) -> s = heldS[0]; guard = 1
        :: else -> s = heldS[1]; guard = 0
@@ -226,7 +227,7 @@
            :: done -> give(RELEASE, 0, 0, s, ok); give(RELEASE, 1, 0, s, ok)
            :: else
            fi;
-           /* Each task has versions of its own. */
+           /* Each task uses a version of its own. */
            if
            :: fallback < LAST_FALLBACK -> fallback++
            :: else
--- a/spec/revision.pml
+++ b/spec/revision.pml
@@ -1,9 +1,10 @@
-/* Acceptance of a configuration: three nodes of one data centre, the head row of the table, operators that race, and a
- * node that collects acknowledgements. Messages may be lost, late or never sent: every step is optional. A node may
- * restart and forget, be cut off, or be paused, so that it does not put in force what it should.
+/* Acceptance of a configuration: three nodes of one data centre, the head row of the table, racing operators, and a
+ * node that collects acknowledgements. Messages may be lost, late or never sent, so every step is optional. A node may
+ * restart without state, be partitioned, or be paused, so that it fails to put a revision in force in time.
  *
- * Time is a tick that ends the validity of all that was known before it: of a read of the table from when it began, of
- * a majority's answers from when they were asked for. So a node that is cut off is fresh until the next tick. */
+ * Time is modelled by a tick, which ends the validity of all earlier information. The validity of a table read starts
+ * when the read began, that of a majority's votes when they were requested. A partitioned node is therefore fresh until
+ * the next tick. */
 #define N 3
 #define MAJORITY 2
 #ifndef COMMITS
@@ -22,17 +23,17 @@
 byte committed, accepted;
 bool late = true;		/* a tick has passed since `accepted` was raised */
 byte staged[N], known[N], inforce[N];
-bool table[N];			/* a read of the table is good until the next tick */
-bool vouch[N];			/* a certificate is good until the next tick */
+bool table[N];			/* the node has a table read that is valid until the next tick */
+bool vouch[N];			/* the node has a certificate that is valid until the next tick */
 bool recovered[N];
-byte after[N];			/* bits of the nodes that started before the read that `table` stands for began */
-bool asked;			/* a majority is being asked, for a certificate good until the next tick */
-byte asker, said, top;		/* by whom; bits of the nodes that answered; the newest entry that one of them held */
+byte after[N];			/* bits of the nodes that had started when the read behind `table` began */
+bool asked;			/* a vote is in progress for a certificate that is valid until the next tick */
+byte asker, said, top;		/* the requesting node; bits of the nodes that voted; the newest entry that a voter held */
 byte held;			/* bits of the nodes that acknowledged `committed` since the last tick */
-byte before;			/* bits of those that did so before the last tick */
+byte before;			/* bits of the nodes that had acknowledged before the last tick */
 bool young[N];			/* no tick has passed since the node started */
 byte restarts, pauses;
-byte best[N];			/* newest accepted entry that a node served on */
+byte best[N];			/* newest accepted entry under which the node has served requests */
 byte owner[COMMITS + 1];
 
 #define COUNT(b) (((b) & 1) + (((b) >> 1) & 1) + (((b) >> 2) & 1))
@@ -48,7 +49,7 @@
 #define BORN(i, j) true
 #endif
 
-/* Puts in force what is known to be accepted, and what is held once no read of the table is good any more. */
+/* Puts in force the entry that the node has seen accepted, and its newest entry once it has no valid table read. */
 inline advance(i)
 {
 	if
@@ -63,7 +64,7 @@
 #endif
 }
 
-/* What callers of a node are served on. */
+/* A fresh node serves requests under its entry in force. */
 inline serve(i)
 {
 	if
@@ -88,7 +89,7 @@
 	if
 	:: staged[j] > staged[i] -> staged[i] = staged[j]
 #ifndef NO_LOSS
-	:: true	/* the entries are lost, the rest arrives */
+	:: true	/* the entries are lost, the rest of the message arrives */
 #else
 	:: else
 #endif
@@ -136,7 +137,7 @@
 #endif
 	:: atomic { !asked && !vouch[i] -> asked = true; asker = i }
 	:: atomic { asked && recovered[i] && !(said & (1 << i)) -> answer(i) }
-	:: atomic { /* a majority answered, and holds no later entry */
+	:: atomic { /* a majority has voted, and no voter holds a later entry */
 #ifndef MUTANT_LATER
 		asked && asker == i && COUNT(said) >= MAJORITY && staged[i] >= top ->
 #else
@@ -149,7 +150,7 @@
 		unask(); advance(i); serve(i)
 	   }
 	:: atomic { asked && asker == i -> unask() }
-	:: atomic { /* restart; the nodes are alike, so one of them need not */
+	:: atomic { /* restart; the nodes are symmetric, so node 0 need not restart */
 		restarts < RESTARTS && i > 0 ->
 		restarts++;
 		staged[i] = 0; known[i] = 0; inforce[i] = 0;
@@ -185,7 +186,7 @@
 	:: atomic { committed > accepted && staged[1] >= committed && !(held & 2) -> acknowledge(1) }
 	:: atomic { committed > accepted && staged[2] >= committed && !(held & 4) -> acknowledge(2) }
 	:: atomic { committed > accepted && COUNT(held) == N -> raise() }
-	:: atomic { /* the others must have stopped */
+	:: atomic { /* the missing nodes must have stopped serving */
 #ifdef MUTANT_NO_WAIT
 		committed > accepted && 2 * COUNT(held) >= N ->
 #else
@@ -216,7 +217,7 @@
 			assert(owner[base + 1] == 0);
 			committed = base + 1; owner[committed] = me;
 			held = 0; before = 0
-		:: else	/* conflict: another operator was first */
+		:: else	/* conflict: another operator was faster */
 		fi;
 		base = 0
 	   }
@@ -228,7 +229,7 @@
 	table[i] = false; vouch[i] = false;
 	if
 	:: advance(i)
-	:: pauses < PAUSES -> pauses++	/* the node is paused and does nothing */
+	:: pauses < PAUSES -> pauses++	/* the node is paused and does not advance */
 	fi
 }
 
