--- a/internal/experts/expertmap/messages.go
+++ b/internal/experts/expertmap/messages.go
@@ -77,9 +77,9 @@
 	Rank        Rank
 	Incarnation Incarnation
 	Reason      Reason
-	// Next is the rank's first step not started.
+	// Next is the first step that the rank has not started.
 	Next Step
-	// Fence is the highest fencing number that the slot has met.
+	// Fence is the highest fencing token that the slot has seen.
 	Fence ids.Fence
 }
 
--- a/internal/experts/expertmap/slot.go
+++ b/internal/experts/expertmap/slot.go
@@ -69,7 +69,7 @@
 	stageRequester Addr
 	stageRequest   StageRequest
 	held           *Proposal
-	// requesters are the senders that wait for the acknowledgement of held.
+	// requesters are the senders of cap requests for held; they get the acknowledgement and the outcome.
 	requesters []Addr
 	// atLimit is set once the engine has reached held's first step.
 	atLimit bool
--- a/internal/experts/lockstep/controller.go
+++ b/internal/experts/lockstep/controller.go
@@ -205,7 +205,7 @@
 	return out
 }
 
-// readGroup reads the reports of all ranks. It returns nil unless the group is complete and all its ranks are open.
+// readGroup reads the reports of all ranks. It returns nil unless the group is complete and operational.
 func (c *Controller) readGroup(ctx context.Context, g *Group) *snapshot {
 	reports := c.reports(ctx, g.Upstreams)
 	s := &snapshot{group: g}
--- a/internal/experts/lockstep/demand.go
+++ b/internal/experts/lockstep/demand.go
@@ -41,7 +41,7 @@
 	d.decay(now)
 	for s := range counts {
 		for e := range counts[s] {
-			// A rank that restarted counts from 0 again.
+			// A count below the previous one means that the rank has started to count from 0 again.
 			d.value[s][e] += max(0, counts[s][e]-old.counts[s][e])
 		}
 	}
--- a/internal/experts/lockstep/resend_test.go
+++ b/internal/experts/lockstep/resend_test.go
@@ -46,8 +46,8 @@
 	return u.testService.Order(ctx, up, o)
 }
 
-// heldFor returns the number of groups that are held now, which the test adds up once per millisecond.
-func (u *faultyRanks) heldFor() int {
+// heldGroups returns the number of groups that are held now, which the test adds up once per millisecond.
+func (u *faultyRanks) heldGroups() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	n := 0
@@ -70,7 +70,7 @@
 		held := 0
 		for range 6000 {
 			time.Sleep(time.Millisecond)
-			held += u.heldFor()
+			held += u.heldGroups()
 			s.step()
 		}
 		cancel()
