--- a/internal/experts/expertmap/node/hub.go
+++ b/internal/experts/expertmap/node/hub.go
@@ -12,26 +12,26 @@
 	pb "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// Hub serves ExpertMapService: it hands messages to the slots and proposers of its process.
+// Hub serves ExpertMapService: it delivers messages to the slots and proposers of its process.
 type Hub struct {
 	mu        sync.RWMutex
 	slots     map[ids.Group]*Slot
 	proposers map[ids.Group]*Proposer
 }
 
-// NewHub returns a hub that knows nobody.
+// NewHub returns an empty hub.
 func NewHub() *Hub {
 	return &Hub{slots: map[ids.Group]*Slot{}, proposers: map[ids.Group]*Proposer{}}
 }
 
-// AddSlot makes the hub hand a group's messages to a slot.
+// AddSlot registers s as the destination of the group's messages to a slot.
 func (h *Hub) AddSlot(g ids.Group, s *Slot) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.slots[g] = s
 }
 
-// AddProposer makes the hub hand a group's replies to a proposer.
+// AddProposer registers p as the destination of the group's messages to a proposer.
 func (h *Hub) AddProposer(g ids.Group, p *Proposer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -45,13 +45,14 @@
 		if err != nil {
 			return nil, connect.NewError(connect.CodeInvalidArgument, err)
 		}
-		h.hand(ids.Group(e.GetGroup()), toAddr(e.GetFrom()), toAddr(e.GetTo()), m)
+		h.deliver(ids.Group(e.GetGroup()), toAddr(e.GetFrom()), toAddr(e.GetTo()), m)
 	}
 	return &pb.DeliverMapMessagesResponse{}, nil
 }
 
-// hand drops a message for an address that is not this process's: the sender's list of addresses is out of date.
-func (h *Hub) hand(g ids.Group, from, to expertmap.Addr, m expertmap.Message) {
+// deliver passes a message to its slot or proposer. It drops a message for an address that this process does not
+// serve, since the sender's addresses are then out of date.
+func (h *Hub) deliver(g ids.Group, from, to expertmap.Addr, m expertmap.Message) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	if to.IsProposer() {
@@ -65,11 +66,13 @@
 	}
 }
 
-// UnknownGroupError says that no slot of the group runs in this process.
+// UnknownGroupError reports that no slot of the group runs in this process.
 type UnknownGroupError struct{ Group ids.Group }
 
 // Error implements error.
-func (e *UnknownGroupError) Error() string { return fmt.Sprintf("no slot of group %s here", e.Group) }
+func (e *UnknownGroupError) Error() string {
+	return fmt.Sprintf("no slot of group %s in this process", e.Group)
+}
 
 // GetMapStatus implements cardamomyokev1connect.ExpertMapServiceHandler.
 func (h *Hub) GetMapStatus(_ context.Context, req *pb.GetMapStatusRequest) (*pb.GetMapStatusResponse, error) {
@@ -102,7 +105,7 @@
 	return out
 }
 
-func encodeEntry(h expertmap.Entry) *pb.MapHistoryEntry {
+func encodeEntry(h expertmap.HistoryEntry) *pb.MapHistoryEntry {
 	e := &pb.MapHistoryEntry{
 		AtUnixMs: h.At.UnixMilli(), State: string(h.State), Event: string(h.Event), Map: fromMap(h.Map), Start: uint64(h.Start),
 	}
--- a/internal/experts/expertmap/node/slot.go
+++ b/internal/experts/expertmap/node/slot.go
@@ -12,12 +12,12 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/expertmap"
 )
 
-// Loop is a control loop; control.Loop is one. Posted functions run one after the other.
+// Loop is a control loop, such as control.Loop. It runs posted functions one after the other.
 type Loop interface {
 	Post(f func(now time.Time))
 }
 
-// SlotOptions are what a slot is made of.
+// SlotOptions configures a Slot.
 type SlotOptions struct {
 	Group     ids.Group
 	Config    expertmap.SlotConfig
@@ -25,14 +25,14 @@
 	Loop      Loop
 	Transport Transport
 	Logger    log.Logger
-	// Poll is the period of reports from the engine; 0 means DefaultPoll.
+	// Poll is the interval of reports from the engine; 0 means DefaultPoll.
 	Poll time.Duration
 }
 
-// DefaultPoll is the period of the engine's reports and of the machines' ticks.
+// DefaultPoll is the default interval of the engine's reports and of the state machines' ticks.
 const DefaultPoll = 20 * time.Millisecond
 
-// Slot runs a slot's machine on the process's control loop.
+// Slot runs an expertmap.Slot on the process's control loop.
 type Slot struct {
 	opts    SlotOptions
 	rank    expertmap.Rank
@@ -48,13 +48,13 @@
 	}
 	s := &Slot{opts: o, rank: o.Config.Rank, machine: expertmap.NewSlot(o.Config)}
 	s.worker = newEngineWorker(o.Engine, o.Poll, func(r expertmap.EngineReport) {
-		s.post(func(now time.Time) []expertmap.Effect { return s.machine.Engine(now, r) })
+		s.post(func(now time.Time) []expertmap.Effect { return s.machine.ReceiveReport(now, r) })
 	})
 	s.publish()
 	return s
 }
 
-// Run drives the slot until ctx ends.
+// Run polls the engine and ticks the slot until ctx ends.
 func (s *Slot) Run(ctx context.Context) {
 	go s.worker.run(ctx)
 	tick(ctx, s.opts.Poll, func() { s.post(s.machine.Tick) })
@@ -79,12 +79,12 @@
 
 func (s *Slot) post(f func(now time.Time) []expertmap.Effect) {
 	s.opts.Loop.Post(func(now time.Time) {
-		s.carryOut(f(now))
+		s.execute(f(now))
 		s.publish()
 	})
 }
 
-func (s *Slot) carryOut(effects []expertmap.Effect) {
+func (s *Slot) execute(effects []expertmap.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case expertmap.Send:
@@ -92,7 +92,7 @@
 		case expertmap.Order:
 			s.worker.push(e)
 		case expertmap.Alarm:
-			level.Error(s.opts.Logger).Log("msg", "expert map", "group", s.opts.Group, "rank", s.rank, "err", e.Err)
+			level.Error(s.opts.Logger).Log("msg", "expert map alarm", "group", s.opts.Group, "rank", s.rank, "err", e.Err)
 		}
 	}
 }
@@ -102,5 +102,5 @@
 	s.status.Store(&st)
 }
 
-// Status returns the slot's state; it may be called from any goroutine.
+// Status returns the slot's state. It is safe for concurrent use.
 func (s *Slot) Status() expertmap.SlotStatus { return *s.status.Load() }
--- a/internal/experts/expertmap/node/transport.go
+++ b/internal/experts/expertmap/node/transport.go
@@ -13,25 +13,26 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1/cardamomyokev1connect"
 )
 
-// Transport carries messages between processes. It may lose, copy, delay and reorder them, and never waits.
+// Transport sends messages between processes. It may lose, duplicate, delay and reorder them, and it never blocks.
 type Transport interface {
 	Send(group ids.Group, from, to expertmap.Addr, m expertmap.Message)
 }
 
-// Resolve returns the base URL of an address, or false if it is not known now.
+// Resolve returns the base URL of an address, or false if it is currently unknown.
 type Resolve func(group ids.Group, to expertmap.Addr) (url string, ok bool)
 
 const (
-	// queueLength bounds what waits for one destination; what comes on top is lost, and the machines ask again.
+	// queueLength bounds the messages queued for one destination. Further messages are dropped, and the state
+	// machines send them again.
 	queueLength = 256
 	// sendTimeout is longer than any useful delay between two processes.
 	sendTimeout = time.Second
-	// idleTimeout ends the goroutine of a destination that got no message for so long.
+	// idleTimeout is how long a destination may get no message before its goroutine ends.
 	idleTimeout = time.Minute
 )
 
-// Connect is a Transport over connect-go with one goroutine a destination in use.
-type Connect struct {
+// ConnectTransport is a Transport over connect-go with one goroutine per destination in use.
+type ConnectTransport struct {
 	client  connect.HTTPClient
 	resolve Resolve
 	ctx     context.Context
@@ -40,12 +41,12 @@
 }
 
 // NewTransport returns a transport whose goroutines end with ctx.
-func NewTransport(ctx context.Context, client connect.HTTPClient, resolve Resolve) *Connect {
-	return &Connect{client: client, resolve: resolve, ctx: ctx, queues: map[string]chan *pb.MapEnvelope{}}
+func NewTransport(ctx context.Context, client connect.HTTPClient, resolve Resolve) *ConnectTransport {
+	return &ConnectTransport{client: client, resolve: resolve, ctx: ctx, queues: map[string]chan *pb.MapEnvelope{}}
 }
 
 // Send implements Transport.
-func (c *Connect) Send(group ids.Group, from, to expertmap.Addr, m expertmap.Message) {
+func (c *ConnectTransport) Send(group ids.Group, from, to expertmap.Addr, m expertmap.Message) {
 	url, ok := c.resolve(group, to)
 	if !ok {
 		return
@@ -68,7 +69,7 @@
 	}
 }
 
-func (c *Connect) run(url string, q chan *pb.MapEnvelope) {
+func (c *ConnectTransport) run(url string, q chan *pb.MapEnvelope) {
 	client := cardamomyokev1connect.NewExpertMapServiceClient(c.client, url)
 	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
@@ -77,7 +78,7 @@
 		case <-c.ctx.Done():
 			return
 		case <-idle.C:
-			if c.retire(url, q) {
+			if c.removeIdle(url, q) {
 				return
 			}
 		case e := <-q:
@@ -87,8 +88,8 @@
 	}
 }
 
-// retire forgets a destination, unless a message came meanwhile.
-func (c *Connect) retire(url string, q chan *pb.MapEnvelope) bool {
+// removeIdle removes a destination unless a message has been queued for it.
+func (c *ConnectTransport) removeIdle(url string, q chan *pb.MapEnvelope) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(q) > 0 {
@@ -98,7 +99,7 @@
 	return true
 }
 
-// batch takes along whatever waits behind the first envelope.
+// batch returns first and all envelopes queued behind it.
 func batch(first *pb.MapEnvelope, q chan *pb.MapEnvelope) []*pb.MapEnvelope {
 	envelopes := []*pb.MapEnvelope{first}
 	for {
@@ -111,9 +112,9 @@
 	}
 }
 
-func (c *Connect) deliver(client cardamomyokev1connect.ExpertMapServiceClient, envelopes []*pb.MapEnvelope) {
+func (c *ConnectTransport) deliver(client cardamomyokev1connect.ExpertMapServiceClient, envelopes []*pb.MapEnvelope) {
 	ctx, cancel := context.WithTimeout(c.ctx, sendTimeout)
 	defer cancel()
-	// A message that is not delivered is lost; the machines ask again.
+	// An undelivered message is lost; the state machines send it again.
 	_, _ = client.DeliverMapMessages(ctx, &pb.DeliverMapMessagesRequest{Envelopes: envelopes})
 }
--- a/internal/experts/lockstep/latehold_test.go
+++ b/internal/experts/lockstep/latehold_test.go
@@ -10,28 +10,29 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// lateHold is a site where the first order to hold a group is carried out only after the group was released.
-type lateHold struct {
-	*site
+// delayedHold is a service where the first order to hold a group is executed only after the group was released.
+type delayedHold struct {
+	*testService
 	first *lockstep.Order
 	at    *catalog.Upstream
 	done  bool
 }
 
-func (l *lateHold) Order(ctx context.Context, up *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
-	if o.Op == lockstep.OpHold && l.keep(up, o) {
-		time.Sleep(lostAfter)
+func (l *delayedHold) Order(ctx context.Context, up *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
+	if o.Op == lockstep.OpHold && l.delayFirst(up, o) {
+		time.Sleep(orderTimeout)
 		return lockstep.ReplyLost, errUnknown
 	}
-	reply, err := l.site.Order(ctx, up, o)
-	if o.Op == lockstep.OpRelease && l.take() {
-		_, _ = l.site.Order(ctx, l.at, *l.first)
+	reply, err := l.testService.Order(ctx, up, o)
+	if o.Op == lockstep.OpRelease && l.deliverOnce() {
+		_, _ = l.testService.Order(ctx, l.at, *l.first)
 	}
 	return reply, err
 }
 
-// keep keeps the first order back; take reports once that it is to be carried out.
-func (l *lateHold) keep(up *catalog.Upstream, o lockstep.Order) bool {
+// delayFirst holds back the first order and reports whether it did; deliverOnce reports true once, when the order is
+// to be executed.
+func (l *delayedHold) delayFirst(up *catalog.Upstream, o lockstep.Order) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.first != nil {
@@ -41,7 +42,7 @@
 	return true
 }
 
-func (l *lateHold) take() bool {
+func (l *delayedHold) deliverOnce() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := !l.done
@@ -49,13 +50,13 @@
 	return first
 }
 
-// All streams of a group stand still until their callers leave, and no line tells why. An order to hold the group got no
-// answer and was sent again; the ranks were armed and the group released; then the first order arrived, before the pass had
-// begun, and held the group once more. Its leader takes its own switch for complete.
-func TestAHoldThatComesAfterTheReleaseIsUndone(t *testing.T) {
+// Guards against a group that stays held until its callers time out, without a log line. An order to hold the group
+// got no reply and was sent again; the ranks were armed and the group released. Then the first copy was executed
+// before the pass began and held the group once more, while the leader considered its switch complete.
+func TestLateHoldAfterReleaseIsUndone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, list := newSite([]string{"a"}, 2)
-		l := &lateHold{site: s}
+		s, list := newTestService([]string{"a"}, 2)
+		l := &delayedHold{testService: s}
 		cancel := startController(t, l, list, 1)
 		g, held := s.groups["a"], 0
 		for ms := range 6000 {
@@ -70,12 +71,12 @@
 			}
 		}
 		cancel()
-		time.Sleep(2 * lostAfter) // calls that are on their way end
+		time.Sleep(2 * orderTimeout) // lets pending calls end
 		if len(g.mixed) > 0 {
 			t.Fatal(g.mixed[0])
 		}
 		if !l.done {
-			t.Fatal("the late order was not carried out")
+			t.Fatal("the late order was not executed")
 		}
 		if held > 400 {
 			t.Fatalf("the group was held for %d ms", held)
--- a/internal/experts/lockstep/switch_test.go
+++ b/internal/experts/lockstep/switch_test.go
@@ -12,7 +12,7 @@
 
 var seeds = flag.Int("lockstep.seeds", 400, "random runs of two leaders against one group")
 
-// leader is one node that switches the group's map. It may be paused, and may be one of two at once.
+// leader is a node that switches the group's map. It may be paused, and two may lead at the same time.
 type leader struct {
 	fence, serial uint64
 	sw            *lockstep.Switch
@@ -20,41 +20,41 @@
 	paused        bool
 }
 
-// world runs leaders against a group under a random schedule: orders are carried out in any order, their answers may be
-// lost, and an order whose answer was lost may be carried out once more much later.
-type world struct {
+// simulation runs leaders against a group under a random schedule: orders are executed in any sequence, replies may
+// be lost, and an order whose reply was lost may be executed again much later.
+type simulation struct {
 	t       *testing.T
 	rng     *rand.Rand
 	now     time.Time
 	group   *group
 	leaders []*leader
 	late    []lockstep.Order
-	// lateShare is the part of events, in 100, that carry out an order late.
+	// lateShare is the percentage of events that execute an order late.
 	lateShare int
 	done      int
 	undone    int
 	failed    int
 }
 
-func (w *world) task(l *leader) lockstep.Task {
+func (w *simulation) task(l *leader) lockstep.Task {
 	l.serial += 2
 	n := len(w.group.ranks)
 	version := l.fence<<16 + l.serial
 	return lockstep.Task{
 		Epoch: w.group.epoch, Ranks: n, Version: version, Fallback: version + 1,
-		Placement: placementOf(n, w.rng), Present: placementOf(n, w.rng), HoldAt: w.rng.IntN(n), PrepareBy: w.now.Add(2 * time.Second),
+		Placement: placementOf(n, w.rng), Current: placementOf(n, w.rng), HoldRank: w.rng.IntN(n), PrepareBy: w.now.Add(2 * time.Second),
 	}
 }
 
-// act lets a leader do one thing: deliver one of its orders, read the ranks, or begin a switch.
-func (w *world) act(l *leader) {
+// act lets a leader do one thing: deliver one of its orders, read the ranks, or start a switch.
+func (w *simulation) act(l *leader) {
 	if l.paused {
 		return
 	}
 	switch {
 	case l.sw == nil:
 		w.begin(l)
-	case l.sw.Ended():
+	case l.sw.Finished():
 		w.count(l)
 		l.sw, l.orders = nil, nil
 	case len(l.orders) > 0:
@@ -66,7 +66,7 @@
 	}
 }
 
-func (w *world) count(l *leader) {
+func (w *simulation) count(l *leader) {
 	switch {
 	case l.sw.Switched():
 		w.done++
@@ -77,11 +77,11 @@
 	}
 }
 
-// begin starts a switch, or undoes what another leader left, as the controller does.
-func (w *world) begin(l *leader) {
+// begin starts a switch, or undoes another leader's unfinished one, as the controller does.
+func (w *simulation) begin(l *leader) {
 	task := w.task(l)
 	l.sw = lockstep.NewSwitch(task)
-	unfinished := lockstep.FindUnfinishedSwitch(flat(w.group.reports()))
+	unfinished := lockstep.FindUnfinishedSwitch(reportValues(w.group.reports()))
 	if unfinished == nil {
 		l.sw.OnReports(w.now, w.group.reports())
 		l.orders = l.sw.Start(w.now)
@@ -95,7 +95,7 @@
 	l.orders = l.sw.Undo(w.now, unfinished)
 }
 
-func flat(reports []*lockstep.Report) []lockstep.Report {
+func reportValues(reports []*lockstep.Report) []lockstep.Report {
 	var out []lockstep.Report
 	for _, r := range reports {
 		out = append(out, *r)
@@ -103,16 +103,16 @@
 	return out
 }
 
-// deliver carries out one order of the leader's, drawn at random, and perhaps loses the answer.
-func (w *world) deliver(l *leader) {
+// deliver executes a random one of the leader's orders, and may lose the order or its reply.
+func (w *simulation) deliver(l *leader) {
 	i := w.rng.IntN(len(l.orders))
 	o := l.orders[i]
 	l.orders = append(l.orders[:i:i], l.orders[i+1:]...)
 	reply := lockstep.ReplyLost
 	switch w.rng.IntN(10) {
-	case 0: // lost on the way, and carried out late
+	case 0: // the order is lost now and executed late
 		w.late = append(w.late, o)
-	case 1: // carried out, the answer lost
+	case 1: // executed, but the reply is lost
 		w.group.order(o)
 		w.late = append(w.late, o)
 	default:
@@ -121,7 +121,7 @@
 	l.orders = append(l.orders, l.sw.OnReply(w.now, o, reply)...)
 }
 
-func (w *world) lateOrder() {
+func (w *simulation) lateOrder() {
 	if len(w.late) == 0 {
 		return
 	}
@@ -130,7 +130,7 @@
 	w.late = append(w.late[:i:i], w.late[i+1:]...)
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now = w.now.Add(5 * time.Millisecond)
 	switch n := w.rng.IntN(100); {
 	case n < 12:
@@ -145,25 +145,25 @@
 	}
 }
 
-// A gateway that leads is paused at any moment, another takes over, orders and answers get lost, and some orders are
-// carried out seconds later. What a caller would see of two maps in one pass is a wrong token that nothing explains.
-// No pass may ever begin with two maps, by version or by content, whatever the order of events.
+// Guards against a pass that begins under two maps, by version or by content; callers would get a wrong token without
+// any error. The leading gateway is paused at random, another takes over, orders and replies get lost, and some
+// orders are executed seconds later.
 func TestNoPassBeginsWithTwoMaps(t *testing.T) {
 	done, undone := 0, 0
 	for seed := range *seeds {
-		w := runWorld(t, seed)
+		w := runSimulation(t, seed)
 		done += w.done
 		undone += w.undone
 	}
 	if done == 0 || undone == 0 {
-		t.Fatalf("%d switches were made and %d undone: the schedule is too kind or too harsh to show anything", done, undone)
+		t.Fatalf("%d switches were made and %d undone: the schedule must exercise both outcomes", done, undone)
 	}
 	t.Logf("%d switches made, %d undone", done, undone)
 }
 
-func runWorld(t *testing.T, seed int) *world {
+func runSimulation(t *testing.T, seed int) *simulation {
 	t.Helper()
-	w := &world{t: t, rng: rand.New(rand.NewPCG(uint64(seed), 7)), now: time.Unix(0, 0), group: newGroup(2 + seed%4)}
+	w := &simulation{t: t, rng: rand.New(rand.NewPCG(uint64(seed), 7)), now: time.Unix(0, 0), group: newGroup(2 + seed%4)}
 	w.lateShare = 2 + 10*(seed/4%3)
 	w.leaders = []*leader{{fence: 1}, {fence: 2}}
 	for range 4000 {
@@ -175,18 +175,18 @@
 	return w
 }
 
-// Seeds of runs that once mixed maps, with the cause.
-func TestSeedsThatFailed(t *testing.T) {
+// These seeds have mixed maps before; the name of each case is the cause.
+func TestPreviouslyFailingSeeds(t *testing.T) {
 	for seed, cause := range map[int]string{
 		2362: "ranks armed for the pass before the held one were disarmed, one of them too late",
 	} {
-		t.Run(cause, func(t *testing.T) { runWorld(t, seed) })
+		t.Run(cause, func(t *testing.T) { runSimulation(t, seed) })
 	}
 }
 
-// One leader has armed all ranks for pass 6 and released it; another holds pass 7 and dies. A rescuer that disarmed the
-// ranks for pass 6, which nothing holds, would be overtaken by it, and some ranks would have switched.
-func TestACompleteSwitchIsNotUndone(t *testing.T) {
+// One leader has armed all ranks for pass 6 and released it; another holds pass 7 and dies. If the next leader
+// disarmed the ranks for pass 6, which is not held, that pass could begin first and some ranks would have switched.
+func TestCompleteSwitchIsReportedPending(t *testing.T) {
 	held := uint64(7)
 	unfinished := lockstep.FindUnfinishedSwitch([]lockstep.Report{
 		{Rank: 0, Pass: 5, Prepared: 131074, Armed: &lockstep.Armed{Version: 131074, Pass: 6}},
@@ -197,9 +197,9 @@
 	}
 }
 
-// A hold is carried out late, for the pass before the one that all ranks are armed for. Callers would wait for good: the
-// switch ahead is complete and must not be undone, and no rank begins the pass before it. Only the hold is taken away.
-func TestAHoldBeforeACompleteSwitchIsReleased(t *testing.T) {
+// A hold is executed late, for the pass before the one that all ranks are armed for, and callers would wait forever.
+// The switch ahead is complete and must not be undone; only the hold must be released.
+func TestHoldBeforeCompleteSwitchIsReleased(t *testing.T) {
 	g := newGroup(3)
 	g.pass = 5
 	late := uint64(6)
@@ -208,7 +208,7 @@
 		r.armed = &lockstep.Armed{Version: 20, Pass: 7}
 	}
 	g.ranks[1].held = &late
-	unfinished := lockstep.FindUnfinishedSwitch(flat(g.reports()))
+	unfinished := lockstep.FindUnfinishedSwitch(reportValues(g.reports()))
 	if unfinished == nil || !unfinished.Ahead {
 		t.Fatalf("got %+v, want a switch ahead", unfinished)
 	}
@@ -219,17 +219,17 @@
 	}
 	g.step()
 	g.step()
-	if !sw.Ended() || g.pass != 7 || g.ranks[0].inUse != 20 || len(g.mixed) > 0 {
-		t.Fatalf("ended %t, pass %d, map %d, mixed %v", sw.Ended(), g.pass, g.ranks[0].inUse, g.mixed)
+	if !sw.Finished() || g.pass != 7 || g.ranks[0].inUse != 20 || len(g.mixed) > 0 {
+		t.Fatalf("finished %t, pass %d, map %d, mixed %v", sw.Finished(), g.pass, g.ranks[0].inUse, g.mixed)
 	}
 }
 
-// The gateway that leads dies at any moment of a switch. Callers would see their streams stand still for good if the
-// group stayed held; the next leader undoes the switch, so that passes begin again.
-func TestAGroupIsNotLeftHeld(t *testing.T) {
+// The leading gateway dies at any moment of a switch. A group that stayed held would pause its callers' streams
+// forever, so the next leader must undo the switch and passes must begin again.
+func TestUnfinishedSwitchIsUndone(t *testing.T) {
 	for stop := range 60 {
 		t.Run(fmt.Sprint(stop), func(t *testing.T) {
-			w := &world{t: t, rng: rand.New(rand.NewPCG(uint64(stop), 9)), now: time.Unix(0, 0), group: newGroup(4)}
+			w := &simulation{t: t, rng: rand.New(rand.NewPCG(uint64(stop), 9)), now: time.Unix(0, 0), group: newGroup(4)}
 			first, second := &leader{fence: 1}, &leader{fence: 2}
 			for range stop {
 				w.now = w.now.Add(time.Millisecond)
@@ -251,8 +251,9 @@
 	}
 }
 
-// All answers come: the switch holds one rank, arms all and releases, and every rank has the new map from one pass on.
-func TestASwitchWithoutFaults(t *testing.T) {
+// Without faults the switch holds one rank, arms all and releases the group, and every rank has the new map from the
+// same pass on.
+func TestSwitchWithoutFaults(t *testing.T) {
 	g := newGroup(4)
 	now := time.Unix(0, 0)
 	sw := lockstep.NewSwitch(lockstep.Task{
@@ -261,7 +262,7 @@
 	orders := sw.Start(now)
 	counts := map[lockstep.Op]int{}
 	for range 100 {
-		if sw.Ended() {
+		if sw.Finished() {
 			break
 		}
 		if len(orders) == 0 {
@@ -273,10 +274,10 @@
 		orders = append(orders[1:], sw.OnReply(now, o, g.order(o))...)
 	}
 	if !sw.Switched() || sw.State() != "done" {
-		t.Fatalf("ended as %s", sw.State())
+		t.Fatalf("finished as %s", sw.State())
 	}
 	if counts[lockstep.OpHold] != 1 || counts[lockstep.OpRelease] != 1 || counts[lockstep.OpArm] != 4 || counts[lockstep.OpPrepare] != 4 {
-		t.Fatalf("orders given: %v", counts)
+		t.Fatalf("orders sent: %v", counts)
 	}
 	for g.pass < sw.Pass() {
 		g.step()
@@ -288,9 +289,9 @@
 	}
 }
 
-// A rank crashes while the others are armed. The group forms anew with the first map, and the switch ends: its orders
-// name the epoch before.
-func TestANewEpochEndsASwitch(t *testing.T) {
+// A rank crashes while the others are armed, and the group forms again with its first map. The switch must fail,
+// since its orders name the previous epoch.
+func TestNewEpochFailsSwitch(t *testing.T) {
 	g := newGroup(2)
 	now := time.Unix(0, 0)
 	sw := lockstep.NewSwitch(lockstep.Task{
@@ -302,18 +303,18 @@
 	sw.OnReports(now, g.reports())
 	g.reform()
 	sw.OnReports(now, g.reports())
-	if !sw.Ended() || sw.Switched() {
+	if !sw.Finished() || sw.Switched() {
 		t.Fatalf("state %s, switched %t", sw.State(), sw.Switched())
 	}
 }
 
-// Failure: the ranks of a large group answer later than those of a small one, all orders are sent again while the group is held,
-// and it is held for longer by them.
-func TestOrdersToALargeGroupAreNotSentTwiceAtOnce(t *testing.T) {
+// The ranks of a large group respond later than those of a small one. If all orders were sent again while the group
+// is held, it would be held even longer.
+func TestFirstResendAllowsForLargeGroup(t *testing.T) {
 	const ranks, half = 192, 25 * time.Millisecond
 	now := time.Unix(1000, 0)
 	sw := lockstep.NewSwitch(lockstep.Task{
-		Epoch: 1, Ranks: ranks, Version: 1<<16 + 2, Fallback: 1<<16 + 3, PrepareBy: now.Add(time.Second), AnswerTime: half,
+		Epoch: 1, Ranks: ranks, Version: 1<<16 + 2, Fallback: 1<<16 + 3, PrepareBy: now.Add(time.Second), ResponseTime: half,
 	})
 	sw.Start(now)
 	reports := make([]*lockstep.Report, ranks)
@@ -322,7 +323,7 @@
 	}
 	holds := sw.OnReports(now, reports)
 	if len(holds) != 1 || holds[0].Op != lockstep.OpHold {
-		t.Fatalf("%d orders where one to hold was due", len(holds))
+		t.Fatalf("got %d orders, want one hold", len(holds))
 	}
 	arms := sw.OnReply(now, holds[0], lockstep.ReplyBegun)
 	if len(arms) != ranks {
