--- a/internal/node/gateway/candidates.go
+++ b/internal/node/gateway/candidates.go
@@ -17,59 +17,59 @@
 )
 
 const (
-	// standbys is how many gateways have a number ready, so that one may lead at once although the store is away: the leader
+	// maxStandbys is how many gateways have a number ready, so that one may lead at once although the store is away: the leader
 	// is one of them, and others may end before the store is back.
-	standbys = 5
+	maxStandbys = 5
 	// allocateInterval is the most time between two tries to draw a number ahead, allocateTimeout bounds one.
 	allocateInterval = 500 * time.Millisecond
 	allocateTimeout  = 2 * time.Second
 )
 
-// rivals is what this gateway knows of itself and others that may lead.
-func (e *experts) rivals(now time.Time, c candidates) rivals {
-	r := rivals{
+// electionInput is what this gateway knows of itself and others that may lead.
+func (e *experts) electionInput(now time.Time, c candidates) electionInput {
+	in := electionInput{
 		Ready:      e.g.control.node == stateReady,
-		Seen:       e.leases.NewestFenceOfOthers(expertsDuty),
+		SeenFence:  e.leases.NewestFenceOfOthers(expertsDuty),
 		PendingFor: e.leases.PendingFor(now, expertsDuty),
-		Place:      e.place(c),
+		Position:   e.position(c),
 	}
 	if held := e.leases.Held(expertsDuty); held.ValidAt(now) {
-		r.Held = held.Fence
+		in.HeldFence = held.Fence
 	}
 	for _, p := range e.g.peers.live(now) {
-		r.Heard = max(r.Heard, ids.Fence(p.digest.GetExpertsFence()))
-		if spare := ids.Fence(p.digest.GetExpertsSpare()); spare > e.leading.newest && spare < e.leading.spare {
-			r.Lower++
+		in.PeerFence = max(in.PeerFence, ids.Fence(p.digest.GetExpertsFence()))
+		if spare := ids.Fence(p.digest.GetExpertsSpare()); spare > e.election.newestPeerFence && spare < e.election.spare {
+			in.LowerSpares++
 		}
 	}
-	return r
+	return in
 }
 
-// wanted reports whether this gateway should have the lease: it leads already, or no other does and it is its turn.
-func (e *experts) wanted(now time.Time, r rivals) bool {
-	e.leading.note(now, r)
-	return r.Ready && (e.number.Load() > 0 || e.leading.turn(now, r))
+// wantsLease reports whether this gateway should have the lease: it leads already, or no other does and it is its turn.
+func (e *experts) wantsLease(now time.Time, in electionInput) bool {
+	e.election.noteLeader(now, in)
+	return in.Ready && (e.fence.Load() > 0 || e.election.isTurn(now, in))
 }
 
-// place is this gateway's among the candidates, negative if another leads, there is nothing to lead, or this one is new or
+// position is this gateway's among the candidates, negative if another leads, there is nothing to lead, or this one is new or
 // alone.
-func (e *experts) place(c candidates) int {
-	if c.led || !e.anyGroup() || e.newOrAlone(time.Now()) {
+func (e *experts) position(c candidates) int {
+	if c.hasLeader || !e.anyGroup() || e.joiningOrIsolated(time.Now()) {
 		return -1
 	}
 	return slices.Index(c.names, e.g.Settings().Name)
 }
 
-// newOrAlone reports whether this gateway knows too little of the others to take a duty.
-func (e *experts) newOrAlone(now time.Time) bool {
+// joiningOrIsolated reports whether this gateway knows too little of the others to take a duty.
+func (e *experts) joiningOrIsolated(now time.Time) bool {
 	return e.g.peers.joining(now) || e.g.peers.isolated(now)
 }
 
 // candidates are the gateways that are ready or about to be, those first that should lead first, this one among them; led
 // says that another one leads.
 type candidates struct {
-	names []string
-	led   bool
+	names     []string
+	hasLeader bool
 }
 
 // candidates puts the hosts with the most processor time first, as the duty takes a tenth of a core.
@@ -80,31 +80,33 @@
 func (e *experts) candidates(now time.Time) candidates {
 	c := candidates{}
 	own := e.g.Settings().Name
-	power := map[string]uint32{own: e.g.Settings().Limits.cpuMillis()}
-	quiet := e.g.peers.silence(leaderSilent)
+	millis := map[string]uint32{own: e.g.Settings().Limits.cpuMillis()}
+	timeout := e.g.peers.scaleTimeout(leaderTimeout)
 	for _, p := range e.g.peers.live(now) {
-		if now.Sub(p.heardAt) > quiet {
+		if now.Sub(p.lastSeen) > timeout {
 			continue
 		}
-		c.led = c.led || p.leads()
+		c.hasLeader = c.hasLeader || p.leads()
 		if p.digest.GetState() != cardamomyokev1.NodeState_NODE_STATE_LEAVING {
-			power[p.digest.GetNode()] = p.digest.GetCpuMillis()
+			millis[p.digest.GetNode()] = p.digest.GetCpuMillis()
 		}
 	}
-	c.names = lease.Candidates(expertsDuty, slices.Collect(maps.Keys(power)), len(power))
-	slices.SortStableFunc(c.names, func(a, b string) int { return cmp.Compare(power[b], power[a]) })
+	c.names = lease.Candidates(expertsDuty, slices.Collect(maps.Keys(millis)), len(millis))
+	slices.SortStableFunc(c.names, func(a, b string) int { return cmp.Compare(millis[b], millis[a]) })
 	return c
 }
 
-// wantsSpare reports whether a gateway that leads next still needs a number that is later than those of all leaders.
-func (e *experts) wantsSpare() bool { return !e.g.off(offStandby) && !e.leading.spareIsNewest() }
+// needsSpare reports whether a gateway that leads next still needs a number that is later than those of all leaders.
+func (e *experts) needsSpare() bool {
+	return !e.g.disabled(mechanismStandby) && !e.election.spareIsNewest()
+}
 
-// mayLead reports whether this gateway is one of those that lead next.
-func (e *experts) mayLead(now time.Time, c candidates) bool {
-	if e.g.control.node != stateReady || e.newOrAlone(now) || !e.anyGroup() {
+// isStandby reports whether this gateway is one of those that lead next.
+func (e *experts) isStandby(now time.Time, c candidates) bool {
+	if e.g.control.node != stateReady || e.joiningOrIsolated(now) || !e.anyGroup() {
 		return false
 	}
-	return slices.Contains(c.names[:min(standbys, len(c.names))], e.g.Settings().Name)
+	return slices.Contains(c.names[:min(maxStandbys, len(c.names))], e.g.Settings().Name)
 }
 
 // allocateDue spreads the draws of numbers that are not needed yet: of those drawn at one moment only the last can be used.
@@ -133,7 +135,7 @@
 				_ = level.Info(e.g.logger).Log("msg", "no number drawn", "duty", expertsDuty, "err", err)
 				return
 			}
-			e.leading.allocated(n)
+			e.election.allocated(n)
 		})
 	}()
 }
--- a/internal/node/gateway/errors.go
+++ b/internal/node/gateway/errors.go
@@ -16,8 +16,8 @@
 	Instance ids.Upstream
 }
 
-// stranger reports whether another upstream than the one that was asked for answered.
-func (e *RefusedError) stranger() bool {
+// otherInstance reports whether another upstream than the one that was asked for answered.
+func (e *RefusedError) otherInstance() bool {
 	return e.Status == statusOtherInstance && e.Instance != "" && e.Instance != e.Upstream
 }
 
--- a/internal/node/gateway/following_test.go
+++ b/internal/node/gateway/following_test.go
@@ -12,15 +12,15 @@
 
 // shiftedGroup is a group whose demand shifts.
 type shiftedGroup struct {
-	ranks, experts, sets, places int
-	copyTime                     time.Duration
-	// part is the part of a pass that experts' work takes, exponent that of their popularity.
-	part, exponent float64
+	ranks, experts, sets, placements int
+	copyTime                         time.Duration
+	// expertShare is the part of a pass that experts' work takes, exponent that of their popularity.
+	expertShare, exponent float64
 }
 
 var (
-	fewRanks  = shiftedGroup{ranks: 16, experts: 64, sets: 4, places: 5, copyTime: 39 * time.Millisecond, part: 0.28, exponent: 0.7}
-	manyRanks = shiftedGroup{ranks: 72, experts: 144, sets: 12, places: 3, copyTime: 16 * time.Millisecond, part: 0.56, exponent: 0.53}
+	smallGroup = shiftedGroup{ranks: 16, experts: 64, sets: 4, placements: 5, copyTime: 39 * time.Millisecond, expertShare: 0.28, exponent: 0.7}
+	largeGroup = shiftedGroup{ranks: 72, experts: 144, sets: 12, placements: 3, copyTime: 16 * time.Millisecond, expertShare: 0.56, exponent: 0.53}
 )
 
 const (
@@ -54,11 +54,11 @@
 	return p
 }
 
-// follow plays shifts of the demand against a leader that looks at the counts each period, and returns the mean skew over
+// simulate plays shifts of the demand against a leader that looks at the counts each period, and returns the mean skew over
 // all passes and the copies.
-func (g shiftedGroup) follow(seed uint64, period, half time.Duration, o lockstep.Options) (skew float64, copies int) {
+func (g shiftedGroup) simulate(seed uint64, period, halfLife time.Duration, o lockstep.Options) (skew float64, copies int) {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	x := &catalog.Experts{Sets: g.sets, PerSet: g.experts, Placements: g.places, Spare: 2, CopyTime: g.copyTime}
+	x := &catalog.Experts{Sets: g.sets, PerSet: g.experts, Placements: g.placements, Spare: 2, CopyTime: g.copyTime}
 	speed := make([]float64, g.ranks)
 	counts := make(lockstep.Counts, g.sets)
 	for s := range counts {
@@ -67,11 +67,11 @@
 	for r := range speed {
 		speed[r] = 1
 	}
-	d := lockstep.NewDemand(half)
+	d := lockstep.NewDemand(halfLife)
 	placement, next := g.firstMap(), lockstep.Placement(nil)
 	at := func(t time.Duration) time.Time { return time.Unix(0, 0).Add(t) }
 	var demand [][]float64
-	var nextAt, lookAt, shiftAt time.Duration
+	var nextAt, pollAt, shiftAt time.Duration
 	sum, passes := 0.0, 0
 	for now := time.Duration(0); now < 40*time.Second; now += shiftPass {
 		if now >= shiftAt {
@@ -86,12 +86,12 @@
 			}
 		}
 		sum, passes = sum+lockstep.Skew(placement, demand, speed), passes+1
-		if now < lookAt || next != nil {
+		if now < pollAt || next != nil {
 			continue
 		}
-		lookAt = now + period
+		pollAt = now + period
 		d.Observe(at(now), 0, lockstep.Since{Epoch: 1}, clone(counts))
-		if plan, _ := lockstep.Decide(o, placement, d, speed, x, g.part); plan != nil {
+		if plan, _ := lockstep.Decide(o, placement, d, speed, x, g.expertShare); plan != nil {
 			next, nextAt, copies = plan.Placement, now+shiftSwitch, copies+plan.Copies
 		}
 	}
@@ -109,32 +109,32 @@
 // Other experts are in demand all of a sudden, every four seconds. Until the map follows, the most loaded rank has twice the
 // mean or more, and each pass is so long that every stream of the group is late by its pauses. The leader must see the shift
 // within some passes: it looked at the counts each 500 ms, with a half-life of as much.
-func TestMapsFollowAShiftWithinSomePasses(t *testing.T) {
-	var was, is float64
-	var copiesWere, copiesAre int
+func TestPlacementFollowsDemandShiftWithinSomePasses(t *testing.T) {
+	var before, after float64
+	var copiesBefore, copiesAfter int
 	for seed := range uint64(10) {
-		a, n := fewRanks.follow(seed, 500*time.Millisecond, 500*time.Millisecond, lockstep.DefaultOptions())
-		b, m := fewRanks.follow(seed, pollInterval, demandHalf, lockstep.DefaultOptions())
-		was, is, copiesWere, copiesAre = was+a/10, is+b/10, copiesWere+n, copiesAre+m
+		a, n := smallGroup.simulate(seed, 500*time.Millisecond, 500*time.Millisecond, lockstep.DefaultOptions())
+		b, m := smallGroup.simulate(seed, pollInterval, demandHalfLife, lockstep.DefaultOptions())
+		before, after, copiesBefore, copiesAfter = before+a/10, after+b/10, copiesBefore+n, copiesAfter+m
 	}
-	t.Logf("mean skew %.3f, was %.3f; copies %d, were %d", is, was, copiesAre, copiesWere)
-	if is >= was {
-		t.Fatalf("mean skew %.3f, with looks each 500 ms %.3f", is, was)
+	t.Logf("mean skew %.3f, was %.3f; copies %d, were %d", after, before, copiesAfter, copiesBefore)
+	if after >= before {
+		t.Fatalf("mean skew %.3f, with looks each 500 ms %.3f", after, before)
 	}
 }
 
 // Failure: a copy has the same price whatever the experts' part of a pass is. Where it is large, the map stays behind the demand for
 // copies that cost little, and every pass is long.
-func TestMapsFollowTheCloserTheMoreOfAPassIsTheExperts(t *testing.T) {
+func TestCopyPriceScalesWithExpertShareOfPass(t *testing.T) {
 	// onePrice is what a second of copying must save, whatever the part.
 	const onePrice = 6.1
 	before := lockstep.DefaultOptions()
-	before.CopyPrice = onePrice * manyRanks.part
-	was, copiesWere := manyRanks.follow(0, pollInterval, demandHalf, before)
-	is, copiesAre := manyRanks.follow(0, pollInterval, demandHalf, lockstep.DefaultOptions())
-	t.Logf("mean skew %.3f, was %.3f; copies %d, were %d", is, was, copiesAre, copiesWere)
+	before.CopyPrice = onePrice * largeGroup.expertShare
+	fixed, copiesFixed := largeGroup.simulate(0, pollInterval, demandHalfLife, before)
+	scaled, copiesScaled := largeGroup.simulate(0, pollInterval, demandHalfLife, lockstep.DefaultOptions())
+	t.Logf("mean skew %.3f, was %.3f; copies %d, were %d", scaled, fixed, copiesScaled, copiesFixed)
 	// What skew is above 1 makes passes longer: a tenth of it less is more than two estimates of one demand differ by.
-	if is-1 > 0.9*(was-1) {
-		t.Fatalf("mean skew %.3f, with one price %.3f", is, was)
+	if scaled-1 > 0.9*(fixed-1) {
+		t.Fatalf("mean skew %.3f, with one price %.3f", scaled, fixed)
 	}
 }
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -28,16 +28,16 @@
 	tickInterval = 50 * time.Millisecond
 	// dialTimeout is some times the longest way to an upstream and back; a host that is dead answers never.
 	dialTimeout = 250 * time.Millisecond
-	// upstreamIdle is how long idle connections to upstreams are kept, unless they say less themselves.
-	upstreamIdle = 10 * time.Second
-	// upstreamSilent ends a connection on which an upstream's host acknowledges nothing.
-	upstreamSilent = 1500 * time.Millisecond
+	// upstreamIdleTimeout is how long idle connections to upstreams are kept, unless they say less themselves.
+	upstreamIdleTimeout = 10 * time.Second
+	// upstreamSilentAfter ends a connection on which an upstream's host acknowledges nothing.
+	upstreamSilentAfter = 1500 * time.Millisecond
 	// maxConnections of callers is set apart from the descriptors that upstreams and the store need.
 	maxConnections = 2500
 	// writeTimeout is how long a caller may leave an answer unread.
 	writeTimeout = 10 * time.Second
-	// defaultIdle holds until a configuration says for how long callers keep connections.
-	defaultIdle = 75 * time.Second
+	// defaultIdleTimeout holds until a configuration says for how long callers keep connections.
+	defaultIdleTimeout = 75 * time.Second
 )
 
 // Deps are what a gateway works with; they are set by its main.
@@ -59,7 +59,7 @@
 	decoder     Decoder
 	logger      log.Logger
 	requests    *requestLogs
-	starting    *starting
+	startup     *startupWait
 	pauses      monotonic.PauseDetector
 	incarnation ids.Incarnation
 	loop        *control.Loop
@@ -81,11 +81,11 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 	// control is what the control loop owns.
-	control state
+	control controlState
 }
 
-// state is what the control loop owns. Nothing else touches it.
-type state struct {
+// controlState is what the control loop owns. Nothing else touches it.
+type controlState struct {
 	config    *catalog.Configuration
 	upstreams *catalog.Upstreams
 	// entries tells which entries of the registry name upstreams.
@@ -106,22 +106,22 @@
 		loop:        control.New(),
 		metrics:     newMetrics(),
 		moves:       newMoves(),
-		starting:    newStarting(),
+		startup:     newStartupWait(),
 		tracer:      cmp.Or(d.Tracer, tracing.Disabled()),
 		ranks:       d.Ranks,
 		ctx:         ctx,
 		cancel:      cancel,
 		client: httpclient.New(httpclient.Options{
-			DialTimeout: dialTimeout, IdleTimeout: upstreamIdle, SilentAfter: upstreamSilent,
+			DialTimeout: dialTimeout, IdleTimeout: upstreamIdleTimeout, SilentAfter: upstreamSilentAfter,
 		}),
-		control: state{
+		control: controlState{
 			upstreams: catalog.NewUpstreams(nil), entries: registry.New(d.Decoder.Upstream),
 			services: map[ids.Service]*service{}, node: stateStarting,
 		},
 	}
 	g.settings.Store(set)
-	g.config = g.follower(d.Feed, d.Decoder.ConfigurationTable())
-	g.registry = g.follower(d.Feed, d.Decoder.UpstreamTable())
+	g.config = g.newFollower(d.Feed, d.Decoder.ConfigurationTable())
+	g.registry = g.newFollower(d.Feed, d.Decoder.UpstreamTable())
 	g.followers = []*replica.Follower{g.config, g.registry}
 	g.publish()
 	g.suspects = newSuspects(d.Logger)
@@ -133,7 +133,7 @@
 		return nil, err
 	}
 	g.experts = newExperts(ctx, g, d.Ranks, d.Table)
-	g.metrics.watch(g)
+	g.metrics.addGauges(g)
 	for _, f := range g.followers {
 		go f.Run(ctx)
 	}
@@ -142,20 +142,20 @@
 	return g, nil
 }
 
-func (g *Gateway) follower(feed platform.Feed, table string) *replica.Follower {
-	copied := replica.NewReplica(table)
+func (g *Gateway) newFollower(feed platform.Feed, table string) *replica.Follower {
+	local := replica.NewReplica(table)
 	return &replica.Follower{
 		Feed:     feed,
-		Replica:  copied,
+		Replica:  local,
 		Sentinel: func() bool { return g.peers.sentinel(time.Now()) },
-		Relayed:  func() bool { return g.peers.relayed(copied, time.Now()) },
+		Relayed:  func() bool { return g.peers.relayed(local, time.Now()) },
 		FollowingChanged: func(r *replica.Replica, following bool) {
 			_ = level.Info(g.logger).Log("msg", "store feed", "table", r.Name(), "following", following, "version", r.Newest())
 			g.loop.Post(g.peers.announce)
 		},
-		Changed: func(*replica.Replica) { g.loop.Post(g.changed) },
+		Changed: func(*replica.Replica) { g.loop.Post(g.onStoreChange) },
 		ConnectionChanged: func(r *replica.Replica, c replica.StoreConnection) {
-			g.logStoreLink(r.Name(), c.Up, c.Cause)
+			g.logStoreConnection(r.Name(), c.Up, c.Cause)
 			g.loop.Post(func(now time.Time) {
 				g.publish()
 				g.peers.announce(now)
@@ -166,7 +166,7 @@
 
 func (g *Gateway) listen() error {
 	l := g.Settings().Listen
-	limits := httpserver.Limits{MaxConnections: maxConnections, IdleTimeout: settings.Duration(defaultIdle)}
+	limits := httpserver.Limits{MaxConnections: maxConnections, IdleTimeout: settings.Duration(defaultIdleTimeout)}
 	for _, s := range []struct {
 		to      **httpserver.Server
 		address string
@@ -185,8 +185,8 @@
 	return nil
 }
 
-// changed takes over a change and, if this gateway follows the store for others, tells them at once.
-func (g *Gateway) changed(now time.Time) {
+// onStoreChange takes over a change and, if this gateway follows the store for others, tells them at once.
+func (g *Gateway) onStoreChange(now time.Time) {
 	g.reload(now)
 	if g.config.Following() || g.registry.Following() {
 		g.peers.announce(now)
@@ -207,7 +207,7 @@
 	g.updateServices(now)
 	g.publish()
 	if g.control.node != before {
-		g.peers.tellAll(now)
+		g.peers.sendToAll(now)
 	}
 }
 
@@ -234,15 +234,15 @@
 // publish makes the present state visible to requests.
 func (g *Gateway) publish() {
 	g.view.Store(&view{
-		config:    g.control.config,
-		upstreams: g.control.upstreams,
-		services:  g.control.services,
-		state:     g.control.node,
-		current:   g.config.Connection().Up,
-		linkSince: g.config.Connection().Since,
+		config:     g.control.config,
+		upstreams:  g.control.upstreams,
+		services:   g.control.services,
+		state:      g.control.node,
+		storeUp:    g.config.Connection().Up,
+		storeSince: g.config.Connection().Since,
 	})
 	if g.control.config != nil && g.registry.Replica.Newest() > 0 {
-		g.starting.end()
+		g.startup.finish()
 	}
 }
 
@@ -253,10 +253,10 @@
 	for name, s := range g.control.services {
 		s.gate.SetSharing(sharing)
 		s.budget.SetBound(g.retryBound(now))
-		paces := g.peers.paces(name, g.control.upstreams, now)
-		s.gate.SetPaces(paces)
-		if !g.off(offMoves) {
-			g.moves.away(paces, now)
+		slowdowns := g.peers.slowdowns(name, g.control.upstreams, now)
+		s.gate.SetPaces(slowdowns)
+		if !g.disabled(mechanismMoves) {
+			g.moves.moveStreams(slowdowns, now)
 		}
 		s.gate.SetOthers(g.peers.work(name, g.control.upstreams, now))
 		g.logEjections(name, s)
@@ -271,29 +271,29 @@
 
 // Reload takes over changed settings. What is bound to listeners or to the node's identity stays until a restart; it
 // returns the keys of that kind that differ.
-func (g *Gateway) Reload(next *Settings) (kept []string) {
+func (g *Gateway) Reload(next *Settings) (unchanged []string) {
 	old := g.Settings()
 	merged := *next
 	if next.Name != old.Name {
-		kept = append(kept, "name")
+		unchanged = append(unchanged, "name")
 	}
 	if next.Listen != old.Listen {
-		kept = append(kept, "listen")
+		unchanged = append(unchanged, "listen")
 	}
 	if next.DataCentre != old.DataCentre {
-		kept = append(kept, "data_centre")
+		unchanged = append(unchanged, "data_centre")
 	}
 	if next.Log != old.Log || next.RequestLog != old.RequestLog {
-		kept = append(kept, "log")
+		unchanged = append(unchanged, "log")
 	}
 	if next.Tracing.OTLP != old.Tracing.OTLP || next.Tracing.File != old.Tracing.File {
-		kept = append(kept, "tracing")
+		unchanged = append(unchanged, "tracing")
 	}
 	merged.Name, merged.Listen, merged.DataCentre = old.Name, old.Listen, old.DataCentre
 	merged.Log, merged.RequestLog, merged.Tracing = old.Log, old.RequestLog, old.Tracing
 	g.settings.Store(&merged)
 	g.loop.Post(g.reload)
-	return kept
+	return unchanged
 }
 
 // Busy returns how many callers' requests are running.
--- a/internal/node/gateway/groupwatch.go
+++ b/internal/node/gateway/groupwatch.go
@@ -21,14 +21,14 @@
 const (
 	// watchInterval is how often a group is read that does not work: callers wait for it.
 	watchInterval = 80 * time.Millisecond
-	// staleReport is how long after a refusal a report that is not fresh may still show the group as it was before.
-	staleReport = 300 * time.Millisecond
-	// watchReads is how many ranks are read at once, in case one of them is the one that is gone; surveyReads is the same
+	// staleReportPeriod is how long after a refusal a report that is not fresh may still show the group as it was before.
+	staleReportPeriod = 300 * time.Millisecond
+	// maxWatchReads is how many ranks are read at once, in case one of them is the one that is gone; surveyReads is the same
 	// where ranks may be of several groups, or of none.
-	watchReads  = 3
-	surveyReads = 24
-	// watchBlind is how long a group whose ranks do not answer is held to be closed, before requests may try it.
-	watchBlind = 400 * time.Millisecond
+	maxWatchReads  = 3
+	maxSurveyReads = 24
+	// unknownGroupTimeout is how long a group whose ranks do not answer is held to be closed, before requests may try it.
+	unknownGroupTimeout = 400 * time.Millisecond
 )
 
 // groupWatch finds out whether a group works, from the moment that something speaks against it, and closes the
@@ -40,29 +40,29 @@
 	// upstreams returns the ranks' upstreams now.
 	upstreams func() []*catalog.Upstream
 
-	mu       sync.Mutex
-	watching bool
-	since    time.Time
-	// size is the number of ranks that a group takes; 0 before one was asked.
-	size int
-	// off reports whether a mechanism is switched off; nil for none.
-	off func(dispatch.Mechanism) bool
+	mu            sync.Mutex
+	watching      bool
+	lastFailureAt time.Time
+	// groupSize is the number of ranks that a group takes; 0 before one was asked.
+	groupSize int
+	// disabled reports whether a mechanism is switched off; nil for none.
+	disabled func(dispatch.Mechanism) bool
 	// ranksWatched are the ranks that are watched one by one.
 	ranksWatched map[ids.UpstreamIncarnation]bool
 }
 
-// doubt keeps requests from a group until a rank says that it is open; u is the upstream that gave reason to doubt, or nil.
+// closeGroup keeps requests from a group until a rank says that it is open; u is the upstream that gave reason to doubt, or nil.
 // Where a service has more ranks than one group takes, only u is kept away from until it is known how the others are.
-func (w *groupWatch) doubt(ctx context.Context, u *catalog.Upstream, reason string) {
+func (w *groupWatch) closeGroup(ctx context.Context, u *catalog.Upstream, reason string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.since = time.Now()
-	if w.off != nil && w.off(offClosedGroups) {
+	w.lastFailureAt = time.Now()
+	if w.disabled != nil && w.disabled(mechanismClosedGroups) {
 		return
 	}
 	switch {
-	case u != nil && w.moreThanOne():
-		w.doubtRank(ctx, u, reason)
+	case u != nil && w.exceedsOneGroup():
+		w.closeRank(ctx, u, reason)
 	case !w.watching:
 		w.watching = true
 		w.gate.SetClosed(true)
@@ -84,86 +84,86 @@
 // open are closed one by one.
 func (w *groupWatch) watch(ctx context.Context, reason string) {
 	began := time.Now()
-	for !w.opened(ctx, w.look(ctx), reason) {
+	for !w.tryOpen(ctx, w.readRanks(ctx), reason) {
 		w.gate.SetClosed(true)
 		monotonic.Sleep(ctx, watchInterval)
 	}
 	_ = level.Info(w.logger).Log("msg", "group closed to requests", "reason", reason, "for", time.Since(began))
 }
 
-// opened ends the watch and opens the gate if what the ranks said allows it. Both under one lock: a doubt that comes in
+// tryOpen ends the watch and opens the gate if what the ranks said allows it. Both under one lock: a doubt that comes in
 // between would close the gate, and have it opened again under its watch.
-func (w *groupWatch) opened(ctx context.Context, said map[*catalog.Upstream]groupVerdict, reason string) bool {
+func (w *groupWatch) tryOpen(ctx context.Context, states map[*catalog.Upstream]groupState, reason string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	best := groupUnknown
-	for _, v := range said {
-		best = max(best, v)
+	for _, state := range states {
+		best = max(best, state)
 	}
-	if !best.opens(time.Since(w.since)) && ctx.Err() == nil {
+	if !best.mayOpen(time.Since(w.lastFailureAt)) && ctx.Err() == nil {
 		return false
 	}
 	w.watching = false
 	w.gate.SetClosed(false)
-	for u, v := range said {
-		if v == groupBroken && w.moreThanOne() {
-			w.doubtRank(ctx, u, reason)
+	for u, state := range states {
+		if state == groupBroken && w.exceedsOneGroup() {
+			w.closeRank(ctx, u, reason)
 		}
 	}
 	return true
 }
 
-type groupVerdict int
+type groupState int
 
 const (
-	groupUnknown groupVerdict = iota
+	groupUnknown groupState = iota
 	groupBroken
-	groupLaggingOpen
+	groupStaleOpen
 	groupOpen
 )
 
-// opens reports whether requests may be sent again, so long after the latest reason to doubt.
-func (v groupVerdict) opens(since time.Duration) bool {
-	switch v {
+// mayOpen reports whether requests may be sent again, so long after the latest reason to doubt.
+func (s groupState) mayOpen(since time.Duration) bool {
+	switch s {
 	case groupOpen:
 		return true
-	case groupLaggingOpen:
-		return since > staleReport
+	case groupStaleOpen:
+		return since > staleReportPeriod
 	case groupUnknown:
-		return since > watchBlind
+		return since > unknownGroupTimeout
 	}
 	return false
 }
 
-// look reads some ranks; a rank that is gone says nothing.
-func (w *groupWatch) look(ctx context.Context) map[*catalog.Upstream]groupVerdict {
+// readRanks reads some ranks; a rank that is gone says nothing.
+func (w *groupWatch) readRanks(ctx context.Context) map[*catalog.Upstream]groupState {
 	list := append([]*catalog.Upstream(nil), w.upstreams()...)
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	list = list[:min(w.reads(), len(list))]
-	verdicts := make([]groupVerdict, len(list))
+	list = list[:min(w.maxReads(), len(list))]
+	states := make([]groupState, len(list))
 	var wait sync.WaitGroup
 	for i, u := range list {
-		wait.Go(func() { verdicts[i] = w.ask(ctx, u) })
+		wait.Go(func() { states[i] = w.readRank(ctx, u) })
 	}
 	wait.Wait()
-	said := make(map[*catalog.Upstream]groupVerdict, len(list))
+	byUpstream := make(map[*catalog.Upstream]groupState, len(list))
 	for i, u := range list {
-		said[u] = verdicts[i]
+		byUpstream[u] = states[i]
 	}
-	return said
+	return byUpstream
 }
 
-func (w *groupWatch) reads() int {
+func (w *groupWatch) maxReads() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.moreThanOne() {
-		return surveyReads
+	if w.exceedsOneGroup() {
+		return maxSurveyReads
 	}
-	return watchReads
+	return maxWatchReads
 }
 
-// ready counts the upstreams that take work: while all of a group's ranks are replaced, the old ones are listed, too.
-func (w *groupWatch) ready() int {
+// readyRanks counts the upstreams that take work: while all of a group's ranks are replaced, the old ones are listed, too.
+func (w *groupWatch) readyRanks() int {
 	n := 0
 	for _, u := range w.upstreams() {
 		if u.State == catalog.StateReady {
@@ -173,17 +173,17 @@
 	return n
 }
 
-// moreThanOne reports whether the service has more ranks than one group takes: several groups, or ranks that are left over
+// exceedsOneGroup reports whether the service has more ranks than one group takes: several groups, or ranks that are left over
 // and refuse all they get. What is true of one rank says nothing of another's then.
-func (w *groupWatch) moreThanOne() bool { return w.size > 0 && w.ready() > w.size }
+func (w *groupWatch) exceedsOneGroup() bool { return w.groupSize > 0 && w.readyRanks() > w.groupSize }
 
-func (w *groupWatch) ask(ctx context.Context, u *catalog.Upstream) groupVerdict {
+func (w *groupWatch) readRank(ctx context.Context, u *catalog.Upstream) groupState {
 	r, err := w.ranks.Report(ctx, u)
 	if err != nil {
 		return groupUnknown
 	}
 	w.mu.Lock()
-	w.size = r.Size
+	w.groupSize = r.Size
 	w.mu.Unlock()
 	switch {
 	case !r.Open:
@@ -191,18 +191,18 @@
 	case r.Fresh:
 		return groupOpen
 	}
-	return groupLaggingOpen
+	return groupStaleOpen
 }
 
-// doubtGroup has the group looked at if an attempt failed as it does at a broken group: refused, or cut off.
-func (n *run) doubtGroup(u *catalog.Upstream, err error) {
+// reportGroupFailure has the group looked at if an attempt failed as it does at a broken group: refused, or cut off.
+func (n *run) reportGroupFailure(u *catalog.Upstream, err error) {
 	var refused *RefusedError
 	var broken *httpclient.BrokenError
 	switch {
 	case n.service.group == nil || err == nil:
 	case errors.As(err, &refused) && refused.Status != statusOtherInstance:
-		n.service.group.doubt(n.g.ctx, u, "refused")
+		n.service.group.closeGroup(n.g.ctx, u, "refused")
 	case errors.As(err, &broken) && n.x.Responded():
-		n.service.group.doubt(n.g.ctx, u, "cut off")
+		n.service.group.closeGroup(n.g.ctx, u, "cut off")
 	}
 }
--- a/internal/node/gateway/groupwatch_test.go
+++ b/internal/node/gateway/groupwatch_test.go
@@ -21,23 +21,23 @@
 	lockstep.RankClient
 	mu   sync.Mutex
 	size int
-	// shut are the ranks whose group is not open.
-	shut map[ids.Upstream]bool
+	// closed are the ranks whose group is not open.
+	closed map[ids.Upstream]bool
 }
 
 func (f *fakeRanks) Report(_ context.Context, u *catalog.Upstream) (lockstep.Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return lockstep.Report{Size: f.size, Open: !f.shut[u.ID], Fresh: true}, nil
+	return lockstep.Report{Size: f.size, Open: !f.closed[u.ID], Fresh: true}, nil
 }
 
 func (f *fakeRanks) open(id ids.Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.shut, id)
+	delete(f.closed, id)
 }
 
-func watched(t *testing.T, ranks *fakeRanks, n int) (*groupWatch, []*catalog.Upstream) {
+func newTestWatch(t *testing.T, ranks *fakeRanks, n int) (*groupWatch, []*catalog.Upstream) {
 	t.Helper()
 	var list []*catalog.Upstream
 	for i := range n {
@@ -52,15 +52,15 @@
 	return w, list
 }
 
-// idle waits until nothing is watched any more; no check measures time.
-func (w *groupWatch) idle() bool {
+// notWatching waits until nothing is watched any more; no check measures time.
+func (w *groupWatch) notWatching() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.watching && len(w.ranksWatched) == 0
 }
 
-// taken offers requests until one is not placed at once, ends them, and returns which upstreams got some.
-func taken(g *dispatch.Gate) map[ids.Upstream]bool {
+// placedUpstreams offers requests until one is not placed at once, ends them, and returns which upstreams got some.
+func placedUpstreams(g *dispatch.Gate) map[ids.Upstream]bool {
 	got := map[ids.Upstream]bool{}
 	var tickets []*dispatch.Ticket
 	defer func() {
@@ -84,30 +84,30 @@
 // A service has three ranks, and a group takes two. The third refuses whatever it gets, looks idle for that, and would get
 // the next request as well: callers are refused beside a group that could serve them. It is kept away from until its own
 // report says that its group is open; the two others go on.
-func TestARankThatIsLeftOverIsKeptAwayFrom(t *testing.T) {
-	ranks := &fakeRanks{size: 2, shut: map[ids.Upstream]bool{"u-2": true}}
-	w, list := watched(t, ranks, 3)
+func TestSpareRankIsClosedAlone(t *testing.T) {
+	ranks := &fakeRanks{size: 2, closed: map[ids.Upstream]bool{"u-2": true}}
+	w, list := newTestWatch(t, ranks, 3)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	w.doubt(ctx, list[2], "refused")
-	for !w.ranksAre(list[2]) {
+	w.closeGroup(ctx, list[2], "refused")
+	for !w.watchesOnly(list[2]) {
 		time.Sleep(time.Millisecond)
 	}
-	got := taken(w.gate)
+	got := placedUpstreams(w.gate)
 	if !got["u-0"] || !got["u-1"] || got["u-2"] {
 		t.Fatalf("placed at %v, want all but u-2", got)
 	}
 	ranks.open("u-2")
-	for !w.idle() {
+	for !w.notWatching() {
 		time.Sleep(time.Millisecond)
 	}
-	if got := taken(w.gate); !got["u-2"] {
+	if got := placedUpstreams(w.gate); !got["u-2"] {
 		t.Fatalf("placed at %v after the group opened, want u-2", got)
 	}
 }
 
-// ranksAre reports whether just that rank is watched, and the group as a whole no longer.
-func (w *groupWatch) ranksAre(u *catalog.Upstream) bool {
+// watchesOnly reports whether just that rank is watched, and the group as a whole no longer.
+func (w *groupWatch) watchesOnly(u *catalog.Upstream) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.watching && len(w.ranksWatched) == 1 && w.ranksWatched[u.Incarnation()]
@@ -115,43 +115,43 @@
 
 // A rank is replaced: the new one is listed beside the old, so that there are more ranks than a group takes, and the only
 // group is broken. Tried one by one each of them would refuse a request; none gets one, and all wait until the group is open.
-func TestABrokenGroupWithARankToSpareIsKeptAwayFromAsAWhole(t *testing.T) {
-	ranks := &fakeRanks{size: 2, shut: map[ids.Upstream]bool{"u-0": true, "u-1": true, "u-2": true}}
-	w, list := watched(t, ranks, 3)
-	w.size = 2
+func TestBrokenGroupWithSpareRankIsClosedEntirely(t *testing.T) {
+	ranks := &fakeRanks{size: 2, closed: map[ids.Upstream]bool{"u-0": true, "u-1": true, "u-2": true}}
+	w, list := newTestWatch(t, ranks, 3)
+	w.groupSize = 2
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	w.doubt(ctx, list[1], "refused")
-	for len(taken(w.gate)) > 0 {
+	w.closeGroup(ctx, list[1], "refused")
+	for len(placedUpstreams(w.gate)) > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	ranks.open("u-0")
 	ranks.open("u-1")
-	for !w.ranksAre(list[2]) {
+	for !w.watchesOnly(list[2]) {
 		time.Sleep(time.Millisecond)
 	}
-	if got := taken(w.gate); !got["u-0"] || !got["u-1"] || got["u-2"] {
+	if got := placedUpstreams(w.gate); !got["u-0"] || !got["u-1"] || got["u-2"] {
 		t.Fatalf("placed at %v, want all but u-2", got)
 	}
 }
 
 // All ranks of the only group stall when one of them is gone. What is sent meanwhile is refused by each of them, so that
 // requests wait for the group as a whole, and are placed when a rank says that it is open again.
-func TestABrokenGroupIsKeptAwayFromAsAWhole(t *testing.T) {
-	ranks := &fakeRanks{size: 2, shut: map[ids.Upstream]bool{"u-0": true, "u-1": true}}
-	w, list := watched(t, ranks, 2)
+func TestBrokenGroupIsClosedEntirely(t *testing.T) {
+	ranks := &fakeRanks{size: 2, closed: map[ids.Upstream]bool{"u-0": true, "u-1": true}}
+	w, list := newTestWatch(t, ranks, 2)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	w.doubt(ctx, list[1], "refused")
-	if got := taken(w.gate); len(got) > 0 {
+	w.closeGroup(ctx, list[1], "refused")
+	if got := placedUpstreams(w.gate); len(got) > 0 {
 		t.Fatalf("placed at %v, want nobody", got)
 	}
 	ranks.open("u-0")
 	ranks.open("u-1")
-	for !w.idle() {
+	for !w.notWatching() {
 		time.Sleep(time.Millisecond)
 	}
-	if got := taken(w.gate); len(got) != 2 {
+	if got := placedUpstreams(w.gate); len(got) != 2 {
 		t.Fatalf("placed at %v, want both", got)
 	}
 }
--- a/internal/node/gateway/handler.go
+++ b/internal/node/gateway/handler.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// unknownRetry is when a caller may come back to a gateway that does not know its configuration: a start takes less.
-	unknownRetry = 500 * time.Millisecond
-	// closingRetry is when a caller may come back, at another address, that met a gateway which is about to end.
-	closingRetry = 50 * time.Millisecond
-	// anyService is the budget's and metrics' name for requests that no route was found for.
-	anyService = ""
+	// notReadyRetryAfter is when a caller may come back to a gateway that does not know its configuration: a start takes less.
+	notReadyRetryAfter = 500 * time.Millisecond
+	// closingRetryAfter is when a caller may come back, at another address, that met a gateway which is about to end.
+	closingRetryAfter = 50 * time.Millisecond
+	// noService is the budget's and metrics' name for requests that no route was found for.
+	noService = ""
 )
 
 // request is a caller's request after all checks that need no upstream.
@@ -43,39 +43,39 @@
 // serve answers one request of a caller, once.
 func (g *Gateway) serve(ctx context.Context, x *httpserver.Exchange) {
 	now := time.Now()
-	stood := g.pauses.Observe(now)
-	g.awaitStart(ctx, x.Req)
+	paused := g.pauses.Observe(now)
+	g.awaitStartup(ctx, x.Req)
 	v := g.view.Load()
 	ctx, span := g.tracer.Start(ctx, "gateway request", string(x.Req.Header.Peek(tracing.HeaderName)))
-	r, err := g.read(v, x.Req, now.Add(-stood))
-	if stood > 0 {
-		g.readLate(r, stood)
+	r, err := g.readRequest(v, x.Req, now.Add(-paused))
+	if paused > 0 {
+		g.logPaused(r, paused)
 	}
 	if err == nil {
 		span.Note(attribute.String("attempt", r.call.Attempt), attribute.String("service", string(r.service.Name)))
-		err = g.run(ctx, v, x, r, span.Header())
+		err = g.runRequest(ctx, v, x, r, span.Header())
 	} else {
 		g.refuse(x, v, r, err)
 	}
 	span.End(err)
 }
 
-// run tries a request that may be tried; trace is its trace context for the next hop.
-func (g *Gateway) run(ctx context.Context, v *view, x *httpserver.Exchange, r *request, trace string) error {
+// runRequest tries a request that may be tried; trace is its trace context for the next hop.
+func (g *Gateway) runRequest(ctx context.Context, v *view, x *httpserver.Exchange, r *request, trace string) error {
 	ctx, cancel := context.WithDeadline(ctx, r.deadline)
 	defer cancel()
 	run := newRun(g, v, x, r)
 	run.trace = trace
-	err := run.attempts(ctx)
-	g.answered(run, err)
+	err := run.runAttempts(ctx)
+	g.logOutcome(run, err)
 	if err != nil && !x.Responded() {
-		g.fail(x, r, err)
+		g.respondFailure(x, r, err)
 	}
 	return err
 }
 
-// read checks a request that arrived at a time. Errors: *failure.Error; the request is never nil.
-func (g *Gateway) read(v *view, in *fasthttp.Request, arrived time.Time) (*request, error) {
+// readRequest checks a request that arrived at a time. Errors: *failure.Error; the request is never nil.
+func (g *Gateway) readRequest(v *view, in *fasthttp.Request, arrived time.Time) (*request, error) {
 	r := &request{arrived: arrived}
 	call, err := g.dialect.ReadCall(&in.Header)
 	r.call = call
@@ -83,21 +83,21 @@
 	case err != nil:
 		return r, failure.New(failure.CodeMalformed, err)
 	case v.config == nil:
-		return r, failure.New(failure.CodeStaleRevision, nil).WithRetryAfter(unknownRetry)
+		return r, failure.New(failure.CodeStaleRevision, nil).WithRetryAfter(notReadyRetryAfter)
 	case v.state == stateClosing:
-		return r, failure.New(failure.CodeStopping, nil).WithRetryAfter(closingRetry)
+		return r, failure.New(failure.CodeStopping, nil).WithRetryAfter(closingRetryAfter)
 	}
 	r.revision = v.config.Version
 	path, _, _ := bytes.Cut(in.Header.RequestURI(), []byte("?"))
 	r.route = v.config.Route(string(in.Header.Host()), string(path))
 	if r.route == nil {
-		return r, g.missing(v, failure.CodeUnknownService)
+		return r, g.notFoundError(v, failure.CodeUnknownService)
 	}
 	r.priority = r.route.Priority
 	if v.config.NeedsKey(r.route) {
 		account := v.config.Account(call.Key)
 		if account == nil {
-			return r, g.missing(v, failure.CodeUnknownKey)
+			return r, g.notFoundError(v, failure.CodeUnknownKey)
 		}
 		r.client = account.Name
 		if account.HasPriority {
@@ -106,7 +106,7 @@
 	}
 	r.service = v.config.Services[pickService(r.route.Services)]
 	if r.service == nil {
-		return r, failure.New(failure.CodeNoUpstream, nil).WithRetryAfter(unknownRetry)
+		return r, failure.New(failure.CodeNoUpstream, nil).WithRetryAfter(notReadyRetryAfter)
 	}
 	r.deadline = arrived.Add(r.route.Timeout)
 	if call.HasRemaining && call.Remaining < r.route.Timeout {
@@ -118,13 +118,13 @@
 	return r, nil
 }
 
-// missing says that a route or key does not exist, or only that it is not known here.
+// notFoundError says that a route or key does not exist, or only that it is not known here.
 //
 // A node that the store turns away, or that others have told of a newer configuration, may not know a new route yet. Callers
 // take a 404 as final, so it asks them to come back instead.
-func (g *Gateway) missing(v *view, code failure.Code) error {
-	if !v.current || g.peers.behind(g.config.Replica, time.Now()) > 0 {
-		return failure.New(failure.CodeStaleRevision, failure.New(code, nil)).WithRetryAfter(unknownRetry)
+func (g *Gateway) notFoundError(v *view, code failure.Code) error {
+	if !v.storeUp || g.peers.replicaLag(g.config.Replica, time.Now()) > 0 {
+		return failure.New(failure.CodeStaleRevision, failure.New(code, nil)).WithRetryAfter(notReadyRetryAfter)
 	}
 	return failure.New(code, nil)
 }
@@ -149,13 +149,13 @@
 
 // refuse answers a request that did not come as far as being tried.
 func (g *Gateway) refuse(x *httpserver.Exchange, v *view, r *request, err error) {
-	g.refused(v, r, err)
-	g.metrics.answered(anyService, err, time.Since(r.arrived).Seconds())
-	g.fail(x, r, err)
+	g.logRefused(v, r, err)
+	g.metrics.requestDone(noService, err, time.Since(r.arrived).Seconds())
+	g.respondFailure(x, r, err)
 }
 
-// fail answers with a typed failure.
-func (g *Gateway) fail(x *httpserver.Exchange, r *request, err error) {
+// respondFailure answers with a typed failure.
+func (g *Gateway) respondFailure(x *httpserver.Exchange, r *request, err error) {
 	f := *failure.From(err)
 	headers := []httpserver.Header{}
 	if r.call.Attempt != "" {
@@ -184,7 +184,7 @@
 		x.Fail(failure.New(failure.CodeNoUpstream, nil))
 		return
 	}
-	body, err := g.dialect.EncodeDirectory(addresses, g.keep())
+	body, err := g.dialect.EncodeDirectory(addresses, g.directoryTTL())
 	if err != nil {
 		x.Fail(failure.New(failure.CodeInternal, err))
 		return
@@ -192,13 +192,13 @@
 	_ = x.Respond(fasthttp.StatusOK, []httpserver.Header{{Name: "Content-Type", Value: "application/json"}}, body)
 }
 
-// keep is for how long callers may keep an answer of the directory.
-func (g *Gateway) keep() time.Duration {
-	return min(g.Settings().Bounds.MaxKeep.Std(), directoryKeep)
+// directoryTTL is for how long callers may keep an answer of the directory.
+func (g *Gateway) directoryTTL() time.Duration {
+	return min(g.Settings().Bounds.MaxKeep.Std(), maxDirectoryTTL)
 }
 
-// directoryKeep is short, so that callers soon stop using a host that died; asking costs them a millisecond or two.
-const directoryKeep = time.Second
+// maxDirectoryTTL is short, so that callers soon stop using a host that died; asking costs them a millisecond or two.
+const maxDirectoryTTL = time.Second
 
 // serveReadiness answers whether this gateway takes requests.
 func (g *Gateway) serveReadiness(_ context.Context, x *httpserver.Exchange) {
--- a/internal/node/gateway/joining.go
+++ b/internal/node/gateway/joining.go
@@ -10,7 +10,7 @@
 // joining reports whether this gateway has just started and does not know the others yet.
 //
 // When all gateways start together, each that takes itself for one of a few would lead, draw numbers and follow the store.
-func (p *peers) joining(now time.Time) bool { return now.Sub(p.began) < joinTime }
+func (p *peers) joining(now time.Time) bool { return now.Sub(p.startedAt) < joinPeriod }
 
 // isolated reports whether this gateway hears none of several others. It cannot tell then whether one of them has ended, and
 // takes no duty for it.
@@ -21,60 +21,60 @@
 }
 
 func (p *peers) isolatedLocked(now time.Time) bool {
-	for _, k := range p.known {
-		if now.Sub(k.heardAt) <= leaderSilent {
+	for _, k := range p.byName {
+		if now.Sub(k.lastSeen) <= leaderTimeout {
 			return false
 		}
 	}
-	return len(p.known) > 1
+	return len(p.byName) > 1
 }
 
 // announce tells all others of a change here that they should know at once. While all start, each of them sees it itself.
 func (p *peers) announce(now time.Time) {
 	if !p.joining(now) {
-		p.tellAll(now)
+		p.sendToAll(now)
 	}
 }
 
 // join asks the gateways of the settings for names while this one is new.
 func (p *peers) join(now time.Time) {
-	if !p.joining(now) || now.Sub(p.askedAt) < joinInterval {
+	if !p.joining(now) || now.Sub(p.joinSentAt) < joinInterval {
 		return
 	}
-	p.askedAt = now
-	var asks []probe
+	p.joinSentAt = now
+	var probes []probe
 	for _, a := range p.g.Settings().Peers {
 		if a != p.g.Settings().Listen.Peers {
-			asks = append(asks, probe{liveness.Address(a), &cardamomyokev1.Probe{Join: true}, nil})
+			probes = append(probes, probe{liveness.Address(a), &cardamomyokev1.Probe{Join: true}, nil})
 		}
 	}
-	p.sendProbes(asks)
+	p.sendProbes(probes)
 }
 
-// sendNames tells a gateway that has just started of all others.
-func (p *peers) sendNames(now time.Time, to string) {
+// sendPeerList tells a gateway that has just started of all others.
+func (p *peers) sendPeerList(now time.Time, to string) {
 	d := p.compose()
 	d.Peers = p.others(now)
 	p.sendTo([]string{to}, d)
 }
 
-// meet takes in addresses of other gateways; those that are new are told of this one at the next tick. The lock is held.
-func (p *peers) meet(now time.Time, addresses ...string) {
+// addHints takes in addresses of other gateways; those that are new are told of this one at the next tick. The lock is held.
+func (p *peers) addHints(now time.Time, addresses ...string) {
 	for _, a := range addresses {
 		if _, known := p.hints[a]; !known && a != p.g.Settings().Listen.Peers {
-			p.strangers = append(p.strangers, a)
+			p.newAddresses = append(p.newAddresses, a)
 		}
 		p.hints[a] = now
 	}
 }
 
-// greet tells those that have never been told of this gateway.
-func (p *peers) greet() {
+// contactNewPeers tells those that have never been told of this gateway.
+func (p *peers) contactNewPeers() {
 	p.mu.Lock()
-	strangers := p.strangers
-	p.strangers = nil
+	addresses := p.newAddresses
+	p.newAddresses = nil
 	p.mu.Unlock()
-	if len(strangers) > 0 {
-		p.sendTo(strangers, p.compose())
+	if len(addresses) > 0 {
+		p.sendTo(addresses, p.compose())
 	}
 }
--- a/internal/node/gateway/log.go
+++ b/internal/node/gateway/log.go
@@ -27,14 +27,14 @@
 	}
 }
 
-// refused logs that a request was not tried.
-func (g *Gateway) refused(v *view, r *request, err error) {
+// logRefused logs that a request was not tried.
+func (g *Gateway) logRefused(v *view, r *request, err error) {
 	f := failure.From(err)
 	now := time.Now()
 	fields := []any{
 		"msg", "request", "outcome", "refused", "request", r.call.Attempt, "code", f.Code, "proof", f.Proof,
 		"retry_after_ms", f.RetryAfter.Milliseconds(), "revision", r.revision, "client", r.client,
-		"node", v.state, "store_up", v.current, "store_since_ms", ageOf(v.linkSince, now), "err", err,
+		"node", v.state, "store_up", v.storeUp, "store_since_ms", ageOf(v.storeSince, now), "err", err,
 	}
 	if r.route != nil {
 		fields = append(fields, "route", r.route.Name)
@@ -42,36 +42,36 @@
 	_ = g.requests.failures.Log(fields...)
 }
 
-// readLate logs that a request may have waited unread while this process stood still, and counts as that old.
-func (g *Gateway) readLate(r *request, stood time.Duration) {
-	_ = g.requests.failures.Log("msg", "read after a standstill", "request", r.call.Attempt, "stood_ms", stood.Milliseconds(),
+// logPaused logs that a request may have waited unread while this process stood still, and counts as that old.
+func (g *Gateway) logPaused(r *request, paused time.Duration) {
+	_ = g.requests.failures.Log("msg", "read after a standstill", "request", r.call.Attempt, "stood_ms", paused.Milliseconds(),
 		"told_left_ms", r.call.Remaining.Milliseconds())
 }
 
-// placed logs where an attempt goes, and what that was decided by.
-func (g *Gateway) placed(n *run, d dispatch.Decision) {
+// logPlaced logs where an attempt goes, and what that was decided by.
+func (g *Gateway) logPlaced(n *run, d dispatch.Decision) {
 	_ = g.requests.ordinary.Log("msg", "placed", "request", n.r.call.Attempt, "route", n.r.route.Name, "revision", n.r.revision,
 		"upstream", n.upstream, "attempt", n.sent+n.unreached+1, "load", d.Load, "usable", d.Usable, "waiting", d.Waiting,
 		"digests_age_ms", d.OthersAge.Milliseconds(), "waited_ms", n.placedAt.Sub(n.r.arrived).Milliseconds())
 }
 
-// repeated logs that another attempt follows.
-func (g *Gateway) repeated(n *run, err error) {
-	g.metrics.repeated(n.r.service.Name)
+// logRetry logs that another attempt follows.
+func (g *Gateway) logRetry(n *run, err error) {
+	g.metrics.requestRetried(n.r.service.Name)
 	_ = g.requests.failures.Log("msg", "another attempt", "request", n.r.call.Attempt, "route", n.r.route.Name,
 		"upstream", n.upstream, "sent", n.sent, "unreached", n.unreached, "may_have_run", n.mayHaveRun,
 		"after_event", n.stream.lastEvent, "budget_left", n.service.budget.Left(time.Now()),
 		"left_ms", time.Until(n.r.deadline).Milliseconds(), "err", err)
 }
 
-// answered logs how a request ended.
-func (g *Gateway) answered(n *run, err error) {
-	g.metrics.answered(n.r.service.Name, err, time.Since(n.r.arrived).Seconds())
+// logOutcome logs how a request ended.
+func (g *Gateway) logOutcome(n *run, err error) {
+	g.metrics.requestDone(n.r.service.Name, err, time.Since(n.r.arrived).Seconds())
 	now := time.Now()
 	fields := []any{
 		"msg", "request", "outcome", outcomeText(n, err), "request", n.r.call.Attempt, "route", n.r.route.Name,
 		"revision", n.r.revision, "client", n.r.client, "upstream", n.upstream, "sent", n.sent, "events", n.stream.events,
-		"placed_ms", sinceArrival(n, n.placedAt), "first_ms", sinceArrival(n, n.firstAt), "longest_gap_ms", n.stream.longestGap.Milliseconds(),
+		"placed_ms", sinceArrival(n, n.placedAt), "first_ms", sinceArrival(n, n.firstPieceAt), "longest_gap_ms", n.stream.longestGap.Milliseconds(),
 		"total_ms", sinceArrival(n, now), "left_ms", n.r.deadline.Sub(now).Milliseconds(),
 	}
 	if err == nil {
@@ -97,7 +97,7 @@
 	switch {
 	case err != nil:
 		return outcomeFailed
-	case n.gaveHeld:
+	case n.relayedFailure:
 		return outcomeUpstreamFailure
 	case n.late():
 		return outcomeLate
@@ -108,7 +108,7 @@
 // late reports whether the route's target was missed.
 func (n *run) late() bool {
 	route := n.r.route
-	if route.TargetLatency > 0 && n.firstAt.Sub(n.r.arrived) > route.TargetLatency {
+	if route.TargetLatency > 0 && n.firstPieceAt.Sub(n.r.arrived) > route.TargetLatency {
 		return true
 	}
 	return route.TargetGap > 0 && n.stream.longestGap > route.TargetGap
@@ -130,26 +130,26 @@
 	return now.Sub(t).Milliseconds()
 }
 
-// noteFirst notes when the first piece of the answer came.
-func (n *run) noteFirst() {
-	if !n.firstAt.IsZero() {
+// recordFirstPiece notes when the first piece of the answer came.
+func (n *run) recordFirstPiece() {
+	if !n.firstPieceAt.IsZero() {
 		return
 	}
-	n.firstAt = time.Now()
-	n.g.metrics.first(n.r.service.Name, n.firstAt.Sub(n.r.arrived).Seconds())
+	n.firstPieceAt = time.Now()
+	n.g.metrics.firstPiece(n.r.service.Name, n.firstPieceAt.Sub(n.r.arrived).Seconds())
 }
 
 // logEjections logs what a service's gate keeps requests away from.
 func (g *Gateway) logEjections(name ids.Service, s *service) {
 	for _, e := range s.gate.TakeEjections() {
-		g.metrics.ejected(name, e.Cause)
+		g.metrics.upstreamEjected(name, e.Cause)
 		_ = g.requests.failures.Log("msg", "upstream ejected", "service", name, "upstream", e.Upstream, "cause", e.Cause,
 			"in_row", e.Consecutive, "for_ms", e.For.Milliseconds())
 	}
 }
 
-// logStoreLink logs that the way to the store was lost or found again, but not that calls end with this gateway.
-func (g *Gateway) logStoreLink(table string, up bool, cause error) {
+// logStoreConnection logs that the way to the store was lost or found again, but not that calls end with this gateway.
+func (g *Gateway) logStoreConnection(table string, up bool, cause error) {
 	msg := "store lost"
 	if up {
 		msg = "store found"
--- a/internal/node/gateway/mechanism.go
+++ b/internal/node/gateway/mechanism.go
@@ -11,32 +11,32 @@
 
 // Mechanisms of gateways beside those of dispatch; see settings.Off.
 const (
-	// offClosedGroups: requests are held back while a group does not work.
-	offClosedGroups dispatch.Mechanism = "closed-groups"
-	// offMoves: streams are moved away from very slow ranks.
-	offMoves dispatch.Mechanism = "moves"
-	// offStandby: numbers are drawn ahead, to lead without the lease.
-	offStandby dispatch.Mechanism = "standby"
-	// offSuspects: requests that crash upstreams are refused.
-	offSuspects dispatch.Mechanism = "suspects"
-	// offStartWait: requests wait for a gateway that starts.
-	offStartWait dispatch.Mechanism = "start-wait"
-	// offMaps: experts are placed by demand.
-	offMaps dispatch.Mechanism = "maps"
+	// mechanismClosedGroups: requests are held back while a group does not work.
+	mechanismClosedGroups dispatch.Mechanism = "closed-groups"
+	// mechanismMoves: streams are moved away from very slow ranks.
+	mechanismMoves dispatch.Mechanism = "moves"
+	// mechanismStandby: numbers are drawn ahead, to lead without the lease.
+	mechanismStandby dispatch.Mechanism = "standby"
+	// mechanismSuspects: requests that crash upstreams are refused.
+	mechanismSuspects dispatch.Mechanism = "suspects"
+	// mechanismStartWait: requests wait for a gateway that starts.
+	mechanismStartWait dispatch.Mechanism = "start-wait"
+	// mechanismMaps: experts are placed by demand.
+	mechanismMaps dispatch.Mechanism = "maps"
 )
 
 // mechanisms are all that may be switched off.
 func mechanisms() []dispatch.Mechanism {
-	own := []dispatch.Mechanism{offClosedGroups, offMoves, offStandby, offSuspects, offStartWait, offMaps}
+	own := []dispatch.Mechanism{mechanismClosedGroups, mechanismMoves, mechanismStandby, mechanismSuspects, mechanismStartWait, mechanismMaps}
 	return append(dispatch.Mechanisms(), own...)
 }
 
-func checkOff(off []dispatch.Mechanism) error {
-	known := mechanisms()
+func checkDisabled(off []dispatch.Mechanism) error {
+	all := mechanisms()
 	for i, m := range off {
-		if !slices.Contains(known, m) {
-			names := make([]string, len(known))
-			for i, k := range known {
+		if !slices.Contains(all, m) {
+			names := make([]string, len(all))
+			for i, k := range all {
 				names[i] = string(k)
 			}
 			return &settings.KeyError{Path: fmt.Sprintf("$.off[%d]", i), Want: "one of " + strings.Join(names, ", "), Got: string(m)}
@@ -45,11 +45,11 @@
 	return nil
 }
 
-// off reports whether a mechanism is switched off now.
-func (g *Gateway) off(m dispatch.Mechanism) bool { return slices.Contains(g.Settings().Off, m) }
+// disabled reports whether a mechanism is switched off now.
+func (g *Gateway) disabled(m dispatch.Mechanism) bool { return slices.Contains(g.Settings().Off, m) }
 
-// dispatchOff are the mechanisms for pools.
-func (g *Gateway) dispatchOff() dispatch.Off {
+// disabledInDispatch are the mechanisms for pools.
+func (g *Gateway) disabledInDispatch() dispatch.Off {
 	off := dispatch.Off{}
 	for _, m := range g.Settings().Off {
 		off[m] = true
--- a/internal/node/gateway/metrics.go
+++ b/internal/node/gateway/metrics.go
@@ -16,8 +16,8 @@
 
 func newMetrics() *gatewayMetrics { return &gatewayMetrics{metrics.NewSet()} }
 
-// watch adds the gauges that are read when somebody asks for the metrics.
-func (m *gatewayMetrics) watch(g *Gateway) {
+// addGauges adds the gauges that are read when somebody asks for the metrics.
+func (m *gatewayMetrics) addGauges(g *Gateway) {
 	gauge := func(name string, read func() float64) { m.set.NewGauge("cardamomyoke_gateway_"+name, read) }
 	gauge("requests_running", func() float64 { return float64(g.Busy()) })
 	gauge("configuration_version", func() float64 {
@@ -27,38 +27,38 @@
 		return 0
 	})
 	gauge("peers", func() float64 { return float64(g.peers.count(time.Now())) })
-	gauge("leads_experts", func() float64 { return boolean(g.experts.number.Load() > 0) })
-	gauge("requests_quarantined", func() float64 { return float64(g.suspects.refused(time.Now())) })
+	gauge("leads_experts", func() float64 { return boolValue(g.experts.fence.Load() > 0) })
+	gauge("requests_quarantined", func() float64 { return float64(g.suspects.countRefused(time.Now())) })
 	for _, f := range g.followers {
-		gauge(fmt.Sprintf("store_up{table=%q}", f.Replica.Name()), func() float64 { return boolean(f.Connection().Up) })
+		gauge(fmt.Sprintf("store_up{table=%q}", f.Replica.Name()), func() float64 { return boolValue(f.Connection().Up) })
 		gauge(fmt.Sprintf("store_since_seconds{table=%q}", f.Replica.Name()), func() float64 { return time.Since(f.Connection().Since).Seconds() })
 	}
 	gauge(`log_lines_left_out_total{class="ordinary"}`, func() float64 { return float64(g.requests.ordinary.Suppressed()) })
 	gauge(`log_lines_left_out_total{class="failures"}`, func() float64 { return float64(g.requests.failures.Suppressed()) })
 }
 
-// watchService adds the gauges of one service; they show 0 once the service is gone.
-func (m *gatewayMetrics) watchService(g *Gateway, name ids.Service) {
-	read := func(what string, value func(s *service) float64) {
-		m.set.GetOrCreateGauge(fmt.Sprintf("cardamomyoke_gateway_%s{service=%q}", what, name), func() float64 {
+// addServiceGauges adds the gauges of one service; they show 0 once the service is gone.
+func (m *gatewayMetrics) addServiceGauges(g *Gateway, name ids.Service) {
+	gauge := func(metric string, value func(s *service) float64) {
+		m.set.GetOrCreateGauge(fmt.Sprintf("cardamomyoke_gateway_%s{service=%q}", metric, name), func() float64 {
 			if s := g.view.Load().services[name]; s != nil {
 				return value(s)
 			}
 			return 0
 		})
 	}
-	read("requests_waiting", func(s *service) float64 { return float64(s.gate.Waiting()) })
-	read("retries_left", func(s *service) float64 { return float64(s.budget.Left(time.Now())) })
+	gauge("requests_waiting", func(s *service) float64 { return float64(s.gate.Waiting()) })
+	gauge("retries_left", func(s *service) float64 { return float64(s.budget.Left(time.Now())) })
 }
 
-func boolean(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func (m *gatewayMetrics) answered(service ids.Service, err error, seconds float64) {
+func (m *gatewayMetrics) requestDone(service ids.Service, err error, seconds float64) {
 	code := "ok"
 	if err != nil {
 		code = string(failure.CodeOf(err))
@@ -71,23 +71,23 @@
 	m.set.GetOrCreateCounter("cardamomyoke_gateway_digests_failed_total").Inc()
 }
 
-func (m *gatewayMetrics) peerEnded(told bool) {
-	m.set.GetOrCreateCounter(fmt.Sprintf("cardamomyoke_gateway_peers_ended_total{told_by_others=\"%t\"}", told)).Inc()
+func (m *gatewayMetrics) peerDead(byRumor bool) {
+	m.set.GetOrCreateCounter(fmt.Sprintf("cardamomyoke_gateway_peers_ended_total{told_by_others=\"%t\"}", byRumor)).Inc()
 }
 
-func (m *gatewayMetrics) repeated(service ids.Service) {
+func (m *gatewayMetrics) requestRetried(service ids.Service) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("cardamomyoke_gateway_retries_total{service=%q}", service)).Inc()
 }
 
-func (m *gatewayMetrics) ejected(service ids.Service, cause dispatch.Outcome) {
+func (m *gatewayMetrics) upstreamEjected(service ids.Service, cause dispatch.Outcome) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("cardamomyoke_gateway_ejections_total{service=%q,cause=%q}", service, cause)).Inc()
 }
 
-func (m *gatewayMetrics) first(service ids.Service, seconds float64) {
+func (m *gatewayMetrics) firstPiece(service ids.Service, seconds float64) {
 	m.set.GetOrCreateHistogram(fmt.Sprintf("cardamomyoke_gateway_first_piece_seconds{service=%q}", service)).Update(seconds)
 }
 
-func (m *gatewayMetrics) switched(service ids.Service, before, after float64, copies int) {
+func (m *gatewayMetrics) mapSwitched(service ids.Service, before, after float64, copies int) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("cardamomyoke_gateway_map_switches_total{service=%q}", service)).Inc()
 	m.set.GetOrCreateCounter(fmt.Sprintf("cardamomyoke_gateway_expert_copies_total{service=%q}", service)).Add(copies)
 	m.set.GetOrCreateHistogram(fmt.Sprintf("cardamomyoke_gateway_skew_before{service=%q}", service)).Update(before)
--- a/internal/node/gateway/move.go
+++ b/internal/node/gateway/move.go
@@ -11,9 +11,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/dispatch"
 )
 
-// movePace is from when on streams are moved away from a slow rank. Below it what they have left there takes about as long
+// moveSlowdown is from when on streams are moved away from a slow rank. Below it what they have left there takes about as long
 // as waiting for a slot elsewhere and having their prompts read again.
-const movePace = 3
+const moveSlowdown = 3
 
 // MovedError says that a stream was taken away from an upstream that is several times slower than usual.
 type MovedError struct{ Upstream ids.Upstream }
@@ -54,13 +54,13 @@
 	}
 }
 
-// away takes the streams from ranks that are slow, as long as the retry budget of their service has room: one that could
+// moveStreams takes the streams from ranks that are slow, as long as the retry budget of their service has room: one that could
 // not be sent again must stay.
-func (m *moves) away(paces map[ids.UpstreamIncarnation]float64, now time.Time) {
+func (m *moves) moveStreams(slowdowns map[ids.UpstreamIncarnation]float64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for u, pace := range paces {
-		if pace < movePace {
+	for u, slowdown := range slowdowns {
+		if slowdown < moveSlowdown {
 			continue
 		}
 		for n, cancel := range m.running[u] {
@@ -79,8 +79,8 @@
 	return n.service.group != nil && n.r.route.Resumable && n.sent+1 < n.r.route.Attempts
 }
 
-// movable is attempt, during which the stream may be taken away. Errors: *MovedError beside those of attempt.
-func (n *run) movable(ctx context.Context, t *dispatch.Ticket) error {
+// movableAttempt is attempt, during which the stream may be taken away. Errors: *MovedError beside those of attempt.
+func (n *run) movableAttempt(ctx context.Context, t *dispatch.Ticket) error {
 	if !n.mayMove() {
 		return n.attempt(ctx, t)
 	}
--- a/internal/node/gateway/move_test.go
+++ b/internal/node/gateway/move_test.go
@@ -16,7 +16,7 @@
 	return &run{service: s, r: &request{route: &catalog.Route{Resumable: resumable, Attempts: 2}}}
 }
 
-func budgetOf(extra float64) *retry.Window {
+func retryBudget(extra float64) *retry.Window {
 	w := retry.NewWindow()
 	w.SetBound(retry.Bound{Length: 10 * time.Second, Extra: extra})
 	return w
@@ -25,8 +25,8 @@
 // One rank of a group works at a twelfth of its pace, another at half; all callers wait for the first in each pass. Its
 // streams are taken away, as many as the retry budget has room for, and nobody else's: one that could not be sent again
 // would be cut off.
-func TestStreamsAreMovedFromAVerySlowRank(t *testing.T) {
-	s := &service{group: &groupWatch{}, budget: budgetOf(2)}
+func TestStreamsAreMovedFromVerySlowRank(t *testing.T) {
+	s := &service{group: &groupWatch{}, budget: retryBudget(2)}
 	m := newMoves()
 	at := map[ids.Upstream][]context.Context{}
 	for _, u := range []ids.Upstream{"very-slow", "slow", "usual"} {
@@ -37,7 +37,7 @@
 			at[u] = append(at[u], ctx)
 		}
 	}
-	m.away(map[ids.UpstreamIncarnation]float64{{Upstream: "very-slow"}: 12, {Upstream: "slow"}: 2}, time.Now())
+	m.moveStreams(map[ids.UpstreamIncarnation]float64{{Upstream: "very-slow"}: 12, {Upstream: "slow"}: 2}, time.Now())
 	moved := map[ids.Upstream]int{}
 	for u, list := range at {
 		for _, ctx := range list {
@@ -53,11 +53,11 @@
 }
 
 // Only what can go on is moved: a stream that may not be resumed, or has no attempt left, ends where it is.
-func TestWhatCannotGoOnIsNotMoved(t *testing.T) {
-	s := &service{group: &groupWatch{}, budget: budgetOf(9)}
+func TestOnlyResumableStreamsMayMove(t *testing.T) {
+	s := &service{group: &groupWatch{}, budget: retryBudget(9)}
 	last := movableRun(s, true)
 	last.sent = 1
-	plain := movableRun(&service{budget: budgetOf(9)}, true)
+	plain := movableRun(&service{budget: retryBudget(9)}, true)
 	for _, c := range []struct {
 		name string
 		run  *run
@@ -75,13 +75,13 @@
 }
 
 // A stream that was moved has had its part of the retry budget taken already, and goes on though nothing is left of it.
-func TestAMovedStreamGoesOn(t *testing.T) {
-	n := movableRun(&service{group: &groupWatch{}, budget: budgetOf(0)}, true)
+func TestMovedStreamIsRetriedWithoutBudget(t *testing.T) {
+	n := movableRun(&service{group: &groupWatch{}, budget: retryBudget(0)}, true)
 	n.r.route.Kind = catalog.KindStream
 	n.g = &Gateway{suspects: newSuspects(nil)}
 	n.x = runOf("").x
-	n.note(&MovedError{"u"})
-	if reason := n.final(t.Context(), &MovedError{"u"}); reason != "" {
+	n.recordFailure(&MovedError{"u"})
+	if reason := n.stopReason(t.Context(), &MovedError{"u"}); reason != "" {
 		t.Fatalf("given up: %s", reason)
 	}
 }
--- a/internal/node/gateway/peers.go
+++ b/internal/node/gateway/peers.go
@@ -23,33 +23,33 @@
 	// digestInterval is how often a gateway tells the others of itself when nothing changes, workInterval when its work does.
 	digestInterval = 200 * time.Millisecond
 	workInterval   = 100 * time.Millisecond
-	// namesInterval is how often a digest names other gateways, newNamesInterval the same while some are new.
-	namesInterval    = time.Second
-	newNamesInterval = 200 * time.Millisecond
-	// newFor is for how long a gateway counts as new: until others have named it a few times.
-	newFor = 1500 * time.Millisecond
-	// joinTime is for how long a gateway that has started only gets to know the others: names pass to the gateways of its
+	// peerListInterval is how often a digest names other gateways, newNamesInterval the same while some are new.
+	peerListInterval    = time.Second
+	newPeerListInterval = 200 * time.Millisecond
+	// newPeerPeriod is for how long a gateway counts as new: until others have named it a few times.
+	newPeerPeriod = 1500 * time.Millisecond
+	// joinPeriod is for how long a gateway that has started only gets to know the others: names pass to the gateways of its
 	// settings and back. It takes no duty before that.
-	joinTime = 450 * time.Millisecond
+	joinPeriod = 450 * time.Millisecond
 	// joinInterval is the time between its questions for names.
 	joinInterval = 150 * time.Millisecond
-	// unknownFor is how long after its start a gateway takes a leader that it has not heard for one that it does not know
+	// unknownLeaderTimeout is how long after its start a gateway takes a leader that it has not heard for one that it does not know
 	// yet: names of gateways that start together reach all within a second.
-	unknownFor = 1200 * time.Millisecond
-	// peerSilent is after how long a gateway that is not heard is no longer given out, also if nobody could tell whether it
+	unknownLeaderTimeout = 1200 * time.Millisecond
+	// peerTimeout is after how long a gateway that is not heard is no longer given out, also if nobody could tell whether it
 	// has ended: three digests and a margin.
-	peerSilent = 800 * time.Millisecond
-	// leaderSilent is after how long a duty is taken over from a gateway that is not heard, of few: two digests and the way.
-	leaderSilent = 450 * time.Millisecond
-	// peerForgotten is after how long a gateway that is not heard is no longer told anything.
-	peerForgotten = 30 * time.Second
-	// maxTold is how many gateways one digest goes to; with more of them they are told in turn. A leader tells all, so that
+	peerTimeout = 800 * time.Millisecond
+	// leaderTimeout is after how long a duty is taken over from a gateway that is not heard, of few: two digests and the way.
+	leaderTimeout = 450 * time.Millisecond
+	// forgetPeerAfter is after how long a gateway that is not heard is no longer told anything.
+	forgetPeerAfter = 30 * time.Second
+	// maxDigestTargets is how many gateways one digest goes to; with more of them they are told in turn. A leader tells all, so that
 	// no other takes its place.
-	maxTold = 20
-	// maxNamed is how many other gateways a digest names.
-	maxNamed = 12
-	// sendFailuresLogged is how many datagrams that could not be sent are logged a second.
-	sendFailuresLogged = 2
+	maxDigestTargets = 20
+	// maxListedPeers is how many other gateways a digest names.
+	maxListedPeers = 12
+	// maxSendFailureLogs is how many datagrams that could not be sent are logged a second.
+	maxSendFailureLogs = 2
 	// pullTimeout bounds one pull of a table from another gateway.
 	pullTimeout = time.Second
 )
@@ -57,13 +57,13 @@
 // peer is another gateway. It is not changed once it is known: each datagram makes a new one.
 type peer struct {
 	digest *cardamomyokev1.Digest
-	// parts has a bit for each part of the digest that came.
-	parts uint64
-	// newest is the highest sequence that was heard; probes have numbers, too.
-	newest  uint64
-	heardAt time.Time
-	// firstAt is when this life was heard first.
-	firstAt time.Time
+	// receivedParts has a bit for each part of the digest that came.
+	receivedParts uint64
+	// maxSequence is the highest sequence that was heard; probes have numbers, too.
+	maxSequence uint64
+	lastSeen    time.Time
+	// firstSeen is when this life was heard first.
+	firstSeen time.Time
 }
 
 // peers knows the other gateways: it tells them of this one and hears of them.
@@ -76,7 +76,7 @@
 	metricsPort *controlport.Port
 	http        *http.Client
 	ctx         context.Context
-	began       time.Time
+	startedAt   time.Time
 
 	// sequence numbers the datagrams.
 	sequence atomic.Uint64
@@ -85,43 +85,43 @@
 
 	mu       sync.Mutex
 	detector *liveness.Detector
-	known    map[string]*peer     // by name
+	byName   map[string]*peer     // by name
 	hints    map[string]time.Time // addresses that were named, with the time of it
 	pulling  map[string]bool      // tables that are being pulled
 	lags     map[string]lag       // tables whose copy lacks a change
 
-	// strangers are addresses that were never told anything.
-	strangers []string
+	// newAddresses are addresses that were never told anything.
+	newAddresses []string
 	// relaysAt is when enough gateways that follow a table were heard last, by table.
 	relaysAt map[string]time.Time
 
 	// The rest belongs to the control loop. turn is where the next digest goes on in the list of targets.
-	turn    int
-	toldAt  time.Time
-	namedAt time.Time
-	askedAt time.Time // for names
+	nextTarget     int
+	sentAt         time.Time
+	peerListSentAt time.Time
+	joinSentAt     time.Time // for names
 }
 
 func startPeers(ctx context.Context, g *Gateway) (*peers, error) {
 	p := &peers{
-		g:       g,
-		ctx:     ctx,
-		began:   time.Now(),
-		http:    &http.Client{Timeout: pullTimeout},
-		known:   map[string]*peer{},
-		hints:   map[string]time.Time{},
-		pulling: map[string]bool{},
-		lags:    map[string]lag{},
+		g:         g,
+		ctx:       ctx,
+		startedAt: time.Now(),
+		http:      &http.Client{Timeout: pullTimeout},
+		byName:    map[string]*peer{},
+		hints:     map[string]time.Time{},
+		pulling:   map[string]bool{},
+		lags:      map[string]lag{},
 
 		relaysAt: map[string]time.Time{},
 		detector: newDetector(),
-		failures: logging.NewRateLimited(level.Warn(g.logger), sendFailuresLogged, time.Now),
+		failures: logging.NewRateLimited(level.Warn(g.logger), maxSendFailureLogs, time.Now),
 	}
 	var err error
 	if p.sender, err = digest.NewSender(); err != nil {
 		return nil, err
 	}
-	if p.receiver, err = digest.Receive(g.Settings().Listen.Peers, p.hear); err != nil {
+	if p.receiver, err = digest.Receive(g.Settings().Listen.Peers, p.receive); err != nil {
 		return nil, err
 	}
 	mux := http.NewServeMux()
@@ -144,21 +144,21 @@
 	}
 }
 
-// hear takes in a datagram; one that is older than the last of its sender changes nothing.
-func (p *peers) hear(d *cardamomyokev1.Digest) {
+// receive takes in a datagram; one that is older than the last of its sender changes nothing.
+func (p *peers) receive(d *cardamomyokev1.Digest) {
 	if d.GetNode() == p.g.Settings().Name || d.GetRole() != cardamomyokev1.NodeRole_NODE_ROLE_GATEWAY {
 		return
 	}
 	now := time.Now()
 	p.mu.Lock()
-	old := p.known[d.GetNode()]
-	next := old.with(d, now)
+	old := p.byName[d.GetNode()]
+	next := old.merge(d, now)
 	if next == nil {
 		p.mu.Unlock()
 		return
 	}
-	p.known[d.GetNode()] = next
-	p.meet(now, append(d.GetPeers(), d.GetDigestAddress())...)
+	p.byName[d.GetNode()] = next
+	p.addHints(now, append(d.GetPeers(), d.GetDigestAddress())...)
 	if old != nil && old.digest.GetDigestAddress() != d.GetDigestAddress() {
 		p.detector.Forget(liveness.Address(old.digest.GetDigestAddress()))
 	}
@@ -168,10 +168,10 @@
 	if old == nil || old.digest.GetState() != next.digest.GetState() {
 		_ = level.Info(p.g.logger).Log("msg", "peer", "peer", d.GetNode(), "state", d.GetState(), "incarnation", d.GetIncarnation())
 	}
-	p.note(changes)
+	p.logPeerChanges(changes)
 	p.sendProbes(replies)
 	if d.GetProbe().GetJoin() {
-		p.g.loop.Post(func(now time.Time) { p.sendNames(now, d.GetDigestAddress()) })
+		p.g.loop.Post(func(now time.Time) { p.sendPeerList(now, d.GetDigestAddress()) })
 	}
 	if d.GetProbe() == nil {
 		p.g.suspects.tracker.Merge(now, quarantine.FromDigest(d)...)
@@ -179,8 +179,8 @@
 	}
 }
 
-// with returns the peer as it is known after one more datagram, nil if that is not news. k is nil if nothing was known.
-func (k *peer) with(d *cardamomyokev1.Digest, now time.Time) *peer {
+// merge returns the peer as it is known after one more datagram, nil if that is not news. k is nil if nothing was known.
+func (k *peer) merge(d *cardamomyokev1.Digest, now time.Time) *peer {
 	first := &peer{d, partBit(d), d.GetSequence(), now, now}
 	switch {
 	case k == nil:
@@ -194,18 +194,18 @@
 	next := *k
 	switch {
 	case d.GetProbe() != nil:
-		if d.GetSequence() <= k.newest {
+		if d.GetSequence() <= k.maxSequence {
 			return nil
 		}
 	case k.replacedBy(d, now):
-		next.digest, next.parts = d, partBit(d)
-	case d.GetSequence() == k.digest.GetSequence() && k.parts&partBit(d) == 0:
-		next.digest, next.parts = digest.Join(k.digest, d), k.parts|partBit(d)
+		next.digest, next.receivedParts = d, partBit(d)
+	case d.GetSequence() == k.digest.GetSequence() && k.receivedParts&partBit(d) == 0:
+		next.digest, next.receivedParts = digest.Join(k.digest, d), k.receivedParts|partBit(d)
 	default:
 		return nil
 	}
-	next.newest = max(k.newest, d.GetSequence())
-	next.heardAt = now
+	next.maxSequence = max(k.maxSequence, d.GetSequence())
+	next.lastSeen = now
 	return &next
 }
 
@@ -217,21 +217,21 @@
 // silent is replaced by any other; digests of an ended life do not arrive that late.
 func (k *peer) replacedBy(d *cardamomyokev1.Digest, now time.Time) bool {
 	if d.GetIncarnation() != k.digest.GetIncarnation() {
-		return d.GetIncarnation() > k.digest.GetIncarnation() || now.Sub(k.heardAt) > peerSilent
+		return d.GetIncarnation() > k.digest.GetIncarnation() || now.Sub(k.lastSeen) > peerTimeout
 	}
 	return d.GetSequence() > k.digest.GetSequence()
 }
 
-// silence scales a time after which a gateway that is not heard counts as gone to how often it is heard.
-func (p *peers) silence(d time.Duration) time.Duration {
+// scaleTimeout scales a time after which a gateway that is not heard counts as gone to how often it is heard.
+func (p *peers) scaleTimeout(d time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.silenceLocked(d)
+	return p.scaleTimeoutLocked(d)
 }
 
-func (p *peers) silenceLocked(d time.Duration) time.Duration {
-	if n := len(p.known); n > maxTold {
-		return d * time.Duration(n) / maxTold
+func (p *peers) scaleTimeoutLocked(d time.Duration) time.Duration {
+	if n := len(p.byName); n > maxDigestTargets {
+		return d * time.Duration(n) / maxDigestTargets
 	}
 	return d
 }
@@ -241,9 +241,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []*peer
-	limit := p.silenceLocked(peerSilent)
-	for _, k := range p.known {
-		if now.Sub(k.heardAt) <= limit && !p.detector.Dead(k.address()) {
+	limit := p.scaleTimeoutLocked(peerTimeout)
+	for _, k := range p.byName {
+		if now.Sub(k.lastSeen) <= limit && !p.detector.Dead(k.address()) {
 			out = append(out, k)
 		}
 	}
--- a/internal/node/gateway/plain.go
+++ b/internal/node/gateway/plain.go
@@ -15,15 +15,15 @@
 // longer be tried elsewhere, and its caller sees the cut if it breaks off.
 const maxHeldBytes = 1 << 20
 
-// plainAnswer is an answer that was read whole.
-type plainAnswer struct {
+// plainResponse is an answer that was read whole.
+type plainResponse struct {
 	status  int
 	headers []httpserver.Header
 	body    []byte
 }
 
 // respond gives the answer to the caller.
-func (p *plainAnswer) respond(n *run) error { return n.x.Respond(p.status, p.headers, p.body) }
+func (p *plainResponse) respond(n *run) error { return n.x.Respond(p.status, p.headers, p.body) }
 
 // relayPlain reads an answer and gives it to the caller.
 //
@@ -40,14 +40,14 @@
 		return &AnswerError{t.Upstream().ID, res.Status, reason}
 	}
 	n.service.gate.Answered(t)
-	n.noteFirst()
-	p := &plainAnswer{res.Status, answerHeaders(res.Header), body}
+	n.recordFirstPiece()
+	p := &plainResponse{res.Status, responseHeaders(res.Header), body}
 	if len(body) == maxHeldBytes {
 		return n.relayRest(ctx, res, p)
 	}
 	res.Release(true)
 	if res.Status >= fasthttp.StatusInternalServerError {
-		n.held = p
+		n.heldFailure = p
 		return &FailedError{t.Upstream().ID, res.Status}
 	}
 	return p.respond(n)
@@ -69,7 +69,7 @@
 }
 
 // relayRest gives on an answer that is too long to be held.
-func (n *run) relayRest(ctx context.Context, res *httpclient.Response, p *plainAnswer) error {
+func (n *run) relayRest(ctx context.Context, res *httpclient.Response, p *plainResponse) error {
 	if err := n.x.Stream(p.status, p.headers); err != nil {
 		res.Release(false)
 		return err
--- a/internal/node/gateway/probing.go
+++ b/internal/node/gateway/probing.go
@@ -23,14 +23,14 @@
 // probeOthers asks those that are due, and tells what is new of others.
 func (p *peers) probeOthers(now time.Time) {
 	p.mu.Lock()
-	asks := p.detector.Tick(now)
+	dueProbes := p.detector.Tick(now)
 	urgent := p.detector.UrgentTargets()
 	changes := p.detector.Changes()
 	rumors := p.detector.Rumors(maxRumors)
 	p.mu.Unlock()
-	p.note(changes)
+	p.logPeerChanges(changes)
 	var probes []probe
-	for _, due := range asks {
+	for _, due := range dueProbes {
 		probes = append(probes, probe{due.To, &cardamomyokev1.Probe{Ask: true, About: string(due.Target)}, rumors})
 	}
 	for _, to := range urgent {
@@ -42,21 +42,21 @@
 // observe gives the detector what a datagram says of its sender and of others, and returns what to answer. The lock is held.
 func (p *peers) observe(d *cardamomyokev1.Digest, now time.Time) []probe {
 	from := liveness.Address(d.GetDigestAddress())
-	about := liveness.Address(d.GetProbe().GetAbout())
-	waiting := p.detector.ReceiveAlive(now, liveness.AliveMessage{
+	target := liveness.Address(d.GetProbe().GetAbout())
+	requesters := p.detector.ReceiveAlive(now, liveness.AliveMessage{
 		Address: from, Incarnation: ids.Incarnation(d.GetIncarnation()), Sequence: d.GetSequence(), IsProbeReply: d.GetProbe().GetAnswer(),
 	})
 	p.detector.MergeRumors(now, rumorsOf(d))
 	var out []probe
-	for _, by := range waiting {
-		out = append(out, probe{by, &cardamomyokev1.Probe{}, []liveness.Rumor{p.detector.RumorOf(from)}})
+	for _, requester := range requesters {
+		out = append(out, probe{requester, &cardamomyokev1.Probe{}, []liveness.Rumor{p.detector.RumorOf(from)}})
 	}
 	if d.GetProbe().GetAsk() {
 		out = append(out, probe{from, &cardamomyokev1.Probe{Answer: true}, p.detector.Rumors(maxRumors)})
 	}
-	if about != "" {
-		p.detector.ReceiveProbeRequest(now, from, about)
-		out = append(out, probe{about, &cardamomyokev1.Probe{Ask: true}, nil})
+	if target != "" {
+		p.detector.ReceiveProbeRequest(now, from, target)
+		out = append(out, probe{target, &cardamomyokev1.Probe{Ask: true}, nil})
 	}
 	return out
 }
@@ -70,13 +70,13 @@
 	}
 }
 
-// note logs what has become known of other gateways.
-func (p *peers) note(changes []liveness.Change) {
+// logPeerChanges logs what has become known of other gateways.
+func (p *peers) logPeerChanges(changes []liveness.Change) {
 	for _, c := range changes {
 		msg := "peer lives"
 		if c.Dead {
 			msg = "peer ended"
-			p.g.metrics.peerEnded(c.ByRumor)
+			p.g.metrics.peerDead(c.ByRumor)
 		}
 		_ = level.Info(p.g.logger).Log("msg", msg, "peer_address", c.Address, "incarnation", c.Incarnation, "silent", c.Silent,
 			"sequence", c.Sequence, "told_by_others", c.ByRumor)
@@ -86,8 +86,8 @@
 func rumorsOf(d *cardamomyokev1.Digest) []liveness.Rumor {
 	columns := d.GetRumors()
 	out := make([]liveness.Rumor, len(columns.GetLives()))
-	for i, life := range columns.GetLives() {
-		out[i] = liveness.Rumor{IncarnationHash: life, Sequence: columns.GetSequences()[i], Dead: columns.GetEnded()[i]}
+	for i, hash := range columns.GetLives() {
+		out[i] = liveness.Rumor{IncarnationHash: hash, Sequence: columns.GetSequences()[i], Dead: columns.GetEnded()[i]}
 	}
 	return out
 }
--- a/internal/node/gateway/rankwatch.go
+++ b/internal/node/gateway/rankwatch.go
@@ -11,12 +11,12 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// rankWatchMost is the longest pause between two reads of a rank that refuses; the pause doubles from watchInterval. A rank
+// maxRankWatchInterval is the longest pause between two reads of a rank that refuses; the pause doubles from watchInterval. A rank
 // that is left over may refuse for good, and one whose group has formed again is missed for half a second at most.
-const rankWatchMost = 500 * time.Millisecond
+const maxRankWatchInterval = 500 * time.Millisecond
 
-// doubtRank keeps requests from one rank until it says that its group is open. It is called with the lock held.
-func (w *groupWatch) doubtRank(ctx context.Context, u *catalog.Upstream, reason string) {
+// closeRank keeps requests from one rank until it says that its group is open. It is called with the lock held.
+func (w *groupWatch) closeRank(ctx context.Context, u *catalog.Upstream, reason string) {
 	if u == nil || w.ranksWatched[u.Incarnation()] {
 		return
 	}
@@ -27,15 +27,15 @@
 
 func (w *groupWatch) watchRank(ctx context.Context, u *catalog.Upstream, reason string) {
 	began := time.Now()
-	pause := watchInterval
-	verdict := w.ask(ctx, u)
-	if verdict == groupBroken {
+	interval := watchInterval
+	state := w.readRank(ctx, u)
+	if state == groupBroken {
 		w.survey(ctx, reason)
 	}
-	for w.listed(u) && ctx.Err() == nil && !verdict.opens(time.Since(began)) {
-		monotonic.Sleep(ctx, pause)
-		pause = min(2*pause, rankWatchMost)
-		verdict = w.ask(ctx, u)
+	for w.listed(u) && ctx.Err() == nil && !state.mayOpen(time.Since(began)) {
+		monotonic.Sleep(ctx, interval)
+		interval = min(2*interval, maxRankWatchInterval)
+		state = w.readRank(ctx, u)
 	}
 	w.mu.Lock()
 	delete(w.ranksWatched, u.Incarnation())
--- a/internal/node/gateway/registry.go
+++ b/internal/node/gateway/registry.go
@@ -21,15 +21,15 @@
 		services = g.control.config.Services
 	}
 	next, findings := g.control.entries.Update(g.registry.Replica.Rows(), services)
-	g.noteFindings(findings, now)
+	g.processFindings(findings, now)
 	g.logUpstreams(g.control.upstreams, next)
 	return next
 }
 
-func (g *Gateway) noteFindings(findings []registry.Finding, now time.Time) {
+func (g *Gateway) processFindings(findings []registry.Finding, now time.Time) {
 	for i, f := range findings {
 		if f.Kind == registry.Restarted {
-			g.suspects.restarted(f.Previous, now)
+			g.suspects.upstreamRestarted(f.Previous, now)
 		}
 		if i < maxFindings {
 			_ = level.Warn(g.logger).Log("msg", f.Kind, "entry", f.Key, "version", f.Version, "life", f.Incarnation, "before", f.Previous, "err", f.Err)
--- a/internal/node/gateway/run.go
+++ b/internal/node/gateway/run.go
@@ -28,75 +28,75 @@
 	// mayHaveRun is set once an attempt ended without proof that it did not run.
 	mayHaveRun bool
 	exclude    []ids.Upstream
-	stream     relay
+	stream     streamState
 	// placedAt is when the latest attempt got its upstream, firstAt when the first piece of the answer came.
-	placedAt, firstAt time.Time
-	// lastAt is when the latest events were given to the caller.
-	lastAt   time.Time
-	upstream ids.Upstream
-	// held is the upstream's own failure, to be given to the caller if no other attempt succeeds.
-	held *plainAnswer
-	// gaveHeld says that the caller got it.
-	gaveHeld bool
+	placedAt, firstPieceAt time.Time
+	// lastEventAt is when the latest events were given to the caller.
+	lastEventAt time.Time
+	upstream    ids.Upstream
+	// heldFailure is the upstream's own failure, to be given to the caller if no other attempt succeeds.
+	heldFailure *plainResponse
+	// relayedFailure says that the caller got it.
+	relayedFailure bool
 	// trace is the trace context for the next hop; empty if there is none.
 	trace string
-	// print is the request's fingerprint once hashed is set.
-	print  quarantine.Fingerprint
-	hashed bool
+	// cachedFingerprint is the request's fingerprint once hashed is set.
+	cachedFingerprint quarantine.Fingerprint
+	hasFingerprint    bool
 }
 
 func newRun(g *Gateway, v *view, x *httpserver.Exchange, r *request) *run {
-	return &run{g: g, x: x, r: r, service: v.services[r.service.Name], stream: relay{lastEvent: r.call.LastEvent}}
+	return &run{g: g, x: x, r: r, service: v.services[r.service.Name], stream: streamState{lastEvent: r.call.LastEvent}}
 }
 
 // maxUnreached is how many attempts may fail to reach any upstream before the request is given up.
 const maxUnreached = 4
 
-// attempts tries until the caller has its whole answer, or nothing more may be tried. Errors: *failure.Error.
-func (n *run) attempts(ctx context.Context) error {
+// runAttempts tries until the caller has its whole answer, or nothing more may be tried. Errors: *failure.Error.
+func (n *run) runAttempts(ctx context.Context) error {
 	if n.service == nil {
-		return failure.New(failure.CodeNoUpstream, nil).WithRetryAfter(unknownRetry)
+		return failure.New(failure.CodeNoUpstream, nil).WithRetryAfter(notReadyRetryAfter)
 	}
-	if _, refused := n.g.suspects.judge(n, n.r.arrived); refused != nil {
-		return refused.refusal(n.r.arrived)
+	if _, refused := n.g.suspects.classify(n, n.r.arrived); refused != nil {
+		return refused.asFailure(n.r.arrived)
 	}
 	n.service.budget.First(n.r.arrived)
 	for {
-		ticket, err := n.service.gate.Wait(ctx, n.place())
+		ticket, err := n.service.gate.Wait(ctx, n.dispatchRequest())
 		if err != nil {
-			return n.unplaced(ctx, err)
+			return n.unplacedError(ctx, err)
 		}
 		n.placedAt = time.Now()
 		n.upstream = ticket.Upstream().ID
-		n.g.placed(n, ticket.Decision())
-		err = n.traced(ctx, ticket)
-		n.doubtGroup(ticket.Upstream(), err)
+		n.g.logPlaced(n, ticket.Decision())
+		err = n.tracedAttempt(ctx, ticket)
+		n.reportGroupFailure(ticket.Upstream(), err)
 		n.service.gate.Done(ticket, outcomeOf(ctx, err))
 		if err == nil {
 			n.g.suspects.completed(n, time.Now())
 			return nil
 		}
-		n.note(err)
-		n.blame(ticket.Upstream(), err)
+		n.recordFailure(err)
+		n.checkCrash(ticket.Upstream(), err)
 		n.reject(ticket.Upstream(), err)
-		if reason := n.final(ctx, err); reason != "" {
-			return n.giveUp(ctx, err, reason)
+		if reason := n.stopReason(ctx, err); reason != "" {
+			return n.finalError(ctx, err, reason)
 		}
-		n.g.repeated(n, err)
+		n.g.logRetry(n, err)
 	}
 }
 
-// place is what the pool must know of the request's next attempt.
-func (n *run) place() dispatch.Request {
+// dispatchRequest is what the pool must know of the request's next attempt.
+func (n *run) dispatchRequest() dispatch.Request {
 	r := n.r
 	latest := r.deadline
 	if r.route.Kind == catalog.KindStream {
 		since := r.arrived
 		if n.x.Responded() {
-			since = n.lastAt
+			since = n.lastEventAt
 		}
-		if leaves := since.Add(r.route.CallerTimeout()); leaves.Before(latest) {
-			latest = leaves
+		if callerTimeout := since.Add(r.route.CallerTimeout()); callerTimeout.Before(latest) {
+			latest = callerTimeout
 		}
 	}
 	return dispatch.Request{
@@ -109,12 +109,12 @@
 	}
 }
 
-// traced is attempt with a span around it.
-func (n *run) traced(ctx context.Context, t *dispatch.Ticket) error {
+// tracedAttempt is attempt with a span around it.
+func (n *run) tracedAttempt(ctx context.Context, t *dispatch.Ticket) error {
 	incoming := n.trace
 	ctx, span := n.g.tracer.Start(ctx, "gateway attempt", incoming, attribute.String("upstream", string(t.Upstream().ID)))
 	n.trace = span.Header()
-	err := n.movable(ctx, t)
+	err := n.movableAttempt(ctx, t)
 	n.trace = incoming
 	span.End(err)
 	return err
@@ -129,7 +129,7 @@
 	reply := n.g.dialect.ReadReply(res.Header)
 	switch {
 	case reply.NotRun:
-		drop(res)
+		discard(res)
 		return &RefusedError{t.Upstream().ID, res.Status, reply.Culprit, reply.Instance}
 	case isStream(res) && n.r.route.Kind == catalog.KindStream && res.Status/100 == 2:
 		return n.relayStream(ctx, t, res, reply)
@@ -141,13 +141,13 @@
 // reject has the registry's entry left out whose address another upstream answered at.
 func (n *run) reject(u *catalog.Upstream, err error) {
 	var refused *RefusedError
-	if errors.As(err, &refused) && refused.stranger() {
+	if errors.As(err, &refused) && refused.otherInstance() {
 		n.g.loop.Post(func(now time.Time) { n.g.reject(u, refused.Instance, now) })
 	}
 }
 
-// note remembers what an attempt proved.
-func (n *run) note(err error) {
+// recordFailure remembers what an attempt proved.
+func (n *run) recordFailure(err error) {
 	var dial *httpclient.DialError
 	var refused *RefusedError
 	switch {
@@ -165,15 +165,15 @@
 	n.exclude = append(n.exclude, n.upstream)
 }
 
-// final says why the request must not be tried again, or nothing.
+// stopReason says why the request must not be tried again, or nothing.
 //
 // A request that may not be repeated must not run twice after its connection broke. Only two proofs allow another attempt: no
 // connection was made, or the upstream promised that it did not run.
-func (n *run) final(ctx context.Context, err error) string {
-	var gone *httpserver.ConnectionClosedError
+func (n *run) stopReason(ctx context.Context, err error) string {
+	var closed *httpserver.ConnectionClosedError
 	var moved *MovedError
 	switch {
-	case errors.As(err, &gone):
+	case errors.As(err, &closed):
 		return "the caller left"
 	case ctx.Err() != nil:
 		return "the time is over"
@@ -183,7 +183,7 @@
 		return "the answer has begun"
 	case n.sent >= n.r.route.Attempts:
 		return "no attempt is left"
-	case n.suspected():
+	case n.mustStop():
 		return "two upstreams died while they ran it"
 	case n.unreached >= maxUnreached:
 		return "no upstream can be reached"
@@ -195,16 +195,16 @@
 	return ""
 }
 
-// giveUp turns the last attempt's error into the caller's answer.
-func (n *run) giveUp(ctx context.Context, err error, reason string) error {
+// finalError turns the last attempt's error into the caller's answer.
+func (n *run) finalError(ctx context.Context, err error, reason string) error {
 	cause := fmt.Errorf("%s: %w", reason, err)
-	var gone *httpserver.ConnectionClosedError
+	var closed *httpserver.ConnectionClosedError
 	switch {
-	case errors.As(err, &gone) || context.Cause(ctx) == context.Canceled:
+	case errors.As(err, &closed) || context.Cause(ctx) == context.Canceled:
 		return failure.New(failure.CodeCancelled, cause)
-	case n.held != nil && !n.x.Responded():
-		n.gaveHeld = true
-		return n.held.respond(n)
+	case n.heldFailure != nil && !n.x.Responded():
+		n.relayedFailure = true
+		return n.heldFailure.respond(n)
 	case n.x.Responded():
 		return failure.New(failure.CodeIncompleteAnswer, cause)
 	case ctx.Err() != nil && n.mayHaveRun:
@@ -212,19 +212,19 @@
 	case n.mayHaveRun:
 		return failure.New(failure.CodeUpstreamFailed, cause)
 	}
-	return failure.New(failure.CodeNoUpstream, cause).WithRetryAfter(refusedRetry)
+	return failure.New(failure.CodeNoUpstream, cause).WithRetryAfter(refusedRetryAfter)
 }
 
-// refusedRetry is when a caller may come back whose request all upstreams refused: some requests end meanwhile.
-const refusedRetry = 300 * time.Millisecond
+// refusedRetryAfter is when a caller may come back whose request all upstreams refused: some requests end meanwhile.
+const refusedRetryAfter = 300 * time.Millisecond
 
-// unplaced turns the pool's refusal into the caller's answer. A request that may have run before is not said not to.
-func (n *run) unplaced(ctx context.Context, err error) error {
+// unplacedError turns the pool's refusal into the caller's answer. A request that may have run before is not said not to.
+func (n *run) unplacedError(ctx context.Context, err error) error {
 	switch {
 	case context.Cause(ctx) == context.Canceled:
 		return failure.New(failure.CodeCancelled, err)
 	case n.mayHaveRun || n.x.Responded():
-		return n.giveUp(ctx, err, "no upstream for another attempt")
+		return n.finalError(ctx, err, "no upstream for another attempt")
 	}
 	var none *dispatch.NoUpstreamError
 	var full *dispatch.OverloadedError
@@ -234,19 +234,19 @@
 	case errors.As(err, &full):
 		return failure.New(failure.CodeOverloaded, err).WithRetryAfter(full.RetryAfter)
 	}
-	return failure.New(failure.CodeDeadlineUnmet, err).WithRetryAfter(refusedRetry)
+	return failure.New(failure.CodeDeadlineUnmet, err).WithRetryAfter(refusedRetryAfter)
 }
 
 // outcomeOf is what an attempt says of its upstream.
 func outcomeOf(ctx context.Context, err error) dispatch.Outcome {
-	var gone *httpserver.ConnectionClosedError
+	var closed *httpserver.ConnectionClosedError
 	var refused *RefusedError
 	var failed *FailedError
 	var moved *MovedError
 	switch {
 	case err == nil:
 		return dispatch.OutcomeOK
-	case errors.As(err, &gone) || errors.As(err, &moved) || ctx.Err() != nil:
+	case errors.As(err, &closed) || errors.As(err, &moved) || ctx.Err() != nil:
 		return dispatch.OutcomeNone
 	case errors.As(err, &refused) && refused.Status == statusOtherInstance:
 		return dispatch.OutcomeGone
--- a/internal/node/gateway/send.go
+++ b/internal/node/gateway/send.go
@@ -18,8 +18,8 @@
 // statusOtherInstance is the answer of an upstream that is not the life that was asked for.
 const statusOtherInstance = fasthttp.StatusMisdirectedRequest
 
-// perConnection are the header fields that concern one connection only.
-var perConnection = []string{
+// hopByHopHeaders are the header fields that concern one connection only.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
@@ -30,13 +30,13 @@
 	n.writeRequest(req, to)
 	attempt := n.r.call.Attempt
 	match := func(h *fasthttp.ResponseHeader) bool {
-		return attempt == "" || n.g.dialect.ReadReply(h).Attempt == attempt || unmatched(h)
+		return attempt == "" || n.g.dialect.ReadReply(h).Attempt == attempt || mayLackAttemptID(h)
 	}
 	return n.g.client.DoMatching(ctx, to.Address, req, match)
 }
 
-// unmatched answers bear no attempt's id because the upstream did not read the request that far.
-func unmatched(h *fasthttp.ResponseHeader) bool {
+// mayLackAttemptID answers bear no attempt's id because the upstream did not read the request that far.
+func mayLackAttemptID(h *fasthttp.ResponseHeader) bool {
 	return h.StatusCode() == statusOtherInstance || h.StatusCode() == fasthttp.StatusBadRequest
 }
 
@@ -49,7 +49,7 @@
 	for _, name := range strings.Split(string(in.Header.Peek("Connection")), ",") {
 		h.Del(strings.TrimSpace(name))
 	}
-	for _, name := range perConnection {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 	h.ResetConnectionClose()
@@ -69,22 +69,22 @@
 	})
 }
 
-// answerHeaders are the fields of an upstream's answer that the caller gets.
-func answerHeaders(h *fasthttp.ResponseHeader) []httpserver.Header {
+// responseHeaders are the fields of an upstream's answer that the caller gets.
+func responseHeaders(h *fasthttp.ResponseHeader) []httpserver.Header {
 	var out []httpserver.Header
 	for key, value := range h.All() {
-		if !concernsConnection(key) {
+		if !isHopByHop(key) {
 			out = append(out, httpserver.Header{Name: string(key), Value: string(value)})
 		}
 	}
 	return out
 }
 
-func concernsConnection(key []byte) bool {
+func isHopByHop(key []byte) bool {
 	if bytes.EqualFold(key, []byte("Content-Length")) {
 		return true
 	}
-	for _, name := range perConnection {
+	for _, name := range hopByHopHeaders {
 		if bytes.EqualFold(key, []byte(name)) {
 			return true
 		}
@@ -96,11 +96,11 @@
 	return bytes.HasPrefix(res.Header.ContentType(), []byte("text/event-stream"))
 }
 
-// maxDropped is how much of an answer that nobody wants is read to keep its connection.
-const maxDropped = 64 << 10
+// maxDiscardedBytes is how much of an answer that nobody wants is read to keep its connection.
+const maxDiscardedBytes = 64 << 10
 
-// drop reads a short answer to its end, so that its connection can be used again.
-func drop(res *httpclient.Response) {
-	_, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDropped))
+// discard reads a short answer to its end, so that its connection can be used again.
+func discard(res *httpclient.Response) {
+	_, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDiscardedBytes))
 	res.Release(err == nil)
 }
--- a/internal/node/gateway/services.go
+++ b/internal/node/gateway/services.go
@@ -24,9 +24,9 @@
 			rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 			s = &service{gate: dispatch.NewGate(dispatch.NewPool(dispatch.Options{}, rng)), budget: retry.NewWindow()}
 			g.watchGroup(s, c)
-			g.metrics.watchService(g, name)
+			g.metrics.addServiceGauges(g, name)
 		}
-		s.gate.SetOptions(optionsOf(c, g.dispatchOff()))
+		s.gate.SetOptions(dispatchOptions(c, g.disabledInDispatch()))
 		s.gate.SetUpstreams(g.control.upstreams.Of(name))
 		s.budget.SetBound(g.retryBound(now))
 		next[name] = s
@@ -45,12 +45,12 @@
 		gate:         s.gate,
 		logger:       log.With(g.logger, "service", c.Name),
 		ranksWatched: map[ids.UpstreamIncarnation]bool{},
-		off:          g.off,
+		disabled:     g.disabled,
 		upstreams: func() []*catalog.Upstream {
 			return g.view.Load().upstreams.Of(c.Name)
 		},
 	}
-	s.group.doubt(g.ctx, nil, "start")
+	s.group.closeGroup(g.ctx, nil, "start")
 }
 
 const (
@@ -63,7 +63,7 @@
 	plainFill = 1.5
 )
 
-func optionsOf(c *catalog.Service, off dispatch.Off) dispatch.Options {
+func dispatchOptions(c *catalog.Service, off dispatch.Off) dispatch.Options {
 	if c.Engine != nil {
 		return dispatch.Options{Engine: c.Engine, Fill: engineFill, LateFill: engineLateFill, Off: off}
 	}
@@ -74,12 +74,12 @@
 func (g *Gateway) retryBound(now time.Time) retry.Bound {
 	b := g.Settings().Bounds.Retries
 	nodes := 1 + g.peers.count(now)
-	return retry.Bound{Length: b.Window.Std(), Ratio: b.Ratio, Extra: extraKept * float64(b.Extra) / float64(nodes+spareNodes)}
+	return retry.Bound{Length: b.Window.Std(), Ratio: b.Ratio, Extra: extraShare * float64(b.Extra) / float64(nodes+spareNodes)}
 }
 
 const (
-	// extraKept leaves a rest of the fixed number for gateways that came and went within a window.
-	extraKept = 0.7
+	// extraShare leaves a rest of the fixed number for gateways that came and went within a window.
+	extraShare = 0.7
 	// spareNodes may come before all others have heard of them.
 	spareNodes = 2
 )
--- a/internal/node/gateway/settings.go
+++ b/internal/node/gateway/settings.go
@@ -149,7 +149,7 @@
 	if s.Off == nil {
 		s.Off = []dispatch.Mechanism{} // so that it is printed as a list
 	}
-	if err := checkOff(s.Off); err != nil {
+	if err := checkDisabled(s.Off); err != nil {
 		return err
 	}
 	if err := s.Log.Check(); err != nil {
--- a/internal/node/gateway/settings_test.go
+++ b/internal/node/gateway/settings_test.go
@@ -33,14 +33,14 @@
 
 // An operator switches a mechanism off, and then one whose name has a typing error: that must be refused with the names that
 // there are, and not leave on what was meant to be off.
-func TestMechanismsAreSwitchedOffByName(t *testing.T) {
+func TestMechanismsAreDisabledByName(t *testing.T) {
 	var set Settings
 	if err := settings.Parse("off", []byte(settingsText+"off: [late-reading, moves]\n"), &set); err != nil {
 		t.Fatal(err)
 	}
 	g := &Gateway{}
 	g.settings.Store(&set)
-	if got := []bool{g.off(offMoves), g.dispatchOff()[dispatch.LateReading], g.off(offMaps)}; !cmp.Equal(got, []bool{true, true, false}) {
+	if got := []bool{g.disabled(mechanismMoves), g.disabledInDispatch()[dispatch.LateReading], g.disabled(mechanismMaps)}; !cmp.Equal(got, []bool{true, true, false}) {
 		t.Fatalf("off: %v", got)
 	}
 	var wrong *settings.KeyError
--- a/internal/node/gateway/shutdown.go
+++ b/internal/node/gateway/shutdown.go
@@ -19,32 +19,32 @@
 }
 
 const (
-	// serveOn is the most of the grace time in which requests of callers that keep an old answer are still served: the rest
+	// maxLeavingShare is the most of the grace time in which requests of callers that keep an old answer are still served: the rest
 	// is for what they have begun.
-	serveOn = 0.45
-	// keptTimes is how many times as long as they are told callers may keep an answer of the directory: some keep it three
+	maxLeavingShare = 0.45
+	// directoryTTLFactor is how many times as long as they are told callers may keep an answer of the directory: some keep it three
 	// times as long, less what a request takes to arrive.
-	keptTimes = 2.8
-	// leaveBefore is when the process ends at the latest, before it would be killed.
-	leaveBefore = 300 * time.Millisecond
+	directoryTTLFactor = 2.8
+	// killMargin is when the process ends at the latest, before it would be killed.
+	killMargin = 300 * time.Millisecond
 )
 
-// servesOn is for how long a gateway that leaves still takes requests.
+// leavingPeriod is for how long a gateway that leaves still takes requests.
 //
 // A stream that is taken late in the grace time may not end in it. By then hardly a caller has this address any more, and one
 // that is refused goes to another.
-func servesOn(grace, keep time.Duration) time.Duration {
-	return min(time.Duration(serveOn*float64(grace)), time.Duration(keptTimes*float64(keep)))
+func leavingPeriod(grace, directoryTTL time.Duration) time.Duration {
+	return min(time.Duration(maxLeavingShare*float64(grace)), time.Duration(directoryTTLFactor*float64(directoryTTL)))
 }
 
 func (g *Gateway) shutdown() error {
 	began := time.Now()
 	grace := g.Settings().Bounds.Grace.Std()
 	_ = level.Info(g.logger).Log("msg", "leaving", "grace", grace, "running", g.servers.callers.Busy())
-	g.become(stateLeaving)
-	time.Sleep(servesOn(grace, g.keep()))
-	g.become(stateClosing)
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-leaveBefore))
+	g.setState(stateLeaving)
+	time.Sleep(leavingPeriod(grace, g.directoryTTL()))
+	g.setState(stateClosing)
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-killMargin))
 	defer cancel()
 	err := g.servers.callers.Drain(ctx)
 	if err != nil && !errors.Is(err, context.DeadlineExceeded) {
@@ -55,15 +55,15 @@
 	return nil
 }
 
-// become changes the node's state on the control loop and waits for it.
-func (g *Gateway) become(s nodeState) {
+// setState changes the node's state on the control loop and waits for it.
+func (g *Gateway) setState(s nodeState) {
 	done := make(chan struct{})
 	g.loop.Post(func(now time.Time) {
 		g.control.node = s
 		g.publish()
 		// Before the others are told, so that they hear at once that a duty is free.
 		g.experts.tick(now)
-		g.peers.tellAll(now)
+		g.peers.sendToAll(now)
 		close(done)
 	})
 	<-done
--- a/internal/node/gateway/standstill_test.go
+++ b/internal/node/gateway/standstill_test.go
@@ -14,32 +14,32 @@
 // timedDialect reads nothing but how much time a caller has left.
 type timedDialect struct {
 	Dialect
-	left time.Duration
+	remaining time.Duration
 }
 
 func (d timedDialect) ReadCall(*fasthttp.RequestHeader) (Call, error) {
-	return Call{HasRemaining: true, Remaining: d.left}, nil
+	return Call{HasRemaining: true, Remaining: d.remaining}, nil
 }
 
 // Failure: a gateway wakes after four seconds and sends an upstream what a caller gave up long ago, as its header still says that
 // there is time.
-func TestARequestIsAsOldAsTheStandstillThatItWaitedFor(t *testing.T) {
+func TestProcessPauseCountsAsRequestAge(t *testing.T) {
 	service := &catalog.Service{Name: "s"}
 	route := &catalog.Route{Name: "r", Host: "h", Prefix: "/", Timeout: 8 * time.Second, Services: []catalog.WeightedService{{Service: "s", Weight: 1}}}
 	v := &view{config: catalog.New(1, []*catalog.Route{route}, []*catalog.Service{service}, nil, catalog.Limits{}), state: stateReady}
 	req := &fasthttp.Request{}
 	req.Header.SetHost("h")
 	req.SetRequestURI("/x")
-	const stood = 4 * time.Second
+	const paused = 4 * time.Second
 	for left, want := range map[time.Duration]failure.Code{1200 * time.Millisecond: failure.CodeDeadlinePassed, 6 * time.Second: ""} {
-		g := &Gateway{dialect: timedDialect{left: left}}
+		g := &Gateway{dialect: timedDialect{remaining: left}}
 		now := time.Now()
-		r, err := g.read(v, req, now.Add(-stood))
+		r, err := g.readRequest(v, req, now.Add(-paused))
 		var failed *failure.Error
 		if errors.As(err, &failed); (failed == nil && want != "") || (failed != nil && failed.Code != want) {
 			t.Errorf("%v left: got %v, want %q", left, err, want)
 		}
-		if r.deadline.After(now.Add(left - stood)) {
+		if r.deadline.After(now.Add(left - paused)) {
 			t.Errorf("%v left: the deadline is %v from now", left, r.deadline.Sub(now))
 		}
 	}
--- a/internal/node/gateway/stream.go
+++ b/internal/node/gateway/stream.go
@@ -12,8 +12,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/dispatch"
 )
 
-// relay is what a caller has got of a stream.
-type relay struct {
+// streamState is what a caller has got of a stream.
+type streamState struct {
 	// lastEvent is the id of the last event that the caller has; another upstream goes on after it.
 	lastEvent string
 	// events counts what was given to the caller at once, longestGap is the longest time between two of them.
@@ -21,16 +21,16 @@
 	longestGap time.Duration
 }
 
-// noteEvent notes that events are given to the caller some time after the last ones.
-func (r *relay) noteEvent(gap time.Duration) {
+// recordEvents notes that events are given to the caller some time after the last ones.
+func (r *streamState) recordEvents(gap time.Duration) {
 	if r.events > 0 {
 		r.longestGap = max(r.longestGap, gap)
 	}
 	r.events++
 }
 
-// streamBuffer is the size of one read from an upstream; an event has some tens of bytes.
-const streamBuffer = 8 << 10
+// streamBufferBytes is the size of one read from an upstream; an event has some tens of bytes.
+const streamBufferBytes = 8 << 10
 
 // maxEventBytes is the longest event that is waited for.
 const maxEventBytes = 1 << 20
@@ -63,16 +63,16 @@
 
 func (n *run) copyEvents(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response) error {
 	var pending []byte
-	buf := make([]byte, streamBuffer)
+	buf := make([]byte, streamBufferBytes)
 	for {
-		got, err := res.Body.Read(buf)
-		pending = append(pending, buf[:got]...)
-		whole := wholeEvents(pending)
-		if whole > 0 {
-			if err := n.giveEvents(ctx, t, res, pending[:whole]); err != nil {
+		size, err := res.Body.Read(buf)
+		pending = append(pending, buf[:size]...)
+		complete := completeEvents(pending)
+		if complete > 0 {
+			if err := n.writeEvents(ctx, t, res, pending[:complete]); err != nil {
 				return err
 			}
-			pending = append(pending[:0], pending[whole:]...)
+			pending = append(pending[:0], pending[complete:]...)
 		}
 		switch {
 		case errors.Is(err, io.EOF) && len(pending) > 0:
@@ -87,9 +87,9 @@
 	}
 }
 
-// giveEvents writes whole events to the caller, with the answer's header before the first.
-func (n *run) giveEvents(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, events []byte) error {
-	events, last, err := after(events, n.stream.lastEvent)
+// writeEvents writes whole events to the caller, with the answer's header before the first.
+func (n *run) writeEvents(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, events []byte) error {
+	events, last, err := eventsAfter(events, n.stream.lastEvent)
 	if err != nil {
 		return err
 	}
@@ -97,25 +97,25 @@
 		return nil
 	}
 	n.service.gate.Answered(t)
-	n.noteFirst()
+	n.recordFirstPiece()
 	if !n.x.Responded() {
-		if err := n.x.Stream(res.Status, answerHeaders(res.Header)); err != nil {
+		if err := n.x.Stream(res.Status, responseHeaders(res.Header)); err != nil {
 			return err
 		}
 	}
 	if err := n.x.Write(ctx, events); err != nil {
 		return err
 	}
-	n.stream.noteEvent(time.Since(n.lastAt))
-	n.lastAt = time.Now()
+	n.stream.recordEvents(time.Since(n.lastEventAt))
+	n.lastEventAt = time.Now()
 	n.stream.lastEvent = last
 	return nil
 }
 
 var eventEnd = []byte("\n\n")
 
-// wholeEvents is how many bytes at the start of b are whole events.
-func wholeEvents(b []byte) int {
+// completeEvents is how many bytes at the start of b are whole events.
+func completeEvents(b []byte) int {
 	i := bytes.LastIndex(b, eventEnd)
 	if i < 0 {
 		return 0
@@ -123,26 +123,26 @@
 	return i + len(eventEnd)
 }
 
-// after leaves out the events up to the one that the caller has, and returns the rest with the id of its last event.
+// eventsAfter leaves out the events up to the one that the caller has, and returns the rest with the id of its last event.
 // Ids are numbers that grow; a stream whose ids are none is given on as it is.
-func after(events []byte, last string) ([]byte, string, error) {
-	known, err := strconv.ParseInt(last, 10, 64)
+func eventsAfter(events []byte, last string) ([]byte, string, error) {
+	lastNumber, err := strconv.ParseInt(last, 10, 64)
 	if err != nil {
-		known = -1
+		lastNumber = -1
 	}
 	rest := events
 	for len(rest) > 0 {
 		end := bytes.Index(rest, eventEnd) + len(eventEnd)
 		id, ok := eventID(rest[:end])
-		if !ok || id > known {
+		if !ok || id > lastNumber {
 			break
 		}
 		rest = rest[end:]
 	}
-	return rest, lastID(rest, last), nil
+	return rest, lastEventID(rest, last), nil
 }
 
-func lastID(events []byte, last string) string {
+func lastEventID(events []byte, last string) string {
 	for len(events) > 0 {
 		end := bytes.Index(events, eventEnd) + len(eventEnd)
 		if id, ok := eventID(events[:end]); ok {
--- a/internal/node/gateway/sums.go
+++ b/internal/node/gateway/sums.go
@@ -31,24 +31,24 @@
 	return out
 }
 
-// paces are those of the slow ranks among a service's upstreams, as the leader tells them; this gateway may be the leader.
-func (p *peers) paces(name ids.Service, upstreams *catalog.Upstreams, now time.Time) map[ids.UpstreamIncarnation]float64 {
-	told := map[uint64]float64{}
-	for _, s := range p.g.experts.slowKnown() {
-		told[s.GetUpstream()] = s.GetPace()
+// slowdowns are those of the slow ranks among a service's upstreams, as the leader tells them; this gateway may be the leader.
+func (p *peers) slowdowns(name ids.Service, upstreams *catalog.Upstreams, now time.Time) map[ids.UpstreamIncarnation]float64 {
+	byHash := map[uint64]float64{}
+	for _, s := range p.g.experts.allSlowRanks() {
+		byHash[s.GetUpstream()] = s.GetPace()
 	}
 	for _, k := range p.live(now) {
 		for _, s := range k.digest.GetSlow() {
-			told[s.GetUpstream()] = s.GetPace()
+			byHash[s.GetUpstream()] = s.GetPace()
 		}
 	}
-	if len(told) == 0 {
+	if len(byHash) == 0 {
 		return nil
 	}
 	out := map[ids.UpstreamIncarnation]float64{}
 	for _, u := range upstreams.Of(name) {
-		if pace, ok := told[hashOf(u.Incarnation())]; ok {
-			out[u.Incarnation()] = pace
+		if slowdown, ok := byHash[hashOf(u.Incarnation())]; ok {
+			out[u.Incarnation()] = slowdown
 		}
 	}
 	return out
@@ -59,8 +59,8 @@
 	sum := map[uint32]dispatch.Work{}
 	var oldest time.Time
 	for _, k := range p.live(now) {
-		if oldest.IsZero() || k.heardAt.Before(oldest) {
-			oldest = k.heardAt
+		if oldest.IsZero() || k.lastSeen.Before(oldest) {
+			oldest = k.lastSeen
 		}
 		w := k.digest.GetWork()
 		for i, upstream := range w.GetUpstreams() {
--- a/internal/node/gateway/suspects.go
+++ b/internal/node/gateway/suspects.go
@@ -24,13 +24,13 @@
 	// quarantineLength is how long a request is refused after the last upstream that it crashed: many times what an
 	// upstream or a group needs to be back.
 	quarantineLength = time.Minute
-	// crashesRefused is how many upstreams must die while they run a request before it is refused. Requests that only ran
+	// refuseAfterCrashes is how many upstreams must die while they run a request before it is refused. Requests that only ran
 	// beside it run to their end elsewhere, which clears them; one that ran at three deaths and never ended did not.
-	crashesRefused = 3
-	// digestSuspects is how many suspects one digest names; the newest come first.
-	digestSuspects = 16
-	// crashDial bounds the question whether an upstream that broke a connection still listens.
-	crashDial = 250 * time.Millisecond
+	refuseAfterCrashes = 3
+	// maxDigestSuspects is how many suspects one digest names; the newest come first.
+	maxDigestSuspects = 16
+	// crashDialTimeout bounds the question whether an upstream that broke a connection still listens.
+	crashDialTimeout = 250 * time.Millisecond
 )
 
 // suspects keeps requests that crash each upstream which runs them from taking down one after the other.
@@ -44,10 +44,10 @@
 	dial    func(ctx context.Context, address string) error
 
 	mu sync.Mutex
-	// broken are the runs that broke off at upstreams which are being asked whether they live, by upstream.
-	broken map[ids.UpstreamIncarnation][]quarantine.Running
-	// answered are the runs that broke off at upstreams where something listened when asked.
-	answered map[ids.UpstreamIncarnation]brokenRuns
+	// confirming are the runs that broke off at upstreams which are being asked whether they live, by upstream.
+	confirming map[ids.UpstreamIncarnation][]quarantine.Running
+	// listening are the runs that broke off at upstreams where something listened when asked.
+	listening map[ids.UpstreamIncarnation]brokenRuns
 }
 
 // brokenRuns are runs that broke off at one life of an upstream, the last of them at a time.
@@ -57,19 +57,19 @@
 }
 
 func newSuspects(logger log.Logger) *suspects {
-	rules := quarantine.Rules{Period: quarantineLength, Crashes: crashesRefused}
+	rules := quarantine.Rules{Period: quarantineLength, Crashes: refuseAfterCrashes}
 	return &suspects{
 		// Evidence is a hint and no promise: if all gateways end at once, three more deaths bring it back.
-		tracker:  quarantine.NewPersistentTracker(nil, rules, quarantine.PersistentTrackerOptions{}),
-		logger:   logger,
-		dial:     dialOnce,
-		broken:   map[ids.UpstreamIncarnation][]quarantine.Running{},
-		answered: map[ids.UpstreamIncarnation]brokenRuns{},
+		tracker:    quarantine.NewPersistentTracker(nil, rules, quarantine.PersistentTrackerOptions{}),
+		logger:     logger,
+		dial:       dialOnce,
+		confirming: map[ids.UpstreamIncarnation][]quarantine.Running{},
+		listening:  map[ids.UpstreamIncarnation]brokenRuns{},
 	}
 }
 
 func dialOnce(ctx context.Context, address string) error {
-	d := net.Dialer{Timeout: crashDial}
+	d := net.Dialer{Timeout: crashDialTimeout}
 	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return err
@@ -77,8 +77,8 @@
 	return conn.Close()
 }
 
-// refused counts the requests that are refused now.
-func (s *suspects) refused(now time.Time) int {
+// countRefused counts the requests that are refused now.
+func (s *suspects) countRefused(now time.Time) int {
 	n := 0
 	for _, l := range s.tracker.List(now) {
 		if l.Level == quarantine.Refused {
@@ -90,10 +90,10 @@
 
 // fingerprint is the same for each time that a client account sends a request. It is computed when it is first asked for.
 func (n *run) fingerprint() quarantine.Fingerprint {
-	if !n.hashed {
-		n.print, n.hashed = n.computeFingerprint(), true
+	if !n.hasFingerprint {
+		n.cachedFingerprint, n.hasFingerprint = n.computeFingerprint(), true
 	}
-	return n.print
+	return n.cachedFingerprint
 }
 
 func (n *run) computeFingerprint() quarantine.Fingerprint {
@@ -118,23 +118,23 @@
 	return fmt.Sprintf("request %s is refused until %s: upstreams died that ran it", e.Fingerprint, e.Until.UTC().Format(time.RFC3339))
 }
 
-// judge returns how a request is treated. While nothing is suspected, which is nearly always, nothing is computed.
-func (s *suspects) judge(n *run, now time.Time) (quarantine.Level, *QuarantinedError) {
-	known := s.tracker.Snapshot()
-	if known.Empty() {
+// classify returns how a request is treated. While nothing is suspected, which is nearly always, nothing is computed.
+func (s *suspects) classify(n *run, now time.Time) (quarantine.Level, *QuarantinedError) {
+	snapshot := s.tracker.Snapshot()
+	if snapshot.Empty() {
 		return quarantine.Clear, nil
 	}
 	fingerprint := n.fingerprint()
-	judged, until := known.Judge(now, fingerprint)
-	if judged != quarantine.Refused {
-		return judged, nil
+	lvl, until := snapshot.Judge(now, fingerprint)
+	if lvl != quarantine.Refused {
+		return lvl, nil
 	}
-	return judged, &QuarantinedError{fingerprint, until}
+	return lvl, &QuarantinedError{fingerprint, until}
 }
 
-// refusal is the answer to a refused request. Callers take it as a promise that it was not run, with the time from which
+// asFailure is the answer to a refused request. Callers take it as a promise that it was not run, with the time from which
 // on it may be tried once more.
-func (e *QuarantinedError) refusal(now time.Time) error {
+func (e *QuarantinedError) asFailure(now time.Time) error {
 	return failure.New(failure.CodeNoUpstream, e).WithRetryAfter(e.Until.Sub(now))
 }
 
@@ -145,85 +145,85 @@
 	}
 }
 
-// brokeOff notes that a run broke off at an upstream and finds out whether that one died.
-func (s *suspects) brokeOff(ctx context.Context, n *run, u *catalog.Upstream) {
-	ran := quarantine.Running{Fingerprint: n.fingerprint(), Client: n.r.client}
+// connectionBroken notes that a run broke off at an upstream and finds out whether that one died.
+func (s *suspects) connectionBroken(ctx context.Context, n *run, u *catalog.Upstream) {
+	running := quarantine.Running{Fingerprint: n.fingerprint(), Client: n.r.client}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, asked := s.broken[u.Incarnation()]
-	s.broken[u.Incarnation()] = append(s.broken[u.Incarnation()], ran)
-	if !asked {
-		go s.confirm(ctx, u)
+	_, pending := s.confirming[u.Incarnation()]
+	s.confirming[u.Incarnation()] = append(s.confirming[u.Incarnation()], running)
+	if !pending {
+		go s.confirmCrash(ctx, u)
 	}
 }
 
-// confirm blames the runs that broke off at an upstream if nothing listens at its address any more. One that does not
+// confirmCrash blames the runs that broke off at an upstream if nothing listens at its address any more. One that does not
 // answer at all may only be cut off, and speaks against nobody.
-func (s *suspects) confirm(ctx context.Context, u *catalog.Upstream) {
+func (s *suspects) confirmCrash(ctx context.Context, u *catalog.Upstream) {
 	err := s.dial(ctx, u.Address)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ran := s.broken[u.Incarnation()]
-	delete(s.broken, u.Incarnation())
+	runs := s.confirming[u.Incarnation()]
+	delete(s.confirming, u.Incarnation())
 	switch {
 	case err == nil:
-		s.noteAnswered(u.Incarnation(), ran, time.Now())
+		s.recordListening(u.Incarnation(), runs, time.Now())
 	case errors.Is(err, syscall.ECONNREFUSED):
-		s.blameRuns(u.Incarnation(), ran, "nothing listens where it was")
+		s.recordCrash(u.Incarnation(), runs, "nothing listens where it was")
 	}
 }
 
-// restartHeard is for how long after a connection broke off an upstream's new life still tells that the old one died of it: a
+// restartWindow is for how long after a connection broke off an upstream's new life still tells that the old one died of it: a
 // restart takes some seconds, and its entry some heartbeats.
-const restartHeard = 10 * time.Second
+const restartWindow = 10 * time.Second
 
-func (s *suspects) noteAnswered(i ids.UpstreamIncarnation, ran []quarantine.Running, now time.Time) {
-	for known, b := range s.answered {
-		if now.Sub(b.at) > restartHeard {
-			delete(s.answered, known)
+func (s *suspects) recordListening(i ids.UpstreamIncarnation, added []quarantine.Running, now time.Time) {
+	for incarnation, b := range s.listening {
+		if now.Sub(b.at) > restartWindow {
+			delete(s.listening, incarnation)
 		}
 	}
-	s.answered[i] = brokenRuns{append(s.answered[i].runs, ran...), now}
+	s.listening[i] = brokenRuns{append(s.listening[i].runs, added...), now}
 }
 
-// restarted takes in that an upstream has a new life under its id.
+// upstreamRestarted takes in that an upstream has a new life under its id.
 //
 // An upstream may be back before it is asked whether it listens. Its new life proves that the old one has ended.
-func (s *suspects) restarted(before ids.UpstreamIncarnation, now time.Time) {
+func (s *suspects) upstreamRestarted(previous ids.UpstreamIncarnation, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b, known := s.answered[before]
-	delete(s.answered, before)
-	if known && now.Sub(b.at) <= restartHeard {
-		s.blameRuns(before, b.runs, "it has a new life")
+	broken, found := s.listening[previous]
+	delete(s.listening, previous)
+	if found && now.Sub(broken.at) <= restartWindow {
+		s.recordCrash(previous, broken.runs, "it has a new life")
 	}
 }
 
-// blameRuns counts a death against the runs that broke off at it. It is called with the lock held, so that whoever finds no
+// recordCrash counts a death against the runs that broke off at it. It is called with the lock held, so that whoever finds no
 // question open finds its answer as well.
-func (s *suspects) blameRuns(i ids.UpstreamIncarnation, ran []quarantine.Running, proof string) {
+func (s *suspects) recordCrash(i ids.UpstreamIncarnation, runs []quarantine.Running, proof string) {
 	now := time.Now()
 	// The death's id comes from the life, so that the reports of several gateways count as one death, and two deaths of one
 	// id as two.
-	death := quarantine.Evidence{Crash: quarantine.NewCrashID(ids.Incarnation(i.String()), 1), At: now}
-	for _, r := range ran {
-		s.tracker.Merge(now, quarantine.Suspect{Fingerprint: r.Fingerprint, Client: r.Client, Evidence: []quarantine.Evidence{death}})
-		judged, _ := s.tracker.Snapshot().Judge(now, r.Fingerprint)
+	crash := quarantine.Evidence{Crash: quarantine.NewCrashID(ids.Incarnation(i.String()), 1), At: now}
+	for _, r := range runs {
+		s.tracker.Merge(now, quarantine.Suspect{Fingerprint: r.Fingerprint, Client: r.Client, Evidence: []quarantine.Evidence{crash}})
+		lvl, _ := s.tracker.Snapshot().Judge(now, r.Fingerprint)
 		_ = level.Info(s.logger).Log("msg", "request suspected", "reason", "upstream died while it ran", "upstream", i, "proof", proof,
-			"fingerprint", r.Fingerprint, "client", r.Client, "level", judged)
+			"fingerprint", r.Fingerprint, "client", r.Client, "level", lvl)
 	}
 }
 
-// blame has the upstream asked whether it died of an attempt that broke off.
-func (n *run) blame(u *catalog.Upstream, err error) {
+// checkCrash has the upstream asked whether it died of an attempt that broke off.
+func (n *run) checkCrash(u *catalog.Upstream, err error) {
 	var broken *httpclient.BrokenError
-	if errors.As(err, &broken) && !n.g.off(offSuspects) {
-		n.g.suspects.brokeOff(n.g.ctx, n, u)
+	if errors.As(err, &broken) && !n.g.disabled(mechanismSuspects) {
+		n.g.suspects.connectionBroken(n.g.ctx, n, u)
 	}
 }
 
-// suspected reports whether the request has run at so many deaths that it is left to its caller to send it once more.
-func (n *run) suspected() bool {
-	judged, _ := n.g.suspects.judge(n, time.Now())
-	return judged >= quarantine.Alone
+// mustStop reports whether the request has run at so many deaths that it is left to its caller to send it once more.
+func (n *run) mustStop() bool {
+	lvl, _ := n.g.suspects.classify(n, time.Now())
+	return lvl >= quarantine.Alone
 }
--- a/internal/node/gateway/telling.go
+++ b/internal/node/gateway/telling.go
@@ -18,11 +18,11 @@
 // tick asks others for signs of life, and tells them of this gateway when it is due.
 func (p *peers) tick(now time.Time) {
 	p.join(now)
-	p.greet()
+	p.contactNewPeers()
 	p.probeOthers(now)
-	since := now.Sub(p.toldAt)
+	since := now.Sub(p.sentAt)
 	if since >= digestInterval || since >= workInterval && p.workChanged() {
-		p.tell(now)
+		p.sendToTargets(now)
 	}
 }
 
@@ -36,18 +36,18 @@
 	return false
 }
 
-// tell sends a digest to the others whose turn it is.
-func (p *peers) tell(now time.Time) { p.send(now, p.targets(now)) }
+// sendToTargets sends a digest to the others whose turn it is.
+func (p *peers) sendToTargets(now time.Time) { p.send(now, p.targets(now)) }
 
-// tellAll sends a digest to all others, as when this gateway leaves or has news of the store for them.
-func (p *peers) tellAll(now time.Time) { p.send(now, p.others(now)) }
+// sendToAll sends a digest to all others, as when this gateway leaves or has news of the store for them.
+func (p *peers) sendToAll(now time.Time) { p.send(now, p.others(now)) }
 
 func (p *peers) send(now time.Time, to []string) {
-	p.toldAt = now
+	p.sentAt = now
 	d := p.compose()
-	if now.Sub(p.namedAt) >= p.namesInterval(now) {
-		p.namedAt = now
-		d.Peers = p.named(now)
+	if now.Sub(p.peerListSentAt) >= p.peerListInterval(now) {
+		p.peerListSentAt = now
+		d.Peers = p.samplePeers(now)
 	}
 	p.sendTo(to, d)
 }
@@ -91,15 +91,15 @@
 func (p *peers) compose() *cardamomyokev1.Digest {
 	g := p.g
 	d := p.header()
-	d.ExpertsFence = g.experts.number.Load()
-	d.ExpertsSpare = uint64(g.experts.leading.spare)
+	d.ExpertsFence = g.experts.fence.Load()
+	d.ExpertsSpare = uint64(g.experts.election.spare)
 	for _, f := range g.followers {
 		d.News = append(d.News, &cardamomyokev1.TableNews{
 			Table: f.Replica.Name(), Newest: f.Replica.Newest(), Following: f.Following(), Lost: !f.Connection().Up,
 		})
 	}
-	d.Slow = g.experts.slowKnown()
-	d.Suspects = quarantine.ToDigest(g.suspects.tracker.Digest(time.Now(), digestSuspects))
+	d.Slow = g.experts.allSlowRanks()
+	d.Suspects = quarantine.ToDigest(g.suspects.tracker.Digest(time.Now(), maxDigestSuspects))
 	d.Work = g.workColumns()
 	p.mu.Lock()
 	d.Rumors = rumorColumns(p.detector.Rumors(maxRumors))
@@ -147,16 +147,16 @@
 	for _, a := range p.g.Settings().Peers {
 		all[a] = true
 	}
-	for name, k := range p.known {
-		if now.Sub(k.heardAt) > peerForgotten {
-			delete(p.known, name)
+	for name, k := range p.byName {
+		if now.Sub(k.lastSeen) > forgetPeerAfter {
+			delete(p.byName, name)
 			p.detector.Forget(k.address())
 			continue
 		}
 		all[k.digest.GetDigestAddress()] = true
 	}
 	for a, at := range p.hints {
-		if now.Sub(at) > peerForgotten {
+		if now.Sub(at) > forgetPeerAfter {
 			delete(p.hints, a)
 			continue
 		}
@@ -169,15 +169,15 @@
 // targets are the addresses to tell now. A leader tells all each time.
 func (p *peers) targets(now time.Time) []string {
 	out := p.others(now)
-	if len(out) <= maxTold || p.g.experts.number.Load() > 0 {
+	if len(out) <= maxDigestTargets || p.g.experts.fence.Load() > 0 {
 		return out
 	}
-	part := make([]string, 0, maxTold)
-	for i := range maxTold {
-		part = append(part, out[(p.turn+i)%len(out)])
+	selected := make([]string, 0, maxDigestTargets)
+	for i := range maxDigestTargets {
+		selected = append(selected, out[(p.nextTarget+i)%len(out)])
 	}
-	p.turn = (p.turn + maxTold) % len(out)
-	return part
+	p.nextTarget = (p.nextTarget + maxDigestTargets) % len(out)
+	return selected
 }
 
 // sharing is how many gateways take requests, and how often each of the others tells this one of its work.
@@ -188,26 +188,26 @@
 			ready++
 		}
 	}
-	turns := max(1, (ready-1+maxTold-1)/maxTold)
-	return dispatch.Sharing{Gateways: ready, Interval: workInterval * time.Duration(turns)}
+	rounds := max(1, (ready-1+maxDigestTargets-1)/maxDigestTargets)
+	return dispatch.Sharing{Gateways: ready, Interval: workInterval * time.Duration(rounds)}
 }
 
-// namesInterval is how often names are told now.
-func (p *peers) namesInterval(now time.Time) time.Duration {
+// peerListInterval is how often names are told now.
+func (p *peers) peerListInterval(now time.Time) time.Duration {
 	for _, k := range p.live(now) {
-		if now.Sub(k.firstAt) < newFor {
-			return newNamesInterval
+		if now.Sub(k.firstSeen) < newPeerPeriod {
+			return newPeerListInterval
 		}
 	}
-	return namesInterval
+	return peerListInterval
 }
 
-// named are some live gateways for others to know.
-func (p *peers) named(now time.Time) []string {
+// samplePeers are some live gateways for others to know.
+func (p *peers) samplePeers(now time.Time) []string {
 	var out []string
 	for _, k := range p.live(now) {
 		out = append(out, k.digest.GetDigestAddress())
 	}
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	return out[:min(maxNamed, len(out))]
+	return out[:min(maxListedPeers, len(out))]
 }
--- a/internal/node/gateway/view.go
+++ b/internal/node/gateway/view.go
@@ -18,11 +18,11 @@
 	services  map[ids.Service]*service
 	// state says whether new requests are taken.
 	state nodeState
-	// current says that the configuration is known to be the newest: a node that cannot know does not say that a route
+	// storeUp says that the configuration is known to be the newest: a node that cannot know does not say that a route
 	// or key does not exist.
-	current bool
-	// linkSince is since when that has been so.
-	linkSince time.Time
+	storeUp bool
+	// storeSince is since when that has been so.
+	storeSince time.Time
 }
 
 // service is what one service's requests go through.
--- a/internal/node/gateway/watching.go
+++ b/internal/node/gateway/watching.go
@@ -34,7 +34,7 @@
 	centres := map[string]bool{string(own.DataCentre): true}
 	for _, k := range p.live(now) {
 		centres[k.digest.GetDataCentre()] = true
-		if ids.DataCentre(k.digest.GetDataCentre()) == own.DataCentre && !k.turnedAway() {
+		if ids.DataCentre(k.digest.GetDataCentre()) == own.DataCentre && !k.lostStore() {
 			names = append(names, k.digest.GetNode())
 		}
 	}
@@ -42,8 +42,8 @@
 	return slices.Contains(lease.Candidates("store", names, each), own.Name)
 }
 
-// turnedAway reports whether the store does not answer a gateway for some table.
-func (k *peer) turnedAway() bool {
+// lostStore reports whether the store does not answer a gateway for some table.
+func (k *peer) lostStore() bool {
 	return slices.ContainsFunc(k.digest.GetNews(), (*cardamomyokev1.TableNews).GetLost)
 }
 
@@ -55,7 +55,7 @@
 	if p.joining(now) {
 		return true
 	}
-	if p.sentinel(now) || p.behind(r, now) > maxBehind {
+	if p.sentinel(now) || p.replicaLag(r, now) > maxBehind {
 		return false
 	}
 	enough := p.relays(r, now) >= minRelays
@@ -65,7 +65,7 @@
 		p.relaysAt[r.Name()] = now
 	}
 	last := p.relaysAt[r.Name()]
-	if began := p.began.Add(joinTime); last.Before(began) {
+	if began := p.startedAt.Add(joinPeriod); last.Before(began) {
 		last = began
 	}
 	return now.Sub(last) < relayGrace
@@ -84,16 +84,16 @@
 	return relays
 }
 
-// ended reports whether another gateway's life is known to be over: it does not answer, is not heard, or only a later life
+// holderDead reports whether another gateway's life is known to be over: it does not answer, is not heard, or only a later life
 // is. A gateway that has just started has not heard anyone yet.
 //
 // A leader of many tells all of them, and is late with it when it is busiest. That it does not answer is what counts then.
 //
 // After a loss of power each gateway knows a few others only, and the holder of a duty is none of them. Names spread within a
 // second, so that waiting this long for a holder that was never heard is enough.
-func (p *peers) ended(name string, life ids.Incarnation) bool {
+func (p *peers) holderDead(name string, life ids.Incarnation) bool {
 	now := time.Now()
-	if now.Sub(p.began) < leaderSilent {
+	if now.Sub(p.startedAt) < leaderTimeout {
 		return false
 	}
 	if name == p.g.Settings().Name {
@@ -101,14 +101,14 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.known[name]
+	k := p.byName[name]
 	if k == nil {
-		return now.Sub(p.began) > unknownFor
+		return now.Sub(p.startedAt) > unknownLeaderTimeout
 	}
 	if p.isolatedLocked(now) {
 		return false
 	}
-	if now.Sub(k.heardAt) > p.silenceLocked(leaderSilent) || p.detector.Dead(k.address()) {
+	if now.Sub(k.lastSeen) > p.scaleTimeoutLocked(leaderTimeout) || p.detector.Dead(k.address()) {
 		return true
 	}
 	return k.digest.GetIncarnation() > string(life)
