--- a/internal/node/gateway/candidates.go
+++ b/internal/node/gateway/candidates.go
@@ -17,15 +17,16 @@
 )
 
 const (
-	// maxStandbys is how many gateways have a number ready, so that one may lead at once although the store is away: the leader
-	// is one of them, and others may end before the store is back.
+	// maxStandbys is how many gateways keep a spare fencing token, so that one of them can lead immediately while the
+	// store is unreachable. The leader is one of them, and others may die before the store is back.
 	maxStandbys = 5
-	// allocateInterval is the most time between two tries to draw a number ahead, allocateTimeout bounds one.
+	// allocateInterval is the maximum time between two attempts to allocate a spare token; allocateTimeout bounds one
+	// attempt.
 	allocateInterval = 500 * time.Millisecond
 	allocateTimeout  = 2 * time.Second
 )
 
-// electionInput is what this gateway knows of itself and others that may lead.
+// electionInput collects this gateway's state and that of its peers for the decision whether to lead.
 func (e *experts) electionInput(now time.Time, c candidates) electionInput {
 	in := electionInput{
 		Ready:      e.g.control.node == stateReady,
@@ -45,14 +46,15 @@
 	return in
 }
 
-// wantsLease reports whether this gateway should have the lease: it leads already, or no other does and it is its turn.
+// wantsLease reports whether this gateway should contend for the lease: it leads already, or no peer does and it is
+// this gateway's turn.
 func (e *experts) wantsLease(now time.Time, in electionInput) bool {
 	e.election.noteLeader(now, in)
 	return in.Ready && (e.fence.Load() > 0 || e.election.isTurn(now, in))
 }
 
-// position is this gateway's among the candidates, negative if another leads, there is nothing to lead, or this one is new or
-// alone.
+// position returns this gateway's index among the candidates. It is negative if a peer leads, there is no group, or
+// this gateway is joining or isolated.
 func (e *experts) position(c candidates) int {
 	if c.hasLeader || !e.anyGroup() || e.joiningOrIsolated(time.Now()) {
 		return -1
@@ -60,23 +62,24 @@
 	return slices.Index(c.names, e.g.Settings().Name)
 }
 
-// joiningOrIsolated reports whether this gateway knows too little of the others to take a duty.
+// joiningOrIsolated reports whether this gateway has too little information about its peers to take a duty.
 func (e *experts) joiningOrIsolated(now time.Time) bool {
 	return e.g.peers.joining(now) || e.g.peers.isolated(now)
 }
 
-// candidates are the gateways that are ready or about to be, those first that should lead first, this one among them; led
-// says that another one leads.
+// candidates holds the gateways that may lead, in the sequence in which they should, this gateway included. hasLeader
+// is set if a peer leads.
 type candidates struct {
 	names     []string
 	hasLeader bool
 }
 
-// candidates puts the hosts with the most processor time first, as the duty takes a tenth of a core.
+// candidates returns this gateway and all recently seen peers that are not leaving, those with the most processor time
+// first, as the duty takes a tenth of a core.
 //
-// Among many gateways each hears another only now and then. Those that have just not been heard still count, and so do those
-// that have not said yet that they are ready, or each gateway finds another one first, and several lead or draw numbers at
-// once.
+// In a large deployment each gateway receives a digest of a given peer only now and then. The timeout is therefore
+// scaled, and peers that have not yet reported that they are ready count as well. Otherwise each gateway would find a
+// different first candidate, and several would lead or allocate tokens concurrently.
 func (e *experts) candidates(now time.Time) candidates {
 	c := candidates{}
 	own := e.g.Settings().Name
@@ -96,12 +99,12 @@
 	return c
 }
 
-// needsSpare reports whether a gateway that leads next still needs a number that is later than those of all leaders.
+// needsSpare reports whether a standby has no spare token newer than those of all known leaders.
 func (e *experts) needsSpare() bool {
 	return !e.g.disabled(mechanismStandby) && !e.election.spareIsNewest()
 }
 
-// isStandby reports whether this gateway is one of those that lead next.
+// isStandby reports whether this gateway is among the first candidates to lead.
 func (e *experts) isStandby(now time.Time, c candidates) bool {
 	if e.g.control.node != stateReady || e.joiningOrIsolated(now) || !e.anyGroup() {
 		return false
@@ -109,7 +112,8 @@
 	return slices.Contains(c.names[:min(maxStandbys, len(c.names))], e.g.Settings().Name)
 }
 
-// allocateDue spreads the draws of numbers that are not needed yet: of those drawn at one moment only the last can be used.
+// allocateDue reports whether a spare token may be allocated now. It spreads the allocations of the standbys at random:
+// of several tokens allocated at the same moment only the newest can be used.
 func (e *experts) allocateDue(now time.Time) bool {
 	first := e.allocateAt.IsZero()
 	if !first && now.Before(e.allocateAt) {
@@ -119,7 +123,7 @@
 	return !first
 }
 
-// allocateFence gets a number from the store, one call at a time.
+// allocateFence requests a fencing token from the store, one call at a time.
 func (e *experts) allocateFence() {
 	if e.allocating {
 		return
@@ -132,7 +136,7 @@
 		e.g.loop.Post(func(time.Time) {
 			e.allocating = false
 			if err != nil {
-				_ = level.Info(e.g.logger).Log("msg", "no number drawn", "duty", expertsDuty, "err", err)
+				_ = level.Info(e.g.logger).Log("msg", "cannot allocate a fencing token", "duty", expertsDuty, "err", err)
 				return
 			}
 			e.election.allocated(n)
--- a/internal/node/gateway/demandshift_test.go
+++ b/internal/node/gateway/demandshift_test.go
@@ -14,7 +14,8 @@
 type shiftedGroup struct {
 	ranks, experts, sets, placements int
 	copyTime                         time.Duration
-	// expertShare is the part of a pass that experts' work takes, exponent that of their popularity.
+	// expertShare is the share of a pass that the experts' work takes, exponent that of the Zipf distribution of their
+	// popularity.
 	expertShare, exponent float64
 }
 
@@ -24,13 +25,13 @@
 )
 
 const (
-	// shiftPass is a usual pass, and shiftCounts what is chosen in it of one set.
+	// shiftPass is the length of a normal pass, shiftCounts scales the demand for the experts of one set in it.
 	shiftPass, shiftCounts = 70 * time.Millisecond, 8000
-	// shiftInterval is the time between two shifts, shiftSwitch how long a switch takes.
+	// shiftInterval is the time between two shifts, shiftSwitch the duration of a map switch.
 	shiftInterval, shiftSwitch = 4 * time.Second, 130 * time.Millisecond
 )
 
-// skewedDemand draws a demand in which a few experts of each set have most.
+// skewedDemand generates a demand in which a few experts of each set have the largest share.
 func (g shiftedGroup) skewedDemand(rng *rand.Rand) [][]float64 {
 	out := make([][]float64, g.sets)
 	for s := range out {
@@ -42,7 +43,7 @@
 	return out
 }
 
-// firstMap deals the experts in turn.
+// firstMap places the experts round-robin.
 func (g shiftedGroup) firstMap() lockstep.Placement {
 	p := make(lockstep.Placement, g.sets)
 	for s := range p {
@@ -54,8 +55,8 @@
 	return p
 }
 
-// simulate plays shifts of the demand against a leader that looks at the counts each period, and returns the mean skew over
-// all passes and the copies.
+// simulate runs a leader that polls the counts once per period against shifts of the demand, and returns the mean skew
+// over all passes and the number of copies.
 func (g shiftedGroup) simulate(seed uint64, period, halfLife time.Duration, o lockstep.Options) (skew float64, copies int) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	x := &catalog.Experts{Sets: g.sets, PerSet: g.experts, Placements: g.placements, Spare: 2, CopyTime: g.copyTime}
@@ -106,9 +107,9 @@
 	return out
 }
 
-// Other experts are in demand all of a sudden, every four seconds. Until the map follows, the most loaded rank has twice the
-// mean or more, and each pass is so long that every stream of the group is late by its pauses. The leader must see the shift
-// within some passes: it looked at the counts each 500 ms, with a half-life of as much.
+// The demand shifts to other experts every four seconds. Until the map follows, the most loaded rank has twice the mean
+// load or more, and each pass is so long that every stream of the group is late. The leader must react within some
+// passes; polling every 500 ms with a half-life of 500 ms was too slow.
 func TestPlacementFollowsDemandShiftWithinSomePasses(t *testing.T) {
 	var before, after float64
 	var copiesBefore, copiesAfter int
@@ -119,21 +120,21 @@
 	}
 	t.Logf("mean skew %.3f, was %.3f; copies %d, were %d", after, before, copiesAfter, copiesBefore)
 	if after >= before {
-		t.Fatalf("mean skew %.3f, with looks each 500 ms %.3f", after, before)
+		t.Fatalf("mean skew %.3f, polling every 500 ms %.3f", after, before)
 	}
 }
 
-// Failure: a copy has the same price whatever the experts' part of a pass is. Where it is large, the map stays behind the demand for
-// copies that cost little, and every pass is long.
+// If a copy has the same price whatever the experts' share of a pass is, then where that share is large the map stays
+// behind the demand for copies that cost little, and every pass is long.
 func TestCopyPriceScalesWithExpertShareOfPass(t *testing.T) {
-	// onePrice is what a second of copying must save, whatever the part.
+	// onePrice is what a second of copying must save, whatever the experts' share.
 	const onePrice = 6.1
 	before := lockstep.DefaultOptions()
 	before.CopyPrice = onePrice * largeGroup.expertShare
 	fixed, copiesFixed := largeGroup.simulate(0, pollInterval, demandHalfLife, before)
 	scaled, copiesScaled := largeGroup.simulate(0, pollInterval, demandHalfLife, lockstep.DefaultOptions())
 	t.Logf("mean skew %.3f, was %.3f; copies %d, were %d", scaled, fixed, copiesScaled, copiesFixed)
-	// What skew is above 1 makes passes longer: a tenth of it less is more than two estimates of one demand differ by.
+	// Skew above 1 makes passes longer. A tenth of that is more than two estimates of the same demand differ by.
 	if scaled-1 > 0.9*(fixed-1) {
 		t.Fatalf("mean skew %.3f, with one price %.3f", scaled, fixed)
 	}
--- a/internal/node/gateway/dialect.go
+++ b/internal/node/gateway/dialect.go
@@ -10,77 +10,79 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// Call is what a caller's request says in its header, beside what the upstream gets unchanged.
+// Call holds the fields of a caller's request header that the gateway interprets; the others are relayed unchanged.
 type Call struct {
-	// Attempt is the caller's id of this attempt; upstreams repeat it in their answers.
+	// Attempt is the caller's id of this attempt; upstreams repeat it in their responses.
 	Attempt string
-	// Remaining is how long the caller waits, if HasRemaining is set.
+	// Remaining is how long the caller will wait; valid only if HasRemaining is set.
 	Remaining    time.Duration
 	HasRemaining bool
-	// Key names the client account; empty if there is none.
+	// Key is the API key that identifies the client account; empty if there is none.
 	Key string
-	// LastEvent is the id of the last event that the caller has of a stream that it goes on with; empty for a new one.
+	// LastEvent is the id of the last event that the caller received of the stream to resume; empty for a new stream.
 	LastEvent string
-	// PromptTokens and MaxOutputTokens size a request to a model; OutputHint is the caller's guess of the output, 0 for
-	// none.
+	// PromptTokens and MaxOutputTokens size a request to a model. OutputHint is the caller's estimate of the output
+	// tokens, 0 for none.
 	PromptTokens, MaxOutputTokens, OutputHint int
 }
 
-// UpstreamHeader is what the gateway tells an upstream.
+// UpstreamHeader holds the header fields that the gateway sets in a request to an upstream.
 type UpstreamHeader struct {
 	Upstream  ids.Upstream
 	Client    ids.Client
 	Remaining time.Duration
-	// Priority is the rank among requests at the upstream; 0 goes first.
+	// Priority orders the requests at the upstream; 0 goes first.
 	Priority int
-	// LastEvent is set if the upstream is to go on with a stream after that event.
+	// LastEvent is the id of the event after which the upstream should resume the stream; empty for a new stream.
 	LastEvent string
 }
 
-// Load is what an upstream says of itself in an answer.
+// Load is the load that an upstream reports about itself in a response.
 type Load struct{ Running, Waiting, Slots int }
 
-// Reply is what an upstream's answer says in its header, beside what the caller gets unchanged.
+// ResponseInfo holds the fields of an upstream's response header that the gateway interprets; the others are relayed
+// unchanged.
 type Reply struct {
-	// Attempt is the id of the attempt that is answered.
+	// Attempt is the id of the attempt that the response belongs to.
 	Attempt string
-	// NotRun promises that the request did not run and never will.
+	// NotRun is the upstream's promise that the request did not run and never will.
 	NotRun bool
-	// Sealed says that the answer bears the upstream's signature.
+	// Sealed is set if the response carries the upstream's signature.
 	Sealed bool
-	// Culprit is the upstream whose fault it is, if it is another.
+	// Culprit is the upstream at fault, if it is not the responding one.
 	Culprit ids.Upstream
-	// Instance is the upstream that answered, where it says so.
+	// Instance is the responding upstream; empty if the response does not name it.
 	Instance ids.Upstream
-	// Load is nil if the upstream does not tell.
+	// Load is nil if the upstream does not report it.
 	Load *Load
 }
 
-// Dialect reads and writes header fields by their names on the wire.
+// Dialect maps the gateway's requests and responses to the header fields and paths of a platform.
 type Dialect interface {
-	// ReadCall decodes a caller's header. An error means that a field cannot be read.
+	// ReadCall decodes a caller's request header. It returns an error if a field is malformed.
 	ReadCall(h *fasthttp.RequestHeader) (Call, error)
-	// WriteUpstreamHeader turns a copy of the caller's header into that of a request to an upstream.
+	// WriteUpstreamHeader turns a copy of the caller's request header into the header of a request to an upstream.
 	WriteUpstreamHeader(h *fasthttp.RequestHeader, u UpstreamHeader)
-	// ReadReply decodes an upstream's header.
+	// ReadResponse decodes an upstream's response header.
 	ReadReply(h *fasthttp.ResponseHeader) Reply
-	// AttemptHeader is the field that carries an attempt's id in answers.
+	// AttemptHeader returns the name of the response header field that carries the attempt's id.
 	AttemptHeader() string
-	// RetryAfter is the field that tells a caller when to come back.
+	// RetryAfter returns the header field that tells a caller when to retry.
 	RetryAfter(d time.Duration) (name, value string)
-	// DirectoryPath and ReadinessPath are what callers and the platform ask for.
+	// DirectoryPath is the path at which callers request gateway addresses, ReadinessPath that of the readiness check.
 	DirectoryPath() string
 	ReadinessPath() string
-	// EncodeDirectory is the body that answers callers who ask for addresses; it is JSON.
-	EncodeDirectory(addresses []string, keep time.Duration) ([]byte, error)
+	// EncodeDirectory returns the JSON body of a directory response, which callers may cache for ttl.
+	EncodeDirectory(addresses []string, ttl time.Duration) ([]byte, error)
 }
 
-// Decoder reads the rows that the platform's store keeps for others.
+// Decoder decodes the rows of the platform's store.
 type Decoder interface {
-	// ConfigurationTable names the table of the operators' configuration, UpstreamTable that of the registry.
+	// ConfigurationTable is the name of the table with the operators' configuration, UpstreamTable that of the upstream
+	// registry.
 	ConfigurationTable() string
 	UpstreamTable() string
-	// Configuration decodes the configuration; nil without an error if there is none yet.
+	// Configuration decodes the configuration; it returns nil without an error if there is none yet.
 	Configuration(rows []platform.Row) (*catalog.Configuration, error)
 	// Upstream decodes one entry of the registry.
 	Upstream(row platform.Row) (*catalog.Upstream, error)
--- a/internal/node/gateway/digests.go
+++ b/internal/node/gateway/digests.go
@@ -15,19 +15,19 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/digest"
 )
 
-// tick asks others for signs of life, and tells them of this gateway when it is due.
+// tick joins, probes peers and sends digests as far as these are due. It runs on the control loop.
 func (p *peers) tick(now time.Time) {
 	p.join(now)
 	p.contactNewPeers()
 	p.probeOthers(now)
 	since := now.Sub(p.sentAt)
-	if since >= digestInterval || since >= workInterval && p.workChanged() {
+	if since >= digestInterval || since >= workInterval && p.hasWork() {
 		p.sendToTargets(now)
 	}
 }
 
-// workChanged reports whether there is work that others should count.
-func (p *peers) workChanged() bool {
+// hasWork reports whether this gateway has requests in flight that the peers should count.
+func (p *peers) hasWork() bool {
 	for _, s := range p.g.control.services {
 		if len(s.gate.Own()) > 0 {
 			return true
@@ -36,10 +36,10 @@
 	return false
 }
 
-// sendToTargets sends a digest to the others whose turn it is.
+// sendToTargets sends a digest to the next targets.
 func (p *peers) sendToTargets(now time.Time) { p.send(now, p.targets(now)) }
 
-// sendToAll sends a digest to all others, as when this gateway leaves or has news of the store for them.
+// sendToAll sends a digest to all peers, as when this gateway leaves or announces a change of the store.
 func (p *peers) sendToAll(now time.Time) { p.send(now, p.others(now)) }
 
 func (p *peers) send(now time.Time, to []string) {
@@ -52,7 +52,7 @@
 	p.sendTo(to, d)
 }
 
-// sendTo sends one digest to some others. What does not arrive is replaced by the next one.
+// sendTo sends one digest to the given addresses. A lost digest is superseded by the next one.
 func (p *peers) sendTo(to []string, d *cardamomyokev1.Digest) {
 	datagrams, err := digest.Encode(d)
 	if err != nil {
@@ -68,10 +68,10 @@
 
 func (p *peers) sendFailed(address string, err error) {
 	p.g.metrics.digestFailed()
-	_ = p.failures.Log("msg", "digest not sent", "peer_address", address, "err", err)
+	_ = p.failures.Log("msg", "cannot send digest", "peer_address", address, "err", err)
 }
 
-// header is what each datagram says of this gateway.
+// header returns the fields about this gateway that each datagram contains.
 func (p *peers) header() *cardamomyokev1.Digest {
 	s := p.g.Settings()
 	return &cardamomyokev1.Digest{
@@ -87,7 +87,7 @@
 	}
 }
 
-// compose is a digest with all that this gateway tells the others of itself.
+// compose returns a digest with this gateway's full state.
 func (p *peers) compose() *cardamomyokev1.Digest {
 	g := p.g
 	d := p.header()
@@ -107,7 +107,7 @@
 	return d
 }
 
-// workColumns is what this gateway has in flight, nil if it is nothing.
+// workColumns returns the requests that this gateway has in flight by upstream, nil if there are none.
 func (g *Gateway) workColumns() *cardamomyokev1.WorkColumns {
 	var columns *cardamomyokev1.WorkColumns
 	for _, s := range g.control.services {
@@ -123,10 +123,11 @@
 	return columns
 }
 
-// shortHashOf is hashOf in half as many bytes, for what may be mistaken once in a while.
+// shortHashOf is hashOf in half as many bytes, for uses that tolerate a rare collision.
 func shortHashOf(i ids.UpstreamIncarnation) uint32 { return uint32(hashOf(i)) }
 
-// hashOf stands for an upstream's life in digests: what others tell of an ended life matches no present one.
+// hashOf identifies an upstream's incarnation in digests, so that reports about a dead incarnation do not match the
+// current one.
 func hashOf(i ids.UpstreamIncarnation) uint64 { return xxhash.Sum64String(i.String()) }
 
 func digestState(s nodeState) cardamomyokev1.NodeState {
@@ -139,7 +140,8 @@
 	return cardamomyokev1.NodeState_NODE_STATE_UNSPECIFIED
 }
 
-// others are the addresses of all other gateways: those of the settings, those heard of, and those that others named.
+// others returns the addresses of all other gateways: from the settings, from received digests, and from peer lists. It
+// drops those not seen or listed within forgetPeerAfter.
 func (p *peers) others(now time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -166,7 +168,7 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// targets are the addresses to tell now. A leader tells all each time.
+// targets returns the addresses that receive the next digest. A leader sends to all each time.
 func (p *peers) targets(now time.Time) []string {
 	out := p.others(now)
 	if len(out) <= maxDigestTargets || p.g.experts.fence.Load() > 0 {
@@ -180,7 +182,7 @@
 	return selected
 }
 
-// sharing is how many gateways take requests, and how often each of the others tells this one of its work.
+// sharing returns how many gateways accept requests, and the interval at which each peer sends its work to this one.
 func (p *peers) sharing(now time.Time) dispatch.Sharing {
 	ready := 1
 	for _, k := range p.live(now) {
@@ -192,7 +194,7 @@
 	return dispatch.Sharing{Gateways: ready, Interval: workInterval * time.Duration(rounds)}
 }
 
-// peerListInterval is how often names are told now.
+// peerListInterval returns the current interval between peer lists.
 func (p *peers) peerListInterval(now time.Time) time.Duration {
 	for _, k := range p.live(now) {
 		if now.Sub(k.firstSeen) < newPeerPeriod {
@@ -202,7 +204,7 @@
 	return peerListInterval
 }
 
-// samplePeers are some live gateways for others to know.
+// samplePeers returns the addresses of a random selection of live peers.
 func (p *peers) samplePeers(now time.Time) []string {
 	var out []string
 	for _, k := range p.live(now) {
--- a/internal/node/gateway/experts.go
+++ b/internal/node/gateway/experts.go
@@ -20,39 +20,41 @@
 )
 
 const (
-	// expertsDuty is to place the experts of all groups.
+	// expertsDuty is the duty to place the experts of all groups.
 	expertsDuty lease.Duty = "experts"
-	// leaseLength is renewed three times. A gateway that is not heard is replaced much sooner; this bounds how long one
-	// goes on that is heard but cannot reach the store, and another can.
+	// leaseLength is the validity of the lease, which is renewed three times within it. A leader that peers no longer
+	// see is replaced much sooner. The length bounds how long a leader continues that its peers still see but that
+	// cannot reach the store, while a peer can.
 	leaseLength = 3 * time.Second
-	// pollInterval is the period in which the leader looks at a group, a few passes; demandHalf is the half-life of the estimated
-	// demand.
+	// pollInterval is the interval at which the leader polls a group, a few passes. demandHalfLife is the half-life of
+	// the estimated demand.
 	//
-	// Until the map follows a shift of demand, passes take longer than callers accept, and each stream is late by one of them.
-	// Looking more often costs in copies what it gains in passes.
+	// After a shift of demand, and until the map follows it, passes take longer than callers accept, and each stream is
+	// late by one of them. A shorter interval costs as much in copies as it gains in passes.
 	pollInterval   = 250 * time.Millisecond
 	demandHalfLife = 300 * time.Millisecond
-	// sampledRanks is how many ranks' counts are read each time; reading from afar makes the group pause.
+	// sampledRanks is how many ranks are polled for their counts each time; polling remotely makes the group pause.
 	sampledRanks = 4
-	// sampledLocal is the same where each rank has an agent beside it. The group does not pause for it, but each reading has
-	// some KB of the leader's link.
+	// sampledLocal replaces sampledRanks where each rank has an agent on its host. The group does not pause then, but
+	// each poll transfers some KB over the leader's link.
 	sampledLocal = 24
 )
 
-// experts places the experts of groups while this gateway holds the duty.
+// experts places the experts of all groups while this gateway is the leader.
 type experts struct {
 	g      *Gateway
 	ctx    context.Context
 	ranks  lockstep.RankClient
 	leases *manager.Manager
 	table  platform.Table
-	// fence is what this gateway leads under, for the controllers; 0 while it does not lead.
+	// fence is the token under which this gateway leads, read by the controllers; 0 while it does not lead.
 	fence atomic.Uint64
-	// standby says that this gateway is one of those that lead next.
+	// standby is set while this gateway is among the first candidates to lead.
 	standby atomic.Bool
-	// slow are the ranks that are slower than usual, by service and group, as the controllers read them last.
-	slow sync.Map // string → []*cardamomyokev1.UpstreamPace
-	// The rest belongs to the control loop. allocating says that a number is being drawn, allocateAt from when on the next may be.
+	// slow maps "SERVICE/GROUP" to the slow ranks of the group's last report.
+	slow sync.Map // string to []*cardamomyokev1.UpstreamPace
+	// The fields below belong to the control loop. allocating is set while a token is being allocated; the next spare
+	// token may be allocated from allocateAt on.
 	election    leadership
 	allocating  bool
 	allocateAt  time.Time
@@ -69,7 +71,7 @@
 	}
 }
 
-// tick runs on the control loop.
+// tick updates the lease, the leadership and the controllers. It runs on the control loop.
 func (e *experts) tick(now time.Time) {
 	e.updateControllers()
 	c := e.candidates(now)
@@ -85,7 +87,7 @@
 	if e.fence.Swap(uint64(fence)) == uint64(fence) {
 		return
 	}
-	_ = level.Info(e.g.logger).Log("msg", "leading", "duty", expertsDuty, "number", fence, "lease_held", in.HeldFence != 0,
+	_ = level.Info(e.g.logger).Log("msg", "leadership changed", "duty", expertsDuty, "number", fence, "lease_held", in.HeldFence != 0,
 		"lease_seen", in.SeenFence, "newest_heard", e.election.newestPeerFence, "place", in.Position)
 	for _, c := range e.controllers {
 		c.Wake()
@@ -94,7 +96,8 @@
 
 func (e *experts) anyGroup() bool { return len(e.controllers) > 0 }
 
-// updateControllers runs a controller for each service whose upstreams are ranks of a group.
+// updateControllers runs a controller for each service whose upstreams are ranks of a group, and stops those of other
+// services.
 func (e *experts) updateControllers() {
 	if e.g.control.config == nil {
 		return
@@ -137,10 +140,11 @@
 	})
 }
 
-// minSlowdown is from when on a rank counts as slow. A rank's reports vary by some hundredths.
+// minSlowdown is the slowdown factor from which a rank counts as slow. A rank's reports vary by some hundredths.
 const minSlowdown = 1.25
 
-// recordSlowRanks keeps a group's slow ranks for the digests, and logs those that have become slow or are as usual again.
+// recordSlowRanks stores a group's slow ranks for the digests, and logs each rank that became slow or returned to
+// normal.
 func (e *experts) recordSlowRanks(group string, upstreams []*catalog.Upstream, reports []lockstep.Report) {
 	slow := slowRanks(upstreams, reports)
 	before, _ := e.slow.Swap(group, slow)
@@ -148,13 +152,13 @@
 	for rank, u := range upstreams {
 		now, then := slowdownOf(slow, u), slowdownOf(was, u)
 		if (now > 0) != (then > 0) {
-			_ = level.Info(e.g.logger).Log("msg", "rank pace", "group", group, "rank", rank, "upstream", u.ID, "slow", now > 0,
+			_ = level.Info(e.g.logger).Log("msg", "rank slowdown changed", "group", group, "rank", rank, "upstream", u.ID, "slow", now > 0,
 				"pace", reports[rank].Pace, "fresh", reports[rank].Fresh, "running", reports[rank].Running)
 		}
 	}
 }
 
-// slowdownOf returns an upstream's pace among slow ones; 0 if it is none of them.
+// slowdownOf returns an upstream's slowdown factor, or 0 if the upstream is not in the list of slow ranks.
 func slowdownOf(slow []*cardamomyokev1.UpstreamPace, u *catalog.Upstream) float64 {
 	for _, s := range slow {
 		if s.GetUpstream() == hashOf(u.Incarnation()) {
@@ -174,7 +178,7 @@
 	return slow
 }
 
-// allSlowRanks returns the slow ranks of all services while this gateway leads.
+// allSlowRanks returns the slow ranks of all services, or nil while this gateway does not lead.
 func (e *experts) allSlowRanks() []*cardamomyokev1.UpstreamPace {
 	if e.fence.Load() == 0 {
 		return nil
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -24,23 +24,24 @@
 )
 
 const (
-	// tickInterval is the period of the control loop: it bounds how long a waiting request overstays its time.
+	// tickInterval is the period of the control loop. It bounds how long a request waits beyond its deadline.
 	tickInterval = 50 * time.Millisecond
-	// dialTimeout is some times the longest way to an upstream and back; a host that is dead answers never.
+	// dialTimeout is several times the longest round trip to an upstream; a dead host never responds.
 	dialTimeout = 250 * time.Millisecond
-	// upstreamIdleTimeout is how long idle connections to upstreams are kept, unless they say less themselves.
+	// upstreamIdleTimeout closes idle connections to upstreams, unless an upstream announces a shorter timeout.
 	upstreamIdleTimeout = 10 * time.Second
-	// upstreamSilentAfter ends a connection on which an upstream's host acknowledges nothing.
+	// upstreamSilentAfter closes a connection on which the upstream's host acknowledges nothing for this long.
 	upstreamSilentAfter = 1500 * time.Millisecond
-	// maxConnections of callers is set apart from the descriptors that upstreams and the store need.
+	// maxConnections bounds the connections of callers; the remaining file descriptors are reserved for upstreams and
+	// the store.
 	maxConnections = 2500
-	// writeTimeout is how long a caller may leave an answer unread.
+	// writeTimeout is how long a caller may leave a response unread.
 	writeTimeout = 10 * time.Second
-	// defaultIdleTimeout holds until a configuration says for how long callers keep connections.
+	// defaultIdleTimeout closes idle connections of callers until a configuration sets the timeout.
 	defaultIdleTimeout = 75 * time.Second
 )
 
-// Deps are what a gateway works with; they are set by its main.
+// Deps are the dependencies of a gateway.
 type Deps struct {
 	Feed    platform.Feed
 	Table   platform.Table
@@ -48,7 +49,7 @@
 	Dialect Dialect
 	Decoder Decoder
 	Logger  log.Logger
-	// Tracer is nil if no spans are made.
+	// Tracer is nil if tracing is disabled.
 	Tracer *tracing.Tracer
 }
 
@@ -80,21 +81,21 @@
 	ranks   lockstep.RankClient
 	ctx     context.Context
 	cancel  context.CancelFunc
-	// control is what the control loop owns.
+	// control belongs to the control loop.
 	control controlState
 }
 
-// controlState is what the control loop owns. Nothing else touches it.
+// controlState is the state that only the control loop reads and writes.
 type controlState struct {
 	config    *catalog.Configuration
 	upstreams *catalog.Upstreams
-	// entries tells which entries of the registry name upstreams.
+	// entries determines which entries of the registry are valid upstreams.
 	entries  *registry.Registry
 	services map[ids.Service]*service
 	node     nodeState
 }
 
-// Start opens the listeners and begins to follow the store. Errors: *httpserver.ListenError, or the network's.
+// Start opens the listeners and begins to follow the store. It returns *httpserver.ListenError or a network error.
 func Start(set *Settings, d Deps) (*Gateway, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &Gateway{
@@ -185,7 +186,8 @@
 	return nil
 }
 
-// onStoreChange takes over a change and, if this gateway follows the store for others, tells them at once.
+// onStoreChange applies a change of the store's tables. If this gateway follows the store on behalf of its peers, it
+// announces the change to them immediately.
 func (g *Gateway) onStoreChange(now time.Time) {
 	g.reload(now)
 	if g.config.Following() || g.registry.Following() {
@@ -193,13 +195,13 @@
 	}
 }
 
-// reload takes over what the copies of the store's tables hold.
+// reload applies the current rows of the replicated tables.
 func (g *Gateway) reload(now time.Time) {
 	before := g.control.node
 	config, err := g.decoder.Configuration(g.config.Replica.Rows())
 	switch {
 	case err != nil:
-		_ = level.Error(g.logger).Log("msg", "configuration kept", "reason", "the new one cannot be read", "err", err)
+		_ = level.Error(g.logger).Log("msg", "keeping the previous configuration", "reason", "the new one cannot be decoded", "err", err)
 	case config != nil && (g.control.config == nil || config.Version > g.control.config.Version):
 		g.adopt(config)
 	}
@@ -231,7 +233,7 @@
 	_ = level.Info(g.logger).Log("msg", "configuration in force", "version", c.Version, "before", before, "routes", c.Routes())
 }
 
-// publish makes the present state visible to requests.
+// publish makes the current control state visible to requests.
 func (g *Gateway) publish() {
 	g.view.Store(&view{
 		config:     g.control.config,
@@ -246,7 +248,7 @@
 	}
 }
 
-// tick runs on the control loop.
+// tick runs once per tickInterval on the control loop.
 func (g *Gateway) tick(now time.Time) {
 	g.pauses.Observe(now)
 	sharing := g.peers.sharing(now)
@@ -266,11 +268,11 @@
 	g.peers.tick(now)
 }
 
-// Settings returns the settings in use; they must not be changed.
+// Settings returns the settings in use; the caller must not change them.
 func (g *Gateway) Settings() *Settings { return g.settings.Load() }
 
-// Reload takes over changed settings. What is bound to listeners or to the node's identity stays until a restart; it
-// returns the keys of that kind that differ.
+// Reload applies changed settings. Settings of listeners, logs, tracing and the node's identity apply only after a
+// restart; Reload returns the keys of these that differ.
 func (g *Gateway) Reload(next *Settings) (unchanged []string) {
 	old := g.Settings()
 	merged := *next
@@ -296,5 +298,5 @@
 	return unchanged
 }
 
-// Busy returns how many callers' requests are running.
+// Busy returns the number of callers' requests in progress.
 func (g *Gateway) Busy() int { return g.servers.callers.Busy() }
--- a/internal/node/gateway/groupwatch.go
+++ b/internal/node/gateway/groupwatch.go
@@ -19,40 +19,41 @@
 )
 
 const (
-	// watchInterval is how often a group is read that does not work: callers wait for it.
+	// watchInterval is the interval at which a broken group is polled; callers wait for it.
 	watchInterval = 80 * time.Millisecond
-	// staleReportPeriod is how long after a refusal a report that is not fresh may still show the group as it was before.
+	// staleReportPeriod is how long after a refusal a report that is not fresh may still describe the group as it was
+	// before.
 	staleReportPeriod = 300 * time.Millisecond
-	// maxWatchReads is how many ranks are read at once, in case one of them is the one that is gone; surveyReads is the same
-	// where ranks may be of several groups, or of none.
+	// maxWatchReads is how many ranks are polled concurrently, in case the dead rank is one of them. maxSurveyReads
+	// applies instead if the ranks may belong to several groups or to none.
 	maxWatchReads  = 3
 	maxSurveyReads = 24
-	// unknownGroupTimeout is how long a group whose ranks do not answer is held to be closed, before requests may try it.
+	// unknownGroupTimeout is how long a group whose ranks do not respond stays closed before requests may try it.
 	unknownGroupTimeout = 400 * time.Millisecond
 )
 
-// groupWatch finds out whether a group works, from the moment that something speaks against it, and closes the
-// service's gate meanwhile.
+// groupWatch polls a group from the first sign of a failure until it works again, and keeps the service's gate closed
+// meanwhile.
 type groupWatch struct {
 	ranks  lockstep.RankClient
 	gate   *dispatch.Gate
 	logger log.Logger
-	// upstreams returns the ranks' upstreams now.
+	// upstreams returns the service's current upstreams.
 	upstreams func() []*catalog.Upstream
 
 	mu            sync.Mutex
 	watching      bool
 	lastFailureAt time.Time
-	// groupSize is the number of ranks that a group takes; 0 before one was asked.
+	// groupSize is the number of ranks of one group; 0 until a rank has reported it.
 	groupSize int
-	// disabled reports whether a mechanism is switched off; nil for none.
+	// disabled reports whether a mechanism is switched off; nil if none is.
 	disabled func(dispatch.Mechanism) bool
-	// ranksWatched are the ranks that are watched one by one.
+	// ranksWatched holds the ranks that are closed and polled individually.
 	ranksWatched map[ids.UpstreamIncarnation]bool
 }
 
-// closeGroup keeps requests from a group until a rank says that it is open; u is the upstream that gave reason to doubt, or nil.
-// Where a service has more ranks than one group takes, only u is kept away from until it is known how the others are.
+// closeGroup holds back requests until a rank reports that its group is open; u is the upstream whose attempt failed,
+// or nil. If the service has more ranks than one group, only u is closed until the state of the others is known.
 func (w *groupWatch) closeGroup(ctx context.Context, u *catalog.Upstream, reason string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -70,7 +71,7 @@
 	}
 }
 
-// survey finds out how the other ranks are once one has said that its group is broken.
+// survey polls the other ranks after one has reported that its group is broken.
 func (w *groupWatch) survey(ctx context.Context, reason string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -80,8 +81,8 @@
 	}
 }
 
-// watch closes the gate as long as no rank says that its group is open. Ranks whose group is broken beside one that is
-// open are closed one by one.
+// watch keeps the gate closed until a rank reports that its group is open. If there are other groups, it then closes
+// the ranks of broken groups individually.
 func (w *groupWatch) watch(ctx context.Context, reason string) {
 	began := time.Now()
 	for !w.tryOpen(ctx, w.readRanks(ctx), reason) {
@@ -91,8 +92,8 @@
 	_ = level.Info(w.logger).Log("msg", "group closed to requests", "reason", reason, "for", time.Since(began))
 }
 
-// tryOpen ends the watch and opens the gate if what the ranks said allows it. Both under one lock: a doubt that comes in
-// between would close the gate, and have it opened again under its watch.
+// tryOpen opens the gate and ends the watch if the ranks' states permit it. Both happen under one lock: a closeGroup in
+// between would close the gate and start its own watch, and this watch would then open the gate again.
 func (w *groupWatch) tryOpen(ctx context.Context, states map[*catalog.Upstream]groupState, reason string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -122,7 +123,7 @@
 	groupOpen
 )
 
-// mayOpen reports whether requests may be sent again, so long after the latest reason to doubt.
+// mayOpen reports whether requests may be sent again; since is the time since the last failure.
 func (s groupState) mayOpen(since time.Duration) bool {
 	switch s {
 	case groupOpen:
@@ -135,7 +136,7 @@
 	return false
 }
 
-// readRanks reads some ranks; a rank that is gone says nothing.
+// readRanks polls a random selection of ranks; a rank that does not respond is groupUnknown.
 func (w *groupWatch) readRanks(ctx context.Context) map[*catalog.Upstream]groupState {
 	list := append([]*catalog.Upstream(nil), w.upstreams()...)
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
@@ -162,7 +163,8 @@
 	return maxWatchReads
 }
 
-// readyRanks counts the upstreams that take work: while all of a group's ranks are replaced, the old ones are listed, too.
+// readyRanks counts the upstreams that accept requests. While all ranks of a group are being replaced, the registry
+// lists the old ones as well.
 func (w *groupWatch) readyRanks() int {
 	n := 0
 	for _, u := range w.upstreams() {
@@ -173,8 +175,8 @@
 	return n
 }
 
-// exceedsOneGroup reports whether the service has more ranks than one group takes: several groups, or ranks that are left over
-// and refuse all they get. What is true of one rank says nothing of another's then.
+// exceedsOneGroup reports whether the service has more ranks than one group: several groups, or spare ranks that refuse
+// all requests. The state of one rank then indicates nothing about the others.
 func (w *groupWatch) exceedsOneGroup() bool { return w.groupSize > 0 && w.readyRanks() > w.groupSize }
 
 func (w *groupWatch) readRank(ctx context.Context, u *catalog.Upstream) groupState {
@@ -194,7 +196,8 @@
 	return groupStaleOpen
 }
 
-// reportGroupFailure has the group looked at if an attempt failed as it does at a broken group: refused, or cut off.
+// reportGroupFailure closes the group if an attempt failed in a way that indicates a broken group: it was refused, or
+// its response was truncated.
 func (n *run) reportGroupFailure(u *catalog.Upstream, err error) {
 	var refused *RefusedError
 	var broken *httpclient.BrokenError
--- a/internal/node/gateway/groupwatch_test.go
+++ b/internal/node/gateway/groupwatch_test.go
@@ -16,7 +16,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// fakeRanks report the group of each rank; only Report is used.
+// fakeRanks reports the group of each rank; only Report is implemented.
 type fakeRanks struct {
 	lockstep.RankClient
 	mu   sync.Mutex
@@ -52,14 +52,15 @@
 	return w, list
 }
 
-// notWatching waits until nothing is watched any more; no check measures time.
+// notWatching reports whether no group or rank is watched. Tests poll it; none measures time.
 func (w *groupWatch) notWatching() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.watching && len(w.ranksWatched) == 0
 }
 
-// placedUpstreams offers requests until one is not placed at once, ends them, and returns which upstreams got some.
+// placedUpstreams submits requests until one is not placed immediately, finishes them, and returns the upstreams that
+// got any.
 func placedUpstreams(g *dispatch.Gate) map[ids.Upstream]bool {
 	got := map[ids.Upstream]bool{}
 	var tickets []*dispatch.Ticket
@@ -70,7 +71,7 @@
 	}()
 	for {
 		ctx, cancel := context.WithCancel(context.Background())
-		cancel() // what would have to wait comes back at once
+		cancel() // a request that would have to wait returns immediately
 		now := time.Now()
 		ticket, err := g.Wait(ctx, dispatch.Request{Arrived: now, Aim: now.Add(time.Hour), Latest: now.Add(time.Hour)})
 		if err != nil {
@@ -81,9 +82,9 @@
 	}
 }
 
-// A service has three ranks, and a group takes two. The third refuses whatever it gets, looks idle for that, and would get
-// the next request as well: callers are refused beside a group that could serve them. It is kept away from until its own
-// report says that its group is open; the two others go on.
+// A service has three ranks, and a group takes two. The third refuses every request, therefore looks idle, and would
+// get the next request as well, so callers are refused although a group could serve them. It must stay closed until its
+// own report says that its group is open, while the two others continue.
 func TestSpareRankIsClosedAlone(t *testing.T) {
 	ranks := &fakeRanks{size: 2, closed: map[ids.Upstream]bool{"u-2": true}}
 	w, list := newTestWatch(t, ranks, 3)
@@ -106,15 +107,16 @@
 	}
 }
 
-// watchesOnly reports whether just that rank is watched, and the group as a whole no longer.
+// watchesOnly reports whether u is the only rank watched, and the group as a whole is no longer watched.
 func (w *groupWatch) watchesOnly(u *catalog.Upstream) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.watching && len(w.ranksWatched) == 1 && w.ranksWatched[u.Incarnation()]
 }
 
-// A rank is replaced: the new one is listed beside the old, so that there are more ranks than a group takes, and the only
-// group is broken. Tried one by one each of them would refuse a request; none gets one, and all wait until the group is open.
+// While a rank is replaced, the registry lists both the new and the old one, so that there are more ranks than one
+// group takes, and the only group is broken. Tried one by one, each rank would refuse a request. None may get one until
+// the group is open.
 func TestBrokenGroupWithSpareRankIsClosedEntirely(t *testing.T) {
 	ranks := &fakeRanks{size: 2, closed: map[ids.Upstream]bool{"u-0": true, "u-1": true, "u-2": true}}
 	w, list := newTestWatch(t, ranks, 3)
@@ -135,8 +137,8 @@
 	}
 }
 
-// All ranks of the only group stall when one of them is gone. What is sent meanwhile is refused by each of them, so that
-// requests wait for the group as a whole, and are placed when a rank says that it is open again.
+// All ranks of the only group stall when one of them dies, and each would refuse requests. Requests must wait for the
+// group as a whole, and are placed when a rank reports that it is open again.
 func TestBrokenGroupIsClosedEntirely(t *testing.T) {
 	ranks := &fakeRanks{size: 2, closed: map[ids.Upstream]bool{"u-0": true, "u-1": true}}
 	w, list := newTestWatch(t, ranks, 2)
@@ -144,7 +146,7 @@
 	defer cancel()
 	w.closeGroup(ctx, list[1], "refused")
 	if got := placedUpstreams(w.gate); len(got) > 0 {
-		t.Fatalf("placed at %v, want nobody", got)
+		t.Fatalf("placed at %v, want none", got)
 	}
 	ranks.open("u-0")
 	ranks.open("u-1")
--- a/internal/node/gateway/handler.go
+++ b/internal/node/gateway/handler.go
@@ -17,11 +17,13 @@
 )
 
 const (
-	// notReadyRetryAfter is when a caller may come back to a gateway that does not know its configuration: a start takes less.
+	// notReadyRetryAfter is when a caller should retry if this gateway lacks its configuration, a route, a key or a
+	// service; starting takes less.
 	notReadyRetryAfter = 500 * time.Millisecond
-	// closingRetryAfter is when a caller may come back, at another address, that met a gateway which is about to end.
+	// closingRetryAfter is when a caller should retry, at another address, after this gateway refused it because it is
+	// about to exit.
 	closingRetryAfter = 50 * time.Millisecond
-	// noService is the budget's and metrics' name for requests that no route was found for.
+	// noService is the service in the metrics of requests that are refused before any attempt.
 	noService = ""
 )
 
@@ -31,16 +33,16 @@
 	route   *catalog.Route
 	service *catalog.Service
 	client  ids.Client
-	// priority is the client account's, or else the route's.
+	// priority is that of the client account, or else that of the route.
 	priority int
-	// revision is the configuration that the request works from.
+	// revision is the version of the configuration that the request works from.
 	revision ids.Revision
 	arrived  time.Time
-	// deadline is when the caller must have its final answer.
+	// deadline is when the caller must have the final response.
 	deadline time.Time
 }
 
-// serve answers one request of a caller, once.
+// serve handles one request of a caller.
 func (g *Gateway) serve(ctx context.Context, x *httpserver.Exchange) {
 	now := time.Now()
 	paused := g.pauses.Observe(now)
@@ -60,7 +62,8 @@
 	span.End(err)
 }
 
-// runRequest tries a request that may be tried; trace is its trace context for the next hop.
+// runRequest runs the attempts of an accepted request and responds to the caller; trace is the trace context for the
+// next hop.
 func (g *Gateway) runRequest(ctx context.Context, v *view, x *httpserver.Exchange, r *request, trace string) error {
 	ctx, cancel := context.WithDeadline(ctx, r.deadline)
 	defer cancel()
@@ -74,7 +77,7 @@
 	return err
 }
 
-// readRequest checks a request that arrived at a time. Errors: *failure.Error; the request is never nil.
+// readRequest checks a request that arrived at the given time. It returns *failure.Error; the request is never nil.
 func (g *Gateway) readRequest(v *view, in *fasthttp.Request, arrived time.Time) (*request, error) {
 	r := &request{arrived: arrived}
 	call, err := g.dialect.ReadCall(&in.Header)
@@ -118,10 +121,11 @@
 	return r, nil
 }
 
-// notFoundError says that a route or key does not exist, or only that it is not known here.
+// notFoundError returns an error for a route or key that does not exist, or that this gateway may not have received
+// yet.
 //
-// A node that the store turns away, or that others have told of a newer configuration, may not know a new route yet. Callers
-// take a 404 as final, so it asks them to come back instead.
+// A gateway that has lost the store, or to which peers have announced a newer configuration, may lack a new route.
+// Callers treat a 404 as final, so it tells them to retry instead.
 func (g *Gateway) notFoundError(v *view, code failure.Code) error {
 	if !v.storeUp || g.peers.replicaLag(g.config.Replica, time.Now()) > 0 {
 		return failure.New(failure.CodeStaleRevision, failure.New(code, nil)).WithRetryAfter(notReadyRetryAfter)
@@ -129,7 +133,7 @@
 	return failure.New(code, nil)
 }
 
-// pickService draws a destination by weight.
+// pickService returns a service at random by weight.
 func pickService(list []catalog.WeightedService) ids.Service {
 	sum := 0
 	for _, s := range list {
@@ -147,14 +151,14 @@
 	return list[0].Service
 }
 
-// refuse answers a request that did not come as far as being tried.
+// refuse responds to a request that is refused before any attempt.
 func (g *Gateway) refuse(x *httpserver.Exchange, v *view, r *request, err error) {
 	g.logRefused(v, r, err)
 	g.metrics.requestDone(noService, err, time.Since(r.arrived).Seconds())
 	g.respondFailure(x, r, err)
 }
 
-// respondFailure answers with a typed failure.
+// respondFailure sends a typed failure to the caller.
 func (g *Gateway) respondFailure(x *httpserver.Exchange, r *request, err error) {
 	f := *failure.From(err)
 	headers := []httpserver.Header{}
@@ -172,7 +176,7 @@
 	x.Fail(&f, headers...)
 }
 
-// serveDirectory answers callers that ask which addresses to use.
+// serveDirectory returns the addresses of gateways that callers may use.
 func (g *Gateway) serveDirectory(_ context.Context, x *httpserver.Exchange) {
 	path, _, _ := bytes.Cut(x.Req.Header.RequestURI(), []byte("?"))
 	if string(path) != g.dialect.DirectoryPath() {
@@ -192,15 +196,16 @@
 	_ = x.Respond(fasthttp.StatusOK, []httpserver.Header{{Name: "Content-Type", Value: "application/json"}}, body)
 }
 
-// directoryTTL is for how long callers may keep an answer of the directory.
+// directoryTTL is how long callers may cache a directory response.
 func (g *Gateway) directoryTTL() time.Duration {
 	return min(g.Settings().Bounds.MaxKeep.Std(), maxDirectoryTTL)
 }
 
-// maxDirectoryTTL is short, so that callers soon stop using a host that died; asking costs them a millisecond or two.
+// maxDirectoryTTL is short, so that callers soon stop using a dead host; a directory request costs them a millisecond
+// or two.
 const maxDirectoryTTL = time.Second
 
-// serveReadiness answers whether this gateway takes requests.
+// serveReadiness reports whether this gateway accepts requests.
 func (g *Gateway) serveReadiness(_ context.Context, x *httpserver.Exchange) {
 	path, _, _ := bytes.Cut(x.Req.Header.RequestURI(), []byte("?"))
 	if string(path) != g.dialect.ReadinessPath() {
--- a/internal/node/gateway/join.go
+++ b/internal/node/gateway/join.go
@@ -7,13 +7,14 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/liveness"
 )
 
-// joining reports whether this gateway has just started and does not know the others yet.
+// joining reports whether this gateway has just started and may not have state for its peers yet.
 //
-// When all gateways start together, each that takes itself for one of a few would lead, draw numbers and follow the store.
+// When all gateways start together, each of them sees only a few peers at first. Without this period each would lead,
+// allocate fencing tokens and follow the store.
 func (p *peers) joining(now time.Time) bool { return now.Sub(p.startedAt) < joinPeriod }
 
-// isolated reports whether this gateway hears none of several others. It cannot tell then whether one of them has ended, and
-// takes no duty for it.
+// isolated reports whether this gateway has several peers and received no message from any of them within
+// leaderTimeout. It cannot tell then whether a peer is dead, and takes over no duty.
 func (p *peers) isolated(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -29,14 +30,15 @@
 	return len(p.byName) > 1
 }
 
-// announce tells all others of a change here that they should know at once. While all start, each of them sees it itself.
+// announce sends a digest to all peers after a change that they should receive immediately. It sends nothing while this
+// gateway joins, as gateways that start together observe the change themselves.
 func (p *peers) announce(now time.Time) {
 	if !p.joining(now) {
 		p.sendToAll(now)
 	}
 }
 
-// join asks the gateways of the settings for names while this one is new.
+// join requests peer lists from the gateways in the settings while this gateway joins.
 func (p *peers) join(now time.Time) {
 	if !p.joining(now) || now.Sub(p.joinSentAt) < joinInterval {
 		return
@@ -51,14 +53,15 @@
 	p.sendProbes(probes)
 }
 
-// sendPeerList tells a gateway that has just started of all others.
+// sendPeerList sends the addresses of all peers to a gateway that joins.
 func (p *peers) sendPeerList(now time.Time, to string) {
 	d := p.compose()
 	d.Peers = p.others(now)
 	p.sendTo([]string{to}, d)
 }
 
-// addHints takes in addresses of other gateways; those that are new are told of this one at the next tick. The lock is held.
+// addHints records addresses of other gateways; the next tick sends this gateway's digest to the new ones. The caller
+// holds the lock.
 func (p *peers) addHints(now time.Time, addresses ...string) {
 	for _, a := range addresses {
 		if _, known := p.hints[a]; !known && a != p.g.Settings().Listen.Peers {
@@ -68,7 +71,7 @@
 	}
 }
 
-// contactNewPeers tells those that have never been told of this gateway.
+// contactNewPeers sends a digest to the addresses that have never received one.
 func (p *peers) contactNewPeers() {
 	p.mu.Lock()
 	addresses := p.newAddresses
--- a/internal/node/gateway/leadership.go
+++ b/internal/node/gateway/leadership.go
@@ -6,48 +6,54 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// takeoverDelay is how long the store may take to answer before a candidate leads without the lease: some calls of it. Each
-// further candidate begins to want the lease as much later, in case those before it can neither get it nor have a number.
+// takeoverDelay is how long a call for the lease may stay without a response before a candidate leads without the
+// lease; it is the time of several calls. Each further candidate contends for the lease later by the same delay, in
+// case those before it can neither acquire it nor have a spare token.
 const takeoverDelay = 150 * time.Millisecond
 
-// leadership decides under which number this gateway places experts. It does no I/O and reads no clock.
+// leadership decides under which fencing token this gateway places experts. It does no I/O and reads no clock.
 //
-// Two leaders at once cannot mix maps: their versions differ by their numbers, a group is held until all of its ranks are
-// armed for the same version, and a rank refuses versions below the highest that it had. So the lease only keeps gateways
-// from doing the same work twice, and whoever has a number that is later than all others' may lead without it.
+// Two concurrent leaders cannot mix maps: their versions differ by their tokens, a group pauses until all of its ranks
+// are armed for the same version, and a rank refuses versions below the highest that it had. So the lease only prevents
+// duplicate work, and a gateway whose token is newer than those of all others may lead without it.
 //
-// If the leader ends while the store is away, nobody can get the lease, and a group that it held waits until the store is
-// back. The first candidates therefore draw a number ahead of need.
+// If the leader dies while the store is unreachable, no gateway can acquire the lease, and a group that it paused would
+// wait until the store is back. The first candidates therefore allocate a spare token in advance.
 type leadership struct {
-	// fence is what this gateway leads under or led under last, 0 before that; spare is one that was drawn ahead.
+	// fence is the token of this gateway's current or latest leadership, 0 before the first. spare is a token allocated
+	// in advance.
 	fence, spare ids.Fence
-	// leaseFence is the fencing number of the last lease that is known not to be a later leader's.
+	// leaseFence is the fencing token of the newest lease that is known not to belong to a later leader.
 	leaseFence ids.Fence
-	// newestPeerFence is the highest number that another gateway is known to have led under.
+	// newestPeerFence is the highest token under which a peer is known to have led.
 	newestPeerFence ids.Fence
-	// leaderSeenAt is when another gateway was last heard to lead, or when this one began to listen.
+	// leaderSeenAt is when a peer last led or this gateway was not a candidate, initially the time of the first
+	// decision.
 	leaderSeenAt time.Time
 }
 
-// electionInput is what a gateway knows of itself and others as it decides whether to lead.
+// electionInput is a gateway's state and that of its peers, from which it decides whether to lead.
 type electionInput struct {
-	// Ready says that this gateway serves callers and is to go on doing so.
+	// Ready is set if this gateway serves callers and is not leaving.
 	Ready bool
-	// HeldFence is the lease's fencing number while this gateway holds it, else 0; Seen is the newest that the store showed another
-	// to have. A lease that this gateway got, and does not know of as the answer was lost, is no later leader's.
+	// HeldFence is the fencing token of the lease while this gateway holds it, else 0. SeenFence is the newest token
+	// that the store showed for a lease of another gateway. A lease that this gateway acquired without receiving the
+	// response does not count as a later leader's.
 	HeldFence, SeenFence ids.Fence
-	// PeerFence is the highest number under which another gateway says that it leads, 0 if none does.
+	// PeerFence is the highest token under which a peer reports that it leads, 0 if none does.
 	PeerFence ids.Fence
-	// PendingFor is for how long the store has not answered the present call for the lease.
+	// PendingFor is how long the current call for the lease has been without a response.
 	PendingFor time.Duration
-	// Position is this gateway's among those that should lead, 0 for the first; negative if it should not, or another one leads.
+	// Position is this gateway's index among the candidates, 0 for the first. It is negative if a peer leads or this
+	// gateway should not lead.
 	Position int
-	// LowerSpares counts the others that have a spare number which is lower than this one's, and yet later than all leaders'.
-	// They go first while the lease cannot be had: in the other order their numbers would be too low for anybody to use.
+	// LowerSpares counts the peers whose spare token is lower than this gateway's, and yet newer than those of all
+	// leaders. They go first while the lease cannot be acquired: in the reverse sequence their tokens would be too old
+	// to be used.
 	LowerSpares int
 }
 
-// decide returns the number to lead under, or 0, and whether a spare number is to be drawn now for that.
+// decide returns the token to lead under, or 0, and whether a spare token must be allocated now in order to lead.
 func (l *leadership) decide(now time.Time, in electionInput) (fence ids.Fence, allocate bool) {
 	l.newestPeerFence = max(l.newestPeerFence, in.PeerFence)
 	l.leaseFence = max(l.leaseFence, in.HeldFence)
@@ -67,8 +73,8 @@
 	return l.fence, false
 }
 
-// leads reports whether the present number is good until a later leader is known: also beyond the lease, as when the store
-// is away for this gateway or for all.
+// leads reports whether the current token is still valid. It stays valid until a later leader is known, also after the
+// lease has expired, as when the store is unreachable for this gateway or for all.
 func (l *leadership) leads(seenFence ids.Fence) bool {
 	return l.fence != 0 && l.fence >= l.newestPeerFence && l.leaseFence >= seenFence
 }
@@ -78,15 +84,15 @@
 	return in.HeldFence != 0 || in.Position >= 0 && in.PendingFor >= takeoverDelay && now.Sub(l.leaderSeenAt) >= delay
 }
 
-// noteLeader takes in whether another gateway leads.
+// noteLeader records whether a peer leads.
 func (l *leadership) noteLeader(now time.Time, in electionInput) {
 	if in.Position < 0 || l.leaderSeenAt.IsZero() {
 		l.leaderSeenAt = now
 	}
 }
 
-// isTurn reports whether this gateway should want the lease: those first that should lead, and those first that could lead
-// without it.
+// isTurn reports whether this gateway should contend for the lease now. The candidates follow each other by position,
+// or by their spare tokens if that lets a gateway contend earlier.
 func (l *leadership) isTurn(now time.Time, in electionInput) bool {
 	position := in.Position
 	if l.spareIsNewest() {
@@ -97,8 +103,8 @@
 
 func (l *leadership) spareIsNewest() bool { return l.spare > max(l.fence, l.newestPeerFence) }
 
-// allocated takes in a number that was drawn.
+// allocated records a newly allocated token.
 func (l *leadership) allocated(n ids.Fence) { l.spare = max(l.spare, n) }
 
-// observeNewer takes in that a later leader's maps are in use.
+// observeNewer records that the maps of a later leader are in use.
 func (l *leadership) observeNewer(newer ids.Fence) { l.newestPeerFence = max(l.newestPeerFence, newer) }
--- a/internal/node/gateway/leadership_test.go
+++ b/internal/node/gateway/leadership_test.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// leadStep is what a gateway knows at some time, and what it decides.
+// leadStep is a gateway's input at some time, and the expected decision.
 type leadStep struct {
 	at        time.Duration
 	allocated ids.Fence
@@ -23,14 +23,14 @@
 	away := electionInput{Ready: true, PendingFor: time.Second}
 	led := -1
 	for name, steps := range map[string][]leadStep{
-		// The store is there: the lease is got within some calls, and the number that was drawn ahead is used at once.
-		"by the lease": {
+		// The store responds: the lease is acquired within a few calls, and the spare token is used immediately.
+		"with the lease": {
 			{at: 0, allocated: 7, input: first},
 			{at: 20 * time.Millisecond, input: electionInput{Ready: true, HeldFence: 12, SeenFence: 12}, fence: 7},
 			{at: 9 * time.Second, input: electionInput{Ready: true, SeenFence: 12}, fence: 7},
 		},
-		// Callers of a group wait: its leader ended with the group held, and the store is away, so that no lease is to be got.
-		// The first candidate goes on under the number that it drew while the store was there.
+		// The leader died while it held back requests of a group, and the store is unreachable, so no lease can be
+		// acquired. The first candidate continues under the token that it allocated while the store was reachable.
 		"without the store": {
 			{at: 0, allocated: 7, input: electionInput{Ready: true, Position: led, PeerFence: 5, SeenFence: 4}},
 			{at: time.Second, input: electionInput{Ready: true, Position: led, SeenFence: 4}},
@@ -38,48 +38,52 @@
 			{at: 1300 * time.Millisecond, input: electionInput{Ready: true, SeenFence: 4, PendingFor: 150 * time.Millisecond}, fence: 7},
 			{at: 8 * time.Second, input: electionInput{Ready: true, HeldFence: 30, SeenFence: 30}, fence: 7},
 		},
-		// The leader's process is started again at once and is first of all, but it has no number and cannot draw one. The next
-		// candidate has one and takes the duty instead.
-		"first without a number": {
+		// The leader's process restarts immediately and is the first candidate, but it has no token and cannot allocate
+		// one. The next candidate has one and takes over.
+		"first candidate without a token": {
 			{at: 0, allocated: 7, input: electionInput{Ready: true, Position: led, PeerFence: 5}},
 			{at: time.Second, input: electionInput{Ready: true, Position: led}},
 			{at: 1100 * time.Millisecond, input: electionInput{Ready: true, Position: 1, PendingFor: 100 * time.Millisecond}},
 			{at: 1600 * time.Millisecond, input: electionInput{Ready: true, Position: 1, PendingFor: 150 * time.Millisecond}, fence: 7},
 		},
-		// The store answers: another gateway holds the lease and cannot be heard. Whether it has ended is the lease's to say.
-		"the store answers": {
+		// The store responds: another gateway holds the lease, and no message arrives from it. Only the lease decides
+		// whether it is dead.
+		"store responds": {
 			{at: 0, allocated: 7, input: electionInput{Ready: true, SeenFence: 4}},
 			{at: time.Second, input: electionInput{Ready: true, SeenFence: 4, PendingFor: 5 * time.Millisecond}},
 			{at: 2 * time.Second, input: electionInput{Ready: true, SeenFence: 4}},
 		},
-		// Of two candidates with numbers the one with the lower goes first; the other one's is good for the time after.
-		"the lower number first": {
+		// Of two candidates with spare tokens the one with the lower token goes first; the other one's remains usable
+		// afterwards.
+		"lower spare token first": {
 			{at: 0, allocated: 9, input: electionInput{Ready: true, Position: led, PeerFence: 5}},
 			{at: time.Second, input: electionInput{Ready: true, Position: led}},
 			{at: 1100 * time.Millisecond, input: electionInput{Ready: true, Position: 2, LowerSpares: 1, PendingFor: 400 * time.Millisecond}},
 			{at: 1250 * time.Millisecond, input: electionInput{Ready: true, Position: 0, LowerSpares: 1, PendingFor: 400 * time.Millisecond}},
 			{at: 1300 * time.Millisecond, input: electionInput{Ready: true, Position: 2, LowerSpares: 1, PendingFor: 400 * time.Millisecond}, fence: 9},
 		},
-		// A number that was drawn before the last leader's would be refused by ranks that have its map.
-		"spare of before the last leader": {
+		// A spare token that was allocated before the last leader's would be refused by ranks that have that leader's
+		// map.
+		"spare older than the last leader's token": {
 			{at: 0, allocated: 7, input: electionInput{Ready: true, Position: led, PeerFence: 9}},
 			{at: time.Second, input: electionInput{Ready: true, Position: led, PeerFence: 9}},
 			{at: 1200 * time.Millisecond, input: first},
 			{at: 2 * time.Second, input: away, allocate: true},
 			{at: 3 * time.Second, allocated: 11, input: away, fence: 11},
 		},
-		// A leader that was paused hears of the one that took its place, and stops; it does not begin again when that one ends.
+		// A leader that was paused receives a digest of its successor and stops. It does not start again when the
+		// successor dies.
 		"a later leader": {
 			{at: 0, allocated: 7, input: electionInput{Ready: true, HeldFence: 2, SeenFence: 2}, fence: 7},
 			{at: time.Second, input: electionInput{Ready: true, Position: led, PeerFence: 8, SeenFence: 2}},
 			{at: 1200 * time.Millisecond, input: electionInput{Ready: true, Position: 1, SeenFence: 2}},
 		},
-		// A later lease in the store tells the same, where the new leader's digests do not arrive.
+		// A later lease in the store has the same effect if the new leader's digests do not arrive.
 		"a later lease": {
 			{at: 0, allocated: 7, input: electionInput{Ready: true, HeldFence: 2, SeenFence: 2}, fence: 7},
 			{at: time.Second, input: electionInput{Ready: true, Position: led, SeenFence: 3}},
 		},
-		// A gateway that leaves gives no orders any more.
+		// A gateway that leaves gives no more orders.
 		"leaving": {
 			{at: 0, allocated: 7, input: electionInput{Ready: true, HeldFence: 2, SeenFence: 2}, fence: 7},
 			{at: time.Second, input: electionInput{HeldFence: 2, SeenFence: 2}},
--- a/internal/node/gateway/log.go
+++ b/internal/node/gateway/log.go
@@ -14,8 +14,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/dispatch"
 )
 
-// requestLogs are the bounded logs of what is decided about requests. Lines about requests that went wrong are fewer and
-// needed more, so they have a bound of their own.
+// requestLogs are the rate-limited logs of decisions about requests. Lines about failed requests are fewer and more
+// important, so they have a limit of their own.
 type requestLogs struct {
 	ordinary, failures *logging.RateLimited
 }
@@ -27,7 +27,7 @@
 	}
 }
 
-// logRefused logs that a request was not tried.
+// logRefused logs that a request was refused before any attempt.
 func (g *Gateway) logRefused(v *view, r *request, err error) {
 	f := failure.From(err)
 	now := time.Now()
@@ -42,13 +42,14 @@
 	_ = g.requests.failures.Log(fields...)
 }
 
-// logPaused logs that a request may have waited unread while this process stood still, and counts as that old.
+// logPaused logs that a request may have waited unread while this process was paused, and that the pause is added to
+// its age.
 func (g *Gateway) logPaused(r *request, paused time.Duration) {
-	_ = g.requests.failures.Log("msg", "read after a standstill", "request", r.call.Attempt, "stood_ms", paused.Milliseconds(),
+	_ = g.requests.failures.Log("msg", "request read after a process pause", "request", r.call.Attempt, "stood_ms", paused.Milliseconds(),
 		"told_left_ms", r.call.Remaining.Milliseconds())
 }
 
-// logPlaced logs where an attempt goes, and what that was decided by.
+// logPlaced logs the upstream of an attempt and the values behind the decision.
 func (g *Gateway) logPlaced(n *run, d dispatch.Decision) {
 	_ = g.requests.ordinary.Log("msg", "placed", "request", n.r.call.Attempt, "route", n.r.route.Name, "revision", n.r.revision,
 		"upstream", n.upstream, "attempt", n.sent+n.unreached+1, "load", d.Load, "usable", d.Usable, "waiting", d.Waiting,
@@ -58,13 +59,13 @@
 // logRetry logs that another attempt follows.
 func (g *Gateway) logRetry(n *run, err error) {
 	g.metrics.requestRetried(n.r.service.Name)
-	_ = g.requests.failures.Log("msg", "another attempt", "request", n.r.call.Attempt, "route", n.r.route.Name,
+	_ = g.requests.failures.Log("msg", "retrying request", "request", n.r.call.Attempt, "route", n.r.route.Name,
 		"upstream", n.upstream, "sent", n.sent, "unreached", n.unreached, "may_have_run", n.mayHaveRun,
 		"after_event", n.stream.lastEvent, "budget_left", n.service.budget.Left(time.Now()),
 		"left_ms", time.Until(n.r.deadline).Milliseconds(), "err", err)
 }
 
-// logOutcome logs how a request ended.
+// logOutcome logs and counts the outcome of a request.
 func (g *Gateway) logOutcome(n *run, err error) {
 	g.metrics.requestDone(n.r.service.Name, err, time.Since(n.r.arrived).Seconds())
 	now := time.Now()
@@ -86,9 +87,10 @@
 // Outcomes of requests in logs.
 const (
 	outcomeAnswered = "answered"
-	// outcomeLate: the answer was whole, but began after the route's target or paused for longer than it allows.
+	// outcomeLate: the response was complete, but began after the route's target or paused for longer than the route
+	// permits.
 	outcomeLate = "late"
-	// outcomeUpstreamFailure: the caller got the upstream's own failure.
+	// outcomeUpstreamFailure: the caller received the upstream's own failure.
 	outcomeUpstreamFailure = "upstream-failure"
 	outcomeFailed          = "failed"
 )
@@ -105,7 +107,7 @@
 	return outcomeAnswered
 }
 
-// late reports whether the route's target was missed.
+// late reports whether the response missed the route's target latency or target gap.
 func (n *run) late() bool {
 	route := n.r.route
 	if route.TargetLatency > 0 && n.firstPieceAt.Sub(n.r.arrived) > route.TargetLatency {
@@ -114,7 +116,7 @@
 	return route.TargetGap > 0 && n.stream.longestGap > route.TargetGap
 }
 
-// sinceArrival is in milliseconds; -1 if it did not come to it.
+// sinceArrival returns the milliseconds from the request's arrival to t, or -1 if t is zero.
 func sinceArrival(n *run, t time.Time) int64 {
 	if t.IsZero() {
 		return -1
@@ -122,7 +124,7 @@
 	return t.Sub(n.r.arrived).Milliseconds()
 }
 
-// ageOf is in milliseconds; -1 for a moment that has not come.
+// ageOf returns the milliseconds from t to now, or -1 if t is zero.
 func ageOf(t, now time.Time) int64 {
 	if t.IsZero() {
 		return -1
@@ -130,7 +132,7 @@
 	return now.Sub(t).Milliseconds()
 }
 
-// recordFirstPiece notes when the first piece of the answer came.
+// recordFirstPiece records when the first piece of the response arrived.
 func (n *run) recordFirstPiece() {
 	if !n.firstPieceAt.IsZero() {
 		return
@@ -139,7 +141,7 @@
 	n.g.metrics.firstPiece(n.r.service.Name, n.firstPieceAt.Sub(n.r.arrived).Seconds())
 }
 
-// logEjections logs what a service's gate keeps requests away from.
+// logEjections logs and counts the upstreams that a service's gate has ejected since the last call.
 func (g *Gateway) logEjections(name ids.Service, s *service) {
 	for _, e := range s.gate.TakeEjections() {
 		g.metrics.upstreamEjected(name, e.Cause)
@@ -148,11 +150,12 @@
 	}
 }
 
-// logStoreConnection logs that the way to the store was lost or found again, but not that calls end with this gateway.
+// logStoreConnection logs that the connection to the store was lost or established, except when calls end because this
+// gateway stops.
 func (g *Gateway) logStoreConnection(table string, up bool, cause error) {
-	msg := "store lost"
+	msg := "store connection lost"
 	if up {
-		msg = "store found"
+		msg = "store connection established"
 	}
 	if errors.Is(cause, context.Canceled) {
 		return
--- a/internal/node/gateway/mechanism.go
+++ b/internal/node/gateway/mechanism.go
@@ -9,13 +9,13 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/dispatch"
 )
 
-// Mechanisms of gateways beside those of dispatch; see settings.Off.
+// Mechanisms of gateways that Settings.Off can switch off, in addition to those of package dispatch.
 const (
 	// mechanismClosedGroups: requests are held back while a group does not work.
 	mechanismClosedGroups dispatch.Mechanism = "closed-groups"
 	// mechanismMoves: streams are moved away from very slow ranks.
 	mechanismMoves dispatch.Mechanism = "moves"
-	// mechanismStandby: numbers are drawn ahead, to lead without the lease.
+	// mechanismStandby: fencing tokens are allocated in advance, to lead without the lease.
 	mechanismStandby dispatch.Mechanism = "standby"
 	// mechanismSuspects: requests that crash upstreams are refused.
 	mechanismSuspects dispatch.Mechanism = "suspects"
@@ -25,7 +25,7 @@
 	mechanismMaps dispatch.Mechanism = "maps"
 )
 
-// mechanisms are all that may be switched off.
+// mechanisms returns all mechanisms that can be switched off.
 func mechanisms() []dispatch.Mechanism {
 	own := []dispatch.Mechanism{mechanismClosedGroups, mechanismMoves, mechanismStandby, mechanismSuspects, mechanismStartWait, mechanismMaps}
 	return append(dispatch.Mechanisms(), own...)
@@ -45,10 +45,10 @@
 	return nil
 }
 
-// disabled reports whether a mechanism is switched off now.
+// disabled reports whether a mechanism is currently switched off.
 func (g *Gateway) disabled(m dispatch.Mechanism) bool { return slices.Contains(g.Settings().Off, m) }
 
-// disabledInDispatch are the mechanisms for pools.
+// disabledInDispatch returns the switched-off mechanisms for the pools.
 func (g *Gateway) disabledInDispatch() dispatch.Off {
 	off := dispatch.Off{}
 	for _, m := range g.Settings().Off {
--- a/internal/node/gateway/metrics.go
+++ b/internal/node/gateway/metrics.go
@@ -11,12 +11,12 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/dispatch"
 )
 
-// gatewayMetrics are the counters of one gateway; docs/OPERATIONS.md explains them.
+// gatewayMetrics are the metrics of one gateway; docs/OPERATIONS.md explains them.
 type gatewayMetrics struct{ set *metrics.Set }
 
 func newMetrics() *gatewayMetrics { return &gatewayMetrics{metrics.NewSet()} }
 
-// addGauges adds the gauges that are read when somebody asks for the metrics.
+// addGauges adds the gauges of the gateway, which are read when the metrics are collected.
 func (m *gatewayMetrics) addGauges(g *Gateway) {
 	gauge := func(name string, read func() float64) { m.set.NewGauge("cardamomyoke_gateway_"+name, read) }
 	gauge("requests_running", func() float64 { return float64(g.Busy()) })
@@ -37,7 +37,7 @@
 	gauge(`log_lines_left_out_total{class="failures"}`, func() float64 { return float64(g.requests.failures.Suppressed()) })
 }
 
-// addServiceGauges adds the gauges of one service; they show 0 once the service is gone.
+// addServiceGauges adds the gauges of one service; they are 0 once the service is removed.
 func (m *gatewayMetrics) addServiceGauges(g *Gateway, name ids.Service) {
 	gauge := func(metric string, value func(s *service) float64) {
 		m.set.GetOrCreateGauge(fmt.Sprintf("cardamomyoke_gateway_%s{service=%q}", metric, name), func() float64 {
--- a/internal/node/gateway/move.go
+++ b/internal/node/gateway/move.go
@@ -11,22 +11,22 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/dispatch"
 )
 
-// moveSlowdown is from when on streams are moved away from a slow rank. Below it what they have left there takes about as long
-// as waiting for a slot elsewhere and having their prompts read again.
+// moveSlowdown is the slowdown factor from which streams are moved away from a rank. Below it the rest of a stream
+// takes about as long on the slow rank as waiting for a slot elsewhere and processing the prompt again.
 const moveSlowdown = 3
 
-// MovedError says that a stream was taken away from an upstream that is several times slower than usual.
+// MovedError reports that a stream was moved away from an upstream that is several times slower than normal.
 type MovedError struct{ Upstream ids.Upstream }
 
 // Error implements error.
 func (e *MovedError) Error() string {
-	return fmt.Sprintf("%s is slow, the stream goes on elsewhere", e.Upstream)
+	return fmt.Sprintf("%s is slow, moving the stream to another upstream", e.Upstream)
 }
 
-// moves are the attempts at ranks from which the stream may be taken away, by upstream's life. It is safe for concurrent use.
+// moves holds the running attempts whose stream may be moved, by upstream incarnation. It is safe for concurrent use.
 //
-// Each pass of a group waits for its slowest rank, so that a rank at a small part of its pace makes the streams of all ranks
-// late for as long as it has any. Moved, they go on after their last event.
+// Each pass of a group waits for its slowest rank, so one very slow rank delays the streams of all ranks as long as it
+// runs any. A moved stream resumes on another upstream after its last event.
 type moves struct {
 	mu      sync.Mutex
 	running map[ids.UpstreamIncarnation]map[*run]context.CancelCauseFunc
@@ -54,7 +54,7 @@
 	}
 }
 
-// moveStreams takes the streams from ranks that are slow, as long as the retry budget of their service has room: one that could
+// moveStreams cancels the streams on slow ranks while the retry budget of their service allows it; a stream that could
 // not be sent again must stay.
 func (m *moves) moveStreams(slowdowns map[ids.UpstreamIncarnation]float64, now time.Time) {
 	m.mu.Lock()
@@ -73,13 +73,13 @@
 	}
 }
 
-// mayMove reports whether the stream may be taken away from the upstream that it gets now: it can go on after its last
-// event, and one more attempt is left for that.
+// mayMove reports whether the stream of the next attempt may be moved: the service is a group, the stream can resume
+// after its last event, and one more attempt is left for that.
 func (n *run) mayMove() bool {
 	return n.service.group != nil && n.r.route.Resumable && n.sent+1 < n.r.route.Attempts
 }
 
-// movableAttempt is attempt, during which the stream may be taken away. Errors: *MovedError beside those of attempt.
+// movableAttempt runs an attempt during which the stream may be moved. It returns *MovedError or the errors of attempt.
 func (n *run) movableAttempt(ctx context.Context, t *dispatch.Ticket) error {
 	if !n.mayMove() {
 		return n.attempt(ctx, t)
--- a/internal/node/gateway/move_test.go
+++ b/internal/node/gateway/move_test.go
@@ -11,7 +11,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// movableRun is a first attempt at a rank, of a route with two attempts.
+// movableRun is a run before its first attempt, on a route with two attempts.
 func movableRun(s *service, resumable bool) *run {
 	return &run{service: s, r: &request{route: &catalog.Route{Resumable: resumable, Attempts: 2}}}
 }
@@ -22,9 +22,9 @@
 	return w
 }
 
-// One rank of a group works at a twelfth of its pace, another at half; all callers wait for the first in each pass. Its
-// streams are taken away, as many as the retry budget has room for, and nobody else's: one that could not be sent again
-// would be cut off.
+// One rank of a group is slowed down twelvefold, another twofold; all callers wait for the first in each pass. Its
+// streams must be moved, as many as the retry budget allows, and no others: a stream that could not be sent again would
+// be truncated.
 func TestStreamsAreMovedFromVerySlowRank(t *testing.T) {
 	s := &service{group: &groupWatch{}, budget: retryBudget(2)}
 	m := newMoves()
@@ -52,7 +52,7 @@
 	}
 }
 
-// Only what can go on is moved: a stream that may not be resumed, or has no attempt left, ends where it is.
+// A stream that may not be resumed, or has no attempt left, must not be moved and ends where it is.
 func TestOnlyResumableStreamsMayMove(t *testing.T) {
 	s := &service{group: &groupWatch{}, budget: retryBudget(9)}
 	last := movableRun(s, true)
@@ -74,7 +74,8 @@
 	}
 }
 
-// A stream that was moved has had its part of the retry budget taken already, and goes on though nothing is left of it.
+// Moving a stream has already consumed its share of the retry budget, so the stream must be retried even if the budget
+// is used up.
 func TestMovedStreamIsRetriedWithoutBudget(t *testing.T) {
 	n := movableRun(&service{group: &groupWatch{}, budget: retryBudget(0)}, true)
 	n.r.route.Kind = catalog.KindStream
@@ -82,6 +83,6 @@
 	n.x = runOf("").x
 	n.recordFailure(&MovedError{"u"})
 	if reason := n.stopReason(t.Context(), &MovedError{"u"}); reason != "" {
-		t.Fatalf("given up: %s", reason)
+		t.Fatalf("aborted: %s", reason)
 	}
 }
--- a/internal/node/gateway/pause_test.go
+++ b/internal/node/gateway/pause_test.go
@@ -11,7 +11,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// timedDialect reads nothing but how much time a caller has left.
+// timedDialect reads only the caller's remaining time.
 type timedDialect struct {
 	Dialect
 	remaining time.Duration
@@ -21,8 +21,8 @@
 	return Call{HasRemaining: true, Remaining: d.remaining}, nil
 }
 
-// Failure: a gateway wakes after four seconds and sends an upstream what a caller gave up long ago, as its header still says that
-// there is time.
+// A gateway resumes after a pause of four seconds and sends an upstream a request that its caller cancelled long ago,
+// because the header still states remaining time.
 func TestProcessPauseCountsAsRequestAge(t *testing.T) {
 	service := &catalog.Service{Name: "s"}
 	route := &catalog.Route{Name: "r", Host: "h", Prefix: "/", Timeout: 8 * time.Second, Services: []catalog.WeightedService{{Service: "s", Weight: 1}}}
--- a/internal/node/gateway/peers.go
+++ b/internal/node/gateway/peers.go
@@ -20,86 +20,89 @@
 )
 
 const (
-	// digestInterval is how often a gateway tells the others of itself when nothing changes, workInterval when its work does.
+	// digestInterval is the interval between digests while nothing changes; workInterval applies while this gateway has
+	// requests in flight.
 	digestInterval = 200 * time.Millisecond
 	workInterval   = 100 * time.Millisecond
-	// peerListInterval is how often a digest names other gateways, newNamesInterval the same while some are new.
+	// peerListInterval is how often a digest contains addresses of peers; newPeerListInterval applies while some peers
+	// are new.
 	peerListInterval    = time.Second
 	newPeerListInterval = 200 * time.Millisecond
-	// newPeerPeriod is for how long a gateway counts as new: until others have named it a few times.
+	// newPeerPeriod is how long a peer counts as new: until the others have listed it a few times.
 	newPeerPeriod = 1500 * time.Millisecond
-	// joinPeriod is for how long a gateway that has started only gets to know the others: names pass to the gateways of its
-	// settings and back. It takes no duty before that.
+	// joinPeriod is how long a newly started gateway only collects its peers, and takes no duty: peer lists travel to
+	// the gateways in its settings and back.
 	joinPeriod = 450 * time.Millisecond
-	// joinInterval is the time between its questions for names.
+	// joinInterval is the time between two requests for peer lists.
 	joinInterval = 150 * time.Millisecond
-	// unknownLeaderTimeout is how long after its start a gateway takes a leader that it has not heard for one that it does not know
-	// yet: names of gateways that start together reach all within a second.
+	// unknownLeaderTimeout is how long after its start a gateway assumes that a leader without any message is merely
+	// not known yet: the addresses of gateways that start together reach all within a second.
 	unknownLeaderTimeout = 1200 * time.Millisecond
-	// peerTimeout is after how long a gateway that is not heard is no longer given out, also if nobody could tell whether it
-	// has ended: three digests and a margin.
+	// peerTimeout is the time without a message after which a peer is no longer given to callers, even if no gateway
+	// could tell whether it is dead: three digests and a margin.
 	peerTimeout = 800 * time.Millisecond
-	// leaderTimeout is after how long a duty is taken over from a gateway that is not heard, of few: two digests and the way.
+	// leaderTimeout is the time without a message after which a duty is taken over, in a small deployment: two digests
+	// and the network delay.
 	leaderTimeout = 450 * time.Millisecond
-	// forgetPeerAfter is after how long a gateway that is not heard is no longer told anything.
+	// forgetPeerAfter is the time without a message after which a peer receives no more digests.
 	forgetPeerAfter = 30 * time.Second
-	// maxDigestTargets is how many gateways one digest goes to; with more of them they are told in turn. A leader tells all, so that
-	// no other takes its place.
+	// maxDigestTargets is how many peers receive one digest; a larger number of peers takes turns. A leader sends to
+	// all, so that no peer takes over its duty.
 	maxDigestTargets = 20
-	// maxListedPeers is how many other gateways a digest names.
+	// maxListedPeers is how many peer addresses a digest contains.
 	maxListedPeers = 12
-	// maxSendFailureLogs is how many datagrams that could not be sent are logged a second.
+	// maxSendFailureLogs is how many datagrams that could not be sent are logged per second.
 	maxSendFailureLogs = 2
-	// pullTimeout bounds one pull of a table from another gateway.
+	// pullTimeout bounds one pull of a table from a peer.
 	pullTimeout = time.Second
 )
 
-// peer is another gateway. It is not changed once it is known: each datagram makes a new one.
+// peer is the state of another gateway. It is immutable: each datagram creates a new one.
 type peer struct {
 	digest *cardamomyokev1.Digest
-	// receivedParts has a bit for each part of the digest that came.
+	// receivedParts has a bit for each received part of the digest.
 	receivedParts uint64
-	// maxSequence is the highest sequence that was heard; probes have numbers, too.
+	// maxSequence is the highest sequence number received, which may be that of a probe.
 	maxSequence uint64
 	lastSeen    time.Time
-	// firstSeen is when this life was heard first.
+	// firstSeen is when the first message of this incarnation was received.
 	firstSeen time.Time
 }
 
-// peers knows the other gateways: it tells them of this one and hears of them.
+// peers exchanges digests and probes with the other gateways and holds their state.
 type peers struct {
 	g        *Gateway
 	sender   *digest.Sender
 	receiver *digest.Receiver
 	port     *controlport.Port
-	// metricsPort is nil unless the settings have an address of its own for it.
+	// metricsPort is nil unless the settings contain a separate address for metrics.
 	metricsPort *controlport.Port
 	http        *http.Client
 	ctx         context.Context
 	startedAt   time.Time
 
-	// sequence numbers the datagrams.
+	// sequence numbers the sent datagrams.
 	sequence atomic.Uint64
-	// failures logs what could not be sent.
+	// failures logs datagrams that could not be sent.
 	failures *logging.RateLimited
 
 	mu       sync.Mutex
 	detector *liveness.Detector
-	byName   map[string]*peer     // by name
-	hints    map[string]time.Time // addresses that were named, with the time of it
-	pulling  map[string]bool      // tables that are being pulled
-	lags     map[string]lag       // tables whose copy lacks a change
+	byName   map[string]*peer     // keyed by node name
+	hints    map[string]time.Time // addresses from peer lists and digests, with the time they were last received
+	pulling  map[string]bool      // tables with a pull in progress
+	lags     map[string]lag       // missing versions by table
 
-	// newAddresses are addresses that were never told anything.
+	// newAddresses are addresses that have never received a digest.
 	newAddresses []string
-	// relaysAt is when enough gateways that follow a table were heard last, by table.
+	// relaysAt is when enough peers that follow a table were last seen, by table.
 	relaysAt map[string]time.Time
 
-	// The rest belongs to the control loop. turn is where the next digest goes on in the list of targets.
+	// The fields below belong to the control loop. nextTarget is the index of the next digest's first target.
 	nextTarget     int
 	sentAt         time.Time
 	peerListSentAt time.Time
-	joinSentAt     time.Time // for names
+	joinSentAt     time.Time // when peer lists were last requested
 }
 
 func startPeers(ctx context.Context, g *Gateway) (*peers, error) {
@@ -144,7 +147,7 @@
 	}
 }
 
-// receive takes in a datagram; one that is older than the last of its sender changes nothing.
+// receive processes a datagram; one that is older than the last of its sender is ignored.
 func (p *peers) receive(d *cardamomyokev1.Digest) {
 	if d.GetNode() == p.g.Settings().Name || d.GetRole() != cardamomyokev1.NodeRole_NODE_ROLE_GATEWAY {
 		return
@@ -179,7 +182,8 @@
 	}
 }
 
-// merge returns the peer as it is known after one more datagram, nil if that is not news. k is nil if nothing was known.
+// merge returns the peer's state after one more datagram, nil if the datagram contains nothing new. k is nil if there
+// is no state yet.
 func (k *peer) merge(d *cardamomyokev1.Digest, now time.Time) *peer {
 	first := &peer{d, partBit(d), d.GetSequence(), now, now}
 	switch {
@@ -211,10 +215,12 @@
 
 func partBit(d *cardamomyokev1.Digest) uint64 { return 1 << d.GetPart().GetIndex() }
 
-// replacedBy reports whether a digest is newer than what is known. Lives are ordered by the time of day at their start.
+// replacedBy reports whether a digest is newer than the recorded one. Incarnations are ordered by the wall clock at
+// their start.
 //
-// A gateway whose host's time of day was set back has a new life that sorts before the ended one. So a life that has fallen
-// silent is replaced by any other; digests of an ended life do not arrive that late.
+// After a host's wall clock was set back, a restarted gateway has an incarnation that sorts before its previous one.
+// Any other incarnation therefore replaces one without a message within peerTimeout; digests of a dead incarnation do
+// not arrive that late.
 func (k *peer) replacedBy(d *cardamomyokev1.Digest, now time.Time) bool {
 	if d.GetIncarnation() != k.digest.GetIncarnation() {
 		return d.GetIncarnation() > k.digest.GetIncarnation() || now.Sub(k.lastSeen) > peerTimeout
@@ -222,7 +228,7 @@
 	return d.GetSequence() > k.digest.GetSequence()
 }
 
-// scaleTimeout scales a time after which a gateway that is not heard counts as gone to how often it is heard.
+// scaleTimeout scales a timeout for messages of a peer to the number of peers, as each of many peers sends less often.
 func (p *peers) scaleTimeout(d time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -236,7 +242,8 @@
 	return d
 }
 
-// live are the gateways that were heard lately and are not known to have ended, in no order.
+// live returns the peers that were seen within the scaled peerTimeout and are not known to be dead, in no particular
+// sequence.
 func (p *peers) live(now time.Time) []*peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -250,13 +257,13 @@
 	return out
 }
 
-// address is where the peer takes datagrams.
+// address returns the address at which the peer receives datagrams.
 func (k *peer) address() liveness.Address { return liveness.Address(k.digest.GetDigestAddress()) }
 
-// leads reports whether the peer says that it places experts; it then tells all others each time.
+// leads reports whether the peer reports that it places experts; it then sends each digest to all gateways.
 func (k *peer) leads() bool { return k.digest.GetExpertsFence() > 0 }
 
-// count is how many other gateways are live.
+// count returns the number of live peers.
 func (p *peers) count(now time.Time) int { return len(p.live(now)) }
 
 func newDetector() *liveness.Detector {
--- a/internal/node/gateway/peers_test.go
+++ b/internal/node/gateway/peers_test.go
@@ -20,9 +20,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/replica"
 )
 
-// A gateway's host has its time of day ahead, the gateway starts, the time is set back, and the gateway starts again. Its
-// new life sorts before the old one. The others must hear it once the old one is silent, or callers are not told of its
-// address for half a minute; a late digest of an ended life must not bring that back.
+// A gateway's host has its wall clock ahead, the gateway starts, the clock is set back, and the gateway restarts. Its
+// new incarnation sorts before the old one. Peers must accept it once the old one is silent, or callers do not get its
+// address for half a minute. A late digest of a dead incarnation must not bring that one back.
 func TestEarlierIncarnationReplacesSilentPeer(t *testing.T) {
 	seen := time.Unix(1000, 0)
 	digest := func(incarnation string, sequence uint64) *cardamomyokev1.Digest {
@@ -35,11 +35,11 @@
 		at   time.Time
 		want bool
 	}{
-		{"the next of the same life", digest("b", 8), seen, true},
-		{"a copy", digest("b", 7), seen, false},
-		{"a later life", digest("c", 1), seen, true},
-		{"a late digest of an earlier life", digest("a", 9), seen.Add(peerTimeout), false},
-		{"an earlier life after silence", digest("a", 1), seen.Add(peerTimeout + 1), true},
+		{"the next of the same incarnation", digest("b", 8), seen, true},
+		{"a duplicate", digest("b", 7), seen, false},
+		{"a later incarnation", digest("c", 1), seen, true},
+		{"a late digest of an earlier incarnation", digest("a", 9), seen.Add(peerTimeout), false},
+		{"an earlier incarnation after the timeout", digest("a", 1), seen.Add(peerTimeout + 1), true},
 	} {
 		if got := k.replacedBy(c.next, c.at); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
@@ -47,8 +47,8 @@
 	}
 }
 
-// All gateways start again at once, and the lease names one that this gateway has not heard yet. Taking the duty over would
-// depose a leader that lives, and the next gateway would do the same.
+// All gateways restart together, and the lease names one from which this gateway has received no message yet. Taking
+// over the duty would depose a leader that is alive, and the next gateway would do the same.
 func TestUnknownLeaderIsNotDead(t *testing.T) {
 	g := &Gateway{}
 	g.settings.Store(&Settings{Name: "own"})
@@ -58,9 +58,9 @@
 		heard time.Duration
 		want  bool
 	}{
-		{"never heard, just started", 600 * time.Millisecond, -1, false},
-		{"never heard, long after the start", unknownLeaderTimeout + time.Second, -1, true},
-		{"heard just now", unknownLeaderTimeout + time.Second, 0, false},
+		{"never seen, just started", 600 * time.Millisecond, -1, false},
+		{"never seen, long after the start", unknownLeaderTimeout + time.Second, -1, true},
+		{"seen just now", unknownLeaderTimeout + time.Second, 0, false},
 		{"silent", unknownLeaderTimeout + time.Second, leaderTimeout + time.Second, true},
 		{"silent, just started", 200 * time.Millisecond, leaderTimeout + time.Second, false},
 	} {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Failure: a leader of many gateways is busy as all start again, one of them does not hear it for half a second, and takes the
-// duty from it.
+// A leader of many gateways is busy as all restart, one of them receives no message from it for half a second, and
+// takes over its duty.
 func TestBusyLeaderOfManyIsNotDead(t *testing.T) {
 	now := time.Now()
 	g := &Gateway{}
@@ -90,15 +90,15 @@
 	leader.digest.ExpertsFence = 12
 	leader.lastSeen = now.Add(-leaderTimeout - 200*time.Millisecond)
 	if p.holderDead("gateway-7", "a") {
-		t.Error("a leader that nobody found dead has ended")
+		t.Error("a leader that no peer declared dead counts as dead")
 	}
 	p.detector.MergeRumors(now, []liveness.Rumor{{IncarnationHash: p.detector.RumorOf(leader.address()).IncarnationHash, Sequence: 1, Dead: true}})
 	if !p.holderDead("gateway-7", "a") {
-		t.Error("a leader that answers nobody has not ended")
+		t.Error("a leader that peers declared dead does not count as dead")
 	}
 }
 
-// fakePeer is another gateway that gives the same answer to each pull.
+// fakePeer is another gateway that returns the same response to each pull.
 type fakePeer struct {
 	response *cardamomyokev1.PullResponse
 	pulls    atomic.Int32
@@ -109,7 +109,7 @@
 	return t.response, nil
 }
 
-// start serves it on loopback and returns its digest, which tells of the table's version.
+// start serves the peer on loopback and returns its digest, which announces the given version of the table.
 func (t *fakePeer) start(tt *testing.T, centre string, newest uint64) *cardamomyokev1.Digest {
 	tt.Helper()
 	mux := http.NewServeMux()
@@ -122,7 +122,7 @@
 	}
 }
 
-// laggingGateway is a gateway of the data centre "near" whose copy of a table is at a version.
+// laggingGateway is a gateway of the data centre "near" whose replica of a table is at the given version.
 func laggingGateway(t *testing.T, version uint64) (*peers, *replica.Follower) {
 	t.Helper()
 	f := &replica.Follower{Replica: replica.NewReplica("op"), Changed: func(*replica.Replica) {}}
@@ -135,8 +135,9 @@
 	}, f
 }
 
-// A configuration changes. The nearest gateway tells of it, too, but gives nothing when it is asked. Callers would be served
-// by the old configuration for as long as that one is the nearest; the gateway that brought the news is asked next.
+// The configuration changes. The nearest gateway announces the change as well, but returns nothing when pulled. Callers
+// would be served by the old configuration for as long as it is the nearest, so the sender of the digest must be pulled
+// next.
 func TestPullFallsBackToSenderOfDigest(t *testing.T) {
 	p, f := laggingGateway(t, 80)
 	local := &fakePeer{response: &cardamomyokev1.PullResponse{}}
@@ -147,15 +148,15 @@
 	p.byName["near"] = &peer{digest: local.start(t, "near", 90), lastSeen: time.Now()}
 	p.pullUntilCurrent(f, p.nearestSource("op", sender), sender)
 	if got := f.Replica.Newest(); got != 90 || local.pulls.Load() != 1 || remote.pulls.Load() != 1 {
-		t.Fatalf("version %d after asking the nearest %d times and the teller %d times", got, local.pulls.Load(), remote.pulls.Load())
+		t.Fatalf("version %d after pulling from the nearest %d times and from the sender %d times", got, local.pulls.Load(), remote.pulls.Load())
 	}
 }
 
-// Nobody gives a gateway the change that all tell of. It must not say that a route does not exist, which its callers would
-// take as final, and it asks the store itself after some pulls.
+// No peer delivers a change that all announce. The gateway must not report that a route does not exist, which callers
+// would treat as final, and it must follow the store itself after some pulls.
 func TestLaggingGatewayFollowsStoreItself(t *testing.T) {
 	p, f := laggingGateway(t, 80)
-	late := time.Now().Add(maxBehind + time.Second)
+	late := time.Now().Add(maxReplicaLag + time.Second)
 	following := []*cardamomyokev1.TableNews{{Table: "op", Newest: 90, Following: true}}
 	for i := range 20 {
 		d := &cardamomyokev1.Digest{Node: fmt.Sprint("gateway-", i), DataCentre: "near", News: following}
@@ -171,34 +172,34 @@
 		return failure.From(g.notFoundError(&view{storeUp: true}, failure.CodeUnknownService)).Code
 	}
 	if got := missing(); got != failure.CodeUnknownService || p.replicaLag(f.Replica, now) != 0 {
-		t.Fatalf("a gateway that lacks nothing answered %s", got)
+		t.Fatalf("a gateway that lacks nothing responded %s", got)
 	}
 	p.recordMissing(f.Replica, 90)
 	if got := missing(); got != failure.CodeStaleRevision {
-		t.Fatalf("a gateway that is behind answered %s", got)
+		t.Fatalf("a lagging gateway responded %s", got)
 	}
-	if behind := p.replicaLag(f.Replica, late); behind <= maxBehind || p.relayed(f.Replica, late) {
-		t.Fatalf("%s behind, and still relayed", behind)
+	if behind := p.replicaLag(f.Replica, late); behind <= maxReplicaLag || p.relayed(f.Replica, late) {
+		t.Fatalf("lag of %s, and still relayed", behind)
 	}
 	f.Replica.Apply([]platform.Change{{Row: platform.Row{Key: "config", Version: 90}}}, 90)
 	if got := missing(); got != failure.CodeUnknownService {
-		t.Fatalf("a gateway that is up to date again answered %s", got)
+		t.Fatalf("a gateway that is up to date again responded %s", got)
 	}
 }
 
-// Others tell of a change that came before this gateway read the whole table: it asks nobody for it.
+// Peers announce a change that precedes this gateway's full read of the table. It must pull it from no peer.
 func TestVersionCoveredByFullReadIsNotPulled(t *testing.T) {
 	p, f := laggingGateway(t, 80)
 	f.Replica.Load([]platform.Row{{Key: "config", Version: 80}}, 95)
 	sender := &fakePeer{response: &cardamomyokev1.PullResponse{}}
 	p.catchUp(sender.start(t, "far", 90))
 	if p.replicaLag(f.Replica, time.Now()) != 0 || len(p.pulling) > 0 {
-		t.Fatal("a copy that is complete up to 95 lacks a change of 90")
+		t.Fatal("a replica that is complete up to 95 lacks a change of 90")
 	}
 }
 
-// Failure: the work of a busy gateway comes in parts, or a probe comes between two digests, and the others count less work
-// than it has, and send more to upstreams that are full.
+// The digest of a busy gateway arrives in parts, or a probe arrives between two digests. If that lost the gateway's
+// work, its peers would count too little and send more to upstreams that are full.
 func TestDigestPartsAndProbesKeepPeerWork(t *testing.T) {
 	now := time.Unix(1000, 0)
 	part := func(sequence uint64, index, upstream uint32) *cardamomyokev1.Digest {
@@ -224,19 +225,19 @@
 	} {
 		next := k.merge(c.d, now.Add(time.Duration(i)*time.Second))
 		if (next != nil) != c.changed {
-			t.Errorf("datagram %d: news %v", i, next != nil)
+			t.Errorf("datagram %d: changed %v", i, next != nil)
 		}
 		if next != nil {
 			k = next
 		}
 		if got := k.digest.GetWork().GetUpstreams(); !slices.Equal(got, c.want) {
-			t.Errorf("after datagram %d there is work at %v", i, got)
+			t.Errorf("after datagram %d: work at %v", i, got)
 		}
 	}
 }
 
-// Failure: changes come faster than one pull after the other, each pull brings the last change but one, and all gateways count
-// as behind for good and call the store.
+// Changes arrive faster than consecutive pulls, and each pull delivers the last change but one. If that counted as lag,
+// all gateways would call the store permanently.
 func TestReplicaThatKeepsUpHasNoLag(t *testing.T) {
 	p, f := laggingGateway(t, 80)
 	for version := uint64(81); version < 120; version++ {
@@ -244,17 +245,17 @@
 		f.Replica.Load([]platform.Row{{Key: "config", Version: version - 1}}, version-1)
 		late := p.lags["op"].missing(f.Replica)
 		if len(late) != 1 || late[0].version != version {
-			t.Fatalf("at version %d the copy lacks %v", version, late)
+			t.Fatalf("at version %d the replica lacks %v", version, late)
 		}
 	}
 	for version := uint64(120); version < 200; version++ {
 		p.recordMissing(f.Replica, version)
 	}
 	if n := len(p.lags["op"]); n != maxMissingVersions {
-		t.Errorf("%d versions are remembered", n)
+		t.Errorf("lag has %d versions", n)
 	}
 	f.Replica.Load([]platform.Row{{Key: "config", Version: 199}}, 199)
 	if p.replicaLag(f.Replica, time.Now()) != 0 {
-		t.Error("a copy that has all is behind")
+		t.Error("a complete replica has a lag")
 	}
 }
--- a/internal/node/gateway/peerstate.go
+++ b/internal/node/gateway/peerstate.go
@@ -11,10 +11,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// maxAddresses is how many addresses one answer of the directory may name.
+// maxAddresses is the maximum number of addresses in a directory response.
 const maxAddresses = 64
 
-// addresses are those that callers may use: of all gateways that are ready, this one among them.
+// addresses returns the addresses that callers may use: those of all gateways that are ready, including this one.
 func (p *peers) addresses(now time.Time) []string {
 	var out []string
 	if p.g.view.Load().state == stateReady {
@@ -31,7 +31,8 @@
 	return out
 }
 
-// slowdowns are those of the slow ranks among a service's upstreams, as the leader tells them; this gateway may be the leader.
+// slowdowns returns the slowdown factors of the slow ranks among a service's upstreams, as reported by the leader,
+// which may be this gateway.
 func (p *peers) slowdowns(name ids.Service, upstreams *catalog.Upstreams, now time.Time) map[ids.UpstreamIncarnation]float64 {
 	byHash := map[uint64]float64{}
 	for _, s := range p.g.experts.allSlowRanks() {
@@ -54,7 +55,8 @@
 	return out
 }
 
-// work is what the other gateways have in flight at a service's upstreams, and when the oldest digest that says so came.
+// work returns the requests that the peers have in flight at a service's upstreams, and the last-seen time of the live
+// peer that was seen least recently.
 func (p *peers) work(name ids.Service, upstreams *catalog.Upstreams, now time.Time) (map[ids.UpstreamIncarnation]dispatch.Work, time.Time) {
 	sum := map[uint32]dispatch.Work{}
 	var oldest time.Time
--- a/internal/node/gateway/plain.go
+++ b/internal/node/gateway/plain.go
@@ -11,33 +11,34 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/dispatch"
 )
 
-// maxHeldBytes is how much of an answer is held until it is whole. A longer one is relayed as it comes: it can no
-// longer be tried elsewhere, and its caller sees the cut if it breaks off.
+// maxHeldBytes bounds the part of a response that is buffered before relaying. A response of this size or more is
+// relayed as it arrives: it can no longer be retried elsewhere, and its caller sees a truncated response if the
+// connection breaks.
 const maxHeldBytes = 1 << 20
 
-// plainResponse is an answer that was read whole.
+// plainResponse is the buffered status, header and body of a response.
 type plainResponse struct {
 	status  int
 	headers []httpserver.Header
 	body    []byte
 }
 
-// respond gives the answer to the caller.
+// respond sends the response to the caller.
 func (p *plainResponse) respond(n *run) error { return n.x.Respond(p.status, p.headers, p.body) }
 
-// relayPlain reads an answer and gives it to the caller.
+// relayPlain reads a response that is not a stream and relays it to the caller.
 //
-// If the upstream's connection breaks in the middle of a body, a caller must not take the part for the whole: the answer is
-// given on only when it is whole, and with its length.
-func (n *run) relayPlain(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, reply Reply) error {
+// If the connection to the upstream breaks within a body, the caller must not mistake the received part for the full
+// body: the response is relayed only once it is complete, with its length.
+func (n *run) relayPlain(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, info Reply) error {
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxHeldBytes))
 	if err != nil {
 		res.Release(false)
 		return &httpclient.BrokenError{Address: t.Upstream().Address, Stage: "read body from", Cause: err}
 	}
-	if reason := unusable(res.Status, reply); reason != "" {
+	if reason := unusable(res.Status, info); reason != "" {
 		res.Release(false)
-		return &AnswerError{t.Upstream().ID, res.Status, reason}
+		return &ResponseError{t.Upstream().ID, res.Status, reason}
 	}
 	n.service.gate.Answered(t)
 	n.recordFirstPiece()
@@ -53,22 +54,23 @@
 	return p.respond(n)
 }
 
-// unusable says why an answer must not reach the caller, or nothing. A success without the upstream's signature may be
-// another's; statuses that promise "not run" come only with the upstream's own promise, which is handled before.
-func unusable(status int, reply Reply) string {
+// unusable returns why a response must not reach the caller, or "". A success without the upstream's signature may not
+// be that upstream's; statuses that promise "not run" are valid only with the upstream's own promise, which attempt
+// handles before.
+func unusable(status int, info Reply) string {
 	switch {
-	case status/100 == 2 && !reply.Sealed:
-		return "a success without a signature"
+	case status/100 == 2 && !info.Sealed:
+		return "success without a signature"
 	case status/100 == 1 || status/100 == 3:
-		return "neither a success nor a failure"
+		return "status is neither a success nor a failure"
 	case status == fasthttp.StatusTooManyRequests, status == fasthttp.StatusServiceUnavailable,
 		status == fasthttp.StatusRequestTimeout:
-		return "a refusal without the promise that it did not run"
+		return "refusal without the promise that the request did not run"
 	}
 	return ""
 }
 
-// relayRest gives on an answer that is too long to be held.
+// relayRest relays a response that is too long to be buffered.
 func (n *run) relayRest(ctx context.Context, res *httpclient.Response, p *plainResponse) error {
 	if err := n.x.Stream(p.status, p.headers); err != nil {
 		res.Release(false)
--- a/internal/node/gateway/probe.go
+++ b/internal/node/gateway/probe.go
@@ -10,17 +10,17 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/liveness"
 )
 
-// maxRumors is how many rumors one datagram has at most.
+// maxRumors is the maximum number of rumors in a datagram.
 const maxRumors = 80
 
-// probe is a short datagram to another gateway.
+// probe is a short datagram to a peer.
 type probe struct {
 	to liveness.Address
 	*cardamomyokev1.Probe
 	rumors []liveness.Rumor
 }
 
-// probeOthers asks those that are due, and tells what is new of others.
+// probeOthers probes the peers that are due, and sends new rumors to the urgent targets.
 func (p *peers) probeOthers(now time.Time) {
 	p.mu.Lock()
 	dueProbes := p.detector.Tick(now)
@@ -39,7 +39,8 @@
 	p.sendProbes(probes)
 }
 
-// observe gives the detector what a datagram says of its sender and of others, and returns what to answer. The lock is held.
+// observe passes a datagram's information about its sender and other peers to the detector, and returns the probes to
+// send in response. The caller holds the lock.
 func (p *peers) observe(d *cardamomyokev1.Digest, now time.Time) []probe {
 	from := liveness.Address(d.GetDigestAddress())
 	target := liveness.Address(d.GetProbe().GetAbout())
@@ -70,12 +71,12 @@
 	}
 }
 
-// logPeerChanges logs what has become known of other gateways.
+// logPeerChanges logs the state changes of peers and counts the deaths.
 func (p *peers) logPeerChanges(changes []liveness.Change) {
 	for _, c := range changes {
-		msg := "peer lives"
+		msg := "peer alive"
 		if c.Dead {
-			msg = "peer ended"
+			msg = "peer dead"
 			p.g.metrics.peerDead(c.ByRumor)
 		}
 		_ = level.Info(p.g.logger).Log("msg", msg, "peer_address", c.Address, "incarnation", c.Incarnation, "silent", c.Silent,
--- a/internal/node/gateway/pull.go
+++ b/internal/node/gateway/pull.go
@@ -15,7 +15,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/replica"
 )
 
-// catchUp pulls the tables of which the sender knows a newer change.
+// catchUp pulls the tables for which the sender announces a newer change.
 func (p *peers) catchUp(d *cardamomyokev1.Digest) {
 	for _, f := range p.g.followers {
 		if newest := newestVersion(d, f.Replica.Name()); !f.Replica.Has(newest) {
@@ -25,7 +25,8 @@
 	}
 }
 
-// lag is what a table's copy lacks, by what others have told: the versions, the oldest first, and since when it lacks them.
+// lag lists the versions that peers have announced and a table's replica lacks, oldest first, each with the time since
+// when it is missing.
 type lag []missingVersion
 
 type missingVersion struct {
@@ -33,15 +34,15 @@
 	since   time.Time
 }
 
-// maxMissingVersions bounds a lag; beyond it the last version stands for the next ones, too.
+// maxMissingVersions bounds a lag; beyond it the last entry also represents all later versions.
 const maxMissingVersions = 16
 
-// missing returns what the copy still lacks.
+// missing returns the entries that the replica still lacks.
 func (l lag) missing(r *replica.Replica) lag {
 	return slices.DeleteFunc(l, func(v missingVersion) bool { return r.Has(v.version) })
 }
 
-// add returns the lag after another version was told.
+// add returns the lag after a peer announced a version.
 func (l lag) add(version uint64, now time.Time) lag {
 	if len(l) == 0 || version > l[len(l)-1].version && len(l) < maxMissingVersions {
 		return append(l, missingVersion{version, now})
@@ -56,8 +57,8 @@
 	p.lags[r.Name()] = p.lags[r.Name()].missing(r).add(newest, time.Now())
 }
 
-// replicaLag returns for how long the table's copy has lacked a change of which others have told; 0 if it lacks none. A copy that
-// gets each change soon is not behind for long, however many there are.
+// replicaLag returns how long the table's replica has lacked its oldest missing version, 0 if it lacks none. A replica
+// that receives each change soon has a short lag, however many changes there are.
 func (p *peers) replicaLag(r *replica.Replica, now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,16 +71,17 @@
 }
 
 const (
-	// ownFeedDelay is how long a node that follows the store waits for its own feed before it asks a peer: the feed brings
-	// most changes within milliseconds, and each node pulling each change would multiply the bytes between nodes.
+	// ownFeedDelay is how long a gateway that follows the store waits for its own feed before it pulls from a peer. The
+	// feed delivers most changes within milliseconds, and each node pulling each change would multiply the bytes
+	// between nodes.
 	ownFeedDelay = 100 * time.Millisecond
-	// maxLocalPullDelay spreads the pulls of the nodes that hear of a change at the same moment.
+	// maxLocalPullDelay spreads the pulls of gateways that receive an announcement at the same moment.
 	maxLocalPullDelay = 40 * time.Millisecond
-	// remotePullDelay is how long a node waits for news from its own data centre before it pulls from another.
+	// remotePullDelay is how long a gateway waits for a change from its own data centre before it pulls from another.
 	remotePullDelay = 200 * time.Millisecond
 )
 
-// pullDelay is how long to wait before pulling from the sender of a digest.
+// pullDelay returns how long to wait before pulling after a digest of the sender.
 func (p *peers) pullDelay(f *replica.Follower, sender *cardamomyokev1.Digest) time.Duration {
 	switch {
 	case f.Following():
@@ -112,9 +114,9 @@
 	}()
 }
 
-// pullUntilCurrent pulls from the first of the gateways that brings the table up to what the last one told of.
+// pullUntilCurrent pulls from the sources in turn until the replica has the version that the last source announced.
 //
-// The nearest gateway that tells of a change may not give it; the one that brought the news has it.
+// The nearest gateway that announces a change may fail to deliver it; the sender of the digest has it.
 func (p *peers) pullUntilCurrent(f *replica.Follower, sources ...*cardamomyokev1.Digest) {
 	wanted := newestVersion(sources[len(sources)-1], f.Replica.Name())
 	previous := ""
@@ -127,7 +129,7 @@
 	}
 }
 
-// nearestSource returns a gateway of this data centre that has news as new as the one given, or that one.
+// nearestSource returns a gateway of this data centre that announces the same or a newer version, or else the sender.
 func (p *peers) nearestSource(table string, sender *cardamomyokev1.Digest) *cardamomyokev1.Digest {
 	own := string(p.g.Settings().DataCentre)
 	if sender.GetDataCentre() == own {
@@ -177,7 +179,7 @@
 	return d
 }
 
-// Pull implements the peers' service.
+// Pull implements PeerService: it returns the changes of a table after a version.
 func (p *peers) Pull(_ context.Context, req *cardamomyokev1.PullRequest) (*cardamomyokev1.PullResponse, error) {
 	for _, f := range p.g.followers {
 		if f.Replica.Name() != req.GetTable() {
--- a/internal/node/gateway/rankwatch.go
+++ b/internal/node/gateway/rankwatch.go
@@ -11,11 +11,12 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// maxRankWatchInterval is the longest pause between two reads of a rank that refuses; the pause doubles from watchInterval. A rank
-// that is left over may refuse for good, and one whose group has formed again is missed for half a second at most.
+// maxRankWatchInterval is the longest interval between two polls of a rank that refuses requests; the interval doubles
+// from watchInterval. A spare rank may refuse forever, and a rank whose group has formed again stays closed for half a
+// second at most.
 const maxRankWatchInterval = 500 * time.Millisecond
 
-// closeRank keeps requests from one rank until it says that its group is open. It is called with the lock held.
+// closeRank holds back requests from one rank until it reports that its group is open. The caller holds the lock.
 func (w *groupWatch) closeRank(ctx context.Context, u *catalog.Upstream, reason string) {
 	if u == nil || w.ranksWatched[u.Incarnation()] {
 		return
@@ -42,12 +43,12 @@
 	w.gate.SetUpstreamClosed(u.Incarnation(), false)
 	w.mu.Unlock()
 	if time.Since(began) < watchInterval {
-		return // it was only full
+		return // the rank was only full
 	}
 	_ = level.Info(w.logger).Log("msg", "rank closed to requests", "upstream", u.ID, "reason", reason, "for", time.Since(began))
 }
 
-// listed reports whether the upstream's life is still one of the service's.
+// listed reports whether the upstream's incarnation is still one of the service's upstreams.
 func (w *groupWatch) listed(u *catalog.Upstream) bool {
 	return slices.ContainsFunc(w.upstreams(), func(v *catalog.Upstream) bool { return v.Incarnation() == u.Incarnation() })
 }
--- a/internal/node/gateway/registry.go
+++ b/internal/node/gateway/registry.go
@@ -10,11 +10,11 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/registry"
 )
 
-// maxFindings is how many findings about entries are logged at one change of the registry; a writer that fills it with
-// thousands of entries must not fill the log, too.
+// maxFindings is how many findings about registry entries are logged per change; a writer that fills the registry with
+// thousands of entries must not flood the log as well.
 const maxFindings = 20
 
-// readUpstreams makes the list of upstreams from the copy of the registry.
+// readUpstreams builds the list of upstreams from the replica of the registry.
 func (g *Gateway) readUpstreams(now time.Time) *catalog.Upstreams {
 	var services map[ids.Service]*catalog.Service
 	if g.control.config != nil {
@@ -36,11 +36,11 @@
 		}
 	}
 	if more := len(findings) - maxFindings; more > 0 {
-		_ = level.Warn(g.logger).Log("msg", "more findings about entries", "not_logged", more)
+		_ = level.Warn(g.logger).Log("msg", "further registry findings not logged", "not_logged", more)
 	}
 }
 
-// logUpstreams logs what differs between two lists.
+// logUpstreams logs the differences between two lists of upstreams.
 func (g *Gateway) logUpstreams(before, after *catalog.Upstreams) {
 	for _, u := range after.All() {
 		old := before.Get(u.ID)
@@ -55,12 +55,13 @@
 	}
 }
 
-// reject leaves out the entry of an upstream at whose address another one answered, on the control loop.
+// reject excludes the registry entry of an upstream at whose address another upstream responded. It runs on the control
+// loop.
 func (g *Gateway) reject(u *catalog.Upstream, answered ids.Upstream, now time.Time) {
 	if !g.control.entries.Reject(u.Incarnation()) {
 		return
 	}
-	_ = level.Warn(g.logger).Log("msg", "upstream left out", "reason", "another one answers at its address", "upstream", u.Incarnation(),
+	_ = level.Warn(g.logger).Log("msg", "registry entry rejected", "reason", "another upstream responds at its address", "upstream", u.Incarnation(),
 		"address", u.Address, "answered", answered, "entry_version", u.Version)
 	g.reload(now)
 }
--- a/internal/node/gateway/run.go
+++ b/internal/node/gateway/run.go
@@ -17,30 +17,31 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// run is one request on its way: its attempts, and what the caller has got so far.
+// run is the state of one request: its attempts and what the caller has received so far.
 type run struct {
 	g       *Gateway
 	x       *httpserver.Exchange
 	r       *request
 	service *service
-	// sent counts attempts that may have reached an upstream; unreached those that cannot have.
+	// sent counts the attempts that may have reached an upstream, unreached those that cannot have.
 	sent, unreached int
 	// mayHaveRun is set once an attempt ended without proof that it did not run.
 	mayHaveRun bool
 	exclude    []ids.Upstream
 	stream     streamState
-	// placedAt is when the latest attempt got its upstream, firstAt when the first piece of the answer came.
+	// placedAt is when the latest attempt was assigned its upstream, firstPieceAt when the first piece of the response
+	// arrived.
 	placedAt, firstPieceAt time.Time
-	// lastEventAt is when the latest events were given to the caller.
+	// lastEventAt is when the latest events were sent to the caller.
 	lastEventAt time.Time
 	upstream    ids.Upstream
-	// heldFailure is the upstream's own failure, to be given to the caller if no other attempt succeeds.
+	// heldFailure is the upstream's own failure, which is relayed to the caller if no other attempt succeeds.
 	heldFailure *plainResponse
-	// relayedFailure says that the caller got it.
+	// relayedFailure is set if the caller received heldFailure.
 	relayedFailure bool
 	// trace is the trace context for the next hop; empty if there is none.
 	trace string
-	// cachedFingerprint is the request's fingerprint once hashed is set.
+	// cachedFingerprint is the request's fingerprint; valid only if hasFingerprint is set.
 	cachedFingerprint quarantine.Fingerprint
 	hasFingerprint    bool
 }
@@ -49,10 +50,11 @@
 	return &run{g: g, x: x, r: r, service: v.services[r.service.Name], stream: streamState{lastEvent: r.call.LastEvent}}
 }
 
-// maxUnreached is how many attempts may fail to reach any upstream before the request is given up.
+// maxUnreached is how many attempts may fail to reach an upstream before the request is aborted.
 const maxUnreached = 4
 
-// runAttempts tries until the caller has its whole answer, or nothing more may be tried. Errors: *failure.Error.
+// runAttempts runs attempts until the caller has its full response or no further attempt is permitted. It returns
+// *failure.Error.
 func (n *run) runAttempts(ctx context.Context) error {
 	if n.service == nil {
 		return failure.New(failure.CodeNoUpstream, nil).WithRetryAfter(notReadyRetryAfter)
@@ -86,7 +88,7 @@
 	}
 }
 
-// dispatchRequest is what the pool must know of the request's next attempt.
+// dispatchRequest describes the next attempt for the service's pool.
 func (n *run) dispatchRequest() dispatch.Request {
 	r := n.r
 	latest := r.deadline
@@ -109,7 +111,7 @@
 	}
 }
 
-// tracedAttempt is attempt with a span around it.
+// tracedAttempt runs an attempt within a span.
 func (n *run) tracedAttempt(ctx context.Context, t *dispatch.Ticket) error {
 	incoming := n.trace
 	ctx, span := n.g.tracer.Start(ctx, "gateway attempt", incoming, attribute.String("upstream", string(t.Upstream().ID)))
@@ -120,25 +122,25 @@
 	return err
 }
 
-// attempt sends the request to one upstream and relays the answer.
+// attempt sends the request to one upstream and relays the response.
 func (n *run) attempt(ctx context.Context, t *dispatch.Ticket) error {
 	res, err := n.send(ctx, t.Upstream())
 	if err != nil {
 		return err
 	}
-	reply := n.g.dialect.ReadReply(res.Header)
+	info := n.g.dialect.ReadReply(res.Header)
 	switch {
-	case reply.NotRun:
+	case info.NotRun:
 		discard(res)
-		return &RefusedError{t.Upstream().ID, res.Status, reply.Culprit, reply.Instance}
+		return &RefusedError{t.Upstream().ID, res.Status, info.Culprit, info.Instance}
 	case isStream(res) && n.r.route.Kind == catalog.KindStream && res.Status/100 == 2:
-		return n.relayStream(ctx, t, res, reply)
+		return n.relayStream(ctx, t, res, info)
 	default:
-		return n.relayPlain(ctx, t, res, reply)
+		return n.relayPlain(ctx, t, res, info)
 	}
 }
 
-// reject has the registry's entry left out whose address another upstream answered at.
+// reject excludes the registry entry of u if another upstream responded at its address.
 func (n *run) reject(u *catalog.Upstream, err error) {
 	var refused *RefusedError
 	if errors.As(err, &refused) && refused.otherInstance() {
@@ -146,7 +148,7 @@
 	}
 }
 
-// recordFailure remembers what an attempt proved.
+// recordFailure records what a failed attempt proves.
 func (n *run) recordFailure(err error) {
 	var dial *httpclient.DialError
 	var refused *RefusedError
@@ -154,7 +156,7 @@
 	case errors.As(err, &dial):
 		n.unreached++
 	case errors.As(err, &refused) && refused.Status == statusOtherInstance:
-		// The upstream that was meant is gone, so the request was not sent to it.
+		// Another upstream responded, so the request did not reach the addressed one.
 		n.unreached++
 	case errors.As(err, &refused):
 		n.sent++
@@ -165,37 +167,37 @@
 	n.exclude = append(n.exclude, n.upstream)
 }
 
-// stopReason says why the request must not be tried again, or nothing.
+// stopReason returns why the request must not be tried again, or "".
 //
-// A request that may not be repeated must not run twice after its connection broke. Only two proofs allow another attempt: no
-// connection was made, or the upstream promised that it did not run.
+// A request that is not repeatable must not run twice after its connection broke. Only two proofs permit another
+// attempt: no connection was made, or the upstream promised that it did not run.
 func (n *run) stopReason(ctx context.Context, err error) string {
 	var closed *httpserver.ConnectionClosedError
 	var moved *MovedError
 	switch {
 	case errors.As(err, &closed):
-		return "the caller left"
+		return "the caller disconnected"
 	case ctx.Err() != nil:
-		return "the time is over"
+		return "the deadline passed"
 	case n.mayHaveRun && !n.r.route.Repeatable():
 		return "it may have run"
 	case n.x.Responded() && !n.r.route.Resumable:
-		return "the answer has begun"
+		return "the response has begun"
 	case n.sent >= n.r.route.Attempts:
 		return "no attempt is left"
 	case n.mustStop():
-		return "two upstreams died while they ran it"
+		return "two upstreams crashed while they ran it"
 	case n.unreached >= maxUnreached:
 		return "no upstream can be reached"
 	case errors.As(err, &moved):
-		return "" // its part of the budget was taken when it was moved
+		return "" // moveStreams has already consumed the budget
 	case n.sent > 0 && !n.service.budget.Allow(time.Now()):
 		return "the retry budget is used up"
 	}
 	return ""
 }
 
-// finalError turns the last attempt's error into the caller's answer.
+// finalError turns the error of the last attempt into the response to the caller.
 func (n *run) finalError(ctx context.Context, err error, reason string) error {
 	cause := fmt.Errorf("%s: %w", reason, err)
 	var closed *httpserver.ConnectionClosedError
@@ -215,10 +217,11 @@
 	return failure.New(failure.CodeNoUpstream, cause).WithRetryAfter(refusedRetryAfter)
 }
 
-// refusedRetryAfter is when a caller may come back whose request all upstreams refused: some requests end meanwhile.
+// refusedRetryAfter is when a caller should retry whose request all upstreams refused: some requests finish meanwhile.
 const refusedRetryAfter = 300 * time.Millisecond
 
-// unplacedError turns the pool's refusal into the caller's answer. A request that may have run before is not said not to.
+// unplacedError turns the pool's refusal into the response to the caller. If the request may have run before, the
+// response does not promise that it did not.
 func (n *run) unplacedError(ctx context.Context, err error) error {
 	switch {
 	case context.Cause(ctx) == context.Canceled:
@@ -237,7 +240,7 @@
 	return failure.New(failure.CodeDeadlineUnmet, err).WithRetryAfter(refusedRetryAfter)
 }
 
-// outcomeOf is what an attempt says of its upstream.
+// outcomeOf returns what the result of an attempt indicates about its upstream.
 func outcomeOf(ctx context.Context, err error) dispatch.Outcome {
 	var closed *httpserver.ConnectionClosedError
 	var refused *RefusedError
--- a/internal/node/gateway/send.go
+++ b/internal/node/gateway/send.go
@@ -15,7 +15,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// statusOtherInstance is the answer of an upstream that is not the life that was asked for.
+// statusOtherInstance is the response of an upstream that is not the addressed instance.
 const statusOtherInstance = fasthttp.StatusMisdirectedRequest
 
 // hopByHopHeaders are the header fields that concern one connection only.
@@ -23,7 +23,7 @@
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// send writes the request to an upstream and reads the header of the answer that bears its attempt's id.
+// send writes the request to an upstream and reads the header of the response that carries the attempt's id.
 func (n *run) send(ctx context.Context, to *catalog.Upstream) (*httpclient.Response, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -35,13 +35,14 @@
 	return n.g.client.DoMatching(ctx, to.Address, req, match)
 }
 
-// mayLackAttemptID answers bear no attempt's id because the upstream did not read the request that far.
+// mayLackAttemptID reports whether a response carries no attempt id because the upstream did not read the request that
+// far.
 func mayLackAttemptID(h *fasthttp.ResponseHeader) bool {
 	return h.StatusCode() == statusOtherInstance || h.StatusCode() == fasthttp.StatusBadRequest
 }
 
-// writeRequest makes the upstream's request: method, path and body of the caller's, its header without what concerns
-// the connection, and what the system sets.
+// writeRequest builds the request to the upstream: the caller's method, path, body and header without hop-by-hop
+// fields, and the fields that the gateway sets.
 func (n *run) writeRequest(req *fasthttp.Request, to *catalog.Upstream) {
 	in := n.x.Req
 	in.Header.CopyTo(&req.Header)
@@ -69,7 +70,7 @@
 	})
 }
 
-// responseHeaders are the fields of an upstream's answer that the caller gets.
+// responseHeaders returns the header fields of an upstream's response that are relayed to the caller.
 func responseHeaders(h *fasthttp.ResponseHeader) []httpserver.Header {
 	var out []httpserver.Header
 	for key, value := range h.All() {
@@ -96,10 +97,10 @@
 	return bytes.HasPrefix(res.Header.ContentType(), []byte("text/event-stream"))
 }
 
-// maxDiscardedBytes is how much of an answer that nobody wants is read to keep its connection.
+// maxDiscardedBytes is how much of a discarded response is read to reuse its connection.
 const maxDiscardedBytes = 64 << 10
 
-// discard reads a short answer to its end, so that its connection can be used again.
+// discard reads a short response to its end, so that its connection can be reused.
 func discard(res *httpclient.Response) {
 	_, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDiscardedBytes))
 	res.Release(err == nil)
--- a/internal/node/gateway/sentinel.go
+++ b/internal/node/gateway/sentinel.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// minSentinels is how many gateways in all follow the store at least: one may be gone and another cut off from the
-	// store at the same time.
+	// minSentinels is the minimum number of gateways that follow the store: one may be dead while another is
+	// partitioned from the store.
 	minSentinels = 3
-	// minRelays is how many gateways that follow the store must be heard by one that does not: of two, one may have been
-	// turned away by the store and not noticed yet.
+	// minRelays is how many live peers must follow the store for a gateway that does not: of two, one may have lost the
+	// store without having noticed yet.
 	minRelays = 2
-	// relayGrace is for how long a gateway goes on without enough others that follow the store: another one takes the place of
-	// one that ended or was turned away, and tells all.
+	// relayGrace is how long a gateway tolerates too few peers that follow the store: another peer replaces one that
+	// died or lost the store, and notifies all.
 	relayGrace = 300 * time.Millisecond
-	// maxBehind is for how long a copy may lack a change that others have told of before the store is asked for it: some
-	// pulls from the nearest gateway and the one that told.
-	maxBehind = 600 * time.Millisecond
+	// maxReplicaLag is how long a replica may lack an announced change before the gateway calls the store itself:
+	// several pulls from the nearest gateway and the sender of the digest.
+	maxReplicaLag = 600 * time.Millisecond
 )
 
-// sentinel reports whether this gateway is one that its data centre relies on for news of the store: one of the first by
-// rendezvous hash of those that are live and that the store answers. Each works it out for itself; if two differ for a
-// moment, two watch.
+// sentinel reports whether this gateway is one of those that follow the store for its data centre: one of the first by
+// rendezvous hash of the live gateways that can reach the store. Each gateway computes it independently; if the views
+// of two differ for a moment, both follow the store.
 func (p *peers) sentinel(now time.Time) bool {
 	own := p.g.Settings()
 	names := []string{own.Name}
@@ -42,20 +42,20 @@
 	return slices.Contains(lease.Candidates("store", names, each), own.Name)
 }
 
-// lostStore reports whether the store does not answer a gateway for some table.
+// lostStore reports whether the peer has lost the store for any table.
 func (k *peer) lostStore() bool {
 	return slices.ContainsFunc(k.digest.GetNews(), (*cardamomyokev1.TableNews).GetLost)
 }
 
-// relayed reports whether this gateway hears of changes from others that follow the table in the store, and gets them, or may
-// soon.
+// relayed reports whether this gateway need not follow a table in the store, because it receives the changes from peers
+// that do, or soon will.
 //
-// When a gateway that followed the store ends or is turned away, all others would call the store at once.
+// Without relayGrace, all gateways would call the store together when one that follows it dies or loses it.
 func (p *peers) relayed(r *replica.Replica, now time.Time) bool {
 	if p.joining(now) {
 		return true
 	}
-	if p.sentinel(now) || p.replicaLag(r, now) > maxBehind {
+	if p.sentinel(now) || p.replicaLag(r, now) > maxReplicaLag {
 		return false
 	}
 	enough := p.relays(r, now) >= minRelays
@@ -71,7 +71,7 @@
 	return now.Sub(last) < relayGrace
 }
 
-// relays counts the gateways that follow a table in the store.
+// relays returns the number of live peers that follow a table in the store.
 func (p *peers) relays(r *replica.Replica, now time.Time) int {
 	relays := 0
 	for _, k := range p.live(now) {
@@ -84,13 +84,15 @@
 	return relays
 }
 
-// holderDead reports whether another gateway's life is known to be over: it does not answer, is not heard, or only a later life
-// is. A gateway that has just started has not heard anyone yet.
+// holderDead reports whether the given incarnation of a gateway is dead: it does not respond to probes, sent no message
+// within the timeout, or has a later incarnation. A gateway that has just started reports false, as it has received no
+// messages yet.
 //
-// A leader of many tells all of them, and is late with it when it is busiest. That it does not answer is what counts then.
+// A leader in a large deployment sends to all gateways, and its digests are late when it is busiest. The probes decide
+// then.
 //
-// After a loss of power each gateway knows a few others only, and the holder of a duty is none of them. Names spread within a
-// second, so that waiting this long for a holder that was never heard is enough.
+// After a power failure each gateway sees only a few peers, and the holder of a duty may not be among them. Peer lists
+// spread within a second, so unknownLeaderTimeout is enough for a holder without any message.
 func (p *peers) holderDead(name string, life ids.Incarnation) bool {
 	now := time.Now()
 	if now.Sub(p.startedAt) < leaderTimeout {
--- a/internal/node/gateway/services.go
+++ b/internal/node/gateway/services.go
@@ -12,7 +12,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// updateServices gives each service's gate its upstreams and options.
+// updateServices sets the upstreams and options of each service's gate.
 func (g *Gateway) updateServices(now time.Time) {
 	if g.control.config == nil {
 		return
@@ -34,8 +34,8 @@
 	g.control.services = next
 }
 
-// watchGroup sets up the watch over a service whose upstreams are ranks of a group. A gateway that starts does not know
-// whether the group works: it may start because all hosts lost power.
+// watchGroup creates the groupWatch of a service whose upstreams are ranks of a group. The group starts closed: a
+// gateway that starts does not know whether the group works, as all hosts may just have lost power.
 func (g *Gateway) watchGroup(s *service, c *catalog.Service) {
 	if c.Engine == nil || c.Engine.Experts == nil {
 		return
@@ -54,12 +54,13 @@
 }
 
 const (
-	// engineFill keeps what waits at the gateways: a request in an engine's own queue cannot go elsewhere.
+	// engineFill keeps waiting requests at the gateways: a request in an engine's own queue cannot move to another
+	// upstream.
 	engineFill = 1.0
-	// engineLateFill keeps slots free for requests that can still be answered in time: after an outage all that waited is
-	// late, and started at once it would make late what comes after it, too.
+	// engineLateFill reserves slots for requests that can still be answered in time. After an outage all waiting
+	// requests are late; if all of them started together, they would delay the following requests as well.
 	engineLateFill = 0.6
-	// plainFill lets a plain upstream queue a little, so that it does not idle for the way of the next request.
+	// plainFill lets a plain upstream queue a little, so that it does not idle until the next request arrives.
 	plainFill = 1.5
 )
 
@@ -70,7 +71,7 @@
 	return dispatch.Options{Fill: plainFill, LateFill: plainFill, Off: off}
 }
 
-// retryBound is this gateway's part of what all gateways may retry.
+// retryBound returns this gateway's share of the retries that all gateways may make.
 func (g *Gateway) retryBound(now time.Time) retry.Bound {
 	b := g.Settings().Bounds.Retries
 	nodes := 1 + g.peers.count(now)
@@ -78,8 +79,8 @@
 }
 
 const (
-	// extraShare leaves a rest of the fixed number for gateways that came and went within a window.
+	// extraShare reserves the rest of the fixed number for gateways that started and stopped within a window.
 	extraShare = 0.7
-	// spareNodes may come before all others have heard of them.
+	// spareNodes is how many gateways may start before all peers have received a message from them.
 	spareNodes = 2
 )
--- a/internal/node/gateway/settings.go
+++ b/internal/node/gateway/settings.go
@@ -15,40 +15,40 @@
 
 // Settings are the static settings of a gateway.
 type Settings struct {
-	// Name of the host; it must be unique.
+	// Name is the host's name; it must be unique.
 	Name string `yaml:"name"`
-	// DataCentre that the host stands in.
+	// DataCentre is the data centre of the host.
 	DataCentre ids.DataCentre `yaml:"data_centre"`
 	Listen     Listen         `yaml:"listen"`
-	// Peers are the addresses at which other gateways take digests, IP:PORT, as far as they are known.
+	// Peers are the addresses, IP:PORT, at which other gateways receive digests, as far as they are known in advance.
 	Peers []string `yaml:"peers"`
-	// AgentPort is where the agents beside ranks listen on their hosts; empty if there are none.
+	// AgentPort is the port of the agents on the hosts of the ranks; empty if there are none.
 	AgentPort string `yaml:"agent_port"`
 	// Store is the address of the platform's store, IP:PORT.
 	Store  string          `yaml:"store"`
 	Limits HostLimits      `yaml:"limits"`
 	Bounds Bounds          `yaml:"bounds"`
 	Log    logging.Options `yaml:"log"`
-	// RequestLog bounds the lines about requests.
+	// RequestLog limits the log lines about requests.
 	RequestLog LogBounds `yaml:"request_log"`
-	// Tracing makes a span for each hop of a request; without an exporter there are none.
+	// Tracing exports a span for each hop of a request; without an exporter there are none.
 	Tracing tracing.Options `yaml:"tracing"`
-	// Off names mechanisms that are switched off; none in usual operation.
+	// Off names the mechanisms that are switched off; none in normal operation.
 	Off []dispatch.Mechanism `yaml:"off"`
 }
 
-// LogBounds are the most lines that are logged a second; 0 means the default.
+// LogBounds is the maximum number of lines logged per second; 0 means the default.
 type LogBounds struct {
-	// Ordinary bounds lines about placements and answers that went as they should.
+	// Ordinary limits lines about placements and successful responses.
 	Ordinary int `yaml:"ordinary"`
-	// Failures bounds lines about refusals, retries, ejections and failures.
+	// Failures limits lines about refusals, retries, ejections and failures.
 	Failures int `yaml:"failures"`
 }
 
 const (
-	// defaultOrdinary covers two lines for each request at twice the usual load of an entry host today, 12 a second.
+	// defaultOrdinary covers two lines per request at twice the normal load of an entry host today, 12 a second.
 	defaultOrdinary = 50
-	// defaultFailures covers an outage in which each request fails and comes back, at five times that load.
+	// defaultFailures covers an outage in which each request fails and is sent again, at five times that load.
 	defaultFailures = 150
 )
 
@@ -68,49 +68,49 @@
 
 // Listen holds the addresses to listen on, IP:PORT.
 type Listen struct {
-	// Callers send their requests here.
+	// Callers is where callers send their requests.
 	Callers string `yaml:"callers"`
-	// Directory answers callers who ask which addresses to use.
+	// Directory serves callers the addresses of gateways.
 	Directory string `yaml:"directory"`
-	// Readiness answers whether this gateway takes requests.
+	// Readiness serves the readiness check.
 	Readiness string `yaml:"readiness"`
 	// Peers is for other gateways: digests over UDP, and RPC over TCP.
 	Peers string `yaml:"peers"`
-	// Metrics serves counters and histograms; empty for none.
+	// Metrics serves counters and histograms at an address of their own; empty for none.
 	Metrics string `yaml:"metrics"`
 }
 
-// HostLimits are what the host gives to the process.
+// HostLimits are the resources that the host gives to the process.
 type HostLimits struct {
-	// MemoryMB is when the process is killed, in MB.
+	// MemoryMB is the memory in MB at which the process is killed.
 	MemoryMB int `yaml:"memory_mb"`
-	// FileDescriptors is the most that may be open.
+	// FileDescriptors is the maximum number of open file descriptors.
 	FileDescriptors int `yaml:"file_descriptors"`
-	// Cores is the processor time, in cores; 0 if it is not known.
+	// Cores is the processor time in cores; 0 if unknown.
 	Cores float64 `yaml:"cores"`
 }
 
 func (l HostLimits) cpuMillis() uint32 { return uint32(max(0, l.Cores) * 1000) }
 
-// Bounds are what the platform's operator promises and asks for.
+// Bounds are the guarantees and requirements of the platform's operator.
 type Bounds struct {
-	// Drain is how long after an upstream said that it leaves it still takes requests.
+	// Drain is how long an upstream still accepts requests after it announced that it is draining.
 	Drain settings.Duration `yaml:"drain"`
 	// Grace is the time between SIGTERM and SIGKILL.
 	Grace settings.Duration `yaml:"grace"`
-	// Stability is how long after a disturbance a node counts as sound again.
+	// Stability is how long after a fault a node counts as healthy again.
 	Stability settings.Duration `yaml:"stability"`
-	// ConfigApply is until when an accepted configuration must be in force.
+	// ConfigApply is the time within which an accepted configuration must be in force.
 	ConfigApply settings.Duration `yaml:"config_apply"`
-	// MaxKeep is the longest time for which callers may keep an answer of the directory.
+	// MaxDirectoryTTL is the maximum time for which callers may cache a directory response.
 	MaxKeep settings.Duration `yaml:"max_keep"`
-	// Stall is how long an upstream hangs on work that depends on a dead one.
+	// Stall is how long an upstream stalls on work that depends on a dead one.
 	Stall settings.Duration `yaml:"stall"`
-	// Retries bounds the attempts beyond each request's first, over all gateways.
+	// Retries bounds the attempts after each request's first, over all gateways.
 	Retries RetryBound `yaml:"retries"`
 }
 
-// RetryBound allows Ratio times the requests of the window, plus Extra.
+// RetryBound permits Ratio times the requests of the window, plus Extra.
 type RetryBound struct {
 	Ratio  float64           `yaml:"ratio"`
 	Extra  int               `yaml:"extra"`
@@ -147,7 +147,7 @@
 		return err
 	}
 	if s.Off == nil {
-		s.Off = []dispatch.Mechanism{} // so that it is printed as a list
+		s.Off = []dispatch.Mechanism{} // printed as a list instead of null
 	}
 	if err := checkDisabled(s.Off); err != nil {
 		return err
--- a/internal/node/gateway/settings_test.go
+++ b/internal/node/gateway/settings_test.go
@@ -31,8 +31,8 @@
   retries: {ratio: 0.2, extra: 90, window: 10s}
 `
 
-// An operator switches a mechanism off, and then one whose name has a typing error: that must be refused with the names that
-// there are, and not leave on what was meant to be off.
+// An operator switches a mechanism off, and then one whose name has a typo. The latter must be refused with the list of
+// valid names, and not leave the intended mechanism on.
 func TestMechanismsAreDisabledByName(t *testing.T) {
 	var set Settings
 	if err := settings.Parse("off", []byte(settingsText+"off: [late-reading, moves]\n"), &set); err != nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// An operator prints the settings of a gateway, changes a key in what was printed, and uses that.
+// An operator prints the settings of a gateway, changes a key in the output, and uses the result.
 func TestPrintedSettingsCanBeRead(t *testing.T) {
 	var set, again Settings
 	if err := settings.Parse("first", []byte(settingsText), &set); err != nil {
--- a/internal/node/gateway/shutdown.go
+++ b/internal/node/gateway/shutdown.go
@@ -12,27 +12,28 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/httpserver"
 )
 
-// Run serves until ctx ends, and then leaves in the order that cuts nothing off.
+// Run serves until ctx ends, and then leaves without truncating responses.
 func (g *Gateway) Run(ctx context.Context) error {
 	<-ctx.Done()
 	return g.shutdown()
 }
 
 const (
-	// maxLeavingShare is the most of the grace time in which requests of callers that keep an old answer are still served: the rest
-	// is for what they have begun.
+	// maxLeavingShare is the maximum share of the grace time in which a leaving gateway still accepts requests, from
+	// callers with a cached directory response. The rest is for finishing them.
 	maxLeavingShare = 0.45
-	// directoryTTLFactor is how many times as long as they are told callers may keep an answer of the directory: some keep it three
-	// times as long, less what a request takes to arrive.
+	// directoryTTLFactor is how far callers may exceed the TTL of a directory response: some cache it three times as
+	// long, less the time that a request takes to arrive.
 	directoryTTLFactor = 2.8
-	// killMargin is when the process ends at the latest, before it would be killed.
+	// killMargin is how long before the end of the grace time, when it would be killed, the process stops at the
+	// latest.
 	killMargin = 300 * time.Millisecond
 )
 
-// leavingPeriod is for how long a gateway that leaves still takes requests.
+// leavingPeriod returns how long a leaving gateway still accepts requests.
 //
-// A stream that is taken late in the grace time may not end in it. By then hardly a caller has this address any more, and one
-// that is refused goes to another.
+// A stream that is accepted late in the grace time may not finish in it. By then hardly any caller still uses this
+// address, and one that is refused tries another.
 func leavingPeriod(grace, directoryTTL time.Duration) time.Duration {
 	return min(time.Duration(maxLeavingShare*float64(grace)), time.Duration(directoryTTLFactor*float64(directoryTTL)))
 }
@@ -40,7 +41,7 @@
 func (g *Gateway) shutdown() error {
 	began := time.Now()
 	grace := g.Settings().Bounds.Grace.Std()
-	_ = level.Info(g.logger).Log("msg", "leaving", "grace", grace, "running", g.servers.callers.Busy())
+	_ = level.Info(g.logger).Log("msg", "shutting down", "grace", grace, "running", g.servers.callers.Busy())
 	g.setState(stateLeaving)
 	time.Sleep(leavingPeriod(grace, g.directoryTTL()))
 	g.setState(stateClosing)
@@ -48,20 +49,20 @@
 	defer cancel()
 	err := g.servers.callers.Drain(ctx)
 	if err != nil && !errors.Is(err, context.DeadlineExceeded) {
-		return fmt.Errorf("leave: %w", err)
+		return fmt.Errorf("shut down: %w", err)
 	}
 	_ = level.Info(g.logger).Log("msg", "stopped", "cut", g.servers.callers.Busy(), "after", time.Since(began))
 	g.Kill()
 	return nil
 }
 
-// setState changes the node's state on the control loop and waits for it.
+// setState changes the node's state on the control loop and waits until that is done.
 func (g *Gateway) setState(s nodeState) {
 	done := make(chan struct{})
 	g.loop.Post(func(now time.Time) {
 		g.control.node = s
 		g.publish()
-		// Before the others are told, so that they hear at once that a duty is free.
+		// Before the digests are sent, so that they already report that this gateway has given up its duty.
 		g.experts.tick(now)
 		g.peers.sendToAll(now)
 		close(done)
@@ -69,7 +70,7 @@
 	<-done
 }
 
-// Kill ends the gateway at once, as a crash would.
+// Kill stops the gateway immediately, as a crash would.
 func (g *Gateway) Kill() {
 	g.cancel()
 	var wait sync.WaitGroup
--- a/internal/node/gateway/shutdown_test.go
+++ b/internal/node/gateway/shutdown_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A caller sends a request to a gateway that leaves 3.3 s after its SIGTERM, long after the address was last given out. The
-// stream takes longer than what is left of the grace time and is cut off in the middle. Requests are served for as long as
-// callers keep an answer of the directory, and then sent elsewhere at once.
+// A caller sends a request 3.3 s after the gateway's SIGTERM, long after its address was last given out. The stream
+// takes longer than the rest of the grace time and is truncated. Requests must be accepted only as long as callers
+// cache a directory response, and then be refused immediately.
 func TestLeavingPeriod(t *testing.T) {
 	for _, c := range []struct{ grace, directoryTTL, want time.Duration }{
 		{8 * time.Second, time.Second, 2800 * time.Millisecond},
@@ -16,7 +16,7 @@
 		{8 * time.Second, 500 * time.Millisecond, 1400 * time.Millisecond},
 	} {
 		if got := leavingPeriod(c.grace, c.directoryTTL); got != c.want {
-			t.Errorf("grace %s, answers kept for %s: serves on for %s, want %s", c.grace, c.directoryTTL, got, c.want)
+			t.Errorf("grace %s, directory TTL %s: accepts requests for %s, want %s", c.grace, c.directoryTTL, got, c.want)
 		}
 	}
 }
--- a/internal/node/gateway/startup.go
+++ b/internal/node/gateway/startup.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// maxStartupWait is the longest that a request waits for a gateway that has just started: as long as callers of streams wait
-	// for a first event, less the time to it.
+	// maxStartupWait is the maximum time that a request waits for a gateway that has just started: as long as callers
+	// of streams wait for a first event, less the time to produce it.
 	maxStartupWait = 1500 * time.Millisecond
-	// startupWaitShare is the part of the time that a caller has left for which its request waits at most. The rest is enough for
-	// another try elsewhere.
+	// startupWaitShare is the maximum share of a caller's remaining time for which its request waits. The rest is
+	// enough for another attempt elsewhere.
 	startupWaitShare = 1.0 / 3
 )
 
-// startupWait lets requests wait until a gateway knows its configuration and upstreams.
+// startupWait makes requests wait until a gateway has its configuration and upstreams.
 //
-// After all gateways have been killed none of them knows a configuration until the store has given it. Callers whose answers were
-// cut off ask again for the last time then; refused, they are lost, although the gateway works a moment later.
+// After all gateways were killed, none of them has a configuration until the store delivers it. Callers whose responses
+// were truncated then make their last attempt. If it were refused, their requests would be lost, although the gateway
+// works a moment later.
 type startupWait struct {
 	once  sync.Once
 	ready chan struct{}
@@ -28,10 +29,10 @@
 
 func newStartupWait() *startupWait { return &startupWait{ready: make(chan struct{})} }
 
-// finish lets the requests go on.
+// finish releases the waiting requests.
 func (s *startupWait) finish() { s.once.Do(func() { close(s.ready) }) }
 
-// finished reports whether requests need not wait.
+// finished reports whether the startup is over, so that requests need not wait.
 func (s *startupWait) finished() bool {
 	select {
 	case <-s.ready:
@@ -41,7 +42,7 @@
 	}
 }
 
-// wait waits at most so long. It reports whether the start is over.
+// wait waits for the end of the startup, at most for limit, and reports whether it is over.
 func (s *startupWait) wait(ctx context.Context, limit time.Duration) bool {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
@@ -54,7 +55,8 @@
 	return false
 }
 
-// awaitStartup has a request wait while this gateway starts. A request that cannot be read is refused without waiting.
+// awaitStartup makes a request wait while this gateway starts. A request whose header is malformed or states no
+// remaining time does not wait.
 func (g *Gateway) awaitStartup(ctx context.Context, in *fasthttp.Request) {
 	if g.startup.finished() || g.disabled(mechanismStartWait) {
 		return
@@ -65,6 +67,6 @@
 	}
 	began := time.Now()
 	finished := g.startup.wait(ctx, min(maxStartupWait, time.Duration(startupWaitShare*float64(call.Remaining))))
-	_ = g.requests.ordinary.Log("msg", "start awaited", "request", call.Attempt, "over", finished, "store_up", g.config.Connection().Up,
+	_ = g.requests.ordinary.Log("msg", "request waited for startup", "request", call.Attempt, "over", finished, "store_up", g.config.Connection().Up,
 		"waited_ms", time.Since(began).Milliseconds(), "left_ms", call.Remaining.Milliseconds())
 }
--- a/internal/node/gateway/stream.go
+++ b/internal/node/gateway/stream.go
@@ -12,16 +12,16 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/dispatch"
 )
 
-// streamState is what a caller has got of a stream.
+// streamState is the part of a stream that the caller has received.
 type streamState struct {
-	// lastEvent is the id of the last event that the caller has; another upstream goes on after it.
+	// lastEvent is the id of the last event that the caller has; another upstream resumes the stream after it.
 	lastEvent string
-	// events counts what was given to the caller at once, longestGap is the longest time between two of them.
+	// events counts the writes of events to the caller; longestGap is the longest time between two of them.
 	events     int
 	longestGap time.Duration
 }
 
-// recordEvents notes that events are given to the caller some time after the last ones.
+// recordEvents records a write of events; gap is the time since the previous one.
 func (r *streamState) recordEvents(gap time.Duration) {
 	if r.events > 0 {
 		r.longestGap = max(r.longestGap, gap)
@@ -32,23 +32,23 @@
 // streamBufferBytes is the size of one read from an upstream; an event has some tens of bytes.
 const streamBufferBytes = 8 << 10
 
-// maxEventBytes is the longest event that is waited for.
+// maxEventBytes is the maximum size of an event.
 const maxEventBytes = 1 << 20
 
-// EventError says that a stream has an event that cannot be given on.
+// EventError reports that a stream has an event that cannot be relayed.
 type EventError struct{ Reason string }
 
 // Error implements error.
 func (e *EventError) Error() string { return "stream: " + e.Reason }
 
-// relayStream gives on a stream's events as they come.
+// relayStream relays a stream's events as they arrive.
 //
-// An upstream may break off in the middle of an event and the stream go on elsewhere. Only whole events are given on, and
-// none that the caller has already, so that no event is a joint of two halves.
-func (n *run) relayStream(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, reply Reply) error {
-	if !reply.Sealed {
+// An upstream may fail within an event, and the stream then resumes on another one. Only complete events are relayed,
+// and none that the caller already has, so that no event consists of two halves.
+func (n *run) relayStream(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, info Reply) error {
+	if !info.Sealed {
 		res.Release(false)
-		return &AnswerError{t.Upstream().ID, res.Status, "a stream without a signature"}
+		return &ResponseError{t.Upstream().ID, res.Status, "stream without a signature"}
 	}
 	err := n.copyEvents(ctx, t, res)
 	res.Release(err == nil)
@@ -56,7 +56,7 @@
 		return err
 	}
 	if !n.x.Responded() {
-		return &EventError{"no event"}
+		return &EventError{"contains no event"}
 	}
 	return n.x.End()
 }
@@ -82,12 +82,12 @@
 		case err != nil:
 			return &httpclient.BrokenError{Address: t.Upstream().Address, Stage: "read events from", Cause: err}
 		case len(pending) > maxEventBytes:
-			return &EventError{"event too long"}
+			return &EventError{"event is too long"}
 		}
 	}
 }
 
-// writeEvents writes whole events to the caller, with the answer's header before the first.
+// writeEvents writes complete events to the caller, preceded by the response header if they are the first.
 func (n *run) writeEvents(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, events []byte) error {
 	events, last, err := eventsAfter(events, n.stream.lastEvent)
 	if err != nil {
@@ -114,7 +114,7 @@
 
 var eventEnd = []byte("\n\n")
 
-// completeEvents is how many bytes at the start of b are whole events.
+// completeEvents returns the number of bytes of b up to the end of its last complete event.
 func completeEvents(b []byte) int {
 	i := bytes.LastIndex(b, eventEnd)
 	if i < 0 {
@@ -123,8 +123,8 @@
 	return i + len(eventEnd)
 }
 
-// eventsAfter leaves out the events up to the one that the caller has, and returns the rest with the id of its last event.
-// Ids are numbers that grow; a stream whose ids are none is given on as it is.
+// eventsAfter drops the leading events up to the one with id last, which the caller already has, and returns the others
+// with the id of their last event. Ids are increasing numbers; events without a numeric id are kept.
 func eventsAfter(events []byte, last string) ([]byte, string, error) {
 	lastNumber, err := strconv.ParseInt(last, 10, 64)
 	if err != nil {
--- a/internal/node/gateway/suspects.go
+++ b/internal/node/gateway/suspects.go
@@ -21,36 +21,40 @@
 )
 
 const (
-	// quarantineLength is how long a request is refused after the last upstream that it crashed: many times what an
-	// upstream or a group needs to be back.
+	// quarantineLength is how long a request is refused after the last upstream that it crashed: many times the restart
+	// time of an upstream or a group.
 	quarantineLength = time.Minute
-	// refuseAfterCrashes is how many upstreams must die while they run a request before it is refused. Requests that only ran
-	// beside it run to their end elsewhere, which clears them; one that ran at three deaths and never ended did not.
+	// refuseAfterCrashes is how many upstreams must crash while they run a request before it is refused. Requests that
+	// ran on the same upstreams complete elsewhere, which clears them; the one that caused the crashes ran at three of
+	// them and never completed.
 	refuseAfterCrashes = 3
-	// maxDigestSuspects is how many suspects one digest names; the newest come first.
+	// maxDigestSuspects is the maximum number of suspects in a digest; the newest come first.
 	maxDigestSuspects = 16
-	// crashDialTimeout bounds the question whether an upstream that broke a connection still listens.
+	// crashDialTimeout bounds the check whether an upstream still listens after its connection broke.
 	crashDialTimeout = 250 * time.Millisecond
 )
 
-// suspects keeps requests that crash each upstream which runs them from taking down one after the other.
+// suspects prevents requests that crash every upstream they run on from crashing one after the other.
 //
-// A request that crashes the rank that runs it takes its whole group down, and its caller sends it again. A gateway does not
-// see what else an upstream ran, so it counts the deaths at which the request ran, with those that others tell, and refuses
-// it after the third.
+// A request that crashes its rank takes down the whole group, and its caller sends it again. A gateway does not see
+// what else an upstream ran, so it counts the crashes during which the request ran, including those that peers report,
+// and refuses the request after the third.
 type suspects struct {
 	tracker *quarantine.PersistentTracker
 	logger  log.Logger
 	dial    func(ctx context.Context, address string) error
 
 	mu sync.Mutex
-	// confirming are the runs that broke off at upstreams which are being asked whether they live, by upstream.
+	// confirming holds the runs whose connections broke, by upstream, while it is checked whether the upstream still
+	// listens.
 	confirming map[ids.UpstreamIncarnation][]quarantine.Running
-	// listening are the runs that broke off at upstreams where something listened when asked.
+	// listening holds the runs whose connections broke, by upstream, where the upstream's address still accepted
+	// connections.
 	listening map[ids.UpstreamIncarnation]brokenRuns
 }
 
-// brokenRuns are runs that broke off at one life of an upstream, the last of them at a time.
+// brokenRuns are the runs whose connections to one incarnation of an upstream broke; at is when the last of them was
+// recorded.
 type brokenRuns struct {
 	runs []quarantine.Running
 	at   time.Time
@@ -59,7 +63,7 @@
 func newSuspects(logger log.Logger) *suspects {
 	rules := quarantine.Rules{Period: quarantineLength, Crashes: refuseAfterCrashes}
 	return &suspects{
-		// Evidence is a hint and no promise: if all gateways end at once, three more deaths bring it back.
+		// Evidence need not be durable: if all gateways crash together, three more crashes establish it again.
 		tracker:    quarantine.NewPersistentTracker(nil, rules, quarantine.PersistentTrackerOptions{}),
 		logger:     logger,
 		dial:       dialOnce,
@@ -77,7 +81,7 @@
 	return conn.Close()
 }
 
-// countRefused counts the requests that are refused now.
+// countRefused returns the number of requests that are currently refused.
 func (s *suspects) countRefused(now time.Time) int {
 	n := 0
 	for _, l := range s.tracker.List(now) {
@@ -88,7 +92,7 @@
 	return n
 }
 
-// fingerprint is the same for each time that a client account sends a request. It is computed when it is first asked for.
+// fingerprint identifies the request; it is the same each time a client account sends it. It is computed on first use.
 func (n *run) fingerprint() quarantine.Fingerprint {
 	if !n.hasFingerprint {
 		n.cachedFingerprint, n.hasFingerprint = n.computeFingerprint(), true
@@ -107,7 +111,7 @@
 	return quarantine.FingerprintOf(n.r.client, [sha256.Size]byte(h.Sum(nil)))
 }
 
-// QuarantinedError says that a request is refused because upstreams died that ran it.
+// QuarantinedError reports that a request is refused because upstreams crashed while they ran it.
 type QuarantinedError struct {
 	Fingerprint quarantine.Fingerprint
 	Until       time.Time
@@ -115,10 +119,11 @@
 
 // Error implements error.
 func (e *QuarantinedError) Error() string {
-	return fmt.Sprintf("request %s is refused until %s: upstreams died that ran it", e.Fingerprint, e.Until.UTC().Format(time.RFC3339))
+	return fmt.Sprintf("request %s is refused until %s: upstreams crashed while they ran it", e.Fingerprint, e.Until.UTC().Format(time.RFC3339))
 }
 
-// classify returns how a request is treated. While nothing is suspected, which is nearly always, nothing is computed.
+// classify returns a request's quarantine level, and an error if it is refused. While there are no suspects, which is
+// nearly always, no fingerprint is computed.
 func (s *suspects) classify(n *run, now time.Time) (quarantine.Level, *QuarantinedError) {
 	snapshot := s.tracker.Snapshot()
 	if snapshot.Empty() {
@@ -132,20 +137,21 @@
 	return lvl, &QuarantinedError{fingerprint, until}
 }
 
-// asFailure is the answer to a refused request. Callers take it as a promise that it was not run, with the time from which
-// on it may be tried once more.
+// asFailure returns the response to a refused request. Callers treat it as a promise that the request did not run, and
+// may retry once at the given time.
 func (e *QuarantinedError) asFailure(now time.Time) error {
 	return failure.New(failure.CodeNoUpstream, e).WithRetryAfter(e.Until.Sub(now))
 }
 
-// completed notes that a request ran to its end: whatever died while it ran did not die of it.
+// completed records that a request completed, so that upstreams that crashed while they ran it did not crash because of
+// it.
 func (s *suspects) completed(n *run, now time.Time) {
 	if !s.tracker.Snapshot().Empty() {
 		s.tracker.Completed(now, n.fingerprint())
 	}
 }
 
-// connectionBroken notes that a run broke off at an upstream and finds out whether that one died.
+// connectionBroken records that a run's connection to an upstream broke, and checks whether the upstream crashed.
 func (s *suspects) connectionBroken(ctx context.Context, n *run, u *catalog.Upstream) {
 	running := quarantine.Running{Fingerprint: n.fingerprint(), Client: n.r.client}
 	s.mu.Lock()
@@ -157,8 +163,8 @@
 	}
 }
 
-// confirmCrash blames the runs that broke off at an upstream if nothing listens at its address any more. One that does not
-// answer at all may only be cut off, and speaks against nobody.
+// confirmCrash counts a crash against the runs whose connections broke if the upstream's address refuses connections.
+// An upstream that does not respond at all may only be partitioned, so this counts against no request.
 func (s *suspects) confirmCrash(ctx context.Context, u *catalog.Upstream) {
 	err := s.dial(ctx, u.Address)
 	s.mu.Lock()
@@ -169,12 +175,12 @@
 	case err == nil:
 		s.recordListening(u.Incarnation(), runs, time.Now())
 	case errors.Is(err, syscall.ECONNREFUSED):
-		s.recordCrash(u.Incarnation(), runs, "nothing listens where it was")
+		s.recordCrash(u.Incarnation(), runs, "its address refuses connections")
 	}
 }
 
-// restartWindow is for how long after a connection broke off an upstream's new life still tells that the old one died of it: a
-// restart takes some seconds, and its entry some heartbeats.
+// restartWindow is how long after a broken connection a new incarnation of the upstream still proves that the previous
+// one crashed: a restart takes some seconds, and its registry entry some heartbeats.
 const restartWindow = 10 * time.Second
 
 func (s *suspects) recordListening(i ids.UpstreamIncarnation, added []quarantine.Running, now time.Time) {
@@ -186,25 +192,26 @@
 	s.listening[i] = brokenRuns{append(s.listening[i].runs, added...), now}
 }
 
-// upstreamRestarted takes in that an upstream has a new life under its id.
+// upstreamRestarted records that an upstream has a new incarnation under the same id.
 //
-// An upstream may be back before it is asked whether it listens. Its new life proves that the old one has ended.
+// An upstream may be back before the check whether it listens. The new incarnation proves that the previous one is
+// dead.
 func (s *suspects) upstreamRestarted(previous ids.UpstreamIncarnation, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	broken, found := s.listening[previous]
 	delete(s.listening, previous)
 	if found && now.Sub(broken.at) <= restartWindow {
-		s.recordCrash(previous, broken.runs, "it has a new life")
+		s.recordCrash(previous, broken.runs, "it has a new incarnation")
 	}
 }
 
-// recordCrash counts a death against the runs that broke off at it. It is called with the lock held, so that whoever finds no
-// question open finds its answer as well.
+// recordCrash counts a crash against the runs whose connections broke in it. The caller holds the lock, so that a
+// goroutine that finds no pending check also sees its result.
 func (s *suspects) recordCrash(i ids.UpstreamIncarnation, runs []quarantine.Running, proof string) {
 	now := time.Now()
-	// The death's id comes from the life, so that the reports of several gateways count as one death, and two deaths of one
-	// id as two.
+	// The crash id is derived from the incarnation, so that the reports of several gateways count as one crash, and two
+	// crashes of the same upstream id as two.
 	crash := quarantine.Evidence{Crash: quarantine.NewCrashID(ids.Incarnation(i.String()), 1), At: now}
 	for _, r := range runs {
 		s.tracker.Merge(now, quarantine.Suspect{Fingerprint: r.Fingerprint, Client: r.Client, Evidence: []quarantine.Evidence{crash}})
@@ -214,7 +221,7 @@
 	}
 }
 
-// checkCrash has the upstream asked whether it died of an attempt that broke off.
+// checkCrash has it checked whether the upstream crashed if the attempt's connection broke.
 func (n *run) checkCrash(u *catalog.Upstream, err error) {
 	var broken *httpclient.BrokenError
 	if errors.As(err, &broken) && !n.g.disabled(mechanismSuspects) {
@@ -222,7 +229,8 @@
 	}
 }
 
-// mustStop reports whether the request has run at so many deaths that it is left to its caller to send it once more.
+// mustStop reports whether the request ran during so many crashes that this gateway does not retry it; the caller may
+// send it once more.
 func (n *run) mustStop() bool {
 	lvl, _ := n.g.suspects.classify(n, time.Now())
 	return lvl >= quarantine.Alone
--- a/internal/node/gateway/suspects_test.go
+++ b/internal/node/gateway/suspects_test.go
@@ -22,7 +22,8 @@
 	return &run{x: &httpserver.Exchange{Req: req}, r: &request{client: "c"}}
 }
 
-// breakConnection has a run break off at an upstream, and waits until that one was asked whether it lives.
+// breakConnection breaks a run's connection to an upstream, and waits until it was checked whether the upstream still
+// listens.
 func breakConnection(s *suspects, n *run, upstream ids.Upstream) {
 	breakConnectionAt(s, n, ids.UpstreamIncarnation{Upstream: upstream})
 }
@@ -43,17 +44,17 @@
 
 func refuseDial(context.Context, string) error { return syscall.ECONNREFUSED }
 
-// Connections break off under a request at one upstream after the other. Only those that have died speak against it; one
-// that still listens has lost an answer, and one that does not answer at all may be cut off.
+// Connections break under a request at several upstreams. Only upstreams that crashed count against the request: one
+// that still listens has only lost a response, and one that does not respond may be partitioned.
 func TestOnlyCrashesCountAgainstRequest(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		dial error
 		want quarantine.Level
 	}{
-		{"nothing listens any more", syscall.ECONNREFUSED, quarantine.Refused},
-		{"it still listens", nil, quarantine.Clear},
-		{"it does not answer", context.DeadlineExceeded, quarantine.Clear},
+		{"connection refused", syscall.ECONNREFUSED, quarantine.Refused},
+		{"still listens", nil, quarantine.Clear},
+		{"does not respond", context.DeadlineExceeded, quarantine.Clear},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newSuspects(log.NewNopLogger())
@@ -69,8 +70,8 @@
 	}
 }
 
-// One death breaks off the same request twice, as it was sent again before the upstream was known to be dead, and is
-// reported by two gateways. It counts as one death, or an innocent request would be refused.
+// One crash breaks the same request twice, because it was sent again before the crash was detected, and two gateways
+// report it. It must count as one crash, or an innocent request would be refused.
 func TestCrashIsCountedOnce(t *testing.T) {
 	s, other := newSuspects(log.NewNopLogger()), newSuspects(log.NewNopLogger())
 	s.dial, other.dial = refuseDial, refuseDial
@@ -80,12 +81,12 @@
 	breakConnection(other, n, "a")
 	s.tracker.Merge(time.Now(), other.tracker.Digest(time.Now(), maxDigestSuspects)...)
 	if got := levelOf(s, n); got != quarantine.Suspected {
-		t.Fatalf("level %s after one death", got)
+		t.Fatalf("level %s after one crash", got)
 	}
 }
 
-// Two upstreams die of other reasons while a request runs there. It is sent again and ends whole, which shows that it is
-// harmless: at the next death it is as if it had met none before.
+// Two upstreams crash for other reasons while a request runs there. Sent again, it completes, which shows that it is
+// harmless: at the next crash the earlier ones must not count.
 func TestCompletedRequestIsCleared(t *testing.T) {
 	s := newSuspects(log.NewNopLogger())
 	s.dial = refuseDial
@@ -99,7 +100,7 @@
 	}
 }
 
-// A request is refused with the time from which on it may be tried once more, which lies after its last death.
+// A request is refused with the time from which it may be tried once more, which is after its last crash.
 func TestQuarantineExpires(t *testing.T) {
 	s := newSuspects(log.NewNopLogger())
 	s.dial = refuseDial
@@ -117,28 +118,28 @@
 	}
 }
 
-// A request crashes an upstream that is back under its id before anybody asks whether it listens, three times in a row. Each
-// new life in the registry proves a death, and the third refuses the request. Asked only whether something listens, the
-// gateways would count none.
+// A request crashes an upstream three times in a row, and each time the upstream is back under its id before the check
+// whether it listens. Each new incarnation in the registry proves a crash, and the third must refuse the request. The
+// check alone would count none.
 func TestRestartWithSameIDCountsAsCrash(t *testing.T) {
 	s := newSuspects(log.NewNopLogger())
 	s.dial = func(context.Context, string) error { return nil }
 	n := runOf("x")
 	for crashes := range int64(3) {
 		if got := levelOf(s, n); got == quarantine.Refused {
-			t.Fatalf("refused after %d deaths", crashes)
+			t.Fatalf("refused after %d crashes", crashes)
 		}
 		incarnation := ids.UpstreamIncarnation{Upstream: "a", StartedAtMS: crashes + 1}
 		breakConnectionAt(s, n, incarnation)
 		s.upstreamRestarted(incarnation, time.Now())
 	}
 	if got := levelOf(s, n); got != quarantine.Refused {
-		t.Fatalf("%v after three deaths of one id", got)
+		t.Fatalf("%v after three crashes of one id", got)
 	}
 }
 
-// A connection breaks under a request, and long after that its upstream is restarted for another reason. That speaks against
-// nobody.
+// A connection breaks under a request, and long afterwards its upstream restarts for another reason. That must count
+// against no request.
 func TestLateRestartIsNotACrash(t *testing.T) {
 	s := newSuspects(log.NewNopLogger())
 	s.dial = func(context.Context, string) error { return nil }
--- a/internal/node/gateway/view.go
+++ b/internal/node/gateway/view.go
@@ -9,23 +9,23 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// view is what requests see of the control state. It is immutable, but for the gates and budgets of its services,
-// which have locks of their own and live on from view to view.
+// view is the control state that requests read. It is immutable, except for the gates and budgets of its services,
+// which have their own locks and are carried over from view to view.
 type view struct {
-	// config is nil before the first configuration is known.
+	// config is nil before the first configuration is received.
 	config    *catalog.Configuration
 	upstreams *catalog.Upstreams
 	services  map[ids.Service]*service
-	// state says whether new requests are taken.
+	// state determines whether new requests are accepted.
 	state nodeState
-	// storeUp says that the configuration is known to be the newest: a node that cannot know does not say that a route
-	// or key does not exist.
+	// storeUp is set if the last call to the store succeeded. Otherwise the configuration may be outdated, and a
+	// gateway must not report that a route or key does not exist.
 	storeUp bool
-	// storeSince is since when that has been so.
+	// storeSince is when storeUp last changed.
 	storeSince time.Time
 }
 
-// service is what one service's requests go through.
+// service holds the components that process the requests of one service.
 type service struct {
 	gate   *dispatch.Gate
 	budget *retry.Window
@@ -33,14 +33,14 @@
 	group *groupWatch
 }
 
-// nodeState is what a gateway says of itself.
+// nodeState is a gateway's state, as it reports it to peers and callers.
 type nodeState string
 
 const (
-	// stateStarting: no configuration is known yet.
+	// stateStarting: there is no configuration yet.
 	stateStarting nodeState = "starting"
 	stateReady    nodeState = "ready"
-	// stateLeaving: no longer given out as an address, but requests that still come are served.
+	// stateLeaving: the address is no longer given to callers, but requests are still served.
 	stateLeaving nodeState = "leaving"
 	// stateClosing: new requests are refused as not run.
 	stateClosing nodeState = "closing"
