--- a/internal/node/gateway/candidates.go
+++ b/internal/node/gateway/candidates.go
@@ -67,8 +67,8 @@
 	return e.g.peers.joining(now) || e.g.peers.isolated(now)
 }
 
-// candidates holds the gateways that may lead, in the sequence in which they should, this gateway included. hasLeader
-// is set if a peer leads.
+// candidates holds the gateways that may lead, this gateway included; the first should lead first. hasLeader is set if
+// a peer leads.
 type candidates struct {
 	names     []string
 	hasLeader bool
--- a/internal/node/gateway/demandshift_test.go
+++ b/internal/node/gateway/demandshift_test.go
@@ -134,7 +134,7 @@
 	fixed, copiesFixed := largeGroup.simulate(0, pollInterval, demandHalfLife, before)
 	scaled, copiesScaled := largeGroup.simulate(0, pollInterval, demandHalfLife, lockstep.DefaultOptions())
 	t.Logf("mean skew %.3f, was %.3f; copies %d, were %d", scaled, fixed, copiesScaled, copiesFixed)
-	// Skew above 1 makes passes longer. A tenth of that is more than two estimates of the same demand differ by.
+	// Skew above 1 makes passes longer. Two estimates of the same demand differ by less than a tenth of that.
 	if scaled-1 > 0.9*(fixed-1) {
 		t.Fatalf("mean skew %.3f, with one price %.3f", scaled, fixed)
 	}
--- a/internal/node/gateway/digests.go
+++ b/internal/node/gateway/digests.go
@@ -15,7 +15,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/digest"
 )
 
-// tick joins, probes peers and sends digests as far as these are due. It runs on the control loop.
+// tick sends the join requests, probes and digests that are due. It runs on the control loop.
 func (p *peers) tick(now time.Time) {
 	p.join(now)
 	p.contactNewPeers()
--- a/internal/node/gateway/experts.go
+++ b/internal/node/gateway/experts.go
@@ -23,8 +23,8 @@
 	// expertsDuty is the duty to place the experts of all groups.
 	expertsDuty lease.Duty = "experts"
 	// leaseLength is the validity of the lease, which is renewed three times within it. A leader that peers no longer
-	// see is replaced much sooner. The length bounds how long a leader continues that its peers still see but that
-	// cannot reach the store, while a peer can.
+	// see is replaced much sooner. The length bounds how long a leader continues if its peers still see it, but it
+	// cannot reach the store and a peer can.
 	leaseLength = 3 * time.Second
 	// pollInterval is the interval at which the leader polls a group, a few passes. demandHalfLife is the half-life of
 	// the estimated demand.
@@ -79,9 +79,9 @@
 	e.leases.SetWanted(now, expertsDuty, e.wantsLease(now, in))
 	e.leases.Tick(now)
 	fence, allocate := e.election.decide(now, in)
-	next := e.isStandby(now, c)
-	e.standby.Store(next)
-	if allocate || next && e.needsSpare() && e.allocateDue(now) {
+	standby := e.isStandby(now, c)
+	e.standby.Store(standby)
+	if allocate || standby && e.needsSpare() && e.allocateDue(now) {
 		e.allocateFence()
 	}
 	if e.fence.Swap(uint64(fence)) == uint64(fence) {
@@ -150,9 +150,9 @@
 	before, _ := e.slow.Swap(group, slow)
 	was, _ := before.([]*cardamomyokev1.UpstreamPace)
 	for rank, u := range upstreams {
-		now, then := slowdownOf(slow, u), slowdownOf(was, u)
-		if (now > 0) != (then > 0) {
-			_ = level.Info(e.g.logger).Log("msg", "rank slowdown changed", "group", group, "rank", rank, "upstream", u.ID, "slow", now > 0,
+		current, previous := slowdownOf(slow, u), slowdownOf(was, u)
+		if (current > 0) != (previous > 0) {
+			_ = level.Info(e.g.logger).Log("msg", "rank slowdown changed", "group", group, "rank", rank, "upstream", u.ID, "slow", current > 0,
 				"pace", reports[rank].Pace, "fresh", reports[rank].Fresh, "running", reports[rank].Running)
 		}
 	}
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -273,29 +273,29 @@
 
 // Reload applies changed settings. Settings of listeners, logs, tracing and the node's identity apply only after a
 // restart; Reload returns the keys of these that differ.
-func (g *Gateway) Reload(next *Settings) (unchanged []string) {
+func (g *Gateway) Reload(next *Settings) (needRestart []string) {
 	old := g.Settings()
 	merged := *next
 	if next.Name != old.Name {
-		unchanged = append(unchanged, "name")
+		needRestart = append(needRestart, "name")
 	}
 	if next.Listen != old.Listen {
-		unchanged = append(unchanged, "listen")
+		needRestart = append(needRestart, "listen")
 	}
 	if next.DataCentre != old.DataCentre {
-		unchanged = append(unchanged, "data_centre")
+		needRestart = append(needRestart, "data_centre")
 	}
 	if next.Log != old.Log || next.RequestLog != old.RequestLog {
-		unchanged = append(unchanged, "log")
+		needRestart = append(needRestart, "log")
 	}
 	if next.Tracing.OTLP != old.Tracing.OTLP || next.Tracing.File != old.Tracing.File {
-		unchanged = append(unchanged, "tracing")
+		needRestart = append(needRestart, "tracing")
 	}
 	merged.Name, merged.Listen, merged.DataCentre = old.Name, old.Listen, old.DataCentre
 	merged.Log, merged.RequestLog, merged.Tracing = old.Log, old.RequestLog, old.Tracing
 	g.settings.Store(&merged)
 	g.loop.Post(g.reload)
-	return unchanged
+	return needRestart
 }
 
 // Busy returns the number of callers' requests in progress.
--- a/internal/node/gateway/leadership.go
+++ b/internal/node/gateway/leadership.go
@@ -27,8 +27,7 @@
 	leaseFence ids.Fence
 	// newestPeerFence is the highest token under which a peer is known to have led.
 	newestPeerFence ids.Fence
-	// leaderSeenAt is when a peer last led or this gateway was not a candidate, initially the time of the first
-	// decision.
+	// leaderSeenAt is when a peer last led or this gateway was not a candidate, initially the time of the first call.
 	leaderSeenAt time.Time
 }
 
--- a/internal/node/gateway/leadership_test.go
+++ b/internal/node/gateway/leadership_test.go
@@ -19,21 +19,21 @@
 }
 
 func TestLeadership(t *testing.T) {
-	first := electionInput{Ready: true}
-	away := electionInput{Ready: true, PendingFor: time.Second}
-	led := -1
+	firstCandidate := electionInput{Ready: true}
+	storeDown := electionInput{Ready: true, PendingFor: time.Second}
+	leaderKnown := -1
 	for name, steps := range map[string][]leadStep{
 		// The store responds: the lease is acquired within a few calls, and the spare token is used immediately.
 		"with the lease": {
-			{at: 0, allocated: 7, input: first},
+			{at: 0, allocated: 7, input: firstCandidate},
 			{at: 20 * time.Millisecond, input: electionInput{Ready: true, HeldFence: 12, SeenFence: 12}, fence: 7},
 			{at: 9 * time.Second, input: electionInput{Ready: true, SeenFence: 12}, fence: 7},
 		},
 		// The leader died while it held back requests of a group, and the store is unreachable, so no lease can be
 		// acquired. The first candidate continues under the token that it allocated while the store was reachable.
 		"without the store": {
-			{at: 0, allocated: 7, input: electionInput{Ready: true, Position: led, PeerFence: 5, SeenFence: 4}},
-			{at: time.Second, input: electionInput{Ready: true, Position: led, SeenFence: 4}},
+			{at: 0, allocated: 7, input: electionInput{Ready: true, Position: leaderKnown, PeerFence: 5, SeenFence: 4}},
+			{at: time.Second, input: electionInput{Ready: true, Position: leaderKnown, SeenFence: 4}},
 			{at: 1200 * time.Millisecond, input: electionInput{Ready: true, SeenFence: 4}},
 			{at: 1300 * time.Millisecond, input: electionInput{Ready: true, SeenFence: 4, PendingFor: 150 * time.Millisecond}, fence: 7},
 			{at: 8 * time.Second, input: electionInput{Ready: true, HeldFence: 30, SeenFence: 30}, fence: 7},
@@ -41,8 +41,8 @@
 		// The leader's process restarts immediately and is the first candidate, but it has no token and cannot allocate
 		// one. The next candidate has one and takes over.
 		"first candidate without a token": {
-			{at: 0, allocated: 7, input: electionInput{Ready: true, Position: led, PeerFence: 5}},
-			{at: time.Second, input: electionInput{Ready: true, Position: led}},
+			{at: 0, allocated: 7, input: electionInput{Ready: true, Position: leaderKnown, PeerFence: 5}},
+			{at: time.Second, input: electionInput{Ready: true, Position: leaderKnown}},
 			{at: 1100 * time.Millisecond, input: electionInput{Ready: true, Position: 1, PendingFor: 100 * time.Millisecond}},
 			{at: 1600 * time.Millisecond, input: electionInput{Ready: true, Position: 1, PendingFor: 150 * time.Millisecond}, fence: 7},
 		},
@@ -56,8 +56,8 @@
 		// Of two candidates with spare tokens the one with the lower token goes first; the other one's remains usable
 		// afterwards.
 		"lower spare token first": {
-			{at: 0, allocated: 9, input: electionInput{Ready: true, Position: led, PeerFence: 5}},
-			{at: time.Second, input: electionInput{Ready: true, Position: led}},
+			{at: 0, allocated: 9, input: electionInput{Ready: true, Position: leaderKnown, PeerFence: 5}},
+			{at: time.Second, input: electionInput{Ready: true, Position: leaderKnown}},
 			{at: 1100 * time.Millisecond, input: electionInput{Ready: true, Position: 2, LowerSpares: 1, PendingFor: 400 * time.Millisecond}},
 			{at: 1250 * time.Millisecond, input: electionInput{Ready: true, Position: 0, LowerSpares: 1, PendingFor: 400 * time.Millisecond}},
 			{at: 1300 * time.Millisecond, input: electionInput{Ready: true, Position: 2, LowerSpares: 1, PendingFor: 400 * time.Millisecond}, fence: 9},
@@ -65,23 +65,23 @@
 		// A spare token that was allocated before the last leader's would be refused by ranks that have that leader's
 		// map.
 		"spare older than the last leader's token": {
-			{at: 0, allocated: 7, input: electionInput{Ready: true, Position: led, PeerFence: 9}},
-			{at: time.Second, input: electionInput{Ready: true, Position: led, PeerFence: 9}},
-			{at: 1200 * time.Millisecond, input: first},
-			{at: 2 * time.Second, input: away, allocate: true},
-			{at: 3 * time.Second, allocated: 11, input: away, fence: 11},
+			{at: 0, allocated: 7, input: electionInput{Ready: true, Position: leaderKnown, PeerFence: 9}},
+			{at: time.Second, input: electionInput{Ready: true, Position: leaderKnown, PeerFence: 9}},
+			{at: 1200 * time.Millisecond, input: firstCandidate},
+			{at: 2 * time.Second, input: storeDown, allocate: true},
+			{at: 3 * time.Second, allocated: 11, input: storeDown, fence: 11},
 		},
 		// A leader that was paused receives a digest of its successor and stops. It does not start again when the
 		// successor dies.
 		"a later leader": {
 			{at: 0, allocated: 7, input: electionInput{Ready: true, HeldFence: 2, SeenFence: 2}, fence: 7},
-			{at: time.Second, input: electionInput{Ready: true, Position: led, PeerFence: 8, SeenFence: 2}},
+			{at: time.Second, input: electionInput{Ready: true, Position: leaderKnown, PeerFence: 8, SeenFence: 2}},
 			{at: 1200 * time.Millisecond, input: electionInput{Ready: true, Position: 1, SeenFence: 2}},
 		},
 		// A later lease in the store has the same effect if the new leader's digests do not arrive.
 		"a later lease": {
 			{at: 0, allocated: 7, input: electionInput{Ready: true, HeldFence: 2, SeenFence: 2}, fence: 7},
-			{at: time.Second, input: electionInput{Ready: true, Position: led, SeenFence: 3}},
+			{at: time.Second, input: electionInput{Ready: true, Position: leaderKnown, SeenFence: 3}},
 		},
 		// A gateway that leaves gives no more orders.
 		"leaving": {
--- a/internal/node/gateway/move.go
+++ b/internal/node/gateway/move.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// mayMove reports whether the stream of the next attempt may be moved: the service is a group, the stream can resume
-// after its last event, and one more attempt is left for that.
+// mayMove reports whether the stream of the next attempt may be moved: the upstreams are ranks of a group, the stream
+// can resume after its last event, and one more attempt is left for that.
 func (n *run) mayMove() bool {
 	return n.service.group != nil && n.r.route.Resumable && n.sent+1 < n.r.route.Attempts
 }
--- a/internal/node/gateway/peers.go
+++ b/internal/node/gateway/peers.go
@@ -30,13 +30,13 @@
 	newPeerListInterval = 200 * time.Millisecond
 	// newPeerPeriod is how long a peer counts as new: until the others have listed it a few times.
 	newPeerPeriod = 1500 * time.Millisecond
-	// joinPeriod is how long a newly started gateway only collects its peers, and takes no duty: peer lists travel to
+	// joinPeriod is how long a newly started gateway only discovers its peers, and takes no duty: peer lists travel to
 	// the gateways in its settings and back.
 	joinPeriod = 450 * time.Millisecond
 	// joinInterval is the time between two requests for peer lists.
 	joinInterval = 150 * time.Millisecond
-	// unknownLeaderTimeout is how long after its start a gateway assumes that a leader without any message is merely
-	// not known yet: the addresses of gateways that start together reach all within a second.
+	// unknownLeaderTimeout is how long after its start a gateway assumes that a leader without any message is alive but
+	// not discovered yet: the addresses of gateways that start together reach all within a second.
 	unknownLeaderTimeout = 1200 * time.Millisecond
 	// peerTimeout is the time without a message after which a peer is no longer given to callers, even if no gateway
 	// could tell whether it is dead: three digests and a margin.
@@ -46,8 +46,8 @@
 	leaderTimeout = 450 * time.Millisecond
 	// forgetPeerAfter is the time without a message after which a peer receives no more digests.
 	forgetPeerAfter = 30 * time.Second
-	// maxDigestTargets is how many peers receive one digest; a larger number of peers takes turns. A leader sends to
-	// all, so that no peer takes over its duty.
+	// maxDigestTargets is how many peers receive one digest; if there are more, they take turns. A leader sends to all,
+	// so that no peer takes over its duty.
 	maxDigestTargets = 20
 	// maxListedPeers is how many peer addresses a digest contains.
 	maxListedPeers = 12
@@ -260,7 +260,7 @@
 // address returns the address at which the peer receives datagrams.
 func (k *peer) address() liveness.Address { return liveness.Address(k.digest.GetDigestAddress()) }
 
-// leads reports whether the peer reports that it places experts; it then sends each digest to all gateways.
+// leads reports whether the peer places experts, according to its digest. A leader sends each digest to all gateways.
 func (k *peer) leads() bool { return k.digest.GetExpertsFence() > 0 }
 
 // count returns the number of live peers.
--- a/internal/node/gateway/peers_test.go
+++ b/internal/node/gateway/peers_test.go
@@ -53,10 +53,10 @@
 	g := &Gateway{}
 	g.settings.Store(&Settings{Name: "own"})
 	for _, c := range []struct {
-		name  string
-		since time.Duration
-		heard time.Duration
-		want  bool
+		name        string
+		uptime      time.Duration
+		lastSeenAgo time.Duration
+		want        bool
 	}{
 		{"never seen, just started", 600 * time.Millisecond, -1, false},
 		{"never seen, long after the start", unknownLeaderTimeout + time.Second, -1, true},
@@ -64,9 +64,9 @@
 		{"silent", unknownLeaderTimeout + time.Second, leaderTimeout + time.Second, true},
 		{"silent, just started", 200 * time.Millisecond, leaderTimeout + time.Second, false},
 	} {
-		p := &peers{g: g, startedAt: time.Now().Add(-c.since), byName: map[string]*peer{}, detector: newDetector()}
-		if c.heard >= 0 {
-			p.byName["other"] = &peer{digest: &cardamomyokev1.Digest{Incarnation: "a"}, lastSeen: time.Now().Add(-c.heard)}
+		p := &peers{g: g, startedAt: time.Now().Add(-c.uptime), byName: map[string]*peer{}, detector: newDetector()}
+		if c.lastSeenAgo >= 0 {
+			p.byName["other"] = &peer{digest: &cardamomyokev1.Digest{Incarnation: "a"}, lastSeen: time.Now().Add(-c.lastSeenAgo)}
 		}
 		if got := p.holderDead("other", "a"); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
--- a/internal/node/gateway/plain.go
+++ b/internal/node/gateway/plain.go
@@ -11,10 +11,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/dispatch"
 )
 
-// maxHeldBytes bounds the part of a response that is buffered before relaying. A response of this size or more is
+// maxBufferedBytes bounds the part of a response that is buffered before relaying. A response of this size or more is
 // relayed as it arrives: it can no longer be retried elsewhere, and its caller sees a truncated response if the
 // connection breaks.
-const maxHeldBytes = 1 << 20
+const maxBufferedBytes = 1 << 20
 
 // plainResponse is the buffered status, header and body of a response.
 type plainResponse struct {
@@ -31,7 +31,7 @@
 // If the connection to the upstream breaks within a body, the caller must not mistake the received part for the full
 // body: the response is relayed only once it is complete, with its length.
 func (n *run) relayPlain(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, info Reply) error {
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxHeldBytes))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxBufferedBytes))
 	if err != nil {
 		res.Release(false)
 		return &httpclient.BrokenError{Address: t.Upstream().Address, Stage: "read body from", Cause: err}
@@ -43,7 +43,7 @@
 	n.service.gate.Answered(t)
 	n.recordFirstPiece()
 	p := &plainResponse{res.Status, responseHeaders(res.Header), body}
-	if len(body) == maxHeldBytes {
+	if len(body) == maxBufferedBytes {
 		return n.relayRest(ctx, res, p)
 	}
 	res.Release(true)
@@ -79,10 +79,10 @@
 	err := n.x.Write(ctx, p.body)
 	buf := make([]byte, 32<<10)
 	for err == nil {
-		var got int
-		got, err = res.Body.Read(buf)
-		if got > 0 {
-			if werr := n.x.Write(ctx, buf[:got]); werr != nil {
+		var size int
+		size, err = res.Body.Read(buf)
+		if size > 0 {
+			if werr := n.x.Write(ctx, buf[:size]); werr != nil {
 				err = werr
 			}
 		}
--- a/internal/node/gateway/pull.go
+++ b/internal/node/gateway/pull.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// lag lists the versions that peers have announced and a table's replica lacks, oldest first, each with the time since
-// when it is missing.
+// lag lists the versions that peers have announced and a table's replica lacks, oldest first, each with the time of its
+// announcement.
 type lag []missingVersion
 
 type missingVersion struct {
--- a/internal/node/gateway/registry.go
+++ b/internal/node/gateway/registry.go
@@ -57,11 +57,11 @@
 
 // reject excludes the registry entry of an upstream at whose address another upstream responded. It runs on the control
 // loop.
-func (g *Gateway) reject(u *catalog.Upstream, answered ids.Upstream, now time.Time) {
+func (g *Gateway) reject(u *catalog.Upstream, responder ids.Upstream, now time.Time) {
 	if !g.control.entries.Reject(u.Incarnation()) {
 		return
 	}
 	_ = level.Warn(g.logger).Log("msg", "registry entry rejected", "reason", "another upstream responds at its address", "upstream", u.Incarnation(),
-		"address", u.Address, "answered", answered, "entry_version", u.Version)
+		"address", u.Address, "answered", responder, "entry_version", u.Version)
 	g.reload(now)
 }
--- a/internal/node/gateway/run.go
+++ b/internal/node/gateway/run.go
@@ -156,7 +156,7 @@
 	case errors.As(err, &dial):
 		n.unreached++
 	case errors.As(err, &refused) && refused.Status == statusOtherInstance:
-		// Another upstream responded, so the request did not reach the addressed one.
+		// The addressed upstream is gone, so the request did not reach it.
 		n.unreached++
 	case errors.As(err, &refused):
 		n.sent++
--- a/internal/node/gateway/send.go
+++ b/internal/node/gateway/send.go
@@ -35,8 +35,8 @@
 	return n.g.client.DoMatching(ctx, to.Address, req, match)
 }
 
-// mayLackAttemptID reports whether a response carries no attempt id because the upstream did not read the request that
-// far.
+// mayLackAttemptID reports whether a response may lack the attempt's id because the upstream did not read the request
+// that far.
 func mayLackAttemptID(h *fasthttp.ResponseHeader) bool {
 	return h.StatusCode() == statusOtherInstance || h.StatusCode() == fasthttp.StatusBadRequest
 }
@@ -74,14 +74,14 @@
 func responseHeaders(h *fasthttp.ResponseHeader) []httpserver.Header {
 	var out []httpserver.Header
 	for key, value := range h.All() {
-		if !isHopByHop(key) {
+		if !isOmittedHeader(key) {
 			out = append(out, httpserver.Header{Name: string(key), Value: string(value)})
 		}
 	}
 	return out
 }
 
-func isHopByHop(key []byte) bool {
+func isOmittedHeader(key []byte) bool {
 	if bytes.EqualFold(key, []byte("Content-Length")) {
 		return true
 	}
--- a/internal/node/gateway/sentinel.go
+++ b/internal/node/gateway/sentinel.go
@@ -88,18 +88,18 @@
 // within the timeout, or has a later incarnation. A gateway that has just started reports false, as it has received no
 // messages yet.
 //
-// A leader in a large deployment sends to all gateways, and its digests are late when it is busiest. The probes decide
-// then.
+// A leader in a large deployment sends to all gateways, and its digests are late when it is busiest. The timeout is
+// therefore scaled to the number of peers, and probes detect a death earlier.
 //
 // After a power failure each gateway sees only a few peers, and the holder of a duty may not be among them. Peer lists
 // spread within a second, so unknownLeaderTimeout is enough for a holder without any message.
-func (p *peers) holderDead(name string, life ids.Incarnation) bool {
+func (p *peers) holderDead(name string, holderIncarnation ids.Incarnation) bool {
 	now := time.Now()
 	if now.Sub(p.startedAt) < leaderTimeout {
 		return false
 	}
 	if name == p.g.Settings().Name {
-		return life != p.g.incarnation
+		return holderIncarnation != p.g.incarnation
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,5 +113,5 @@
 	if now.Sub(k.lastSeen) > p.scaleTimeoutLocked(leaderTimeout) || p.detector.Dead(k.address()) {
 		return true
 	}
-	return k.digest.GetIncarnation() > string(life)
+	return k.digest.GetIncarnation() > string(holderIncarnation)
 }
--- a/internal/node/gateway/services.go
+++ b/internal/node/gateway/services.go
@@ -54,13 +54,15 @@
 }
 
 const (
-	// engineFill keeps waiting requests at the gateways: a request in an engine's own queue cannot move to another
-	// upstream.
+	// engineFill is the maximum number of requests in flight per slot of an engine. It keeps waiting requests at the
+	// gateways: a request in an engine's own queue cannot move to another upstream.
 	engineFill = 1.0
-	// engineLateFill reserves slots for requests that can still be answered in time. After an outage all waiting
-	// requests are late; if all of them started together, they would delay the following requests as well.
+	// engineLateFill replaces engineFill for late requests and so reserves slots for requests that can still be
+	// answered in time. After an outage all waiting requests are late; if all of them started together, they would
+	// delay the following requests as well.
 	engineLateFill = 0.6
-	// plainFill lets a plain upstream queue a little, so that it does not idle until the next request arrives.
+	// plainFill is the same for plain upstreams. It lets an upstream queue a little, so that it does not idle until the
+	// next request arrives.
 	plainFill = 1.5
 )
 
--- a/internal/node/gateway/settings.go
+++ b/internal/node/gateway/settings.go
@@ -76,7 +76,7 @@
 	Readiness string `yaml:"readiness"`
 	// Peers is for other gateways: digests over UDP, and RPC over TCP.
 	Peers string `yaml:"peers"`
-	// Metrics serves counters and histograms at an address of their own; empty for none.
+	// Metrics is a separate address for counters and histograms; empty for none.
 	Metrics string `yaml:"metrics"`
 }
 
--- a/internal/node/gateway/shutdown.go
+++ b/internal/node/gateway/shutdown.go
@@ -12,7 +12,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/httpserver"
 )
 
-// Run serves until ctx ends, and then leaves without truncating responses.
+// Run serves until ctx ends and then shuts down gracefully: requests in progress may finish within the grace time.
 func (g *Gateway) Run(ctx context.Context) error {
 	<-ctx.Done()
 	return g.shutdown()
@@ -20,13 +20,13 @@
 
 const (
 	// maxLeavingShare is the maximum share of the grace time in which a leaving gateway still accepts requests, from
-	// callers with a cached directory response. The rest is for finishing them.
+	// callers with a cached directory response. The rest is for finishing these requests.
 	maxLeavingShare = 0.45
 	// directoryTTLFactor is how far callers may exceed the TTL of a directory response: some cache it three times as
 	// long, less the time that a request takes to arrive.
 	directoryTTLFactor = 2.8
-	// killMargin is how long before the end of the grace time, when it would be killed, the process stops at the
-	// latest.
+	// killMargin is how long before the end of the grace time the process stops at the latest, so that it is not
+	// killed.
 	killMargin = 300 * time.Millisecond
 )
 
--- a/internal/node/gateway/suspects.go
+++ b/internal/node/gateway/suspects.go
@@ -34,7 +34,7 @@
 	crashDialTimeout = 250 * time.Millisecond
 )
 
-// suspects prevents requests that crash every upstream they run on from crashing one after the other.
+// suspects refuses requests that would crash one upstream after the other.
 //
 // A request that crashes its rank takes down the whole group, and its caller sends it again. A gateway does not see
 // what else an upstream ran, so it counts the crashes during which the request ran, including those that peers report,
@@ -45,10 +45,10 @@
 	dial    func(ctx context.Context, address string) error
 
 	mu sync.Mutex
-	// confirming holds the runs whose connections broke, by upstream, while it is checked whether the upstream still
+	// confirming holds the runs whose connections broke, by upstream, until it is known whether the upstream still
 	// listens.
 	confirming map[ids.UpstreamIncarnation][]quarantine.Running
-	// listening holds the runs whose connections broke, by upstream, where the upstream's address still accepted
+	// listening holds the runs whose connections broke, by upstream, if the upstream's address still accepted
 	// connections.
 	listening map[ids.UpstreamIncarnation]brokenRuns
 }
@@ -143,8 +143,7 @@
 	return failure.New(failure.CodeNoUpstream, e).WithRetryAfter(e.Until.Sub(now))
 }
 
-// completed records that a request completed, so that upstreams that crashed while they ran it did not crash because of
-// it.
+// completed records that a request ran to its end: it did not cause the crashes of upstreams that ran it.
 func (s *suspects) completed(n *run, now time.Time) {
 	if !s.tracker.Snapshot().Empty() {
 		s.tracker.Completed(now, n.fingerprint())
@@ -194,8 +193,8 @@
 
 // upstreamRestarted records that an upstream has a new incarnation under the same id.
 //
-// An upstream may be back before the check whether it listens. The new incarnation proves that the previous one is
-// dead.
+// The upstream may be back before the check, which then finds it listening. The new incarnation proves that the
+// previous one is dead.
 func (s *suspects) upstreamRestarted(previous ids.UpstreamIncarnation, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -221,7 +220,7 @@
 	}
 }
 
-// checkCrash has it checked whether the upstream crashed if the attempt's connection broke.
+// checkCrash starts a check whether the upstream crashed, if the attempt's connection broke.
 func (n *run) checkCrash(u *catalog.Upstream, err error) {
 	var broken *httpclient.BrokenError
 	if errors.As(err, &broken) && !n.g.disabled(mechanismSuspects) {
