--- a/internal/node/gateway/experts.go
+++ b/internal/node/gateway/experts.go
@@ -20,94 +20,97 @@
 )
 
 const (
-	// expertsDuty is to place the experts of all groups.
+	// expertsDuty is the duty to place the experts of all groups.
 	expertsDuty lease.Duty = "experts"
-	// leaseLength is renewed three times. A gateway that is not heard is replaced much sooner; this bounds how long one
-	// goes on that is heard but cannot reach the store, and another can.
+	// leaseLength is the validity of the lease, which is renewed three times within it. A leader that peers no longer
+	// see is replaced much sooner. The length bounds how long a leader continues if its peers still see it, but it
+	// cannot reach the store and a peer can.
 	leaseLength = 3 * time.Second
-	// pollInterval is the period in which the leader looks at a group, a few passes; demandHalf is the half-life of the estimated
-	// demand.
+	// pollInterval is the interval at which the leader polls a group, a few passes. demandHalfLife is the half-life of
+	// the estimated demand.
 	//
-	// Until the map follows a shift of demand, passes take longer than callers accept, and each stream is late by one of them.
-	// Looking more often costs in copies what it gains in passes.
-	pollInterval = 250 * time.Millisecond
-	demandHalf   = 300 * time.Millisecond
-	// sampledRanks is how many ranks' counts are read each time; reading from afar makes the group pause.
+	// After a shift of demand, and until the map follows it, passes take longer than callers accept, and each stream is
+	// late by one of them. A shorter interval costs as much in copies as it gains in passes.
+	pollInterval   = 250 * time.Millisecond
+	demandHalfLife = 300 * time.Millisecond
+	// sampledRanks is how many ranks are polled for their counts each time; polling remotely makes the group pause.
 	sampledRanks = 4
-	// sampledLocal is the same where each rank has an agent beside it. The group does not pause for it, but each reading has
-	// some KB of the leader's link.
+	// sampledLocal replaces sampledRanks where each rank has an agent on its host. The group does not pause then, but
+	// each poll transfers some KB over the leader's link.
 	sampledLocal = 24
 )
 
-// experts places the experts of groups while this gateway holds the duty.
+// experts places the experts of all groups while this gateway is the leader.
 type experts struct {
 	g      *Gateway
 	ctx    context.Context
 	ranks  lockstep.RankClient
 	leases *manager.Manager
 	table  platform.Table
-	// number is what this gateway leads under, for the controllers; 0 while it does not lead.
-	number atomic.Uint64
-	// next says that this gateway is one of those that lead next.
-	next atomic.Bool
-	// slow are the ranks that are slower than usual, by service and group, as the controllers read them last.
-	slow sync.Map // string → []*cardamomyokev1.UpstreamPace
-	// The rest belongs to the control loop. allocating says that a number is being drawn, allocateAt from when on the next may be.
-	leading    leadership
-	allocating bool
-	allocateAt time.Time
-	running    map[ids.Service]*lockstep.Running
+	// fence is the token under which this gateway leads, read by the controllers; 0 while it does not lead.
+	fence atomic.Uint64
+	// standby is set while this gateway is among the first candidates to lead.
+	standby atomic.Bool
+	// slow maps "SERVICE/GROUP" to the slow ranks of the group's last report.
+	slow sync.Map // string to []*cardamomyokev1.UpstreamPace
+	// The fields below belong to the control loop. allocating is set while a token is being allocated; the next spare
+	// token may be allocated from allocateAt on.
+	election    leadership
+	allocating  bool
+	allocateAt  time.Time
+	controllers map[ids.Service]*lockstep.Running
 }
 
 func newExperts(ctx context.Context, g *Gateway, client lockstep.RankClient, table platform.Table) *experts {
 	return &experts{
-		g: g, ctx: ctx, ranks: client, table: table, running: map[ids.Service]*lockstep.Running{},
+		g: g, ctx: ctx, ranks: client, table: table, controllers: map[ids.Service]*lockstep.Running{},
 		leases: manager.New(manager.Config{
 			Name: g.Settings().Name, Incarnation: g.incarnation, Length: leaseLength, Table: table, Loop: g.loop,
-			Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Logger: g.logger, HolderDead: g.peers.ended,
+			Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Logger: g.logger, HolderDead: g.peers.holderDead,
 		}),
 	}
 }
 
-// tick runs on the control loop.
+// tick updates the lease, the leadership and the controllers. It runs on the control loop.
 func (e *experts) tick(now time.Time) {
-	e.follow()
+	e.updateControllers()
 	c := e.candidates(now)
-	known := e.rivals(now, c)
-	e.leases.SetWanted(now, expertsDuty, e.wanted(now, known))
+	in := e.electionInput(now, c)
+	e.leases.SetWanted(now, expertsDuty, e.wantsLease(now, in))
 	e.leases.Tick(now)
-	number, draw := e.leading.decide(now, known)
-	next := e.mayLead(now, c)
-	e.next.Store(next)
-	if draw || next && e.wantsSpare() && e.allocateDue(now) {
+	fence, allocate := e.election.decide(now, in)
+	standby := e.isStandby(now, c)
+	e.standby.Store(standby)
+	if allocate || standby && e.needsSpare() && e.allocateDue(now) {
 		e.allocateFence()
 	}
-	if e.number.Swap(uint64(number)) == uint64(number) {
+	if e.fence.Swap(uint64(fence)) == uint64(fence) {
 		return
 	}
-	_ = level.Info(e.g.logger).Log("msg", "leading", "duty", expertsDuty, "number", number, "lease_held", known.Held != 0,
-		"lease_seen", known.Seen, "newest_heard", e.leading.newest, "place", known.Place)
-	for _, c := range e.running {
+	_ = level.Info(e.g.logger).Log("msg", "leadership changed", "duty", expertsDuty, "number", fence, "lease_held", in.HeldFence != 0,
+		"lease_seen", in.SeenFence, "newest_heard", e.election.newestPeerFence, "place", in.Position)
+	for _, c := range e.controllers {
 		c.Wake()
 	}
 }
 
-func (e *experts) anyGroup() bool { return len(e.running) > 0 }
+func (e *experts) anyGroup() bool { return len(e.controllers) > 0 }
 
-// follow runs a controller for each service whose upstreams are ranks of a group.
-func (e *experts) follow() {
+// updateControllers runs a controller for each service whose upstreams are ranks of a group, and stops those of other
+// services.
+func (e *experts) updateControllers() {
 	if e.g.control.config == nil {
 		return
 	}
 	for name, s := range e.g.control.config.Services {
 		grouped := s.Engine != nil && s.Engine.Experts != nil
-		c := e.running[name]
+		c := e.controllers[name]
 		switch {
 		case grouped && c == nil:
-			e.running[name] = e.startController(name)
+			e.controllers[name] = e.startController(name)
 		case !grouped && c != nil:
 			c.Stop()
-			delete(e.running, name)
+			delete(e.controllers, name)
 		}
 	}
 }
@@ -117,18 +120,18 @@
 		RankClient: e.ranks,
 		Logger:     log.With(e.g.logger, "service", name),
 		Group:      func() *lockstep.Group { return e.group(name) },
-		Fence:      func() ids.Fence { return ids.Fence(e.number.Load()) },
-		Standby:    e.next.Load,
+		Fence:      func() ids.Fence { return ids.Fence(e.fence.Load()) },
+		Standby:    e.standby.Load,
 		Period:     pollInterval,
-		Half:       demandHalf,
+		Half:       demandHalfLife,
 		Sample:     sampledRanks, SampleLocal: sampledLocal,
 		Policy: lockstep.DefaultOptions(),
 		Read: func(upstreams []*catalog.Upstream, reports []lockstep.Report) {
-			e.notePaces(string(name)+"/"+reports[0].Group, upstreams, reports)
+			e.recordSlowRanks(string(name)+"/"+reports[0].Group, upstreams, reports)
 		},
-		Outdated: func(newer ids.Fence) { e.g.loop.Post(func(time.Time) { e.leading.outdated(newer) }) },
+		Outdated: func(newer ids.Fence) { e.g.loop.Post(func(time.Time) { e.election.observeNewer(newer) }) },
 		Switched: func(before, after float64, copies int) {
-			e.g.metrics.switched(name, before, after, copies)
+			e.g.metrics.mapSwitched(name, before, after, copies)
 		},
 	}
 	return lockstep.Start(e.ctx, func(ctx context.Context, wake <-chan struct{}) {
@@ -137,25 +140,26 @@
 	})
 }
 
-// slowPace is from when on a rank counts as slow. A rank's reports vary by some hundredths.
-const slowPace = 1.25
+// minSlowdown is the slowdown factor from which a rank counts as slow. A rank's reports vary by some hundredths.
+const minSlowdown = 1.25
 
-// notePaces keeps a group's slow ranks for the digests, and logs those that have become slow or are as usual again.
-func (e *experts) notePaces(group string, upstreams []*catalog.Upstream, reports []lockstep.Report) {
+// recordSlowRanks stores a group's slow ranks for the digests, and logs each rank that became slow or returned to
+// normal.
+func (e *experts) recordSlowRanks(group string, upstreams []*catalog.Upstream, reports []lockstep.Report) {
 	slow := slowRanks(upstreams, reports)
 	before, _ := e.slow.Swap(group, slow)
 	was, _ := before.([]*cardamomyokev1.UpstreamPace)
 	for rank, u := range upstreams {
-		now, then := paceOf(slow, u), paceOf(was, u)
-		if (now > 0) != (then > 0) {
-			_ = level.Info(e.g.logger).Log("msg", "rank pace", "group", group, "rank", rank, "upstream", u.ID, "slow", now > 0,
+		current, previous := slowdownOf(slow, u), slowdownOf(was, u)
+		if (current > 0) != (previous > 0) {
+			_ = level.Info(e.g.logger).Log("msg", "rank slowdown changed", "group", group, "rank", rank, "upstream", u.ID, "slow", current > 0,
 				"pace", reports[rank].Pace, "fresh", reports[rank].Fresh, "running", reports[rank].Running)
 		}
 	}
 }
 
-// paceOf returns an upstream's pace among slow ones; 0 if it is none of them.
-func paceOf(slow []*cardamomyokev1.UpstreamPace, u *catalog.Upstream) float64 {
+// slowdownOf returns an upstream's slowdown factor, or 0 if the upstream is not in the list of slow ranks.
+func slowdownOf(slow []*cardamomyokev1.UpstreamPace, u *catalog.Upstream) float64 {
 	for _, s := range slow {
 		if s.GetUpstream() == hashOf(u.Incarnation()) {
 			return s.GetPace()
@@ -167,16 +171,16 @@
 func slowRanks(upstreams []*catalog.Upstream, reports []lockstep.Report) []*cardamomyokev1.UpstreamPace {
 	var slow []*cardamomyokev1.UpstreamPace
 	for rank, u := range upstreams {
-		if pace := reports[rank].Pace; pace >= slowPace {
-			slow = append(slow, &cardamomyokev1.UpstreamPace{Upstream: hashOf(u.Incarnation()), Pace: pace})
+		if slowdown := reports[rank].Pace; slowdown >= minSlowdown {
+			slow = append(slow, &cardamomyokev1.UpstreamPace{Upstream: hashOf(u.Incarnation()), Pace: slowdown})
 		}
 	}
 	return slow
 }
 
-// slowKnown returns the slow ranks of all services while this gateway leads.
-func (e *experts) slowKnown() []*cardamomyokev1.UpstreamPace {
-	if e.number.Load() == 0 {
+// allSlowRanks returns the slow ranks of all services, or nil while this gateway does not lead.
+func (e *experts) allSlowRanks() []*cardamomyokev1.UpstreamPace {
+	if e.fence.Load() == 0 {
 		return nil
 	}
 	var all []*cardamomyokev1.UpstreamPace
@@ -189,7 +193,7 @@
 
 func (e *experts) group(name ids.Service) *lockstep.Group {
 	v := e.g.view.Load()
-	if v.config == nil || e.g.off(offMaps) {
+	if v.config == nil || e.g.disabled(mechanismMaps) {
 		return nil
 	}
 	s := v.config.Services[name]
--- a/internal/node/gateway/send.go
+++ b/internal/node/gateway/send.go
@@ -15,33 +15,34 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// statusOtherInstance is the answer of an upstream that is not the life that was asked for.
+// statusOtherInstance is the response of an upstream that is not the addressed instance.
 const statusOtherInstance = fasthttp.StatusMisdirectedRequest
 
-// perConnection are the header fields that concern one connection only.
-var perConnection = []string{
+// hopByHopHeaders are the header fields that concern one connection only.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// send writes the request to an upstream and reads the header of the answer that bears its attempt's id.
+// send writes the request to an upstream and reads the header of the response that carries the attempt's id.
 func (n *run) send(ctx context.Context, to *catalog.Upstream) (*httpclient.Response, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	n.writeRequest(req, to)
 	attempt := n.r.call.Attempt
 	match := func(h *fasthttp.ResponseHeader) bool {
-		return attempt == "" || n.g.dialect.ReadReply(h).Attempt == attempt || unmatched(h)
+		return attempt == "" || n.g.dialect.ReadReply(h).Attempt == attempt || mayLackAttemptID(h)
 	}
 	return n.g.client.DoMatching(ctx, to.Address, req, match)
 }
 
-// unmatched answers bear no attempt's id because the upstream did not read the request that far.
-func unmatched(h *fasthttp.ResponseHeader) bool {
+// mayLackAttemptID reports whether a response may lack the attempt's id because the upstream did not read the request
+// that far.
+func mayLackAttemptID(h *fasthttp.ResponseHeader) bool {
 	return h.StatusCode() == statusOtherInstance || h.StatusCode() == fasthttp.StatusBadRequest
 }
 
-// writeRequest makes the upstream's request: method, path and body of the caller's, its header without what concerns
-// the connection, and what the system sets.
+// writeRequest builds the request to the upstream: the caller's method, path, body and header without hop-by-hop
+// fields, and the fields that the gateway sets.
 func (n *run) writeRequest(req *fasthttp.Request, to *catalog.Upstream) {
 	in := n.x.Req
 	in.Header.CopyTo(&req.Header)
@@ -49,7 +50,7 @@
 	for _, name := range strings.Split(string(in.Header.Peek("Connection")), ",") {
 		h.Del(strings.TrimSpace(name))
 	}
-	for _, name := range perConnection {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 	h.ResetConnectionClose()
@@ -69,22 +70,22 @@
 	})
 }
 
-// answerHeaders are the fields of an upstream's answer that the caller gets.
-func answerHeaders(h *fasthttp.ResponseHeader) []httpserver.Header {
+// responseHeaders returns the header fields of an upstream's response that are relayed to the caller.
+func responseHeaders(h *fasthttp.ResponseHeader) []httpserver.Header {
 	var out []httpserver.Header
 	for key, value := range h.All() {
-		if !concernsConnection(key) {
+		if !isOmittedHeader(key) {
 			out = append(out, httpserver.Header{Name: string(key), Value: string(value)})
 		}
 	}
 	return out
 }
 
-func concernsConnection(key []byte) bool {
+func isOmittedHeader(key []byte) bool {
 	if bytes.EqualFold(key, []byte("Content-Length")) {
 		return true
 	}
-	for _, name := range perConnection {
+	for _, name := range hopByHopHeaders {
 		if bytes.EqualFold(key, []byte(name)) {
 			return true
 		}
@@ -96,11 +97,11 @@
 	return bytes.HasPrefix(res.Header.ContentType(), []byte("text/event-stream"))
 }
 
-// maxDropped is how much of an answer that nobody wants is read to keep its connection.
-const maxDropped = 64 << 10
+// maxDiscardedBytes is how much of a discarded response is read to reuse its connection.
+const maxDiscardedBytes = 64 << 10
 
-// drop reads a short answer to its end, so that its connection can be used again.
-func drop(res *httpclient.Response) {
-	_, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDropped))
+// discard reads a short response to its end, so that its connection can be reused.
+func discard(res *httpclient.Response) {
+	_, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxDiscardedBytes))
 	res.Release(err == nil)
 }
--- a/internal/node/gateway/shutdown.go
+++ b/internal/node/gateway/shutdown.go
@@ -12,64 +12,65 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/httpserver"
 )
 
-// Run serves until ctx ends, and then leaves in the order that cuts nothing off.
+// Run serves until ctx ends and then shuts down gracefully: requests in progress may finish within the grace time.
 func (g *Gateway) Run(ctx context.Context) error {
 	<-ctx.Done()
 	return g.shutdown()
 }
 
 const (
-	// serveOn is the most of the grace time in which requests of callers that keep an old answer are still served: the rest
-	// is for what they have begun.
-	serveOn = 0.45
-	// keptTimes is how many times as long as they are told callers may keep an answer of the directory: some keep it three
-	// times as long, less what a request takes to arrive.
-	keptTimes = 2.8
-	// leaveBefore is when the process ends at the latest, before it would be killed.
-	leaveBefore = 300 * time.Millisecond
+	// maxLeavingShare is the maximum share of the grace time in which a leaving gateway still accepts requests, from
+	// callers with a cached directory response. The rest is for finishing these requests.
+	maxLeavingShare = 0.45
+	// directoryTTLFactor is how far callers may exceed the TTL of a directory response: some cache it three times as
+	// long, less the time that a request takes to arrive.
+	directoryTTLFactor = 2.8
+	// killMargin is how long before the end of the grace time the process stops at the latest, so that it is not
+	// killed.
+	killMargin = 300 * time.Millisecond
 )
 
-// servesOn is for how long a gateway that leaves still takes requests.
+// leavingPeriod returns how long a leaving gateway still accepts requests.
 //
-// A stream that is taken late in the grace time may not end in it. By then hardly a caller has this address any more, and one
-// that is refused goes to another.
-func servesOn(grace, keep time.Duration) time.Duration {
-	return min(time.Duration(serveOn*float64(grace)), time.Duration(keptTimes*float64(keep)))
+// A stream that is accepted late in the grace time may not finish in it. By then hardly any caller still uses this
+// address, and one that is refused tries another.
+func leavingPeriod(grace, directoryTTL time.Duration) time.Duration {
+	return min(time.Duration(maxLeavingShare*float64(grace)), time.Duration(directoryTTLFactor*float64(directoryTTL)))
 }
 
 func (g *Gateway) shutdown() error {
 	began := time.Now()
 	grace := g.Settings().Bounds.Grace.Std()
-	_ = level.Info(g.logger).Log("msg", "leaving", "grace", grace, "running", g.servers.callers.Busy())
-	g.become(stateLeaving)
-	time.Sleep(servesOn(grace, g.keep()))
-	g.become(stateClosing)
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-leaveBefore))
+	_ = level.Info(g.logger).Log("msg", "shutting down", "grace", grace, "running", g.servers.callers.Busy())
+	g.setState(stateLeaving)
+	time.Sleep(leavingPeriod(grace, g.directoryTTL()))
+	g.setState(stateClosing)
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-killMargin))
 	defer cancel()
 	err := g.servers.callers.Drain(ctx)
 	if err != nil && !errors.Is(err, context.DeadlineExceeded) {
-		return fmt.Errorf("leave: %w", err)
+		return fmt.Errorf("shut down: %w", err)
 	}
 	_ = level.Info(g.logger).Log("msg", "stopped", "cut", g.servers.callers.Busy(), "after", time.Since(began))
 	g.Kill()
 	return nil
 }
 
-// become changes the node's state on the control loop and waits for it.
-func (g *Gateway) become(s nodeState) {
+// setState changes the node's state on the control loop and waits until that is done.
+func (g *Gateway) setState(s nodeState) {
 	done := make(chan struct{})
 	g.loop.Post(func(now time.Time) {
 		g.control.node = s
 		g.publish()
-		// Before the others are told, so that they hear at once that a duty is free.
+		// Before the digests are sent, so that they already report that this gateway has given up its duty.
 		g.experts.tick(now)
-		g.peers.tellAll(now)
+		g.peers.sendToAll(now)
 		close(done)
 	})
 	<-done
 }
 
-// Kill ends the gateway at once, as a crash would.
+// Kill stops the gateway immediately, as a crash would.
 func (g *Gateway) Kill() {
 	g.cancel()
 	var wait sync.WaitGroup
