--- a/internal/experts/expertmap/engine.go
+++ b/internal/experts/expertmap/engine.go
@@ -17,7 +17,7 @@
 
 // MapAt returns the map under which the engine runs step t. The engine remembers its newest map and the one before
 // it.
-func (e *EngineModel) At(t Step) MapID {
+func (e *EngineModel) MapAt(t Step) MapID {
 	if t >= e.Start {
 		return e.Map
 	}
@@ -25,10 +25,10 @@
 }
 
 // MayStart reports whether the engine may start its next step.
-func (e *EngineModel) MayStart() bool { return e.Next < e.Limit && !e.At(e.Next).IsZero() }
+func (e *EngineModel) MayStart() bool { return e.Next < e.Limit && !e.MapAt(e.Next).IsZero() }
 
 // Apply executes an order, or refuses it if its conditions do not hold. The next report shows which.
-func (e *EngineModel) Obey(o Order) {
+func (e *EngineModel) Apply(o Order) {
 	e.Order = o.ID
 	if o.Map != e.Map {
 		return
--- a/internal/experts/expertmap/group_test.go
+++ b/internal/experts/expertmap/group_test.go
@@ -165,7 +165,7 @@
 	if o.Kind == OrderSwitch && !slices.ContainsFunc(g.engines, func(e *EngineModel) bool { return e.Map == o.To }) {
 		g.checkCertificate(r, o)
 	}
-	g.engines[r].Obey(o)
+	g.engines[r].Apply(o)
 	g.tracef("engine %d: %+v, now %+v", r, o, g.engines[r].EngineReport)
 	g.report(r)
 }
@@ -189,7 +189,7 @@
 	if !e.MayStart() {
 		return false
 	}
-	m := e.At(e.Next)
+	m := e.MapAt(e.Next)
 	for _, o := range g.engines {
 		if o.Next < e.Next {
 			return false
--- a/internal/experts/expertmap/node/node_test.go
+++ b/internal/experts/expertmap/node/node_test.go
@@ -91,7 +91,7 @@
 	if err := f.call(); err != nil {
 		return err
 	}
-	f.model.Obey(o)
+	f.model.Apply(o)
 	return nil
 }
 
--- a/internal/experts/expertmap/replay_test.go
+++ b/internal/experts/expertmap/replay_test.go
@@ -128,7 +128,7 @@
 		return
 	}
 	for _, o := range r.orders[i] {
-		r.engines[i].Obey(o)
+		r.engines[i].Apply(o)
 	}
 	r.orders[i] = nil
 }
--- a/internal/experts/expertmap/slot_test.go
+++ b/internal/experts/expertmap/slot_test.go
@@ -107,7 +107,7 @@
 	g.boot()
 	p := capAllRanks(t, g)
 	g.slotEffects(0, g.slots[0].Receive(g.now, Addr{Proposer: "a"}, Certificate{p.Ballot, p.Roster}))
-	g.engines[0].Obey(g.orders[0][0])
+	g.engines[0].Apply(g.orders[0][0])
 	g.orders[0] = nil
 	g.start(1)
 	request := Recover{1, g.slots[1].Incarnation()}
--- a/internal/experts/lockstep/controller.go
+++ b/internal/experts/lockstep/controller.go
@@ -52,7 +52,7 @@
 	// Wake triggers a check immediately, for example when this node becomes the leader; it may be nil.
 	Wake <-chan struct{}
 	// Period is the interval between two checks of the group, HalfLife the half-life of the estimated demand.
-	Period, Half time.Duration
+	Period, HalfLife time.Duration
 	// Serials counts the tasks of all controllers of this node.
 	Serials *Serials
 	// PeriodFactor returns the factor by which the period is longer because this node leads other groups too; it may
@@ -63,13 +63,13 @@
 	Sample, SampleLocal int
 	Policy              Options
 	// OnReports is called with the reports of a complete group, by rank; it may be nil.
-	Read func(upstreams []*catalog.Upstream, reports []Report)
+	OnReports func(upstreams []*catalog.Upstream, reports []Report)
 	// OnStaleFence is called when the current fencing token is obsolete: with the token of a later leader whose maps
 	// the ranks have, or with the next token when the versions of the current one are used up. It may be nil.
-	Outdated func(newer ids.Fence)
+	OnStaleFence func(newer ids.Fence)
 	// OnSwitched is called after each switch with the skews before and after it and the number of copies; it may be
 	// nil.
-	Switched func(before, after float64, copies int)
+	OnSwitched func(before, after float64, copies int)
 }
 
 // Controller adapts the map of one group to the demand while its node leads. Only Run's goroutine may use it.
@@ -96,7 +96,7 @@
 
 // NewController returns a controller for the group that the options return.
 func NewController(o ControllerOptions) *Controller {
-	return &Controller{o: o, demand: NewDemand(o.Half)}
+	return &Controller{o: o, demand: NewDemand(o.HalfLife)}
 }
 
 // Run controls the group until ctx ends.
@@ -139,8 +139,8 @@
 	if snap == nil {
 		return min(c.period(), 2*shortInterval*time.Duration(c.period()/c.o.Period))
 	}
-	if c.o.Read != nil {
-		c.o.Read(snap.upstreams, snap.reports)
+	if c.o.OnReports != nil {
+		c.o.OnReports(snap.upstreams, snap.reports)
 	}
 	if newer := c.newerFence(snap); newer > 0 {
 		c.reportStaleFence(newer)
@@ -274,7 +274,7 @@
 	speed := make([]float64, len(s.reports))
 	running := 0
 	for r, report := range s.reports {
-		speed[r] = 1 / max(1, report.Pace)
+		speed[r] = 1 / max(1, report.Slowdown)
 		running += report.Running
 	}
 	share := expertShare(s.group.Engine, float64(running)/float64(len(s.reports)))
@@ -299,8 +299,8 @@
 		return false
 	}
 	c.placement, c.version, c.switchedAt = plan.Placement, task.Version, sw.Pass()
-	if c.o.Switched != nil {
-		c.o.Switched(plan.Before, plan.After, plan.Copies)
+	if c.o.OnSwitched != nil {
+		c.o.OnSwitched(plan.Before, plan.After, plan.Copies)
 	}
 	return sw.HoldResent()
 }
--- a/internal/experts/lockstep/controller_test.go
+++ b/internal/experts/lockstep/controller_test.go
@@ -22,7 +22,7 @@
 			return &lockstep.Group{Name: "a", Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, Placements: 4, Spare: 2}}}
 		},
 		Fence:  func() ids.Fence { return 7 },
-		Period: 500 * time.Millisecond, Half: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
+		Period: 500 * time.Millisecond, HalfLife: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
 		Policy: lockstep.Options{MinGain: 0.01, MinCounts: minCounts},
 	})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/experts/lockstep/counts.go
+++ b/internal/experts/lockstep/counts.go
@@ -54,7 +54,7 @@
 	ranks := c.sampledRanks(s)
 	type read struct {
 		rank   int
-		since  Since
+		since  CountStart
 		counts Counts
 	}
 	reads := make([]*read, len(ranks))
--- a/internal/experts/lockstep/demand.go
+++ b/internal/experts/lockstep/demand.go
@@ -18,7 +18,7 @@
 }
 
 type reading struct {
-	since  Since
+	since  CountStart
 	counts Counts
 }
 
@@ -29,7 +29,7 @@
 
 // Observe records one rank's counts. The first counts after a restart or a new epoch are only the base for the next
 // ones.
-func (d *Demand) Observe(now time.Time, rank int, since Since, counts Counts) {
+func (d *Demand) Observe(now time.Time, rank int, since CountStart, counts Counts) {
 	old, known := d.last[rank]
 	d.last[rank] = reading{since, counts}
 	if !known || old.since != since || !sameShape(old.counts, counts) {
--- a/internal/experts/lockstep/group_test.go
+++ b/internal/experts/lockstep/group_test.go
@@ -128,7 +128,7 @@
 	var out []*lockstep.Report
 	for i, r := range g.ranks {
 		report := &lockstep.Report{
-			Rank: i, Size: len(g.ranks), Epoch: g.epoch, Open: true, Pass: g.pass, Version: r.inUse, Prepared: r.prepared, Pace: 1, Fresh: true,
+			Rank: i, Size: len(g.ranks), Epoch: g.epoch, Open: true, Pass: g.pass, Version: r.inUse, Prepared: r.prepared, Slowdown: 1, Fresh: true,
 		}
 		if r.armed != nil {
 			armed := *r.armed
@@ -136,7 +136,7 @@
 		}
 		if r.held != nil && *r.held > g.pass {
 			held := *r.held
-			report.Held = &held
+			report.HeldPass = &held
 		}
 		out = append(out, report)
 	}
--- a/internal/experts/lockstep/loadplacement.go
+++ b/internal/experts/lockstep/loadplacement.go
@@ -23,11 +23,11 @@
 	if c.placement != nil && version < c.version && s.pass <= c.switchedAt {
 		return false // the reports are from before the last switch
 	}
-	held := make([]*Held, len(s.upstreams))
+	held := make([]*HeldExperts, len(s.upstreams))
 	var wait sync.WaitGroup
 	for r, u := range s.upstreams {
 		wait.Go(func() {
-			if h, err := c.o.RankClient.Held(ctx, u); err == nil {
+			if h, err := c.o.RankClient.HeldExperts(ctx, u); err == nil {
 				held[r] = &h
 			}
 		})
--- a/internal/experts/lockstep/newlyformed_test.go
+++ b/internal/experts/lockstep/newlyformed_test.go
@@ -16,9 +16,9 @@
 	from time.Time
 }
 
-func (s *delayedCounts) Counts(ctx context.Context, u *catalog.Upstream, sets int) (lockstep.Since, lockstep.Counts, error) {
+func (s *delayedCounts) Counts(ctx context.Context, u *catalog.Upstream, sets int) (lockstep.CountStart, lockstep.Counts, error) {
 	if time.Now().Before(s.from) {
-		return lockstep.Since{Epoch: s.groups["a"].epoch}, lockstep.Counts{{1, 1, 1, 1}}, nil
+		return lockstep.CountStart{Epoch: s.groups["a"].epoch}, lockstep.Counts{{1, 1, 1, 1}}, nil
 	}
 	return s.testService.Counts(ctx, u, sets)
 }
--- a/internal/experts/lockstep/order.go
+++ b/internal/experts/lockstep/order.go
@@ -69,9 +69,9 @@
 	Version, Prepared uint64
 	Armed             *Armed
 	// HeldPass is the pass that this rank keeps the group from beginning, or nil.
-	Held *uint64
+	HeldPass *uint64
 	// Slowdown is how many times as long as normal the rank's work takes; 1 is normal.
-	Pace float64
+	Slowdown float64
 	// Fresh is set if the report is current; other reports are some hundred ms old.
 	Fresh bool
 	// Running and Waiting are numbers of requests; CacheTokens is the used KV cache in tokens.
--- a/internal/experts/lockstep/rankclient.go
+++ b/internal/experts/lockstep/rankclient.go
@@ -11,9 +11,9 @@
 	// Report reads a rank's report; it may be some hundred ms old.
 	Report(ctx context.Context, u *catalog.Upstream) (Report, error)
 	// Counts reads how often the rank's requests chose each expert, and from when on they were counted.
-	Counts(ctx context.Context, u *catalog.Upstream, sets int) (Since, Counts, error)
+	Counts(ctx context.Context, u *catalog.Upstream, sets int) (CountStart, Counts, error)
 	// HeldExperts reads the rank's part of the map in use.
-	Held(ctx context.Context, u *catalog.Upstream) (Held, error)
+	HeldExperts(ctx context.Context, u *catalog.Upstream) (HeldExperts, error)
 	// IsLocal reports whether reading the rank currently costs the group nothing.
 	IsLocal(u *catalog.Upstream) bool
 	// Order sends an order. The error explains ReplyLost and ReplyRefused.
@@ -22,13 +22,13 @@
 
 // CountStart identifies the start of a rank's counts: a rank that restarts, or whose group forms again, counts from
 // 0.
-type Since struct {
+type CountStart struct {
 	StartedAtMS int64
 	Epoch       uint64
 }
 
 // HeldExperts is a rank's part of the map in use.
-type Held struct {
+type HeldExperts struct {
 	Epoch, Version uint64
 	// Experts lists the experts that the rank holds, by set.
 	Experts [][]int
--- a/internal/experts/lockstep/restart_test.go
+++ b/internal/experts/lockstep/restart_test.go
@@ -73,12 +73,12 @@
 func TestCountsOfDifferentIncarnationsAreNotCompared(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
 	d := NewDemand(time.Hour)
-	d.Observe(at(0), 0, Since{StartedAtMS: 1, Epoch: 1}, Counts{{100, 0}})
-	d.Observe(at(1), 0, Since{StartedAtMS: 2, Epoch: 1}, Counts{{900, 50}})
+	d.Observe(at(0), 0, CountStart{StartedAtMS: 1, Epoch: 1}, Counts{{100, 0}})
+	d.Observe(at(1), 0, CountStart{StartedAtMS: 2, Epoch: 1}, Counts{{900, 50}})
 	if d.Value() != nil {
 		t.Fatalf("demand %v from counts of two incarnations", d.Value())
 	}
-	d.Observe(at(2), 0, Since{StartedAtMS: 2, Epoch: 1}, Counts{{910, 50}})
+	d.Observe(at(2), 0, CountStart{StartedAtMS: 2, Epoch: 1}, Counts{{910, 50}})
 	if got := d.Total(); got < 9 || got > 10 {
 		t.Fatalf("%v counts, want the 10 of the second incarnation", got)
 	}
--- a/internal/experts/lockstep/serials.go
+++ b/internal/experts/lockstep/serials.go
@@ -68,7 +68,7 @@
 
 func (c *Controller) reportStaleFence(newer ids.Fence) {
 	_ = level.Info(c.o.Logger).Log("msg", "fencing token outdated", "number", c.fence, "newer", newer)
-	if c.o.Outdated != nil {
-		c.o.Outdated(newer)
+	if c.o.OnStaleFence != nil {
+		c.o.OnStaleFence(newer)
 	}
 }
--- a/internal/experts/lockstep/servicecontroller_test.go
+++ b/internal/experts/lockstep/servicecontroller_test.go
@@ -70,27 +70,27 @@
 }
 
 // Counts reports one expert in demand, a different one in each group.
-func (s *testService) Counts(_ context.Context, u *catalog.Upstream, _ int) (lockstep.Since, lockstep.Counts, error) {
+func (s *testService) Counts(_ context.Context, u *catalog.Upstream, _ int) (lockstep.CountStart, lockstep.Counts, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g, p, err := s.find(u)
 	if err != nil {
-		return lockstep.Since{}, nil, err
+		return lockstep.CountStart{}, nil, err
 	}
 	s.counts += 5000
 	set := []float64{1, 1, 1, 1}
 	set[len(p.group)%4] = s.counts
-	return lockstep.Since{Epoch: g.epoch}, lockstep.Counts{set}, nil
+	return lockstep.CountStart{Epoch: g.epoch}, lockstep.Counts{set}, nil
 }
 
-func (s *testService) Held(_ context.Context, u *catalog.Upstream) (lockstep.Held, error) {
+func (s *testService) HeldExperts(_ context.Context, u *catalog.Upstream) (lockstep.HeldExperts, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g, p, err := s.find(u)
 	if err != nil {
-		return lockstep.Held{}, err
+		return lockstep.HeldExperts{}, err
 	}
-	return lockstep.Held{Epoch: g.epoch, Version: g.ranks[p.rank].inUse, Experts: [][]int{{p.rank, p.rank + 2}}}, nil
+	return lockstep.HeldExperts{Epoch: g.epoch, Version: g.ranks[p.rank].inUse, Experts: [][]int{{p.rank, p.rank + 2}}}, nil
 }
 
 func (s *testService) IsLocal(*catalog.Upstream) bool { return true }
@@ -129,7 +129,7 @@
 				return &lockstep.Group{Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, Placements: 4, Spare: 2}}}
 			},
 			Fence:  func() ids.Fence { return 7 },
-			Period: 500 * time.Millisecond, Half: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
+			Period: 500 * time.Millisecond, HalfLife: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
 			Policy: lockstep.Options{MinGain: 0.01, MinCounts: 1},
 		})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -204,8 +204,8 @@
 						return 0
 					},
 					Standby: func() bool { return c.standby },
-					Period:  500 * time.Millisecond, Half: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
-					Read: func([]*catalog.Upstream, []lockstep.Report) {
+					Period:  500 * time.Millisecond, HalfLife: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
+					OnReports: func([]*catalog.Upstream, []lockstep.Report) {
 						select {
 						case checked <- time.Now():
 						default:
@@ -239,15 +239,15 @@
 	heldToo bool
 }
 
-func (s *unknownExperts) Held(ctx context.Context, u *catalog.Upstream) (lockstep.Held, error) {
-	h, err := s.testService.Held(ctx, u)
+func (s *unknownExperts) HeldExperts(ctx context.Context, u *catalog.Upstream) (lockstep.HeldExperts, error) {
+	h, err := s.testService.HeldExperts(ctx, u)
 	if s.heldToo {
 		h.Experts = [][]int{{0, 99}}
 	}
 	return h, err
 }
 
-func (s *unknownExperts) Counts(ctx context.Context, u *catalog.Upstream, sets int) (lockstep.Since, lockstep.Counts, error) {
+func (s *unknownExperts) Counts(ctx context.Context, u *catalog.Upstream, sets int) (lockstep.CountStart, lockstep.Counts, error) {
 	since, counts, err := s.testService.Counts(ctx, u, sets)
 	counts[0] = append(counts[0], 1)
 	return since, counts, err
@@ -265,7 +265,7 @@
 					return &lockstep.Group{Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, Placements: 4, Spare: 2}}}
 				},
 				Fence:  func() ids.Fence { return 7 },
-				Period: 500 * time.Millisecond, Half: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
+				Period: 500 * time.Millisecond, HalfLife: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
 				Policy: lockstep.Options{MinGain: 0.01, MinCounts: 1},
 			})
 			ctx, cancel := context.WithCancel(t.Context())
--- a/internal/experts/lockstep/switch_test.go
+++ b/internal/experts/lockstep/switch_test.go
@@ -190,7 +190,7 @@
 	held := uint64(7)
 	unfinished := lockstep.FindUnfinishedSwitch([]lockstep.Report{
 		{Rank: 0, Pass: 5, Prepared: 131074, Armed: &lockstep.Armed{Version: 131074, Pass: 6}},
-		{Rank: 1, Pass: 5, Prepared: 131074, Armed: &lockstep.Armed{Version: 131074, Pass: 6}, Held: &held},
+		{Rank: 1, Pass: 5, Prepared: 131074, Armed: &lockstep.Armed{Version: 131074, Pass: 6}, HeldPass: &held},
 	})
 	if unfinished == nil || !unfinished.Pending || unfinished.Pass != 7 {
 		t.Fatalf("got %+v, want pass 7 with a switch pending", unfinished)
--- a/internal/experts/lockstep/unfinished.go
+++ b/internal/experts/lockstep/unfinished.go
@@ -23,10 +23,10 @@
 	u := &UnfinishedSwitch{}
 	for _, r := range reports {
 		switch {
-		case r.Held == nil:
-		case len(u.Holders) == 0 || *r.Held < u.Pass:
-			u.Holders, u.Pass = []int{r.Rank}, *r.Held
-		case *r.Held == u.Pass:
+		case r.HeldPass == nil:
+		case len(u.Holders) == 0 || *r.HeldPass < u.Pass:
+			u.Holders, u.Pass = []int{r.Rank}, *r.HeldPass
+		case *r.HeldPass == u.Pass:
 			u.Holders = append(u.Holders, r.Rank)
 		}
 	}
--- a/internal/node/agent/agent_test.go
+++ b/internal/node/agent/agent_test.go
@@ -47,12 +47,12 @@
 	return lockstep.Report{Prepared: r.prepared}, nil
 }
 
-func (r *rank) Counts(context.Context, *catalog.Upstream, int) (lockstep.Since, lockstep.Counts, error) {
-	return lockstep.Since{}, nil, errLost
+func (r *rank) Counts(context.Context, *catalog.Upstream, int) (lockstep.CountStart, lockstep.Counts, error) {
+	return lockstep.CountStart{}, nil, errLost
 }
 
-func (r *rank) Held(context.Context, *catalog.Upstream) (lockstep.Held, error) {
-	return lockstep.Held{}, errLost
+func (r *rank) HeldExperts(context.Context, *catalog.Upstream) (lockstep.HeldExperts, error) {
+	return lockstep.HeldExperts{}, errLost
 }
 
 func (r *rank) IsLocal(*catalog.Upstream) bool { return false }
--- a/internal/node/agent/client.go
+++ b/internal/node/agent/client.go
@@ -139,7 +139,7 @@
 }
 
 // Counts implements lockstep.RankClient.
-func (c *Client) Counts(ctx context.Context, u *catalog.Upstream, sets int) (lockstep.Since, lockstep.Counts, error) {
+func (c *Client) Counts(ctx context.Context, u *catalog.Upstream, sets int) (lockstep.CountStart, lockstep.Counts, error) {
 	a, host, ok := c.agent(u)
 	if !ok {
 		return c.direct.Counts(ctx, u, sets)
@@ -149,7 +149,7 @@
 	res, err := a.RankCounts(ctx, &cardamomyokev1.RankCountsRequest{Sets: uint32(sets)})
 	if err != nil {
 		c.failed(host, err)
-		return lockstep.Since{}, nil, err
+		return lockstep.CountStart{}, nil, err
 	}
 	counts := make(lockstep.Counts, sets)
 	perSet := len(res.GetCounts()) / max(1, sets)
@@ -159,23 +159,23 @@
 			counts[s][e] = float64(res.GetCounts()[s*perSet+e])
 		}
 	}
-	return lockstep.Since{StartedAtMS: res.GetBorn(), Epoch: res.GetEpoch()}, counts, nil
+	return lockstep.CountStart{StartedAtMS: res.GetBorn(), Epoch: res.GetEpoch()}, counts, nil
 }
 
-// Held implements lockstep.RankClient.
-func (c *Client) Held(ctx context.Context, u *catalog.Upstream) (lockstep.Held, error) {
+// HeldExperts implements lockstep.RankClient.
+func (c *Client) HeldExperts(ctx context.Context, u *catalog.Upstream) (lockstep.HeldExperts, error) {
 	a, host, ok := c.agent(u)
 	if !ok {
-		return c.direct.Held(ctx, u)
+		return c.direct.HeldExperts(ctx, u)
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	res, err := a.RankHeld(ctx, &cardamomyokev1.RankHeldRequest{})
 	if err != nil {
 		c.failed(host, err)
-		return lockstep.Held{}, err
+		return lockstep.HeldExperts{}, err
 	}
-	return lockstep.Held{Epoch: res.GetEpoch(), Version: res.GetVersion(), Experts: decodeLists(res.GetSets())}, nil
+	return lockstep.HeldExperts{Epoch: res.GetEpoch(), Version: res.GetVersion(), Experts: decodeLists(res.GetSets())}, nil
 }
 
 // ReplyError is what a rank said to an order, as its agent tells it.
--- a/internal/node/agent/server.go
+++ b/internal/node/agent/server.go
@@ -59,7 +59,7 @@
 
 // RankHeld implements the AgentService.
 func (s *Server) RankHeld(ctx context.Context, _ *cardamomyokev1.RankHeldRequest) (*cardamomyokev1.RankHeldResponse, error) {
-	h, err := s.ranks.Held(ctx, s.rank)
+	h, err := s.ranks.HeldExperts(ctx, s.rank)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
--- a/internal/node/entry/audit.go
+++ b/internal/node/entry/audit.go
@@ -21,8 +21,8 @@
 func refusals(now time.Time, before, after *quarantine.Snapshot, news []quarantine.Suspect) []*audit.Row {
 	var out []*audit.Row
 	for _, s := range news {
-		was, _ := before.Judge(now, s.Fingerprint)
-		is, until := after.Judge(now, s.Fingerprint)
+		was, _ := before.Classify(now, s.Fingerprint)
+		is, until := after.Classify(now, s.Fingerprint)
 		if is != quarantine.Refused || was == quarantine.Refused {
 			continue
 		}
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -69,7 +69,7 @@
 	digests  uint64
 	usageAt  time.Time
 	// clientNames finds accounts by their hashes in usage reports; the control loop owns it.
-	clientNames limits.Names
+	clientNames limits.ClientsByHash
 	cancel      context.CancelFunc
 }
 
@@ -208,7 +208,7 @@
 		e.quarantine.SetPeriod(time.Duration(snap.Proto.GetPolicies().GetQuarantineS()) * time.Second)
 		_ = level.Info(e.logger).Log("msg", "configuration in force", "revision", snap.Revision())
 	}
-	e.limits.SetEntries(e.state.members.Entries())
+	e.limits.SetEntries(e.state.members.EntryCount())
 	e.fire(eventConfigured)
 	if e.config.Fresh(now) {
 		e.fire(eventFresh)
@@ -217,12 +217,12 @@
 	}
 }
 
-func namesOf(snap *config.Snapshot) limits.Names {
+func namesOf(snap *config.Snapshot) limits.ClientsByHash {
 	var clients []ids.Client
 	for _, c := range snap.Proto.GetClients() {
 		clients = append(clients, ids.Client(c.GetName()))
 	}
-	return limits.NewNames(clients)
+	return limits.NewClientsByHash(clients)
 }
 
 func limitsOf(snap *config.Snapshot) map[ids.Client]limits.Limit {
--- a/internal/node/entry/handler.go
+++ b/internal/node/entry/handler.go
@@ -176,7 +176,7 @@
 	if p == nil {
 		return "", failure.New(failure.CodeUnknownService, nil)
 	}
-	level, until := e.quarantine.Snapshot().Judge(time.Now(), r.print)
+	level, until := e.quarantine.Snapshot().Classify(time.Now(), r.print)
 	if level == quarantine.Refused {
 		return "", quarantine.Refusal(time.Now(), until)
 	}
@@ -190,7 +190,7 @@
 	}
 	r.suspicion = int(level)
 	choice, err := p.picker.Pick(&routing.Request{
-		First: r.class.GetRank() == 0, Blocks: r.blocks, BlockTokens: blockBytes / bytesPerToken, PromptTokens: r.promptTokens,
+		FirstClass: r.class.GetRank() == 0, Blocks: r.blocks, BlockTokens: blockBytes / bytesPerToken, PromptTokens: r.promptTokens,
 		OutputTokens: r.outputTokens - m.tokens, Exclude: exclude, Rand: rand.Uint64(),
 	}, time.Now())
 	if err != nil {
@@ -232,12 +232,12 @@
 
 func evidence(v *view, id ids.Upstream, err error) health.Event {
 	if err == nil {
-		return health.Answered{Upstream: id}
+		return health.Responded{Upstream: id}
 	}
 	f := failure.From(err)
 	switch {
 	case f.Code == failure.CodeStopping:
-		return health.RefusedLeaving{Upstream: id, Incarnation: v.incarnations[id]}
+		return health.RefusedDraining{Upstream: id, Incarnation: v.incarnations[id]}
 	case f.Code == failure.CodeUpstreamFailed || f.Code == failure.CodeNoUpstream && f.Proof != failure.ProofRefusedBeforeStart:
 		return health.Failed{Upstream: id}
 	}
--- a/internal/node/entry/model.go
+++ b/internal/node/entry/model.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	f := attempt.NewFollower(t.id, m.tokens, res.Body)
+	f := attempt.NewEventReader(t.id, m.tokens, res.Body)
 	if err := e.follow(ctx, t, m, f); err != nil {
 		res.Release(false)
 		return err
@@ -78,7 +78,7 @@
 }
 
 // follow delivers the tokens of one attempt. Errors: *failure.Error, *httpserver.ConnectionClosedError.
-func (e *Entry) follow(ctx context.Context, t *try, m *modelAnswer, f *attempt.Follower) error {
+func (e *Entry) follow(ctx context.Context, t *try, m *modelAnswer, f *attempt.EventReader) error {
 	for {
 		event, err := f.Next()
 		if err != nil {
@@ -109,7 +109,7 @@
 }
 
 // ended reads the end of a stream whose last event was taken; without it its connection must not be reused.
-func ended(f *attempt.Follower) bool {
+func ended(f *attempt.EventReader) bool {
 	_, err := f.Next()
 	return err == io.EOF
 }
--- a/internal/node/entry/state.go
+++ b/internal/node/entry/state.go
@@ -44,7 +44,7 @@
 	digest  *cardamomyokev1.Digest
 	heardAt time.Time
 	work    *routing.Work
-	cached  *prefix.Table
+	cached  *prefix.BlockSet
 }
 
 const (
@@ -70,10 +70,10 @@
 
 func selfOf(set *Settings) membership.Identity {
 	return membership.Identity{
-		Name:       ids.Node(set.Name),
-		Role:       cardamomyokev1.NodeRole_NODE_ROLE_ENTRY,
-		DataCentre: set.DataCentre,
-		Digests:    set.Digests.Address,
+		Name:          ids.Node(set.Name),
+		Role:          cardamomyokev1.NodeRole_NODE_ROLE_ENTRY,
+		DataCentre:    set.DataCentre,
+		DigestAddress: set.Digests.Address,
 	}
 }
 
@@ -90,7 +90,7 @@
 	id := ids.Upstream(d.GetNode())
 	u, ok := s.upstreams[id]
 	if !ok {
-		u = &upstream{work: &routing.Work{}, cached: prefix.NewTable(cachedBlocks)}
+		u = &upstream{work: &routing.Work{}, cached: prefix.NewBlockSet(cachedBlocks)}
 		s.upstreams[id] = u
 	}
 	if u.digest.GetIncarnation() != d.GetIncarnation() {
@@ -101,8 +101,8 @@
 	s.tracker.Apply(heardOf(d), now)
 }
 
-func heardOf(d *cardamomyokev1.Digest) health.Heard {
-	return health.Heard{
+func heardOf(d *cardamomyokev1.Digest) health.SlotReport {
+	return health.SlotReport{
 		Upstream:    ids.Upstream(d.GetNode()),
 		Service:     ids.Service(d.GetSlot().GetService()),
 		Incarnation: ids.Incarnation(d.GetIncarnation()),
@@ -307,7 +307,7 @@
 // weight is a client's share times the part of its demand that comes to this entry, so that it gets its share over all
 // entries and not at each.
 func (s *state) weight(c ids.Client) float64 {
-	return s.share(c) * max(minPart, s.limits.Part(c, time.Now()))
+	return s.share(c) * max(minPart, s.limits.LocalShare(c, time.Now()))
 }
 
 // share is a client's share by the configuration in force.
@@ -327,5 +327,5 @@
 		rate = total / stepTime
 	}
 	part := s.limits.Quota(rate, s.share, now)
-	return admission.Capacity{Places: max(1, int(part*total)), TokensPerSecond: part * rate}
+	return admission.Capacity{Concurrency: max(1, int(part*total)), TokensPerSecond: part * rate}
 }
--- a/internal/node/entry/usage.go
+++ b/internal/node/entry/usage.go
@@ -24,10 +24,10 @@
 	peers := e.state.members.OtherEntries()
 	self := ids.Node(e.settings.Name)
 	ring := limits.NewRing(append(slices.Collect(maps.Keys(peers)), self))
-	for node, records := range ring.Address(self, e.limits.Report(now)) {
+	for node, records := range ring.Recipients(self, e.limits.Report(now)) {
 		// What this entry adds up itself it reads directly; told to itself it would count twice.
 		if node != self {
-			e.sendUsage(peers[node].Digests, limits.Encode(records), nil, now)
+			e.sendUsage(peers[node].DigestAddress, limits.Encode(records), nil, now)
 		}
 	}
 }
--- a/internal/node/gateway/demandshift_test.go
+++ b/internal/node/gateway/demandshift_test.go
@@ -91,7 +91,7 @@
 			continue
 		}
 		pollAt = now + period
-		d.Observe(at(now), 0, lockstep.Since{Epoch: 1}, clone(counts))
+		d.Observe(at(now), 0, lockstep.CountStart{Epoch: 1}, clone(counts))
 		if plan, _ := lockstep.Decide(o, placement, d, speed, x, g.expertShare); plan != nil {
 			next, nextAt, copies = plan.Placement, now+shiftSwitch, copies+plan.Copies
 		}
--- a/internal/node/gateway/dialect.go
+++ b/internal/node/gateway/dialect.go
@@ -42,7 +42,7 @@
 
 // ResponseInfo holds the fields of an upstream's response header that the gateway interprets; the others are relayed
 // unchanged.
-type Reply struct {
+type ResponseInfo struct {
 	// Attempt is the id of the attempt that the response belongs to.
 	Attempt string
 	// NotRun is the upstream's promise that the request did not run and never will.
@@ -64,7 +64,7 @@
 	// WriteUpstreamHeader turns a copy of the caller's request header into the header of a request to an upstream.
 	WriteUpstreamHeader(h *fasthttp.RequestHeader, u UpstreamHeader)
 	// ReadResponse decodes an upstream's response header.
-	ReadReply(h *fasthttp.ResponseHeader) Reply
+	ReadResponse(h *fasthttp.ResponseHeader) ResponseInfo
 	// AttemptHeader returns the name of the response header field that carries the attempt's id.
 	AttemptHeader() string
 	// RetryAfter returns the header field that tells a caller when to retry.
--- a/internal/node/gateway/digests.go
+++ b/internal/node/gateway/digests.go
@@ -29,7 +29,7 @@
 // hasWork reports whether this gateway has requests in flight that the peers should count.
 func (p *peers) hasWork() bool {
 	for _, s := range p.g.control.services {
-		if len(s.gate.Own()) > 0 {
+		if len(s.gate.OwnWork()) > 0 {
 			return true
 		}
 	}
@@ -111,7 +111,7 @@
 func (g *Gateway) workColumns() *cardamomyokev1.WorkColumns {
 	var columns *cardamomyokev1.WorkColumns
 	for _, s := range g.control.services {
-		for incarnation, w := range s.gate.Own() {
+		for incarnation, w := range s.gate.OwnWork() {
 			if columns == nil {
 				columns = &cardamomyokev1.WorkColumns{}
 			}
--- a/internal/node/gateway/experts.go
+++ b/internal/node/gateway/experts.go
@@ -123,14 +123,14 @@
 		Fence:      func() ids.Fence { return ids.Fence(e.fence.Load()) },
 		Standby:    e.standby.Load,
 		Period:     pollInterval,
-		Half:       demandHalfLife,
+		HalfLife:   demandHalfLife,
 		Sample:     sampledRanks, SampleLocal: sampledLocal,
 		Policy: lockstep.DefaultOptions(),
-		Read: func(upstreams []*catalog.Upstream, reports []lockstep.Report) {
+		OnReports: func(upstreams []*catalog.Upstream, reports []lockstep.Report) {
 			e.recordSlowRanks(string(name)+"/"+reports[0].Group, upstreams, reports)
 		},
-		Outdated: func(newer ids.Fence) { e.g.loop.Post(func(time.Time) { e.election.observeNewer(newer) }) },
-		Switched: func(before, after float64, copies int) {
+		OnStaleFence: func(newer ids.Fence) { e.g.loop.Post(func(time.Time) { e.election.observeNewer(newer) }) },
+		OnSwitched: func(before, after float64, copies int) {
 			e.g.metrics.mapSwitched(name, before, after, copies)
 		},
 	}
@@ -153,7 +153,7 @@
 		current, previous := slowdownOf(slow, u), slowdownOf(was, u)
 		if (current > 0) != (previous > 0) {
 			_ = level.Info(e.g.logger).Log("msg", "rank slowdown changed", "group", group, "rank", rank, "upstream", u.ID, "slow", current > 0,
-				"pace", reports[rank].Pace, "fresh", reports[rank].Fresh, "running", reports[rank].Running)
+				"pace", reports[rank].Slowdown, "fresh", reports[rank].Fresh, "running", reports[rank].Running)
 		}
 	}
 }
@@ -171,7 +171,7 @@
 func slowRanks(upstreams []*catalog.Upstream, reports []lockstep.Report) []*cardamomyokev1.UpstreamPace {
 	var slow []*cardamomyokev1.UpstreamPace
 	for rank, u := range upstreams {
-		if slowdown := reports[rank].Pace; slowdown >= minSlowdown {
+		if slowdown := reports[rank].Slowdown; slowdown >= minSlowdown {
 			slow = append(slow, &cardamomyokev1.UpstreamPace{Upstream: hashOf(u.Incarnation()), Pace: slowdown})
 		}
 	}
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -256,11 +256,11 @@
 		s.gate.SetSharing(sharing)
 		s.budget.SetBound(g.retryBound(now))
 		slowdowns := g.peers.slowdowns(name, g.control.upstreams, now)
-		s.gate.SetPaces(slowdowns)
+		s.gate.SetSlowdowns(slowdowns)
 		if !g.disabled(mechanismMoves) {
 			g.moves.moveStreams(slowdowns, now)
 		}
-		s.gate.SetOthers(g.peers.work(name, g.control.upstreams, now))
+		s.gate.SetOthersWork(g.peers.work(name, g.control.upstreams, now))
 		g.logEjections(name, s)
 	}
 	g.suspects.tracker.Expire(now)
--- a/internal/node/gateway/groupwatch_test.go
+++ b/internal/node/gateway/groupwatch_test.go
@@ -73,7 +73,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel() // a request that would have to wait returns immediately
 		now := time.Now()
-		ticket, err := g.Wait(ctx, dispatch.Request{Arrived: now, Aim: now.Add(time.Hour), Latest: now.Add(time.Hour)})
+		ticket, err := g.Wait(ctx, dispatch.Request{Arrived: now, Target: now.Add(time.Hour), Deadline: now.Add(time.Hour)})
 		if err != nil {
 			return got
 		}
--- a/internal/node/gateway/handler.go
+++ b/internal/node/gateway/handler.go
@@ -198,7 +198,7 @@
 
 // directoryTTL is how long callers may cache a directory response.
 func (g *Gateway) directoryTTL() time.Duration {
-	return min(g.Settings().Bounds.MaxKeep.Std(), maxDirectoryTTL)
+	return min(g.Settings().Bounds.MaxDirectoryTTL.Std(), maxDirectoryTTL)
 }
 
 // maxDirectoryTTL is short, so that callers soon stop using a dead host; a directory request costs them a millisecond
--- a/internal/node/gateway/log.go
+++ b/internal/node/gateway/log.go
@@ -61,7 +61,7 @@
 	g.metrics.requestRetried(n.r.service.Name)
 	_ = g.requests.failures.Log("msg", "retrying request", "request", n.r.call.Attempt, "route", n.r.route.Name,
 		"upstream", n.upstream, "sent", n.sent, "unreached", n.unreached, "may_have_run", n.mayHaveRun,
-		"after_event", n.stream.lastEvent, "budget_left", n.service.budget.Left(time.Now()),
+		"after_event", n.stream.lastEvent, "budget_left", n.service.budget.Remaining(time.Now()),
 		"left_ms", time.Until(n.r.deadline).Milliseconds(), "err", err)
 }
 
--- a/internal/node/gateway/metrics.go
+++ b/internal/node/gateway/metrics.go
@@ -48,7 +48,7 @@
 		})
 	}
 	gauge("requests_waiting", func(s *service) float64 { return float64(s.gate.Waiting()) })
-	gauge("retries_left", func(s *service) float64 { return float64(s.budget.Left(time.Now())) })
+	gauge("retries_left", func(s *service) float64 { return float64(s.budget.Remaining(time.Now())) })
 }
 
 func boolValue(b bool) float64 {
--- a/internal/node/gateway/plain.go
+++ b/internal/node/gateway/plain.go
@@ -30,7 +30,7 @@
 //
 // If the connection to the upstream breaks within a body, the caller must not mistake the received part for the full
 // body: the response is relayed only once it is complete, with its length.
-func (n *run) relayPlain(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, info Reply) error {
+func (n *run) relayPlain(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, info ResponseInfo) error {
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxBufferedBytes))
 	if err != nil {
 		res.Release(false)
@@ -40,7 +40,7 @@
 		res.Release(false)
 		return &ResponseError{t.Upstream().ID, res.Status, reason}
 	}
-	n.service.gate.Answered(t)
+	n.service.gate.Responded(t)
 	n.recordFirstPiece()
 	p := &plainResponse{res.Status, responseHeaders(res.Header), body}
 	if len(body) == maxBufferedBytes {
@@ -57,7 +57,7 @@
 // unusable returns why a response must not reach the caller, or "". A success without the upstream's signature may not
 // be that upstream's; statuses that promise "not run" are valid only with the upstream's own promise, which attempt
 // handles before.
-func unusable(status int, info Reply) string {
+func unusable(status int, info ResponseInfo) string {
 	switch {
 	case status/100 == 2 && !info.Sealed:
 		return "success without a signature"
--- a/internal/node/gateway/run.go
+++ b/internal/node/gateway/run.go
@@ -62,7 +62,7 @@
 	if _, refused := n.g.suspects.classify(n, n.r.arrived); refused != nil {
 		return refused.asFailure(n.r.arrived)
 	}
-	n.service.budget.First(n.r.arrived)
+	n.service.budget.RecordFirst(n.r.arrived)
 	for {
 		ticket, err := n.service.gate.Wait(ctx, n.dispatchRequest())
 		if err != nil {
@@ -103,8 +103,8 @@
 	}
 	return dispatch.Request{
 		Arrived:      r.arrived,
-		Aim:          r.arrived.Add(r.route.TargetLatency),
-		Latest:       latest,
+		Target:       r.arrived.Add(r.route.TargetLatency),
+		Deadline:     latest,
 		Priority:     r.priority,
 		PromptTokens: r.call.PromptTokens,
 		Exclude:      n.exclude,
@@ -128,7 +128,7 @@
 	if err != nil {
 		return err
 	}
-	info := n.g.dialect.ReadReply(res.Header)
+	info := n.g.dialect.ReadResponse(res.Header)
 	switch {
 	case info.NotRun:
 		discard(res)
@@ -252,7 +252,7 @@
 	case errors.As(err, &closed) || errors.As(err, &moved) || ctx.Err() != nil:
 		return dispatch.OutcomeNone
 	case errors.As(err, &refused) && refused.Status == statusOtherInstance:
-		return dispatch.OutcomeGone
+		return dispatch.OutcomeReplaced
 	case errors.As(err, &refused):
 		return dispatch.OutcomeRefused
 	case errors.As(err, &failed):
--- a/internal/node/gateway/send.go
+++ b/internal/node/gateway/send.go
@@ -30,7 +30,7 @@
 	n.writeRequest(req, to)
 	attempt := n.r.call.Attempt
 	match := func(h *fasthttp.ResponseHeader) bool {
-		return attempt == "" || n.g.dialect.ReadReply(h).Attempt == attempt || mayLackAttemptID(h)
+		return attempt == "" || n.g.dialect.ReadResponse(h).Attempt == attempt || mayLackAttemptID(h)
 	}
 	return n.g.client.DoMatching(ctx, to.Address, req, match)
 }
--- a/internal/node/gateway/settings.go
+++ b/internal/node/gateway/settings.go
@@ -103,7 +103,7 @@
 	// ConfigApply is the time within which an accepted configuration must be in force.
 	ConfigApply settings.Duration `yaml:"config_apply"`
 	// MaxDirectoryTTL is the maximum time for which callers may cache a directory response.
-	MaxKeep settings.Duration `yaml:"max_keep"`
+	MaxDirectoryTTL settings.Duration `yaml:"max_keep"`
 	// Stall is how long an upstream stalls on work that depends on a dead one.
 	Stall settings.Duration `yaml:"stall"`
 	// Retries bounds the attempts after each request's first, over all gateways.
@@ -167,7 +167,7 @@
 		{"$.bounds.grace", b.Grace},
 		{"$.bounds.stability", b.Stability},
 		{"$.bounds.config_apply", b.ConfigApply},
-		{"$.bounds.max_keep", b.MaxKeep},
+		{"$.bounds.max_keep", b.MaxDirectoryTTL},
 		{"$.bounds.retries.window", b.Retries.Window},
 	} {
 		if d.value <= 0 {
--- a/internal/node/gateway/stream.go
+++ b/internal/node/gateway/stream.go
@@ -45,7 +45,7 @@
 //
 // An upstream may fail within an event, and the stream then resumes on another one. Only complete events are relayed,
 // and none that the caller already has, so that no event consists of two halves.
-func (n *run) relayStream(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, info Reply) error {
+func (n *run) relayStream(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, info ResponseInfo) error {
 	if !info.Sealed {
 		res.Release(false)
 		return &ResponseError{t.Upstream().ID, res.Status, "stream without a signature"}
@@ -96,7 +96,7 @@
 	if len(events) == 0 {
 		return nil
 	}
-	n.service.gate.Answered(t)
+	n.service.gate.Responded(t)
 	n.recordFirstPiece()
 	if !n.x.Responded() {
 		if err := n.x.Stream(res.Status, responseHeaders(res.Header)); err != nil {
--- a/internal/node/gateway/suspects.go
+++ b/internal/node/gateway/suspects.go
@@ -130,7 +130,7 @@
 		return quarantine.Clear, nil
 	}
 	fingerprint := n.fingerprint()
-	lvl, until := snapshot.Judge(now, fingerprint)
+	lvl, until := snapshot.Classify(now, fingerprint)
 	if lvl != quarantine.Refused {
 		return lvl, nil
 	}
@@ -214,7 +214,7 @@
 	crash := quarantine.Evidence{Crash: quarantine.NewCrashID(ids.Incarnation(i.String()), 1), At: now}
 	for _, r := range runs {
 		s.tracker.Merge(now, quarantine.Suspect{Fingerprint: r.Fingerprint, Client: r.Client, Evidence: []quarantine.Evidence{crash}})
-		lvl, _ := s.tracker.Snapshot().Judge(now, r.Fingerprint)
+		lvl, _ := s.tracker.Snapshot().Classify(now, r.Fingerprint)
 		_ = level.Info(s.logger).Log("msg", "request suspected", "reason", "upstream died while it ran", "upstream", i, "proof", proof,
 			"fingerprint", r.Fingerprint, "client", r.Client, "level", lvl)
 	}
--- a/internal/node/slot/digests.go
+++ b/internal/node/slot/digests.go
@@ -36,10 +36,10 @@
 		return nil, err
 	}
 	self := membership.Identity{
-		Name:       ids.Node(s.settings.Name),
-		Role:       cardamomyokev1.NodeRole_NODE_ROLE_SLOT,
-		DataCentre: s.settings.DataCentre,
-		Digests:    s.settings.Digests.Address,
+		Name:          ids.Node(s.settings.Name),
+		Role:          cardamomyokev1.NodeRole_NODE_ROLE_SLOT,
+		DataCentre:    s.settings.DataCentre,
+		DigestAddress: s.settings.Digests.Address,
 	}
 	d := &digests{slot: s, sender: sender, members: membership.New(self, membership.Defaults(), time.Now())}
 	d.receiver, err = digest.Receive(s.settings.Digests.Address, d.take)
--- a/internal/node/slot/model.go
+++ b/internal/node/slot/model.go
@@ -88,7 +88,7 @@
 }
 
 func estimateOf(j *job) routing.Estimate {
-	return routing.Estimate{First: j.Rank == 0, PromptTokens: len(j.body) / bytesPerToken, OutputTokens: j.Output}
+	return routing.Estimate{FirstClass: j.Rank == 0, PromptTokens: len(j.body) / bytesPerToken, OutputTokens: j.Output}
 }
 
 func engineRequest(j *job) *fasthttp.Request {
@@ -181,7 +181,7 @@
 
 // cut says that the engine's answer ended before its last token.
 func (r *modelRelay) cut(cause error) error {
-	return &attempt.CutError{Attempt: r.job.Attempt, Tokens: r.next, Cause: cause}
+	return &attempt.TruncatedError{Attempt: r.job.Attempt, Tokens: r.next, Cause: cause}
 }
 
 // one passes one token on; it reports whether that was the end.
--- a/internal/node/slot/plain.go
+++ b/internal/node/slot/plain.go
@@ -88,7 +88,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes+1))
 	if err != nil {
-		return nil, &attempt.CutError{Attempt: j.Attempt, Cause: err}
+		return nil, &attempt.TruncatedError{Attempt: j.Attempt, Cause: err}
 	}
 	if len(body) > maxAnswerBytes {
 		return nil, &AnswerSizeError{maxAnswerBytes}
--- a/internal/node/slot/slot.go
+++ b/internal/node/slot/slot.go
@@ -47,7 +47,7 @@
 	tracer      *tracing.Tracer
 	roster      func() *revision.Roster
 	metrics     *slotMetrics
-	table       *attempt.Table
+	table       *attempt.Tracker
 	client      *httpclient.Client
 	work        *work
 	claims      *claims.Store
@@ -81,7 +81,7 @@
 		tracer:      d.Tracer,
 		roster:      d.Roster,
 		metrics:     newSlotMetrics(),
-		table:       attempt.NewTable(time.Now()),
+		table:       attempt.NewTracker(time.Now()),
 		client:      httpclient.New(httpclient.Options{}),
 		work:        newWork(),
 	}
--- a/internal/node/slot/upstream.go
+++ b/internal/node/slot/upstream.go
@@ -41,7 +41,7 @@
 func (s *Slot) leave(ctx context.Context, permit *quarantine.Permit, err error) {
 	switch {
 	case err == nil:
-		permit.Release(quarantine.Whole)
+		permit.Release(quarantine.Complete)
 	case ctx.Err() == nil && broke(err):
 		permit.Release(quarantine.Broken)
 		s.upstream.look(s)
@@ -53,7 +53,7 @@
 // broke reports whether the connection to the upstream broke off, before the answer or in the middle of it.
 func broke(err error) bool {
 	var broken *httpclient.BrokenError
-	var cut *attempt.CutError
+	var cut *attempt.TruncatedError
 	return errors.As(err, &broken) || errors.As(err, &cut)
 }
 
@@ -93,7 +93,7 @@
 		last := w.start.Swap(&start)
 		died = died || last != nil && *last != start
 	}
-	if died && s.guard.Died() {
+	if died && s.guard.UpstreamCrashed() {
 		_ = level.Warn(s.logger).Log("msg", "upstream died while it ran requests", "upstream", s.settings.Upstream.Address)
 		s.metrics.crashes.Inc()
 		s.digests.send(true)
--- a/internal/policy/admission/gate_test.go
+++ b/internal/policy/admission/gate_test.go
@@ -12,7 +12,7 @@
 // that of callers that disconnected while they waited.
 func TestGateDecidesEveryTicket(t *testing.T) {
 	const callers, concurrency = 50, 4
-	g := admission.NewGate(admission.NewQueue(options(), admission.Capacity{Places: concurrency, TokensPerSecond: 1e9}))
+	g := admission.NewGate(admission.NewQueue(options(), admission.Capacity{Concurrency: concurrency, TokensPerSecond: 1e9}))
 	var wg sync.WaitGroup
 	for i := range uint64(callers) {
 		wg.Go(func() {
@@ -38,7 +38,7 @@
 }
 
 func BenchmarkGate(b *testing.B) {
-	g := admission.NewGate(admission.NewQueue(options(), admission.Capacity{Places: 1 << 20, TokensPerSecond: 1e9}))
+	g := admission.NewGate(admission.NewQueue(options(), admission.Capacity{Concurrency: 1 << 20, TokensPerSecond: 1e9}))
 	var mu sync.Mutex
 	next := uint64(0)
 	b.ReportAllocs()
--- a/internal/policy/admission/limits/exchange.go
+++ b/internal/policy/admission/limits/exchange.go
@@ -40,7 +40,7 @@
 }
 
 // FullExchange reports whether each entry reports to every other one.
-func (r *Ring) Full() bool { return len(r.entries) <= FullExchangeUpTo }
+func (r *Ring) FullExchange() bool { return len(r.entries) <= FullExchangeUpTo }
 
 // Aggregator returns the entry that sums a client's demand if the exchange is not full.
 func (r *Ring) Aggregator(client ids.Client) ids.Node {
@@ -49,9 +49,9 @@
 
 // Recipients splits a report of the entry self by recipient. In the full exchange an empty report is sent too, because
 // it indicates that there is no demand any more.
-func (r *Ring) Address(self ids.Node, report []Record) map[ids.Node][]Record {
+func (r *Ring) Recipients(self ids.Node, report []Record) map[ids.Node][]Record {
 	to := make(map[ids.Node][]Record)
-	if r.Full() {
+	if r.FullExchange() {
 		for _, e := range r.entries {
 			if e != self {
 				to[e] = report
--- a/internal/policy/admission/limits/limiter.go
+++ b/internal/policy/admission/limits/limiter.go
@@ -114,7 +114,7 @@
 }
 
 // LocalShare returns the fraction of a client's token demand that arrives at this entry.
-func (l *Limiter) Part(client ids.Client, now time.Time) float64 {
+func (l *Limiter) LocalShare(client ids.Client, now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[client]
--- a/internal/policy/admission/limits/limiter_test.go
+++ b/internal/policy/admission/limits/limiter_test.go
@@ -66,13 +66,13 @@
 func (c *cluster) exchange() {
 	for _, from := range c.names {
 		report := c.limiters[from].Report(c.now)
-		for to, records := range c.ring.Address(from, report) {
+		for to, records := range c.ring.Recipients(from, report) {
 			if c.partition[from] != c.partition[to] {
 				continue
 			}
 			c.sent += len(records)
 			sums := c.limiters[to].MergeReport(from, records, c.now)
-			if !c.ring.Full() {
+			if !c.ring.FullExchange() {
 				c.limiters[from].MergeSums(sums, c.now)
 			}
 		}
--- a/internal/policy/admission/limits/wire.go
+++ b/internal/policy/admission/limits/wire.go
@@ -29,12 +29,12 @@
 func hashOf(c ids.Client) uint64 { return xxhash.Sum64String(string(c)) }
 
 // ClientsByHash maps the hashes in messages to clients. It is immutable and built for one configuration.
-type Names map[uint64]ids.Client
+type ClientsByHash map[uint64]ids.Client
 
 // NewClientsByHash returns the index of the given clients. If two clients have the same hash, one is counted as the
 // other; this is not expected even among millions.
-func NewNames(clients []ids.Client) Names {
-	byHash := make(Names, len(clients))
+func NewClientsByHash(clients []ids.Client) ClientsByHash {
+	byHash := make(ClientsByHash, len(clients))
 	for _, c := range clients {
 		byHash[hashOf(c)] = c
 	}
@@ -42,7 +42,7 @@
 }
 
 // Decode converts a message to records. Clients that are not in this configuration are skipped.
-func (c Names) Decode(report *cardamomyokev1.UsageReport) []Record {
+func (c ClientsByHash) Decode(report *cardamomyokev1.UsageReport) []Record {
 	var records []Record
 	for _, r := range report.GetRecords() {
 		if client, ok := c[r.GetClient()]; ok {
--- a/internal/policy/admission/limits/wire_test.go
+++ b/internal/policy/admission/limits/wire_test.go
@@ -17,7 +17,7 @@
 		{Client: "removed", Demand: limits.Usage{Requests: 1}},
 		{Client: "b", Demand: limits.Usage{Requests: 1e12, Tokens: -1}},
 	}
-	got := limits.NewNames([]ids.Client{"a", "b"}).Decode(limits.Encode(records))
+	got := limits.NewClientsByHash([]ids.Client{"a", "b"}).Decode(limits.Encode(records))
 	want := []limits.Record{records[0], {Client: "b", Demand: limits.Usage{Requests: 42949672.95}}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Fatal(diff)
--- a/internal/policy/admission/queue.go
+++ b/internal/policy/admission/queue.go
@@ -21,7 +21,7 @@
 // Capacity is the share of a pool of upstreams that an entry may use.
 type Capacity struct {
 	// Concurrency is the maximum number of started requests that are not done.
-	Places int
+	Concurrency int
 	// TokensPerSecond is the expected throughput of the pool for this entry. It is used until the queue has measured
 	// its own rate.
 	TokensPerSecond float64
@@ -243,9 +243,9 @@
 // ends, however high its priority.
 func (q *Queue) concurrency(index int, now time.Time) int {
 	if index == 0 || q.firstClassAt.IsZero() || now.Sub(q.firstClassAt) > reserveFor {
-		return q.capacity.Places
+		return q.capacity.Concurrency
 	}
-	return q.capacity.Places - int(q.opts.Reserve*float64(q.capacity.Places))
+	return q.capacity.Concurrency - int(q.opts.Reserve*float64(q.capacity.Concurrency))
 }
 
 // ClassError reports that a request names a class that is not configured.
--- a/internal/policy/admission/queue_test.go
+++ b/internal/policy/admission/queue_test.go
@@ -40,7 +40,7 @@
 func newQueueSim(opts admission.Options, concurrency int) *queueSim {
 	rate := float64(concurrency) * tokens / run.Seconds()
 	return &queueSim{
-		queue: admission.NewQueue(opts, admission.Capacity{Places: concurrency, TokensPerSecond: rate}),
+		queue: admission.NewQueue(opts, admission.Capacity{Concurrency: concurrency, TokensPerSecond: rate}),
 		now:   begin, running: make(map[uint64]time.Time), refused: make(map[uint64]error),
 	}
 }
@@ -209,7 +209,7 @@
 	if err := s.refused[last]; err != nil {
 		t.Fatalf("refused too early: %v", err)
 	}
-	s.queue.SetCapacity(admission.Capacity{Places: 1, TokensPerSecond: tokens / run.Seconds()})
+	s.queue.SetCapacity(admission.Capacity{Concurrency: 1, TokensPerSecond: tokens / run.Seconds()})
 	s.advance(10 * time.Millisecond)
 	if code(s.refused[last]) != failure.CodeDeadlineUnmet {
 		t.Fatalf("got %v", s.refused[last])
@@ -342,7 +342,7 @@
 		b.Run(fmt.Sprintf("%d-clients-waiting", waiting), func(b *testing.B) {
 			opts := options()
 			opts.Classes[0].QueueLimit = 1 << 20
-			q := admission.NewQueue(opts, admission.Capacity{Places: 10, TokensPerSecond: 1e6})
+			q := admission.NewQueue(opts, admission.Capacity{Concurrency: 10, TokensPerSecond: 1e6})
 			req := admission.Request{Class: letters, Tokens: tokens, Run: run, Deadline: begin.Add(time.Hour)}
 			for i := range waiting + 10 {
 				req.ID, req.Client = uint64(i+1), ids.Client(fmt.Sprintf("c%d", i))
--- a/internal/policy/attempt/attempt_test.go
+++ b/internal/policy/attempt/attempt_test.go
@@ -43,7 +43,7 @@
 // An entry loses contact with its attempt, the slot fences the attempt, and the caller is told "not run". Then the
 // delayed request arrives after all. If it were started, a resend by the caller would run the request a second time.
 func TestAFencedAttemptNeverStarts(t *testing.T) {
-	tracker := attempt.NewTable(t0)
+	tracker := attempt.NewTracker(t0)
 	if !tracker.Fence(testAttempt, t0) {
 		t.Fatal("an unseen attempt was not fenced")
 	}
@@ -57,7 +57,7 @@
 // The slot had already started the attempt when the entry asked for a fence. It must deny the fence and refuse a second
 // copy of the attempt, so that the request runs once.
 func TestAStartedAttemptIsNeitherFencedNorStartedAgain(t *testing.T) {
-	tracker := attempt.NewTable(t0)
+	tracker := attempt.NewTracker(t0)
 	if err := tracker.Begin(testAttempt, t0); err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 					t.Fatal(err)
 				}
 			}
-			f := attempt.NewFollower(testAttempt, 3, &wire)
+			f := attempt.NewEventReader(testAttempt, 3, &wire)
 			for range tc.accepted {
 				if _, err := f.Next(); err != nil {
 					t.Fatal(err)
@@ -123,12 +123,12 @@
 		t.Fatal(err)
 	}
 	for n := range wire.Len() + 1 {
-		f := attempt.NewFollower(testAttempt, 0, bytes.NewReader(wire.Bytes()[:n]))
+		f := attempt.NewEventReader(testAttempt, 0, bytes.NewReader(wire.Bytes()[:n]))
 		_, err := f.Next()
 		if n == wire.Len() {
 			_, err = f.Next()
 		}
-		var truncated *attempt.CutError
+		var truncated *attempt.TruncatedError
 		if !errors.As(err, &truncated) {
 			t.Fatalf("stream truncated after %d bytes: got %v", n, err)
 		}
@@ -140,13 +140,13 @@
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 1})
 	f.Add([]byte{11, 9, 1, 0, 0, 0, 0, 0, 0, 0, 0x1a, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		reader := attempt.NewFollower(testAttempt, 0, bytes.NewReader(data))
+		reader := attempt.NewEventReader(testAttempt, 0, bytes.NewReader(data))
 		for range len(data) + 2 {
 			_, err := reader.Next()
 			if err == nil {
 				continue
 			}
-			var truncated *attempt.CutError
+			var truncated *attempt.TruncatedError
 			var mismatch *attempt.MismatchError
 			if !errors.Is(err, io.EOF) && !errors.As(err, &truncated) && !errors.As(err, &mismatch) {
 				t.Fatalf("untyped error %v", err)
--- a/internal/policy/attempt/event.go
+++ b/internal/policy/attempt/event.go
@@ -46,23 +46,23 @@
 }
 
 // TruncatedError reports that a stream ended before its last event.
-type CutError struct {
+type TruncatedError struct {
 	Attempt ids.Attempt
 	Tokens  int
 	Cause   error
 }
 
 // Error implements error.
-func (e *CutError) Error() string {
+func (e *TruncatedError) Error() string {
 	return fmt.Sprintf("attempt %s: response truncated after %d tokens", e.Attempt, e.Tokens)
 }
 
 // Unwrap returns the cause.
-func (e *CutError) Unwrap() error { return e.Cause }
+func (e *TruncatedError) Unwrap() error { return e.Cause }
 
 // EventReader reads the events of one response and checks that they belong to the attempt and arrive in sequence, each
 // once.
-type Follower struct {
+type EventReader struct {
 	id    ids.Attempt
 	src   *bufio.Reader
 	event Event
@@ -71,26 +71,26 @@
 }
 
 // NewEventReader returns a reader of the response to attempt a from r. The index of its first token must be next.
-func NewFollower(a ids.Attempt, next int, r io.Reader) *Follower {
-	return &Follower{id: a, src: bufio.NewReader(r), next: next}
+func NewEventReader(a ids.Attempt, next int, r io.Reader) *EventReader {
+	return &EventReader{id: a, src: bufio.NewReader(r), next: next}
 }
 
 // Next returns the next event, which is valid until the following call, and io.EOF after the last one. Errors:
 // *TruncatedError if the stream ends before its last event; *MismatchError for an event of another attempt, a gap, a
 // duplicate, or an event after the last one.
-func (r *Follower) Next() (*Event, error) {
+func (r *EventReader) Next() (*Event, error) {
 	r.event.Reset()
 	err := protodelim.UnmarshalOptions{MaxSize: maxEventBytes}.UnmarshalFrom(r.src, &r.event)
 	if errors.Is(err, io.EOF) && r.ended {
 		return nil, io.EOF
 	}
 	if err != nil {
-		return nil, &CutError{r.id, r.next, err}
+		return nil, &TruncatedError{r.id, r.next, err}
 	}
 	return &r.event, r.check(&r.event)
 }
 
-func (r *Follower) check(e *Event) error {
+func (r *EventReader) check(e *Event) error {
 	if e.GetAttempt() != r.id.Seq {
 		return &MismatchError{r.id, "its own id", fmt.Sprintf("sequence %d", e.GetAttempt())}
 	}
--- a/internal/policy/attempt/tracker.go
+++ b/internal/policy/attempt/tracker.go
@@ -35,7 +35,7 @@
 func (e *RefusedError) Error() string { return fmt.Sprintf("attempt %s is %s", e.Attempt, e.State) }
 
 // Tracker remembers the attempts that a slot started or promised never to start. It is safe for concurrent use.
-type Table struct {
+type Tracker struct {
 	mu      sync.Mutex
 	records map[ids.Attempt]*record
 	// aged is the older of two generations that each cover Retention, so that expired records are dropped by replacing
@@ -47,13 +47,13 @@
 type record struct{ machine charts.Machine }
 
 // NewTracker returns an empty tracker.
-func NewTable(now time.Time) *Table {
-	return &Table{records: map[ids.Attempt]*record{}, aged: map[ids.Attempt]*record{}, rotated: now}
+func NewTracker(now time.Time) *Tracker {
+	return &Tracker{records: map[ids.Attempt]*record{}, aged: map[ids.Attempt]*record{}, rotated: now}
 }
 
 // Begin marks an attempt as started. It returns *RefusedError if the attempt was started or fenced before; the caller
 // must not start it then.
-func (t *Table) Begin(a ids.Attempt, now time.Time) error {
+func (t *Tracker) Begin(a ids.Attempt, now time.Time) error {
 	actions, state := t.fire(a, eventBegin, now)
 	if !contains(actions, actionStart) {
 		return &RefusedError{a, state}
@@ -62,15 +62,15 @@
 }
 
 // Fence promises never to start the attempt and returns true, or returns false if it was started before.
-func (t *Table) Fence(a ids.Attempt, now time.Time) bool {
+func (t *Tracker) Fence(a ids.Attempt, now time.Time) bool {
 	actions, _ := t.fire(a, eventFence, now)
 	return contains(actions, actionFenced)
 }
 
 // Finish marks a started attempt as finished.
-func (t *Table) Finish(a ids.Attempt, now time.Time) { t.fire(a, eventFinish, now) }
+func (t *Tracker) Finish(a ids.Attempt, now time.Time) { t.fire(a, eventFinish, now) }
 
-func (t *Table) fire(a ids.Attempt, ev charts.Event, now time.Time) ([]charts.Action, charts.State) {
+func (t *Tracker) fire(a ids.Attempt, ev charts.Event, now time.Time) ([]charts.Action, charts.State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rotate(now)
@@ -83,7 +83,7 @@
 }
 
 // find returns the record of a. It creates a missing record and moves an aged one to the current generation.
-func (t *Table) find(a ids.Attempt) *record {
+func (t *Tracker) find(a ids.Attempt) *record {
 	if r, ok := t.records[a]; ok {
 		return r
 	}
@@ -95,7 +95,7 @@
 	return r
 }
 
-func (t *Table) rotate(now time.Time) {
+func (t *Tracker) rotate(now time.Time) {
 	if now.Sub(t.rotated) < Retention {
 		return
 	}
--- a/internal/policy/dispatch/gate.go
+++ b/internal/policy/dispatch/gate.go
@@ -46,7 +46,7 @@
 }
 
 // Responded records that the response, or the first event of a stream, has arrived.
-func (g *Gate) Answered(t *Ticket) {
+func (g *Gate) Responded(t *Ticket) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pool.Responded(t, time.Now())
@@ -82,7 +82,7 @@
 
 // SetOthersWork replaces the work that the other gateways have in flight; at is the time at which the oldest of their
 // digests arrived.
-func (g *Gate) SetOthers(work map[ids.UpstreamIncarnation]Work, at time.Time) {
+func (g *Gate) SetOthersWork(work map[ids.UpstreamIncarnation]Work, at time.Time) {
 	g.update(func(p *Pool, now time.Time) []*Ticket { return p.SetOthersWork(work, at, now) })
 }
 
@@ -94,7 +94,7 @@
 }
 
 // SetSlowdowns replaces the slowdown factors of upstreams that are slower than normal.
-func (g *Gate) SetPaces(slowdowns map[ids.UpstreamIncarnation]float64) {
+func (g *Gate) SetSlowdowns(slowdowns map[ids.UpstreamIncarnation]float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pool.SetSlowdowns(slowdowns)
@@ -115,7 +115,7 @@
 }
 
 // OwnWork returns the work that this gateway has in flight, by upstream.
-func (g *Gate) Own() map[ids.UpstreamIncarnation]Work {
+func (g *Gate) OwnWork() map[ids.UpstreamIncarnation]Work {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.pool.OwnWork()
--- a/internal/policy/dispatch/group_replay_test.go
+++ b/internal/policy/dispatch/group_replay_test.go
@@ -118,7 +118,7 @@
 
 func (g *groupReplay) arrive() {
 	due := g.now.Add(streamTarget)
-	g.submit(caller{dispatch.Request{Arrived: g.now, Aim: due, Latest: g.now.Add(streamCallerTimeout), PromptTokens: g.prompt()}, due})
+	g.submit(caller{dispatch.Request{Arrived: g.now, Target: due, Deadline: g.now.Add(streamCallerTimeout), PromptTokens: g.prompt()}, due})
 }
 
 // submit sends a request to a random gateway.
@@ -265,7 +265,7 @@
 	}
 	for _, c := range g.toResend {
 		// The gateway treats it as a new request, but the caller's time still counts from the first one.
-		c.request.Arrived, c.request.Aim, c.request.Latest = g.now, g.now.Add(streamTarget), g.now.Add(streamCallerTimeout)
+		c.request.Arrived, c.request.Target, c.request.Deadline = g.now, g.now.Add(streamTarget), g.now.Add(streamCallerTimeout)
 		g.submit(c)
 	}
 	g.toResend = nil
--- a/internal/policy/dispatch/outlier.go
+++ b/internal/policy/dispatch/outlier.go
@@ -21,7 +21,7 @@
 	// OutcomeRefused is a refusal before the request was started.
 	OutcomeRefused
 	// OutcomeReplaced means that another incarnation has the upstream's address.
-	OutcomeGone
+	OutcomeReplaced
 )
 
 // String returns the outcome's name in logs.
@@ -30,7 +30,7 @@
 }
 
 var outcomeNames = map[Outcome]string{
-	OutcomeNone: "none", OutcomeOK: "ok", OutcomeFailed: "failed", OutcomeBroken: "broken", OutcomeRefused: "refused", OutcomeGone: "gone",
+	OutcomeNone: "none", OutcomeOK: "ok", OutcomeFailed: "failed", OutcomeBroken: "broken", OutcomeRefused: "refused", OutcomeReplaced: "gone",
 }
 
 const (
@@ -86,7 +86,7 @@
 			o.ejectedUntil = now.Add(refusedFor)
 			return true
 		}
-	case OutcomeGone:
+	case OutcomeReplaced:
 		o.replaced = true
 		return true
 	}
--- a/internal/policy/dispatch/pool.go
+++ b/internal/policy/dispatch/pool.go
@@ -14,9 +14,9 @@
 	// Arrived is when the request was read from the client.
 	Arrived time.Time
 	// Target is the time by which the response, or the first event of a stream, counts as on time.
-	Aim time.Time
+	Target time.Time
 	// Deadline is when the caller times out unless the first response has arrived.
-	Latest time.Time
+	Deadline time.Time
 	// Priority orders waiting requests; 0 goes first.
 	Priority int
 	// PromptTokens is the number of tokens to read before the first token is generated; 0 for plain services.
@@ -247,7 +247,7 @@
 }
 
 // ejects reports whether an outcome may eject its upstream.
-func (p *Pool) ejects(o Outcome) bool { return o == OutcomeGone || !p.opts.Off[EjectFailing] }
+func (p *Pool) ejects(o Outcome) bool { return o == OutcomeReplaced || !p.opts.Off[EjectFailing] }
 
 // Waiting returns the number of waiting requests.
 func (p *Pool) Waiting() int { return len(p.waiting) }
@@ -303,7 +303,7 @@
 		case aLate != bLate:
 			return -1
 		}
-		return a.request.Aim.Compare(b.request.Aim)
+		return a.request.Target.Compare(b.request.Target)
 	})
 }
 
--- a/internal/policy/dispatch/replay_test.go
+++ b/internal/policy/dispatch/replay_test.go
@@ -76,9 +76,9 @@
 
 func (r *replay) finish(t *dispatch.Ticket, q dispatch.Request) {
 	switch {
-	case r.Now().After(q.Latest):
+	case r.Now().After(q.Deadline):
 		r.timedOut++
-	case r.Now().After(q.Aim):
+	case r.Now().After(q.Target):
 		r.late++
 	default:
 		r.onTime++
@@ -101,7 +101,7 @@
 )
 
 func timedRequest(arrived time.Time) dispatch.Request {
-	return dispatch.Request{Arrived: arrived, Aim: arrived.Add(targetLatency), Latest: arrived.Add(callerTimeout)}
+	return dispatch.Request{Arrived: arrived, Target: arrived.Add(targetLatency), Deadline: arrived.Add(callerTimeout)}
 }
 
 // A burst brings twice the load that the upstreams can serve for four seconds, with normal load before and after. In
@@ -116,7 +116,7 @@
 			// With a target that has already passed, the pool serves in order of arrival.
 			shape = func(arrived time.Time) dispatch.Request {
 				q := timedRequest(arrived)
-				q.Aim = arrived
+				q.Target = arrived
 				return q
 			}
 		}
@@ -148,7 +148,7 @@
 	r := newReplay(dispatch.Options{Fill: 1, LateFill: 0.6}, 4, 10, 100*time.Millisecond)
 	begin := r.Now()
 	withLongTimeout := func(arrived time.Time) dispatch.Request {
-		return dispatch.Request{Arrived: arrived, Aim: arrived.Add(400 * time.Millisecond), Latest: arrived.Add(4 * time.Second)}
+		return dispatch.Request{Arrived: arrived, Target: arrived.Add(400 * time.Millisecond), Deadline: arrived.Add(4 * time.Second)}
 	}
 	r.arrivals(begin, 8*time.Second, 150, withLongTimeout)
 	r.at(begin.Add(2*time.Second), func() { r.decide(r.pool.SetClosed(true, r.Now())) })
--- a/internal/policy/dispatch/wait.go
+++ b/internal/policy/dispatch/wait.go
@@ -113,9 +113,9 @@
 // most half of the time from arrival to target is subtracted.
 func (p *Pool) late(r Request, now time.Time) bool {
 	if p.opts.Off[FirstResponseTime] {
-		return now.After(r.Aim)
+		return now.After(r.Target)
 	}
-	return now.Add(min(p.firstResponse, r.Aim.Sub(r.Arrived)/2)).After(r.Aim)
+	return now.Add(min(p.firstResponse, r.Target.Sub(r.Arrived)/2)).After(r.Target)
 }
 
 // startBy returns the latest time at which the request is worth starting.
@@ -124,5 +124,5 @@
 	if first == 0 {
 		first = firstResponseGuess
 	}
-	return r.Latest.Add(-time.Duration(firstResponseMargin * float64(first)))
+	return r.Deadline.Add(-time.Duration(firstResponseMargin * float64(first)))
 }
--- a/internal/policy/health/events.go
+++ b/internal/policy/health/events.go
@@ -28,7 +28,7 @@
 type Event interface{ isEvent() }
 
 // SlotReport is one report of a slot about its upstream.
-type Heard struct {
+type SlotReport struct {
 	Upstream    ids.Upstream
 	Service     ids.Service
 	Incarnation ids.Incarnation
@@ -43,7 +43,7 @@
 }
 
 // HostList is a complete host list.
-type Listed struct {
+type HostList struct {
 	// TakenAt is the time at which the list was made, according to the list.
 	TakenAt time.Time
 	Hosts   []ListedHost
@@ -57,7 +57,7 @@
 }
 
 // Responded reports that an attempt received part or all of its response.
-type Answered struct{ Upstream ids.Upstream }
+type Responded struct{ Upstream ids.Upstream }
 
 // Failed reports an attempt that failed by a fault of the upstream: the connection was refused or broken, or no
 // response came in time. A request that the slot refused does not count.
@@ -65,13 +65,13 @@
 
 // RefusedDraining reports that the slot refused an attempt before its start because it is draining. It has the same
 // effect as a report with Leaving set, in case that report was lost.
-type RefusedLeaving struct {
+type RefusedDraining struct {
 	Upstream    ids.Upstream
 	Incarnation ids.Incarnation
 }
 
-func (Heard) isEvent()          {}
-func (Listed) isEvent()         {}
-func (Answered) isEvent()       {}
-func (Failed) isEvent()         {}
-func (RefusedLeaving) isEvent() {}
+func (SlotReport) isEvent()      {}
+func (HostList) isEvent()        {}
+func (Responded) isEvent()       {}
+func (Failed) isEvent()          {}
+func (RefusedDraining) isEvent() {}
--- a/internal/policy/health/tracker.go
+++ b/internal/policy/health/tracker.go
@@ -112,15 +112,15 @@
 // does a report, list or refusal that marks it as leaving. All other changes of state happen in the next Evaluate.
 func (t *Tracker) Apply(ev Event, now time.Time) {
 	switch ev := ev.(type) {
-	case Heard:
+	case SlotReport:
 		t.applyReport(ev, now)
-	case Listed:
+	case HostList:
 		t.applyHostList(ev, now)
-	case Answered:
+	case Responded:
 		t.applyResponse(ev, now)
 	case Failed:
 		t.applyFailure(ev)
-	case RefusedLeaving:
+	case RefusedDraining:
 		t.applyRefusal(ev, now)
 	}
 }
--- a/internal/policy/health/tracker_test.go
+++ b/internal/policy/health/tracker_test.go
@@ -57,7 +57,7 @@
 func (f *fleet) sendHostList(leaving ...ids.Upstream) { f.sendHostListTakenAt(f.now, leaving...) }
 
 func (f *fleet) sendHostListTakenAt(takenAt time.Time, leaving ...ids.Upstream) {
-	ev := health.Listed{TakenAt: takenAt}
+	ev := health.HostList{TakenAt: takenAt}
 	for _, id := range f.names {
 		h := health.ListedHost{Upstream: id, Service: service}
 		for _, l := range leaving {
@@ -86,7 +86,7 @@
 	if s.silent {
 		return
 	}
-	f.tracker.Apply(health.Heard{
+	f.tracker.Apply(health.SlotReport{
 		Upstream: id, Service: service, Incarnation: s.incarnation, Leaving: s.leaving,
 		Steps: s.steps, Running: s.running, StepTime: s.stepTime,
 	}, f.now)
@@ -150,7 +150,7 @@
 	for range 2 {
 		f.tracker.Apply(health.Failed{Upstream: "u1"}, f.now)
 	}
-	f.tracker.Apply(health.Answered{Upstream: "u1"}, f.now)
+	f.tracker.Apply(health.Responded{Upstream: "u1"}, f.now)
 	f.tracker.Apply(health.Failed{Upstream: "u1"}, f.now)
 	f.run(period)
 	f.wantStatus("u1", stateReady, health.ReasonNone)
@@ -269,7 +269,7 @@
 func TestRefusalReplacesLostReport(t *testing.T) {
 	f := newFleet(t, 4)
 	f.slots["u1"].silent = true
-	f.tracker.Apply(health.RefusedLeaving{Upstream: "u1", Incarnation: incarnation1}, f.now)
+	f.tracker.Apply(health.RefusedDraining{Upstream: "u1", Incarnation: incarnation1}, f.now)
 	f.wantStatus("u1", "leaving", health.ReasonNone)
 	if w := f.status("u1").Weight; w != 0 {
 		t.Fatalf("weight %v", w)
@@ -293,8 +293,8 @@
 	f.slots["u1"].incarnation, f.slots["u1"].leaving = incarnation2, false
 	f.run(time.Second)
 	f.sendHostListTakenAt(old, "u1")
-	f.tracker.Apply(health.Heard{Upstream: "u1", Service: service, Incarnation: incarnation1, Leaving: true}, f.now)
-	f.tracker.Apply(health.RefusedLeaving{Upstream: "u1", Incarnation: incarnation1}, f.now)
+	f.tracker.Apply(health.SlotReport{Upstream: "u1", Service: service, Incarnation: incarnation1, Leaving: true}, f.now)
+	f.tracker.Apply(health.RefusedDraining{Upstream: "u1", Incarnation: incarnation1}, f.now)
 	f.wantStatus("u1", "returning", health.ReasonNone)
 	f.sendHostList("u1")
 	f.wantStatus("u1", "leaving", health.ReasonNone)
@@ -321,7 +321,7 @@
 	if _, known := f.tracker.Status("u1", f.now); known {
 		t.Fatal("a draining upstream that has been silent for half a minute was not forgotten")
 	}
-	f.tracker.Apply(health.Heard{Upstream: "u1", Service: service, Incarnation: incarnation1}, f.now)
+	f.tracker.Apply(health.SlotReport{Upstream: "u1", Service: service, Incarnation: incarnation1}, f.now)
 	if _, known := f.tracker.Status("u1", f.now); known {
 		t.Fatal("a late report brought back a forgotten upstream")
 	}
@@ -342,7 +342,7 @@
 			switch rapid.IntRange(0, 4).Draw(rt, "event") {
 			case 0, 1:
 				leaving := rapid.IntRange(0, 9).Draw(rt, "leaving") == 0
-				tracker.Apply(health.Heard{
+				tracker.Apply(health.SlotReport{
 					Upstream: id, Service: service, Incarnation: incarnation, Leaving: leaving, Running: rapid.IntRange(0, 9).Draw(rt, "running"),
 					Steps: rapid.Uint64Range(0, 3).Draw(rt, "steps"), StepTime: time.Duration(rapid.IntRange(0, 50).Draw(rt, "step")) * time.Millisecond,
 				}, now)
@@ -352,7 +352,7 @@
 			case 2:
 				tracker.Apply(health.Failed{Upstream: id}, now)
 			case 3:
-				tracker.Apply(health.Answered{Upstream: id}, now)
+				tracker.Apply(health.Responded{Upstream: id}, now)
 			case 4:
 				tracker.Evaluate(now)
 				checkInvariants(rt, tracker, now, draining)
--- a/internal/policy/health/upstream.go
+++ b/internal/policy/health/upstream.go
@@ -104,7 +104,7 @@
 	return min(d, t.opts.MaxEjectFor)
 }
 
-func (t *Tracker) applyReport(ev Heard, now time.Time) {
+func (t *Tracker) applyReport(ev SlotReport, now time.Time) {
 	if _, dead := t.forgotten[incarnationKey{ev.Upstream, ev.Incarnation}]; dead {
 		return
 	}
@@ -133,7 +133,7 @@
 
 // replaceIncarnation replaces the state of an upstream whose slot has restarted. The leaving state is not carried over,
 // because it belongs to the old incarnation.
-func (t *Tracker) replaceIncarnation(old *upstreamHealth, ev Heard, now time.Time) *upstreamHealth {
+func (t *Tracker) replaceIncarnation(old *upstreamHealth, ev SlotReport, now time.Time) *upstreamHealth {
 	u := t.addUpstream(ev.Upstream, ev.Service, now)
 	if old != nil {
 		t.forgotten[incarnationKey{old.id, old.incarnation}] = now
@@ -155,7 +155,7 @@
 	}
 }
 
-func (t *Tracker) applyHostList(ev Listed, now time.Time) {
+func (t *Tracker) applyHostList(ev HostList, now time.Time) {
 	for _, u := range t.upstreams {
 		u.listed = false
 	}
@@ -174,11 +174,11 @@
 // predates reports whether the host list was made before this incarnation was first seen. The list lags and may still
 // mark a host as leaving when its replacement is already running. Applied to the new incarnation, that mark would keep
 // a healthy upstream unused.
-func (u *upstreamHealth) predates(ev Listed) bool {
+func (u *upstreamHealth) predates(ev HostList) bool {
 	return u.hasPredecessor && !ev.TakenAt.After(u.firstSeenAt)
 }
 
-func (t *Tracker) applyResponse(ev Answered, now time.Time) {
+func (t *Tracker) applyResponse(ev Responded, now time.Time) {
 	if u := t.upstreams[ev.Upstream]; u != nil {
 		u.lastSeenAt = now
 		u.failures = 0
@@ -191,7 +191,7 @@
 	}
 }
 
-func (t *Tracker) applyRefusal(ev RefusedLeaving, now time.Time) {
+func (t *Tracker) applyRefusal(ev RefusedDraining, now time.Time) {
 	u := t.upstreams[ev.Upstream]
 	if u == nil || u.incarnation > ev.Incarnation {
 		return
--- a/internal/policy/quarantine/gate.go
+++ b/internal/policy/quarantine/gate.go
@@ -73,7 +73,7 @@
 }
 
 func (g *Gate) permit(d Decision) (*Permit, error) {
-	if d.Admission == Enter {
+	if d.Admission == Admit {
 		return &Permit{gate: g, ticket: d.Ticket}, nil
 	}
 	refusal := failure.New(failure.CodeNoUpstream, nil)
@@ -104,10 +104,10 @@
 // UpstreamCrashed records a crash of the upstream, detected by a refused connection or by a new process that replaced
 // it. The requests that were running become suspects immediately and are in the next Digest. It reports whether any
 // request was running.
-func (g *Gate) Died() bool {
+func (g *Gate) UpstreamCrashed() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	decisions, ran := g.guard.Died(time.Now())
+	decisions, ran := g.guard.UpstreamCrashed(time.Now())
 	g.deliver(decisions)
 	return ran
 }
--- a/internal/policy/quarantine/guard.go
+++ b/internal/policy/quarantine/guard.go
@@ -50,7 +50,7 @@
 // The admissions.
 const (
 	// Admit: run the request now.
-	Enter Admission = iota
+	Admit Admission = iota
 	// Wait: the decision on the ticket is returned by a later call.
 	Wait
 	// Deny: the request is refused before its start; another upstream may run it.
@@ -63,7 +63,7 @@
 // The outcomes of a run.
 const (
 	// Complete: the upstream sent its full response.
-	Whole End = iota
+	Complete End = iota
 	// Broken: the connection to the upstream broke, so the upstream may have crashed.
 	Broken
 	// Stopped: cancelled, timed out or failed in another way that is no evidence about the upstream.
@@ -105,7 +105,7 @@
 // the slot is the first to detect a crash. A ticket that must wait is decided by a later call or removed with Cancel.
 func (g *Guard) Submit(now time.Time, r Running, level Level) Decision {
 	g.lastTicket++
-	own, until := g.tracker.Judge(now, r.Fingerprint)
+	own, until := g.tracker.Classify(now, r.Fingerprint)
 	requested := run{Running: r, ticket: g.lastTicket, level: max(level, own)}
 	decision := Decision{Ticket: requested.ticket, Admission: Deny, Level: requested.level, Until: until}
 	switch {
@@ -114,7 +114,7 @@
 	case requested.level == Clear:
 		if g.machine.State() == stateOpen {
 			g.running = append(g.running, requested)
-			decision.Admission = Enter
+			decision.Admission = Admit
 		}
 		return decision
 	case len(g.waiting) >= maxWaiting:
@@ -123,7 +123,7 @@
 	g.waiting = append(g.waiting, requested)
 	decision.Admission = Wait
 	if len(g.advance()) > 0 {
-		decision.Admission = Enter
+		decision.Admission = Admit
 	}
 	return decision
 }
@@ -150,7 +150,7 @@
 	finished := g.running[i]
 	g.running = slices.Delete(g.running, i, i+1)
 	switch end {
-	case Whole:
+	case Complete:
 		g.tracker.Completed(now, finished.Fingerprint)
 	case Broken:
 		finished.brokenAt = now
@@ -171,7 +171,7 @@
 // UpstreamCrashed records a crash of the upstream. The requests that were running become suspects, unless they have
 // been reported before. Runs that are still registered count as running at the crash, because their handlers have not
 // detected it yet. It returns the decisions that result and reports whether any request was running.
-func (g *Guard) Died(now time.Time) ([]Decision, bool) {
+func (g *Guard) UpstreamCrashed(now time.Time) ([]Decision, bool) {
 	crash := g.recordCrash(now)
 	g.fire(evDied)
 	g.tracker.Merge(now, crash.Suspects()...)
@@ -201,7 +201,7 @@
 	var decisions []Decision
 	var remaining []run
 	for _, w := range g.waiting {
-		level, until := g.tracker.Judge(now, w.Fingerprint)
+		level, until := g.tracker.Classify(now, w.Fingerprint)
 		if level <= w.level {
 			remaining = append(remaining, w)
 			continue
@@ -221,7 +221,7 @@
 	var decisions []Decision
 	for len(g.waiting) > 0 && g.mayStart(g.waiting[0]) {
 		next := g.waiting[0]
-		decisions = append(decisions, Decision{Ticket: next.ticket, Admission: Enter, Level: next.level})
+		decisions = append(decisions, Decision{Ticket: next.ticket, Admission: Admit, Level: next.level})
 		g.running = append(g.running, next)
 		g.waiting = slices.Delete(g.waiting, 0, 1)
 	}
--- a/internal/policy/quarantine/persistent.go
+++ b/internal/policy/quarantine/persistent.go
@@ -25,7 +25,7 @@
 	// NewOperation generates the id of a transaction; it is called by one goroutine.
 	NewOperation func() ids.Operation
 	// OnError is called with each error; nil ignores them. The tracker retries by itself.
-	Failed func(error)
+	OnError func(error)
 }
 
 // DefaultPersistentTrackerOptions returns the default options.
@@ -82,7 +82,7 @@
 
 // Completed records that a request ran to completion.
 func (p *PersistentTracker) Completed(now time.Time, f Fingerprint) {
-	if p.Snapshot().Known(f) {
+	if p.Snapshot().Contains(f) {
 		p.update(func(t *Tracker) { t.Completed(now, f) })
 	}
 }
@@ -174,7 +174,7 @@
 
 func (p *PersistentTracker) keepRow(key string) bool {
 	f, err := ParseFingerprint(key[len(RowPrefix):])
-	return err != nil || p.Snapshot().Known(f)
+	return err != nil || p.Snapshot().Contains(f)
 }
 
 // write writes the changed rows. A write with an unknown result is sent again on condition of the old version: if the
@@ -227,7 +227,7 @@
 }
 
 func (p *PersistentTracker) reportError(err error) {
-	if p.opts.Failed != nil {
-		p.opts.Failed(err)
+	if p.opts.OnError != nil {
+		p.opts.OnError(err)
 	}
 }
--- a/internal/policy/quarantine/persistent_test.go
+++ b/internal/policy/quarantine/persistent_test.go
@@ -24,7 +24,7 @@
 			return p
 		}
 		level := func(p *PersistentTracker) Level {
-			got, _ := p.Snapshot().Judge(time.Now(), poison.Fingerprint)
+			got, _ := p.Snapshot().Classify(time.Now(), poison.Fingerprint)
 			return got
 		}
 		a, b := tracker(), tracker()
--- a/internal/policy/quarantine/quarantine_test.go
+++ b/internal/policy/quarantine/quarantine_test.go
@@ -26,7 +26,7 @@
 
 func wantLevel(t *testing.T, tr *Tracker, now time.Time, f Fingerprint, want Level) {
 	t.Helper()
-	if got, _ := tr.Judge(now, f); got != want {
+	if got, _ := tr.Classify(now, f); got != want {
 		t.Fatalf("level %v, want %v", got, want)
 	}
 }
@@ -156,11 +156,11 @@
 	b := g.Submit(start, other, Clear)
 	g.Submit(start, third, Clear)
 	g.Release(start, a.Ticket, Broken)
-	g.Release(start, b.Ticket, Whole)
-	if _, ran := g.Died(start); !ran {
+	g.Release(start, b.Ticket, Complete)
+	if _, ran := g.UpstreamCrashed(start); !ran {
 		t.Fatal("nothing reported")
 	}
-	if _, ran := g.Died(start); ran {
+	if _, ran := g.UpstreamCrashed(start); ran {
 		t.Fatal("reported twice")
 	}
 	wantLevel(t, g.Tracker(), start, poison.Fingerprint, Suspected)
@@ -197,12 +197,12 @@
 		if _, err := g.Acquire(t.Context(), third, Clear); failure.CodeOf(err) != failure.CodeNoUpstream {
 			t.Fatalf("admitted while a suspect waits: %v", err)
 		}
-		neighbour.Release(Whole)
+		neighbour.Release(Complete)
 		synctest.Wait()
 		if first == nil {
 			t.Fatal("the suspect never ran")
 		}
-		g.Died()
+		g.UpstreamCrashed()
 		synctest.Wait()
 		for range 2 {
 			if code := <-codes; code != failure.CodeQuarantined {
--- a/internal/policy/quarantine/snapshot.go
+++ b/internal/policy/quarantine/snapshot.go
@@ -27,7 +27,7 @@
 
 // Contains reports whether the snapshot has state of a request. If it has, Tracker.Completed must be called when the
 // request completes.
-func (s *Snapshot) Known(f Fingerprint) bool {
+func (s *Snapshot) Contains(f Fingerprint) bool {
 	if s == nil {
 		return false
 	}
@@ -36,8 +36,8 @@
 }
 
 // Classify returns the level of a request and, if it is refused, the end of the refusal.
-func (s *Snapshot) Judge(now time.Time, f Fingerprint) (Level, time.Time) {
-	if !s.Known(f) {
+func (s *Snapshot) Classify(now time.Time, f Fingerprint) (Level, time.Time) {
+	if !s.Contains(f) {
 		return Clear, time.Time{}
 	}
 	known := s.suspects[f]
--- a/internal/policy/quarantine/tracker.go
+++ b/internal/policy/quarantine/tracker.go
@@ -114,7 +114,7 @@
 }
 
 // Classify returns the level of a request and, if it is refused, the end of the refusal.
-func (t *Tracker) Judge(now time.Time, f Fingerprint) (Level, time.Time) {
+func (t *Tracker) Classify(now time.Time, f Fingerprint) (Level, time.Time) {
 	s := t.suspects[f]
 	if s == nil {
 		return Clear, time.Time{}
--- a/internal/policy/retry/window.go
+++ b/internal/policy/retry/window.go
@@ -53,7 +53,7 @@
 }
 
 // RecordFirst records a first attempt.
-func (w *Window) First(now time.Time) {
+func (w *Window) RecordFirst(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if b := w.at(now); b != nil {
@@ -62,7 +62,7 @@
 }
 
 // Remaining returns how many retries are allowed now.
-func (w *Window) Left(now time.Time) int {
+func (w *Window) Remaining(now time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if b := w.at(now); b != nil {
--- a/internal/policy/retry/window_test.go
+++ b/internal/policy/retry/window_test.go
@@ -14,15 +14,15 @@
 	for _, earlier := range []time.Duration{time.Millisecond, 2 * time.Second, length, 2 * length} {
 		w := retry.NewWindow()
 		w.SetBound(retry.Bound{Length: length, Extra: extra})
-		w.First(now)
+		w.RecordFirst(now)
 		at := now.Add(11 * time.Second)
 		for range extra {
 			if !w.Allow(at) {
 				t.Fatal("no retry is left in a new window")
 			}
 		}
-		w.First(at.Add(-earlier))
-		if left := w.Left(at); left != 0 {
+		w.RecordFirst(at.Add(-earlier))
+		if left := w.Remaining(at); left != 0 {
 			t.Errorf("a first attempt of %v before: %d retries left", earlier, left)
 		}
 	}
--- a/internal/policy/routing/expectedwait/expectedwait.go
+++ b/internal/policy/routing/expectedwait/expectedwait.go
@@ -134,15 +134,15 @@
 func (p *Picker) estimate(u *routing.Upstream, req *routing.Request, now time.Time) routing.Choice {
 	load := u.CurrentCounts()
 	cached := min(req.PromptTokens, u.Cached.Match(req.Blocks)*req.BlockTokens)
-	ahead := p.promptAhead(u, req.First, now)
+	ahead := p.promptAhead(u, req.FirstClass, now)
 	perToken := p.effective(u.Load.PromptTokenTime, p.promptTokenTime)
 	wait := 2*u.Distance + p.effective(u.Load.StepTime, p.stepTime)
-	wait += p.batchWait(u, load, req.First)
+	wait += p.batchWait(u, load, req.FirstClass)
 	wait += time.Duration((ahead + float64(req.PromptTokens-cached)) * float64(perToken))
 	if !u.HasAdapter(req.Adapter) {
 		wait += p.opts.AdapterLoad
 	}
-	return routing.Choice{Upstream: u, Wait: wait, Ahead: load.PromptAhead(req.First), Estimate: req.Estimate(cached)}
+	return routing.Choice{Upstream: u, Wait: wait, PromptAhead: load.PromptAhead(req.FirstClass), Estimate: req.Estimate(cached)}
 }
 
 // promptAhead returns the prompt tokens that are computed before those of a new request: this entry's own, which are
--- a/internal/policy/routing/expectedwait/expectedwait_test.go
+++ b/internal/policy/routing/expectedwait/expectedwait_test.go
@@ -21,7 +21,7 @@
 
 func upstream(id string) *routing.Upstream {
 	return &routing.Upstream{
-		ID: ids.Upstream(id), Weight: 1, Batch: 4, Work: &routing.Work{}, Cached: prefix.NewTable(64),
+		ID: ids.Upstream(id), Weight: 1, Batch: 4, Work: &routing.Work{}, Cached: prefix.NewBlockSet(64),
 		Load: routing.Load{TakenAt: now, StepTime: 10 * time.Millisecond, PromptTokenTime: 100 * time.Microsecond},
 	}
 }
@@ -64,7 +64,7 @@
 			others(b, routing.Counts{Waiting: 1, PromptTokens: 4 * prompt}, 0)
 		}, "a"},
 		"the first class goes ahead of others' prompts": {func(a, b *routing.Upstream, req *routing.Request) {
-			req.First = true
+			req.FirstClass = true
 			others(a, routing.Counts{Waiting: 3, PromptTokens: 3 * prompt}, 0)
 			others(b, routing.Counts{Waiting: 1, PromptTokens: prompt, FirstWaiting: 1, FirstPromptTokens: prompt}, 0)
 		}, "a"},
--- a/internal/policy/routing/picker.go
+++ b/internal/policy/routing/picker.go
@@ -15,7 +15,7 @@
 // Request is the input of a pick.
 type Request struct {
 	// FirstClass is set for requests of the first class (rank 0), which engines serve before all others.
-	First bool
+	FirstClass bool
 	// Blocks are the chained hashes of the prompt's leading blocks, from prefix.Hash; empty without a prompt.
 	Blocks []uint64
 	// BlockTokens is the number of prompt tokens in a block.
@@ -34,7 +34,7 @@
 
 // Estimate returns the argument of Work.Start; cached is the number of prompt tokens that are probably cached.
 func (r *Request) Estimate(cached int) Estimate {
-	return Estimate{First: r.First, PromptTokens: r.PromptTokens, CachedTokens: cached, OutputTokens: r.OutputTokens}
+	return Estimate{FirstClass: r.FirstClass, PromptTokens: r.PromptTokens, CachedTokens: cached, OutputTokens: r.OutputTokens}
 }
 
 // Choice is the result of a pick.
@@ -43,7 +43,7 @@
 	// Wait is the expected time to the first token; zero if the policy does not estimate it.
 	Wait time.Duration
 	// PromptAhead is the number of prompt tokens expected to be computed before those of the request; see Overtaken.
-	Ahead int
+	PromptAhead int
 	// Estimate is the argument of Work.Start; its CachedTokens are the prompt tokens that are probably cached.
 	Estimate Estimate
 }
--- a/internal/policy/routing/prefix/prefix.go
+++ b/internal/policy/routing/prefix/prefix.go
@@ -37,23 +37,23 @@
 
 // BlockSet is a bounded set of block hashes, organised as a set-associative cache. It is safe for concurrent use
 // without locks. Two concurrent writers may lose one block, which only costs a cache hit.
-type Table struct {
+type BlockSet struct {
 	hashes []atomic.Uint64
 	next   []atomic.Uint32
 	mask   uint64
 }
 
 // NewBlockSet returns a set for at least the given number of blocks. It uses 8.5 bytes per block.
-func NewTable(blocks int) *Table {
+func NewBlockSet(blocks int) *BlockSet {
 	sets := 1
 	for sets*ways < blocks {
 		sets *= 2
 	}
-	return &Table{hashes: make([]atomic.Uint64, sets*ways), next: make([]atomic.Uint32, sets), mask: uint64(sets - 1)}
+	return &BlockSet{hashes: make([]atomic.Uint64, sets*ways), next: make([]atomic.Uint32, sets), mask: uint64(sets - 1)}
 }
 
 // Add adds blocks. Each associative set overwrites its entries in turn.
-func (s *Table) Add(blocks ...uint64) {
+func (s *BlockSet) Add(blocks ...uint64) {
 	for _, b := range blocks {
 		if s.find(b) >= 0 {
 			continue
@@ -65,7 +65,7 @@
 }
 
 // Remove removes blocks.
-func (s *Table) Remove(blocks ...uint64) {
+func (s *BlockSet) Remove(blocks ...uint64) {
 	for _, b := range blocks {
 		if i := s.find(b); i >= 0 {
 			s.hashes[i].CompareAndSwap(b, 0)
@@ -74,14 +74,14 @@
 }
 
 // Clear removes all blocks.
-func (s *Table) Clear() {
+func (s *BlockSet) Clear() {
 	for i := range s.hashes {
 		s.hashes[i].Store(0)
 	}
 }
 
 // Match returns how many leading blocks are in the set. It returns 0 for a nil set.
-func (s *Table) Match(blocks []uint64) int {
+func (s *BlockSet) Match(blocks []uint64) int {
 	if s == nil {
 		return 0
 	}
@@ -93,7 +93,7 @@
 	return len(blocks)
 }
 
-func (s *Table) find(block uint64) int {
+func (s *BlockSet) find(block uint64) int {
 	base := int(block&s.mask) * ways
 	for i := range ways {
 		if s.hashes[base+i].Load() == block {
--- a/internal/policy/routing/prefix/prefix_test.go
+++ b/internal/policy/routing/prefix/prefix_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestBlockSet(t *testing.T) {
-	set := prefix.NewTable(64)
+	set := prefix.NewBlockSet(64)
 	blocks := prefix.Hash([]byte("the same long system prompt for every request of the desk"), 8)
 	set.Add(blocks...)
 	if got := set.Match(blocks); got != len(blocks) {
@@ -42,14 +42,14 @@
 	if got := set.Match(blocks); got != 0 {
 		t.Fatalf("matched %d after clear", got)
 	}
-	if got := (*prefix.Table)(nil).Match(blocks); got != 0 {
+	if got := (*prefix.BlockSet)(nil).Match(blocks); got != 0 {
 		t.Fatalf("a nil set matched %d", got)
 	}
 }
 
 // If an engine's eviction events are lost, the set must still stay bounded and drop old blocks by itself.
 func TestBlockSetIsBounded(t *testing.T) {
-	set := prefix.NewTable(64)
+	set := prefix.NewBlockSet(64)
 	present := 0
 	for i := range uint64(10_000) {
 		set.Add(i + 1)
@@ -63,7 +63,7 @@
 }
 
 func TestBlockSetIsSafeForConcurrentUse(t *testing.T) {
-	set := prefix.NewTable(64)
+	set := prefix.NewBlockSet(64)
 	var wg sync.WaitGroup
 	for g := range uint64(4) {
 		wg.Go(func() {
--- a/internal/policy/routing/upstream.go
+++ b/internal/policy/routing/upstream.go
@@ -31,7 +31,7 @@
 	// Work counts what this entry has in flight there; it must not be nil.
 	Work *Work
 	// Cached holds the prompt blocks that the upstream has probably cached; nil if it caches none.
-	Cached *prefix.Table
+	Cached *prefix.BlockSet
 }
 
 // Counts holds numbers of requests by state, and the work that they still need.
--- a/internal/policy/routing/work.go
+++ b/internal/policy/routing/work.go
@@ -5,7 +5,7 @@
 // Estimate is the estimated size of a request at the time it is sent.
 type Estimate struct {
 	// FirstClass is set for requests of the first class.
-	First        bool
+	FirstClass   bool
 	PromptTokens int
 	// CachedTokens is the number of PromptTokens that the upstream has probably cached.
 	CachedTokens int
@@ -46,7 +46,7 @@
 // Start counts a request that is about to be sent. The caller must call End on the Flight in every case.
 func (w *Work) Start(e Estimate) *Flight {
 	f := &Flight{
-		work: w, first: e.First,
+		work: w, first: e.FirstClass,
 		prompt: int64(max(0, e.PromptTokens-e.CachedTokens)), output: int64(max(0, e.OutputTokens)),
 	}
 	w.addWaiting(f.first, 1, f.prompt)
--- a/internal/policy/routing/work_test.go
+++ b/internal/policy/routing/work_test.go
@@ -11,7 +11,7 @@
 
 func TestFlightUpdatesCounts(t *testing.T) {
 	w := &routing.Work{}
-	f := w.Start(routing.Estimate{First: true, PromptTokens: 100, CachedTokens: 64, OutputTokens: 3})
+	f := w.Start(routing.Estimate{FirstClass: true, PromptTokens: 100, CachedTokens: 64, OutputTokens: 3})
 	steps := []struct {
 		do   func()
 		want routing.Counts
@@ -39,7 +39,7 @@
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
 				flights = append(flights, w.Start(routing.Estimate{
-					First:        rapid.Bool().Draw(t, "first"),
+					FirstClass:   rapid.Bool().Draw(t, "first"),
 					PromptTokens: rapid.IntRange(0, 500).Draw(t, "prompt"),
 					CachedTokens: rapid.IntRange(0, 600).Draw(t, "cached"),
 					OutputTokens: rapid.IntRange(0, 50).Draw(t, "output"),
--- a/internal/state/membership/large_test.go
+++ b/internal/state/membership/large_test.go
@@ -27,7 +27,7 @@
 		}
 		members.Tick(now)
 	}
-	if got := members.Entries(); got != entries {
+	if got := members.EntryCount(); got != entries {
 		t.Errorf("%d entries counted, want %d", got, entries)
 	}
 	if got := len(members.OtherEntries()); got != entries-1 {
--- a/internal/state/membership/memberlist.go
+++ b/internal/state/membership/memberlist.go
@@ -47,15 +47,15 @@
 	Role       cardamomyokev1.NodeRole
 	DataCentre ids.DataCentre
 	// DigestAddress is the address at which the node receives digests.
-	Digests string
+	DigestAddress string
 }
 
 // Node is the current state of another node.
 type Node struct {
-	Name       ids.Node
-	Role       cardamomyokev1.NodeRole
-	DataCentre ids.DataCentre
-	Digests    string
+	Name          ids.Node
+	Role          cardamomyokev1.NodeRole
+	DataCentre    ids.DataCentre
+	DigestAddress string
 	// HTTP is the address at which the node serves requests; empty until its first digest arrives.
 	HTTP        string
 	Incarnation ids.Incarnation
@@ -126,13 +126,13 @@
 		m.inRoster = false
 	}
 	for _, r := range list {
-		if r.Name == l.self.Name || r.Digests == "" {
+		if r.Name == l.self.Name || r.DigestAddress == "" {
 			continue
 		}
 		m := l.member(r.Name, now)
 		m.inRoster = true
 		if m.Incarnation == "" {
-			m.Role, m.DataCentre, m.Digests = r.Role, r.DataCentre, r.Digests
+			m.Role, m.DataCentre, m.DigestAddress = r.Role, r.DataCentre, r.DigestAddress
 		}
 	}
 }
@@ -166,7 +166,7 @@
 	m.sequence = d.GetSequence()
 	m.Role = d.GetRole()
 	m.DataCentre = ids.DataCentre(d.GetDataCentre())
-	m.Digests = d.GetDigestAddress()
+	m.DigestAddress = d.GetDigestAddress()
 	m.HTTP = d.GetHttpAddress()
 	m.LastSeen = now
 	if d.GetState() == cardamomyokev1.NodeState_NODE_STATE_LEAVING {
@@ -261,7 +261,7 @@
 // roster count even if no digest of them arrives: of 360 entries, one receives digests from a few neighbours only, and
 // if it classified the others as dead, it would grant clients and itself a share of each limit that is ten times too
 // large.
-func (l *MemberList) Entries() int {
+func (l *MemberList) EntryCount() int {
 	n := 0
 	for _, m := range l.members {
 		state := m.machine.State()
@@ -279,7 +279,7 @@
 // arrived.
 func (l *MemberList) Incarnation(address string) ids.Incarnation {
 	for _, m := range l.members {
-		if m.Digests == address {
+		if m.DigestAddress == address {
 			return m.Incarnation
 		}
 	}
--- a/internal/state/membership/membership_test.go
+++ b/internal/state/membership/membership_test.go
@@ -23,7 +23,7 @@
 var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func self(name string, role cardamomyokev1.NodeRole, dc string) membership.Identity {
-	return membership.Identity{Name: ids.Node(name), Role: role, DataCentre: ids.DataCentre(dc), Digests: "d-" + name}
+	return membership.Identity{Name: ids.Node(name), Role: role, DataCentre: ids.DataCentre(dc), DigestAddress: "d-" + name}
 }
 
 func digest(name, incarnation string, seq uint64, state cardamomyokev1.NodeState) *cardamomyokev1.Digest {
@@ -120,7 +120,7 @@
 		for i := range n {
 			name := fmt.Sprintf("%s-%03d", kind, i)
 			dc := ids.DataCentre(fmt.Sprintf("dc-%d", i%dataCentres))
-			out = append(out, membership.Identity{Name: ids.Node(name), Role: role, DataCentre: dc, Digests: "d-" + name})
+			out = append(out, membership.Identity{Name: ids.Node(name), Role: role, DataCentre: dc, DigestAddress: "d-" + name})
 		}
 	}
 	add("entry", entryRole, entries)
@@ -151,8 +151,8 @@
 		}
 	}
 	for _, r := range all {
-		if r.Role == entryRole && (sendersOf[r.Digests] < 4 || sendersOf[r.Digests] > 40) {
-			t.Fatalf("%s receives from %d slots", r.Name, sendersOf[r.Digests])
+		if r.Role == entryRole && (sendersOf[r.DigestAddress] < 4 || sendersOf[r.DigestAddress] > 40) {
+			t.Fatalf("%s receives from %d slots", r.Name, sendersOf[r.DigestAddress])
 		}
 	}
 }
@@ -171,7 +171,7 @@
 				if e.Name != "entry-007" {
 					list.Receive(&cardamomyokev1.Digest{
 						Node: string(e.Name), Incarnation: "1", Sequence: uint64(now.Sub(t0)), Role: entryRole,
-						DataCentre: string(e.DataCentre), DigestAddress: e.Digests,
+						DataCentre: string(e.DataCentre), DigestAddress: e.DigestAddress,
 					}, now)
 				}
 			}
@@ -228,16 +228,16 @@
 	for _, r := range all {
 		list := membership.New(r, membership.Defaults(), t0)
 		list.SetRoster(all, t0)
-		lists[r.Digests] = list
+		lists[r.DigestAddress] = list
 	}
 	partitioned := false
 	exchange := func(now time.Time) {
 		for _, r := range all {
 			d := &cardamomyokev1.Digest{
 				Node: string(r.Name), Incarnation: "1", Sequence: uint64(now.Sub(t0)), Role: entryRole, State: live,
-				DataCentre: string(r.DataCentre), DigestAddress: r.Digests, HttpAddress: "h-" + string(r.Name),
+				DataCentre: string(r.DataCentre), DigestAddress: r.DigestAddress, HttpAddress: "h-" + string(r.Name),
 			}
-			for _, to := range lists[r.Digests].DueTargets(nil, now, false) {
+			for _, to := range lists[r.DigestAddress].DueTargets(nil, now, false) {
 				if !partitioned || sameCentre(all, to.Address, r.DataCentre) {
 					lists[to.Address].Receive(d, now)
 				}
@@ -277,7 +277,7 @@
 
 func sameCentre(all []membership.Identity, address string, dc ids.DataCentre) bool {
 	for _, r := range all {
-		if r.Digests == address {
+		if r.DigestAddress == address {
 			return r.DataCentre == dc
 		}
 	}
--- a/internal/state/membership/roster.go
+++ b/internal/state/membership/roster.go
@@ -10,10 +10,10 @@
 	out := make([]Identity, 0, len(members))
 	for _, m := range members {
 		out = append(out, Identity{
-			Name:       ids.Node(m.GetName()),
-			Role:       m.GetRole(),
-			DataCentre: ids.DataCentre(m.GetDataCentre()),
-			Digests:    m.GetDigestAddress(),
+			Name:          ids.Node(m.GetName()),
+			Role:          m.GetRole(),
+			DataCentre:    ids.DataCentre(m.GetDataCentre()),
+			DigestAddress: m.GetDigestAddress(),
 		})
 	}
 	return out
--- a/internal/state/membership/targets.go
+++ b/internal/state/membership/targets.go
@@ -51,7 +51,7 @@
 
 // SlotInterval returns the time between two digests from a slot to one entry, which depends on the number of entries.
 func (l *MemberList) SlotInterval() time.Duration {
-	return l.interval(make([]weightedTarget, min(l.Entries(), l.opts.SlotEntries)))
+	return l.interval(make([]weightedTarget, min(l.EntryCount(), l.opts.SlotEntries)))
 }
 
 type weightedTarget struct {
@@ -107,7 +107,7 @@
 	}
 	slices.SortFunc(silent, byName)
 	l.probeTurn++
-	return []Target{{silent[l.probeTurn%len(silent)].Digests, ""}}
+	return []Target{{silent[l.probeTurn%len(silent)].DigestAddress, ""}}
 }
 
 // slotTargets returns the entries to which this slot sends digests: the first ones by rendezvous hash, so that an added
@@ -135,7 +135,7 @@
 func weightedTargets(list []*member, factor float64) []weightedTarget {
 	out := make([]weightedTarget, 0, len(list))
 	for _, m := range list {
-		out = append(out, weightedTarget{Target{m.Digests, m.Incarnation}, factor})
+		out = append(out, weightedTarget{Target{m.DigestAddress, m.Incarnation}, factor})
 	}
 	return out
 }
@@ -211,7 +211,7 @@
 
 // withSeeds adds addresses from the settings while list is shorter than SlotEntries.
 func (l *MemberList) withSeeds(list []weightedTarget, seeds []string) []weightedTarget {
-	known := map[string]bool{l.self.Digests: true}
+	known := map[string]bool{l.self.DigestAddress: true}
 	for _, c := range list {
 		known[c.Address] = true
 	}
--- a/internal/testing/bench/mapswitch/engines.go
+++ b/internal/testing/bench/mapswitch/engines.go
@@ -69,9 +69,9 @@
 		l.waits++
 		l.waited += time.Since(start)
 	}
-	first := l.engines[0].At(l.engines[0].Next)
+	first := l.engines[0].MapAt(l.engines[0].Next)
 	for _, e := range l.engines {
-		if m := e.At(e.Next); m != first && !l.closed {
+		if m := e.MapAt(e.Next); m != first && !l.closed {
 			l.fault = &TwoMapsError{e.Next, first, m}
 		}
 		e.Next++
@@ -121,7 +121,7 @@
 func (r rankEngine) Do(_ context.Context, o expertmap.Order) error {
 	r.group.mu.Lock()
 	defer r.group.mu.Unlock()
-	r.group.engines[r.rank].Obey(o)
+	r.group.engines[r.rank].Apply(o)
 	r.group.changed.Broadcast()
 	return nil
 }
--- a/internal/testing/bench/policy/admit.go
+++ b/internal/testing/bench/policy/admit.go
@@ -98,10 +98,10 @@
 
 func newFairQueue(e *entry) *fairQueue {
 	classes := []admission.Class{{Name: classFirst, Rank: 0, QueueLimit: queueLimit}, {Name: classSecond, Rank: 1, QueueLimit: queueLimit}}
-	share := func(c ids.Client) float64 { return max(minWeight, e.usage.Part(c, e.world.clock.now)) }
+	share := func(c ids.Client) float64 { return max(minWeight, e.usage.LocalShare(c, e.world.clock.now)) }
 	opts := admission.Options{Classes: classes, Reserve: admission.DefaultReserve, MaxWait: admission.DefaultMaxWait, Share: share}
 
-	return &fairQueue{entry: e, queue: admission.NewQueue(opts, admission.Capacity{Places: places, TokensPerSecond: expectedRate})}
+	return &fairQueue{entry: e, queue: admission.NewQueue(opts, admission.Capacity{Concurrency: places, TokensPerSecond: expectedRate})}
 }
 
 const (
@@ -127,7 +127,7 @@
 	even := func(ids.Client) float64 { return 1 }
 	quota := f.entry.usage.Quota(entries*expectedRate, even, now)
 	f.queue.SetCapacity(admission.Capacity{
-		Places:          int(quota * float64(f.entry.places())),
+		Concurrency:     int(quota * float64(f.entry.places())),
 		TokensPerSecond: expectedRate,
 	})
 	f.settle(f.queue.Tick(now))
--- a/internal/testing/bench/policy/entry.go
+++ b/internal/testing/bench/policy/entry.go
@@ -65,7 +65,7 @@
 	dc      int
 	rng     *rand.Rand
 	works   []*routing.Work
-	tables  []*prefix.Table
+	tables  []*prefix.BlockSet
 	loads   []routing.Load
 	health  *health.Tracker
 	picker  routing.Picker
@@ -87,7 +87,7 @@
 	}
 	for range runners {
 		e.works = append(e.works, &routing.Work{})
-		e.tables = append(e.tables, prefix.NewTable(tableBlocks))
+		e.tables = append(e.tables, prefix.NewBlockSet(tableBlocks))
 	}
 	e.budget = retry.NewBudget(retryPercent)
 	if w.setup.retries == retriesAlways {
@@ -106,7 +106,7 @@
 		return
 	}
 	e.loads[i] = load
-	e.health.Apply(health.Heard{
+	e.health.Apply(health.SlotReport{
 		Upstream: e.world.runners[i].id, Service: "model", Incarnation: "1",
 		Steps: steps, Running: running, StepTime: load.StepTime,
 	}, e.world.clock.now)
@@ -206,7 +206,7 @@
 func (e *entry) attempt(req *request, exclude []ids.Upstream) {
 	now := e.world.clock.now
 	choice, err := e.picker.Pick(&routing.Request{
-		First: req.class == classFirst, Blocks: req.blocks, BlockTokens: blockTokens, PromptTokens: promptTokens, OutputTokens: outputMean,
+		FirstClass: req.class == classFirst, Blocks: req.blocks, BlockTokens: blockTokens, PromptTokens: promptTokens, OutputTokens: outputMean,
 		Exclude: exclude, Rand: e.rng.Uint64(),
 	}, now)
 	if err != nil {
@@ -240,7 +240,7 @@
 	switch {
 	case req.job.ended:
 	case e.world.setup.policy == policyExpectedWait &&
-		routing.Overtaken(first, choice.Ahead, req.runner.counts(everyEntry).PromptAhead(first), req.overtaken):
+		routing.Overtaken(first, choice.PromptAhead, req.runner.counts(everyEntry).PromptAhead(first), req.overtaken):
 		req.overtaken++
 		req.job.ended = true
 		req.flight.End()
@@ -277,7 +277,7 @@
 		panic(err) // The model never skips; a gap would be a fault of the books.
 	}
 	if first == j.from {
-		e.health.Apply(health.Answered{Upstream: req.runner.id}, now)
+		e.health.Apply(health.Responded{Upstream: req.runner.id}, now)
 		e.world.answerReport(e, req.runner)
 		e.world.result.hit(req, cached, choice.Estimate.CachedTokens)
 	}
--- a/internal/testing/bench/quarantine/slot.go
+++ b/internal/testing/bench/quarantine/slot.go
@@ -41,7 +41,7 @@
 
 func (w *world) turn(r *request, u *upstream, d quarantine.Decision) {
 	switch {
-	case d.Admission == quarantine.Enter:
+	case d.Admission == quarantine.Admit:
 		w.start(r, u, d)
 	case d.Level == quarantine.Refused:
 		w.refused(r)
@@ -77,7 +77,7 @@
 		}
 		delete(u.runs, d.Ticket)
 		r.entry.tracker.Completed(w.Now(), r.print)
-		w.turns(u, u.guard.Release(w.Now(), d.Ticket, quarantine.Whole))
+		w.turns(u, u.guard.Release(w.Now(), d.Ticket, quarantine.Complete))
 		w.answer(r, !w.Now().After(r.deadline))
 	})
 }
@@ -89,7 +89,7 @@
 	u.up = false
 	w.In(restartTime, func() { u.up = true })
 	if !w.sc.Off {
-		decisions, _ := u.guard.Died(w.Now())
+		decisions, _ := u.guard.UpstreamCrashed(w.Now())
 		w.turns(u, decisions)
 		w.tellEntries(u)
 	} else {
--- a/internal/testing/bench/quarantine/world.go
+++ b/internal/testing/bench/quarantine/world.go
@@ -160,7 +160,7 @@
 		return
 	}
 	if !w.sc.Off {
-		r.level, _ = r.entry.tracker.Judge(w.Now(), r.print)
+		r.level, _ = r.entry.tracker.Classify(w.Now(), r.print)
 		if r.broke {
 			r.level = max(r.level, quarantine.Suspected)
 		}
--- a/internal/testing/bench/slopes/digests.go
+++ b/internal/testing/bench/slopes/digests.go
@@ -42,7 +42,7 @@
 			dc := i % targetCentres
 			all = append(all, membership.Identity{
 				Name: ids.Node(fmt.Sprintf("%s-%04d", kind, i)), Role: role, DataCentre: ids.DataCentre(fmt.Sprintf("centre-%d", dc)),
-				Digests: fmt.Sprintf("10.%d.%d.%d:7300", len(kind), i/250, i%250),
+				DigestAddress: fmt.Sprintf("10.%d.%d.%d:7300", len(kind), i/250, i%250),
 			})
 		}
 	}
@@ -56,7 +56,7 @@
 	d := &cardamomyokev1.Digest{
 		Node: string(id.Name), Incarnation: incarnation, Sequence: sequence, Role: id.Role,
 		State: cardamomyokev1.NodeState_NODE_STATE_LIVE, DataCentre: string(id.DataCentre),
-		HttpAddress: id.Digests, ControlAddress: id.Digests, DigestAddress: id.Digests, Revision: 657_000,
+		HttpAddress: id.DigestAddress, ControlAddress: id.DigestAddress, DigestAddress: id.DigestAddress, Revision: 657_000,
 	}
 	if id.Role == cardamomyokev1.NodeRole_NODE_ROLE_SLOT {
 		counts := &cardamomyokev1.WorkCounts{Waiting: 12, Running: 48, PromptTokens: 40_000, OutputTokens: 12_000}
@@ -76,7 +76,7 @@
 	for i, id := range list {
 		nodes[i] = &digestNode{id: id, table: membership.New(id, membership.Defaults(), begin)}
 		nodes[i].table.SetRoster(list, begin)
-		at[id.Digests] = nodes[i]
+		at[id.DigestAddress] = nodes[i]
 	}
 	due := make([][]membership.Target, len(nodes))
 	for step := 0; time.Duration(step)*exchangeStep < exchangeWarmup+exchangeSpan; step++ {
@@ -145,7 +145,7 @@
 		heard, stale := n.slotsKnown(end)
 		f.heard += heard / float64(entries)
 		f.stale += stale / float64(entries)
-		f.others += float64(n.table.Entries()) / float64(entries)
+		f.others += float64(n.table.EntryCount()) / float64(entries)
 	}
 	return []float64{f.slotOut, f.slotIn, f.entryOut, f.entryIn, f.entryMost, f.heard, f.stale, f.others}, nil
 }
--- a/internal/testing/bench/slopes/entry.go
+++ b/internal/testing/bench/slopes/entry.go
@@ -96,7 +96,7 @@
 	for i := range slots {
 		id := membership.Identity{
 			Name: ids.Node(fmt.Sprintf("runner-%04d", i)), Role: cardamomyokev1.NodeRole_NODE_ROLE_SLOT,
-			DataCentre: "centre-0", Digests: sink,
+			DataCentre: "centre-0", DigestAddress: sink,
 		}
 		d := digestOf(id, sequence)
 		d.Slot.Service = fmt.Sprintf("language-model-%d", i%3)
@@ -157,7 +157,7 @@
 	for i := range upstreams {
 		list = append(list, &routing.Upstream{
 			ID: ids.Upstream(fmt.Sprint(i)), DataCentre: "centre-0", Address: "10.0.0.1:7100", Weight: 1, Batch: 64,
-			Load: routing.Load{TakenAt: begin, StepTime: 20 * time.Millisecond}, Work: &routing.Work{}, Cached: prefix.NewTable(1024),
+			Load: routing.Load{TakenAt: begin, StepTime: 20 * time.Millisecond}, Work: &routing.Work{}, Cached: prefix.NewBlockSet(1024),
 		})
 	}
 	p := expectedwait.New(list, expectedwait.Defaults())
--- a/internal/testing/bench/slopes/usage.go
+++ b/internal/testing/bench/slopes/usage.go
@@ -33,7 +33,7 @@
 		now = now.Add(span / time.Duration(requests))
 		_ = l.Consume(ids.Client(clientName(rng.IntN(targetClients))), 207, now)
 	}
-	told := limits.NewRing(names).Address(names[0], l.Report(now))
+	told := limits.NewRing(names).Recipients(names[0], l.Report(now))
 	bytes := 0
 	for node, records := range told {
 		if node == names[0] {
--- a/internal/testing/standin/engine/batch.go
+++ b/internal/testing/standin/engine/batch.go
@@ -72,14 +72,14 @@
 	opts    Options
 	waiting waiting
 	running []*sequence
-	cache   *prefix.Table
+	cache   *prefix.BlockSet
 	order   uint64
 	steps   uint64
 	wake    chan struct{}
 }
 
 func newBatch(o Options) *batch {
-	return &batch{opts: o, cache: prefix.NewTable(max(1, o.CacheBlocks)), wake: make(chan struct{}, 1)}
+	return &batch{opts: o, cache: prefix.NewBlockSet(max(1, o.CacheBlocks)), wake: make(chan struct{}, 1)}
 }
 
 // add queues a sequence.
--- a/internal/testing/standin/group/group.go
+++ b/internal/testing/standin/group/group.go
@@ -119,9 +119,9 @@
 			return
 		}
 	}
-	first := g.ranks[0].At(g.ranks[0].Next)
+	first := g.ranks[0].MapAt(g.ranks[0].Next)
 	for _, r := range g.ranks {
-		if r.At(r.Next) != first {
+		if r.MapAt(r.Next) != first {
 			g.mixed = append(g.mixed, r.Next)
 		}
 		r.Next++
@@ -142,7 +142,7 @@
 				return
 			}
 			g.mu.Lock()
-			g.ranks[i].Obey(o)
+			g.ranks[i].Apply(o)
 			g.mu.Unlock()
 			respond(x, struct{}{})
 		default:
