--- a/internal/experts/expertmap/engine.go
+++ b/internal/experts/expertmap/engine.go
@@ -1,32 +1,34 @@
 package expertmap
 
-// EngineModel is an engine's part of the protocol in code: what stand-ins and fakes must do and real engines are
-// trusted to do. It ignores fencing numbers and keeps to the conditions that each order names.
+// EngineModel is the reference implementation of an engine's side of the protocol: test engines use it, and real
+// engines are expected to behave the same way. It ignores fencing tokens and enforces only the conditions that each
+// order names.
 type EngineModel struct {
 	EngineReport
-	prev MapID
-	// CannotLoad makes loading weights fail.
+	previous MapID
+	// CannotLoad makes every order to load weights fail.
 	CannotLoad bool
 }
 
-// NewEngineModel returns an engine without a map that has started all steps below next.
+// NewEngineModel returns an engine that has no map and has started all steps before next.
 func NewEngineModel(next Step) *EngineModel {
 	return &EngineModel{EngineReport: EngineReport{Limit: NoLimit, Next: next}}
 }
 
-// At returns the map under which the engine runs a step. It remembers its newest map and the one before.
-func (e *EngineModel) At(t Step) MapID {
+// MapAt returns the map under which the engine runs step t. The engine remembers its newest map and the one before
+// it.
+func (e *EngineModel) MapAt(t Step) MapID {
 	if t >= e.Start {
 		return e.Map
 	}
-	return e.prev
+	return e.previous
 }
 
 // MayStart reports whether the engine may start its next step.
-func (e *EngineModel) MayStart() bool { return e.Next < e.Limit && !e.At(e.Next).IsZero() }
+func (e *EngineModel) MayStart() bool { return e.Next < e.Limit && !e.MapAt(e.Next).IsZero() }
 
-// Obey carries an order out or refuses it.
-func (e *EngineModel) Obey(o Order) {
+// Apply executes an order, or refuses it if its conditions do not hold. The next report shows which.
+func (e *EngineModel) Apply(o Order) {
 	e.Order = o.ID
 	if o.Map != e.Map {
 		return
@@ -44,7 +46,7 @@
 		}
 	case OrderSwitch:
 		if e.Staged == o.To && (e.Next <= o.Step || e.Map.IsZero()) {
-			e.prev, e.Map, e.Start = e.Map, o.To, o.Step
+			e.previous, e.Map, e.Start = e.Map, o.To, o.Step
 			e.Limit, e.Staged = NoLimit, MapID{}
 		}
 	}
--- a/internal/experts/expertmap/node/wire.go
+++ b/internal/experts/expertmap/node/wire.go
@@ -9,11 +9,13 @@
 	pb "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// BodyError says that an envelope carries no message that this version knows.
-type BodyError struct{ Body any }
+// UnknownMessageError reports a message or an envelope body of a type that this version does not know.
+type UnknownMessageError struct{ Body any }
 
 // Error implements error.
-func (e *BodyError) Error() string { return fmt.Sprintf("map message of unknown type %T", e.Body) }
+func (e *UnknownMessageError) Error() string {
+	return fmt.Sprintf("map message of unknown type %T", e.Body)
+}
 
 func toAddr(a *pb.MapAddress) expertmap.Addr {
 	return expertmap.Addr{Proposer: ids.Node(a.GetProposer()), Rank: expertmap.Rank(a.GetRank())}
@@ -55,7 +57,7 @@
 	return numbers
 }
 
-// encode makes an envelope; it returns *BodyError for a message of another package's type.
+// encode wraps a message in an envelope; it returns *UnknownMessageError for a type that is not part of the protocol.
 func encode(group ids.Group, from, to expertmap.Addr, m expertmap.Message) (*pb.MapEnvelope, error) {
 	e := &pb.MapEnvelope{Group: string(group), From: fromAddr(from), To: fromAddr(to)}
 	switch m := m.(type) {
@@ -92,7 +94,7 @@
 			Rank: uint32(m.Rank), Incarnation: uint64(m.Incarnation), Known: uint64(m.Known),
 		}}
 	default:
-		return nil, &BodyError{m}
+		return nil, &UnknownMessageError{m}
 	}
 	return e, nil
 }
@@ -105,7 +107,7 @@
 	}
 }
 
-// decode reads an envelope's message; it returns *BodyError for a message that this version does not know.
+// decode returns an envelope's message; it returns *UnknownMessageError for a body that this version does not know.
 func decode(e *pb.MapEnvelope) (expertmap.Message, error) {
 	switch b := e.GetBody().(type) {
 	case *pb.MapEnvelope_StageRequest:
@@ -151,7 +153,7 @@
 			Known: expertmap.Incarnation(m.GetKnown()),
 		}, nil
 	}
-	return nil, &BodyError{e.GetBody()}
+	return nil, &UnknownMessageError{e.GetBody()}
 }
 
 func decodeStageReply(m *pb.MapStageReply) expertmap.StageReply {
--- a/internal/experts/expertmap/proposer_test.go
+++ b/internal/experts/expertmap/proposer_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// The proposer would wait for ever: it hears one acknowledgement, the others and all that the slots say while they
-// finish among themselves is lost. Met over loopback with 16 ranks (cardamomyoke-bench mapswitch).
-func TestAProposerLearnsTheOutcomeThoughItsFirstCopyIsLost(t *testing.T) {
+// Guards against a proposer that waits forever: it receives one acknowledgement, but the others and all messages that
+// the slots send while they finish among themselves are lost. Seen over loopback with 16 ranks (cardamomyoke-bench
+// mapswitch).
+func TestProposerLearnsOutcomeAfterLostMessages(t *testing.T) {
 	g := newGroup(t, 3)
 	g.boot()
 	p := g.addProposer("a")
@@ -30,9 +31,9 @@
 	}
 }
 
-// Callers see a longer first token at worst: a rank is further on than it said, so the first proposal comes too late
-// for it and is refused. The next one leads by more.
-func TestARefusalForAPassedStepDoublesTheLead(t *testing.T) {
+// A rank is further ahead than its report said, so it refuses the first proposal because the step has passed; callers
+// see at most a longer time to first token. The next proposal must double the lead.
+func TestRefusalForPassedStepDoublesLead(t *testing.T) {
 	g := newGroup(t, 3)
 	g.boot()
 	p := g.addProposer("a")
@@ -44,7 +45,7 @@
 	refusal := Refusal{Ballot: p.proposal.Ballot, Rank: 1, Incarnation: p.proposal.Roster[1], Reason: ReasonPassed}
 	g.proposerEffects("a", p.Receive(g.now, refusal))
 	g.settle(100)
-	if len(g.results) != 1 || g.results[0].Err != nil || g.results[0].Attempts != 2 || p.lead != 2 || first == 0 {
-		t.Fatalf("results %+v, lead %v, first %d", g.results, p.lead, first)
+	if len(g.results) != 1 || g.results[0].Err != nil || g.results[0].Attempts != 2 || p.leadFactor != 2 || first == 0 {
+		t.Fatalf("results %+v, lead %v, first %d", g.results, p.leadFactor, first)
 	}
 }
--- a/internal/experts/lockstep/counts.go
+++ b/internal/experts/lockstep/counts.go
@@ -10,8 +10,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// counted reports whether counts are of the service's experts.
-func counted(counts Counts, x *catalog.Experts) bool {
+// validCounts reports whether counts has the shape of the service's experts.
+func validCounts(counts Counts, x *catalog.Experts) bool {
 	if len(counts) != x.Sets {
 		return false
 	}
@@ -23,23 +23,24 @@
 	return true
 }
 
-// sample names the ranks whose counts are read now: many that cost the group nothing, and else a few of the others. The same few each
-// time, since two reads of one rank are needed to tell what it did between them.
-func (c *Controller) sample(s *survey) []int {
-	var near, far []int
+// sampledRanks returns the ranks whose counts are read: up to SampleLocal local ones, which cost the group nothing,
+// and remote ones if these are fewer than Sample. It returns the same ranks each time, since the counts between two
+// reads of one rank are needed.
+func (c *Controller) sampledRanks(s *snapshot) []int {
+	var local, remote []int
 	for r, u := range s.upstreams {
 		if c.o.RankClient.IsLocal(u) {
-			near = append(near, r)
+			local = append(local, r)
 		} else {
-			far = append(far, r)
+			remote = append(remote, r)
 		}
 	}
-	near = spread(near, c.o.SampleLocal)
-	return append(near, spread(far, c.o.Sample-len(near))...)
+	local = evenlySpaced(local, c.o.SampleLocal)
+	return append(local, evenlySpaced(remote, c.o.Sample-len(local))...)
 }
 
-// spread returns n of the ranks, evenly apart.
-func spread(ranks []int, n int) []int {
+// evenlySpaced returns n of the ranks at even distances.
+func evenlySpaced(ranks []int, n int) []int {
 	n = max(0, min(n, len(ranks)))
 	out := make([]int, 0, n)
 	for i := range n {
@@ -49,11 +50,11 @@
 }
 
 // readCounts reads the counts of the sampled ranks.
-func (c *Controller) readCounts(ctx context.Context, s *survey) {
-	ranks := c.sample(s)
+func (c *Controller) readCounts(ctx context.Context, s *snapshot) {
+	ranks := c.sampledRanks(s)
 	type read struct {
 		rank   int
-		since  Since
+		since  CountStart
 		counts Counts
 	}
 	reads := make([]*read, len(ranks))
@@ -64,8 +65,8 @@
 			switch {
 			case err != nil:
 				_ = level.Debug(c.o.Logger).Log("msg", "no counts", "rank", rank, "err", err)
-			case !counted(counts, s.group.experts()):
-				_ = level.Warn(c.o.Logger).Log("msg", "counts not taken", "reason", "they are not of the service's experts", "rank", rank)
+			case !validCounts(counts, s.group.experts()):
+				_ = level.Warn(c.o.Logger).Log("msg", "counts ignored", "reason", "they are not of the service's experts", "rank", rank)
 			default:
 				reads[i] = &read{rank, since, counts}
 			}
--- a/internal/experts/lockstep/demand.go
+++ b/internal/experts/lockstep/demand.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// Counts are how often a rank's requests chose each expert since it started, by set.
+// Counts holds how often a rank's requests chose each expert since it started, by set and expert.
 type Counts [][]float64
 
-// Demand estimates which experts are in demand from the counts of the ranks, which may be read at unlike times and not
-// from all ranks.
+// Demand estimates which experts are in demand from the counts of the ranks. The ranks may be read at different
+// times, and some not at all.
 type Demand struct {
 	half  time.Duration
-	last  map[int]sample
+	last  map[int]reading
 	value [][]float64
 	at    time.Time
 }
 
-type sample struct {
-	since  Since
+type reading struct {
+	since  CountStart
 	counts Counts
 }
 
-// NewDemand returns an estimate that forgets half of what it knows in the given time.
+// NewDemand returns an empty estimate in which counts decay with the given half-life.
 func NewDemand(half time.Duration) *Demand {
-	return &Demand{half: half, last: map[int]sample{}}
+	return &Demand{half: half, last: map[int]reading{}}
 }
 
-// Observe takes in one rank's counts.
-func (d *Demand) Observe(now time.Time, rank int, since Since, counts Counts) {
+// Observe records one rank's counts. The first counts after a restart or a new epoch are only the base for the next
+// ones.
+func (d *Demand) Observe(now time.Time, rank int, since CountStart, counts Counts) {
 	old, known := d.last[rank]
-	d.last[rank] = sample{since, counts}
+	d.last[rank] = reading{since, counts}
 	if !known || old.since != since || !sameShape(old.counts, counts) {
 		return
 	}
@@ -40,7 +41,7 @@
 	d.decay(now)
 	for s := range counts {
 		for e := range counts[s] {
-			// A rank that restarted counts from 0 again.
+			// A count below the previous one means that the rank has started to count from 0 again.
 			d.value[s][e] += max(0, counts[s][e]-old.counts[s][e])
 		}
 	}
@@ -63,10 +64,11 @@
 	}
 }
 
-// Value returns the estimate by set and expert, in counts; nil before two reads of one rank. It must not be changed.
+// Value returns the estimate by set and expert, in counts; nil before two reads of one rank. The caller must not
+// modify it.
 func (d *Demand) Value() [][]float64 { return d.value }
 
-// Total returns the counts that the estimate of one set rests on.
+// Total returns the sum of the decayed counts of one set.
 func (d *Demand) Total() float64 {
 	if len(d.value) == 0 {
 		return 0
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -24,23 +24,24 @@
 )
 
 const (
-	// tickInterval is the period of the control loop: it bounds how long a waiting request overstays its time.
+	// tickInterval is the period of the control loop. It bounds how long a request waits beyond its deadline.
 	tickInterval = 50 * time.Millisecond
-	// dialTimeout is some times the longest way to an upstream and back; a host that is dead answers never.
+	// dialTimeout is several times the longest round trip to an upstream; a dead host never responds.
 	dialTimeout = 250 * time.Millisecond
-	// upstreamIdle is how long idle connections to upstreams are kept, unless they say less themselves.
-	upstreamIdle = 10 * time.Second
-	// upstreamSilent ends a connection on which an upstream's host acknowledges nothing.
-	upstreamSilent = 1500 * time.Millisecond
-	// maxConnections of callers is set apart from the descriptors that upstreams and the store need.
+	// upstreamIdleTimeout closes idle connections to upstreams, unless an upstream announces a shorter timeout.
+	upstreamIdleTimeout = 10 * time.Second
+	// upstreamSilentAfter closes a connection on which the upstream's host acknowledges nothing for this long.
+	upstreamSilentAfter = 1500 * time.Millisecond
+	// maxConnections bounds the connections of callers; the remaining file descriptors are reserved for upstreams and
+	// the store.
 	maxConnections = 2500
-	// writeTimeout is how long a caller may leave an answer unread.
+	// writeTimeout is how long a caller may leave a response unread.
 	writeTimeout = 10 * time.Second
-	// defaultIdle holds until a configuration says for how long callers keep connections.
-	defaultIdle = 75 * time.Second
+	// defaultIdleTimeout closes idle connections of callers until a configuration sets the timeout.
+	defaultIdleTimeout = 75 * time.Second
 )
 
-// Deps are what a gateway works with; they are set by its main.
+// Deps are the dependencies of a gateway.
 type Deps struct {
 	Feed    platform.Feed
 	Table   platform.Table
@@ -48,7 +49,7 @@
 	Dialect Dialect
 	Decoder Decoder
 	Logger  log.Logger
-	// Tracer is nil if no spans are made.
+	// Tracer is nil if tracing is disabled.
 	Tracer *tracing.Tracer
 }
 
@@ -59,7 +60,7 @@
 	decoder     Decoder
 	logger      log.Logger
 	requests    *requestLogs
-	starting    *starting
+	startup     *startupWait
 	pauses      monotonic.PauseDetector
 	incarnation ids.Incarnation
 	loop        *control.Loop
@@ -80,21 +81,21 @@
 	ranks   lockstep.RankClient
 	ctx     context.Context
 	cancel  context.CancelFunc
-	// control is what the control loop owns.
-	control state
+	// control belongs to the control loop.
+	control controlState
 }
 
-// state is what the control loop owns. Nothing else touches it.
-type state struct {
+// controlState is the state that only the control loop reads and writes.
+type controlState struct {
 	config    *catalog.Configuration
 	upstreams *catalog.Upstreams
-	// entries tells which entries of the registry name upstreams.
+	// entries determines which entries of the registry are valid upstreams.
 	entries  *registry.Registry
 	services map[ids.Service]*service
 	node     nodeState
 }
 
-// Start opens the listeners and begins to follow the store. Errors: *httpserver.ListenError, or the network's.
+// Start opens the listeners and begins to follow the store. It returns *httpserver.ListenError or a network error.
 func Start(set *Settings, d Deps) (*Gateway, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &Gateway{
@@ -106,22 +107,22 @@
 		loop:        control.New(),
 		metrics:     newMetrics(),
 		moves:       newMoves(),
-		starting:    newStarting(),
+		startup:     newStartupWait(),
 		tracer:      cmp.Or(d.Tracer, tracing.Disabled()),
 		ranks:       d.Ranks,
 		ctx:         ctx,
 		cancel:      cancel,
 		client: httpclient.New(httpclient.Options{
-			DialTimeout: dialTimeout, IdleTimeout: upstreamIdle, SilentAfter: upstreamSilent,
+			DialTimeout: dialTimeout, IdleTimeout: upstreamIdleTimeout, SilentAfter: upstreamSilentAfter,
 		}),
-		control: state{
+		control: controlState{
 			upstreams: catalog.NewUpstreams(nil), entries: registry.New(d.Decoder.Upstream),
 			services: map[ids.Service]*service{}, node: stateStarting,
 		},
 	}
 	g.settings.Store(set)
-	g.config = g.follower(d.Feed, d.Decoder.ConfigurationTable())
-	g.registry = g.follower(d.Feed, d.Decoder.UpstreamTable())
+	g.config = g.newFollower(d.Feed, d.Decoder.ConfigurationTable())
+	g.registry = g.newFollower(d.Feed, d.Decoder.UpstreamTable())
 	g.followers = []*replica.Follower{g.config, g.registry}
 	g.publish()
 	g.suspects = newSuspects(d.Logger)
@@ -133,7 +134,7 @@
 		return nil, err
 	}
 	g.experts = newExperts(ctx, g, d.Ranks, d.Table)
-	g.metrics.watch(g)
+	g.metrics.addGauges(g)
 	for _, f := range g.followers {
 		go f.Run(ctx)
 	}
@@ -142,20 +143,20 @@
 	return g, nil
 }
 
-func (g *Gateway) follower(feed platform.Feed, table string) *replica.Follower {
-	copied := replica.NewReplica(table)
+func (g *Gateway) newFollower(feed platform.Feed, table string) *replica.Follower {
+	local := replica.NewReplica(table)
 	return &replica.Follower{
 		Feed:     feed,
-		Replica:  copied,
+		Replica:  local,
 		Sentinel: func() bool { return g.peers.sentinel(time.Now()) },
-		Relayed:  func() bool { return g.peers.relayed(copied, time.Now()) },
+		Relayed:  func() bool { return g.peers.relayed(local, time.Now()) },
 		FollowingChanged: func(r *replica.Replica, following bool) {
 			_ = level.Info(g.logger).Log("msg", "store feed", "table", r.Name(), "following", following, "version", r.Newest())
 			g.loop.Post(g.peers.announce)
 		},
-		Changed: func(*replica.Replica) { g.loop.Post(g.changed) },
+		Changed: func(*replica.Replica) { g.loop.Post(g.onStoreChange) },
 		ConnectionChanged: func(r *replica.Replica, c replica.StoreConnection) {
-			g.logStoreLink(r.Name(), c.Up, c.Cause)
+			g.logStoreConnection(r.Name(), c.Up, c.Cause)
 			g.loop.Post(func(now time.Time) {
 				g.publish()
 				g.peers.announce(now)
@@ -166,7 +167,7 @@
 
 func (g *Gateway) listen() error {
 	l := g.Settings().Listen
-	limits := httpserver.Limits{MaxConnections: maxConnections, IdleTimeout: settings.Duration(defaultIdle)}
+	limits := httpserver.Limits{MaxConnections: maxConnections, IdleTimeout: settings.Duration(defaultIdleTimeout)}
 	for _, s := range []struct {
 		to      **httpserver.Server
 		address string
@@ -185,21 +186,22 @@
 	return nil
 }
 
-// changed takes over a change and, if this gateway follows the store for others, tells them at once.
-func (g *Gateway) changed(now time.Time) {
+// onStoreChange applies a change of the store's tables. If this gateway follows the store on behalf of its peers, it
+// announces the change to them immediately.
+func (g *Gateway) onStoreChange(now time.Time) {
 	g.reload(now)
 	if g.config.Following() || g.registry.Following() {
 		g.peers.announce(now)
 	}
 }
 
-// reload takes over what the copies of the store's tables hold.
+// reload applies the current rows of the replicated tables.
 func (g *Gateway) reload(now time.Time) {
 	before := g.control.node
 	config, err := g.decoder.Configuration(g.config.Replica.Rows())
 	switch {
 	case err != nil:
-		_ = level.Error(g.logger).Log("msg", "configuration kept", "reason", "the new one cannot be read", "err", err)
+		_ = level.Error(g.logger).Log("msg", "keeping the previous configuration", "reason", "the new one cannot be decoded", "err", err)
 	case config != nil && (g.control.config == nil || config.Version > g.control.config.Version):
 		g.adopt(config)
 	}
@@ -207,7 +209,7 @@
 	g.updateServices(now)
 	g.publish()
 	if g.control.node != before {
-		g.peers.tellAll(now)
+		g.peers.sendToAll(now)
 	}
 }
 
@@ -231,34 +233,34 @@
 	_ = level.Info(g.logger).Log("msg", "configuration in force", "version", c.Version, "before", before, "routes", c.Routes())
 }
 
-// publish makes the present state visible to requests.
+// publish makes the current control state visible to requests.
 func (g *Gateway) publish() {
 	g.view.Store(&view{
-		config:    g.control.config,
-		upstreams: g.control.upstreams,
-		services:  g.control.services,
-		state:     g.control.node,
-		current:   g.config.Connection().Up,
-		linkSince: g.config.Connection().Since,
+		config:     g.control.config,
+		upstreams:  g.control.upstreams,
+		services:   g.control.services,
+		state:      g.control.node,
+		storeUp:    g.config.Connection().Up,
+		storeSince: g.config.Connection().Since,
 	})
 	if g.control.config != nil && g.registry.Replica.Newest() > 0 {
-		g.starting.end()
+		g.startup.finish()
 	}
 }
 
-// tick runs on the control loop.
+// tick runs once per tickInterval on the control loop.
 func (g *Gateway) tick(now time.Time) {
 	g.pauses.Observe(now)
 	sharing := g.peers.sharing(now)
 	for name, s := range g.control.services {
 		s.gate.SetSharing(sharing)
 		s.budget.SetBound(g.retryBound(now))
-		paces := g.peers.paces(name, g.control.upstreams, now)
-		s.gate.SetPaces(paces)
-		if !g.off(offMoves) {
-			g.moves.away(paces, now)
+		slowdowns := g.peers.slowdowns(name, g.control.upstreams, now)
+		s.gate.SetSlowdowns(slowdowns)
+		if !g.disabled(mechanismMoves) {
+			g.moves.moveStreams(slowdowns, now)
 		}
-		s.gate.SetOthers(g.peers.work(name, g.control.upstreams, now))
+		s.gate.SetOthersWork(g.peers.work(name, g.control.upstreams, now))
 		g.logEjections(name, s)
 	}
 	g.suspects.tracker.Expire(now)
@@ -266,35 +268,35 @@
 	g.peers.tick(now)
 }
 
-// Settings returns the settings in use; they must not be changed.
+// Settings returns the settings in use; the caller must not change them.
 func (g *Gateway) Settings() *Settings { return g.settings.Load() }
 
-// Reload takes over changed settings. What is bound to listeners or to the node's identity stays until a restart; it
-// returns the keys of that kind that differ.
-func (g *Gateway) Reload(next *Settings) (kept []string) {
+// Reload applies changed settings. Settings of listeners, logs, tracing and the node's identity apply only after a
+// restart; Reload returns the keys of these that differ.
+func (g *Gateway) Reload(next *Settings) (needRestart []string) {
 	old := g.Settings()
 	merged := *next
 	if next.Name != old.Name {
-		kept = append(kept, "name")
+		needRestart = append(needRestart, "name")
 	}
 	if next.Listen != old.Listen {
-		kept = append(kept, "listen")
+		needRestart = append(needRestart, "listen")
 	}
 	if next.DataCentre != old.DataCentre {
-		kept = append(kept, "data_centre")
+		needRestart = append(needRestart, "data_centre")
 	}
 	if next.Log != old.Log || next.RequestLog != old.RequestLog {
-		kept = append(kept, "log")
+		needRestart = append(needRestart, "log")
 	}
 	if next.Tracing.OTLP != old.Tracing.OTLP || next.Tracing.File != old.Tracing.File {
-		kept = append(kept, "tracing")
+		needRestart = append(needRestart, "tracing")
 	}
 	merged.Name, merged.Listen, merged.DataCentre = old.Name, old.Listen, old.DataCentre
 	merged.Log, merged.RequestLog, merged.Tracing = old.Log, old.RequestLog, old.Tracing
 	g.settings.Store(&merged)
 	g.loop.Post(g.reload)
-	return kept
+	return needRestart
 }
 
-// Busy returns how many callers' requests are running.
+// Busy returns the number of callers' requests in progress.
 func (g *Gateway) Busy() int { return g.servers.callers.Busy() }
--- a/internal/node/gateway/peers.go
+++ b/internal/node/gateway/peers.go
@@ -20,108 +20,111 @@
 )
 
 const (
-	// digestInterval is how often a gateway tells the others of itself when nothing changes, workInterval when its work does.
+	// digestInterval is the interval between digests while nothing changes; workInterval applies while this gateway has
+	// requests in flight.
 	digestInterval = 200 * time.Millisecond
 	workInterval   = 100 * time.Millisecond
-	// namesInterval is how often a digest names other gateways, newNamesInterval the same while some are new.
-	namesInterval    = time.Second
-	newNamesInterval = 200 * time.Millisecond
-	// newFor is for how long a gateway counts as new: until others have named it a few times.
-	newFor = 1500 * time.Millisecond
-	// joinTime is for how long a gateway that has started only gets to know the others: names pass to the gateways of its
-	// settings and back. It takes no duty before that.
-	joinTime = 450 * time.Millisecond
-	// joinInterval is the time between its questions for names.
+	// peerListInterval is how often a digest contains addresses of peers; newPeerListInterval applies while some peers
+	// are new.
+	peerListInterval    = time.Second
+	newPeerListInterval = 200 * time.Millisecond
+	// newPeerPeriod is how long a peer counts as new: until the others have listed it a few times.
+	newPeerPeriod = 1500 * time.Millisecond
+	// joinPeriod is how long a newly started gateway only discovers its peers, and takes no duty: peer lists travel to
+	// the gateways in its settings and back.
+	joinPeriod = 450 * time.Millisecond
+	// joinInterval is the time between two requests for peer lists.
 	joinInterval = 150 * time.Millisecond
-	// unknownFor is how long after its start a gateway takes a leader that it has not heard for one that it does not know
-	// yet: names of gateways that start together reach all within a second.
-	unknownFor = 1200 * time.Millisecond
-	// peerSilent is after how long a gateway that is not heard is no longer given out, also if nobody could tell whether it
-	// has ended: three digests and a margin.
-	peerSilent = 800 * time.Millisecond
-	// leaderSilent is after how long a duty is taken over from a gateway that is not heard, of few: two digests and the way.
-	leaderSilent = 450 * time.Millisecond
-	// peerForgotten is after how long a gateway that is not heard is no longer told anything.
-	peerForgotten = 30 * time.Second
-	// maxTold is how many gateways one digest goes to; with more of them they are told in turn. A leader tells all, so that
-	// no other takes its place.
-	maxTold = 20
-	// maxNamed is how many other gateways a digest names.
-	maxNamed = 12
-	// sendFailuresLogged is how many datagrams that could not be sent are logged a second.
-	sendFailuresLogged = 2
-	// pullTimeout bounds one pull of a table from another gateway.
+	// unknownLeaderTimeout is how long after its start a gateway assumes that a leader without any message is alive but
+	// not discovered yet: the addresses of gateways that start together reach all within a second.
+	unknownLeaderTimeout = 1200 * time.Millisecond
+	// peerTimeout is the time without a message after which a peer is no longer given to callers, even if no gateway
+	// could tell whether it is dead: three digests and a margin.
+	peerTimeout = 800 * time.Millisecond
+	// leaderTimeout is the time without a message after which a duty is taken over, in a small deployment: two digests
+	// and the network delay.
+	leaderTimeout = 450 * time.Millisecond
+	// forgetPeerAfter is the time without a message after which a peer receives no more digests.
+	forgetPeerAfter = 30 * time.Second
+	// maxDigestTargets is how many peers receive one digest; if there are more, they take turns. A leader sends to all,
+	// so that no peer takes over its duty.
+	maxDigestTargets = 20
+	// maxListedPeers is how many peer addresses a digest contains.
+	maxListedPeers = 12
+	// maxSendFailureLogs is how many datagrams that could not be sent are logged per second.
+	maxSendFailureLogs = 2
+	// pullTimeout bounds one pull of a table from a peer.
 	pullTimeout = time.Second
 )
 
-// peer is another gateway. It is not changed once it is known: each datagram makes a new one.
+// peer is the state of another gateway. It is immutable: each datagram creates a new one.
 type peer struct {
 	digest *cardamomyokev1.Digest
-	// parts has a bit for each part of the digest that came.
-	parts uint64
-	// newest is the highest sequence that was heard; probes have numbers, too.
-	newest  uint64
-	heardAt time.Time
-	// firstAt is when this life was heard first.
-	firstAt time.Time
+	// receivedParts has a bit for each received part of the digest.
+	receivedParts uint64
+	// maxSequence is the highest sequence number received, which may be that of a probe.
+	maxSequence uint64
+	lastSeen    time.Time
+	// firstSeen is when the first message of this incarnation was received.
+	firstSeen time.Time
 }
 
-// peers knows the other gateways: it tells them of this one and hears of them.
+// peers exchanges digests and probes with the other gateways and holds their state.
 type peers struct {
 	g        *Gateway
 	sender   *digest.Sender
 	receiver *digest.Receiver
 	port     *controlport.Port
-	// metricsPort is nil unless the settings have an address of its own for it.
+	// metricsPort is nil unless the settings contain a separate address for metrics.
 	metricsPort *controlport.Port
 	http        *http.Client
 	ctx         context.Context
-	began       time.Time
+	startedAt   time.Time
 
-	// sequence numbers the datagrams.
+	// sequence numbers the sent datagrams.
 	sequence atomic.Uint64
-	// failures logs what could not be sent.
+	// failures logs datagrams that could not be sent.
 	failures *logging.RateLimited
 
 	mu       sync.Mutex
 	detector *liveness.Detector
-	known    map[string]*peer     // by name
-	hints    map[string]time.Time // addresses that were named, with the time of it
-	pulling  map[string]bool      // tables that are being pulled
-	lags     map[string]lag       // tables whose copy lacks a change
+	byName   map[string]*peer     // keyed by node name
+	hints    map[string]time.Time // addresses from peer lists and digests, with the time they were last received
+	pulling  map[string]bool      // tables with a pull in progress
+	lags     map[string]lag       // missing versions by table
 
-	// strangers are addresses that were never told anything.
-	strangers []string
-	// relaysAt is when enough gateways that follow a table were heard last, by table.
+	// newAddresses are addresses that have never received a digest.
+	newAddresses []string
+	// relaysAt is when enough peers that follow a table were last seen, by table.
 	relaysAt map[string]time.Time
 
-	// The rest belongs to the control loop. turn is where the next digest goes on in the list of targets.
-	turn    int
-	toldAt  time.Time
-	namedAt time.Time
-	askedAt time.Time // for names
+	// The fields below belong to the control loop. nextTarget is the index of the next digest's first target.
+	nextTarget     int
+	sentAt         time.Time
+	peerListSentAt time.Time
+	joinSentAt     time.Time // when peer lists were last requested
 }
 
 func startPeers(ctx context.Context, g *Gateway) (*peers, error) {
 	p := &peers{
-		g:       g,
-		ctx:     ctx,
-		began:   time.Now(),
-		http:    &http.Client{Timeout: pullTimeout},
-		known:   map[string]*peer{},
-		hints:   map[string]time.Time{},
-		pulling: map[string]bool{},
-		lags:    map[string]lag{},
+		g:         g,
+		ctx:       ctx,
+		startedAt: time.Now(),
+		http:      &http.Client{Timeout: pullTimeout},
+		byName:    map[string]*peer{},
+		hints:     map[string]time.Time{},
+		pulling:   map[string]bool{},
+		lags:      map[string]lag{},
 
 		relaysAt: map[string]time.Time{},
 		detector: newDetector(),
-		failures: logging.NewRateLimited(level.Warn(g.logger), sendFailuresLogged, time.Now),
+		failures: logging.NewRateLimited(level.Warn(g.logger), maxSendFailureLogs, time.Now),
 	}
 	var err error
 	if p.sender, err = digest.NewSender(); err != nil {
 		return nil, err
 	}
-	if p.receiver, err = digest.Receive(g.Settings().Listen.Peers, p.hear); err != nil {
+	if p.receiver, err = digest.Receive(g.Settings().Listen.Peers, p.receive); err != nil {
 		return nil, err
 	}
 	mux := http.NewServeMux()
@@ -144,21 +147,21 @@
 	}
 }
 
-// hear takes in a datagram; one that is older than the last of its sender changes nothing.
-func (p *peers) hear(d *cardamomyokev1.Digest) {
+// receive processes a datagram; one that is older than the last of its sender is ignored.
+func (p *peers) receive(d *cardamomyokev1.Digest) {
 	if d.GetNode() == p.g.Settings().Name || d.GetRole() != cardamomyokev1.NodeRole_NODE_ROLE_GATEWAY {
 		return
 	}
 	now := time.Now()
 	p.mu.Lock()
-	old := p.known[d.GetNode()]
-	next := old.with(d, now)
+	old := p.byName[d.GetNode()]
+	next := old.merge(d, now)
 	if next == nil {
 		p.mu.Unlock()
 		return
 	}
-	p.known[d.GetNode()] = next
-	p.meet(now, append(d.GetPeers(), d.GetDigestAddress())...)
+	p.byName[d.GetNode()] = next
+	p.addHints(now, append(d.GetPeers(), d.GetDigestAddress())...)
 	if old != nil && old.digest.GetDigestAddress() != d.GetDigestAddress() {
 		p.detector.Forget(liveness.Address(old.digest.GetDigestAddress()))
 	}
@@ -168,10 +171,10 @@
 	if old == nil || old.digest.GetState() != next.digest.GetState() {
 		_ = level.Info(p.g.logger).Log("msg", "peer", "peer", d.GetNode(), "state", d.GetState(), "incarnation", d.GetIncarnation())
 	}
-	p.note(changes)
+	p.logPeerChanges(changes)
 	p.sendProbes(replies)
 	if d.GetProbe().GetJoin() {
-		p.g.loop.Post(func(now time.Time) { p.sendNames(now, d.GetDigestAddress()) })
+		p.g.loop.Post(func(now time.Time) { p.sendPeerList(now, d.GetDigestAddress()) })
 	}
 	if d.GetProbe() == nil {
 		p.g.suspects.tracker.Merge(now, quarantine.FromDigest(d)...)
@@ -179,8 +182,9 @@
 	}
 }
 
-// with returns the peer as it is known after one more datagram, nil if that is not news. k is nil if nothing was known.
-func (k *peer) with(d *cardamomyokev1.Digest, now time.Time) *peer {
+// merge returns the peer's state after one more datagram, nil if the datagram contains nothing new. k is nil if there
+// is no state yet.
+func (k *peer) merge(d *cardamomyokev1.Digest, now time.Time) *peer {
 	first := &peer{d, partBit(d), d.GetSequence(), now, now}
 	switch {
 	case k == nil:
@@ -194,69 +198,72 @@
 	next := *k
 	switch {
 	case d.GetProbe() != nil:
-		if d.GetSequence() <= k.newest {
+		if d.GetSequence() <= k.maxSequence {
 			return nil
 		}
 	case k.replacedBy(d, now):
-		next.digest, next.parts = d, partBit(d)
-	case d.GetSequence() == k.digest.GetSequence() && k.parts&partBit(d) == 0:
-		next.digest, next.parts = digest.Join(k.digest, d), k.parts|partBit(d)
+		next.digest, next.receivedParts = d, partBit(d)
+	case d.GetSequence() == k.digest.GetSequence() && k.receivedParts&partBit(d) == 0:
+		next.digest, next.receivedParts = digest.Join(k.digest, d), k.receivedParts|partBit(d)
 	default:
 		return nil
 	}
-	next.newest = max(k.newest, d.GetSequence())
-	next.heardAt = now
+	next.maxSequence = max(k.maxSequence, d.GetSequence())
+	next.lastSeen = now
 	return &next
 }
 
 func partBit(d *cardamomyokev1.Digest) uint64 { return 1 << d.GetPart().GetIndex() }
 
-// replacedBy reports whether a digest is newer than what is known. Lives are ordered by the time of day at their start.
+// replacedBy reports whether a digest is newer than the recorded one. Incarnations are ordered by the wall clock at
+// their start.
 //
-// A gateway whose host's time of day was set back has a new life that sorts before the ended one. So a life that has fallen
-// silent is replaced by any other; digests of an ended life do not arrive that late.
+// After a host's wall clock was set back, a restarted gateway has an incarnation that sorts before its previous one.
+// Any other incarnation therefore replaces one without a message within peerTimeout; digests of a dead incarnation do
+// not arrive that late.
 func (k *peer) replacedBy(d *cardamomyokev1.Digest, now time.Time) bool {
 	if d.GetIncarnation() != k.digest.GetIncarnation() {
-		return d.GetIncarnation() > k.digest.GetIncarnation() || now.Sub(k.heardAt) > peerSilent
+		return d.GetIncarnation() > k.digest.GetIncarnation() || now.Sub(k.lastSeen) > peerTimeout
 	}
 	return d.GetSequence() > k.digest.GetSequence()
 }
 
-// silence scales a time after which a gateway that is not heard counts as gone to how often it is heard.
-func (p *peers) silence(d time.Duration) time.Duration {
+// scaleTimeout scales a timeout for messages of a peer to the number of peers, as each of many peers sends less often.
+func (p *peers) scaleTimeout(d time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.silenceLocked(d)
+	return p.scaleTimeoutLocked(d)
 }
 
-func (p *peers) silenceLocked(d time.Duration) time.Duration {
-	if n := len(p.known); n > maxTold {
-		return d * time.Duration(n) / maxTold
+func (p *peers) scaleTimeoutLocked(d time.Duration) time.Duration {
+	if n := len(p.byName); n > maxDigestTargets {
+		return d * time.Duration(n) / maxDigestTargets
 	}
 	return d
 }
 
-// live are the gateways that were heard lately and are not known to have ended, in no order.
+// live returns the peers that were seen within the scaled peerTimeout and are not known to be dead, in no particular
+// sequence.
 func (p *peers) live(now time.Time) []*peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []*peer
-	limit := p.silenceLocked(peerSilent)
-	for _, k := range p.known {
-		if now.Sub(k.heardAt) <= limit && !p.detector.Dead(k.address()) {
+	limit := p.scaleTimeoutLocked(peerTimeout)
+	for _, k := range p.byName {
+		if now.Sub(k.lastSeen) <= limit && !p.detector.Dead(k.address()) {
 			out = append(out, k)
 		}
 	}
 	return out
 }
 
-// address is where the peer takes datagrams.
+// address returns the address at which the peer receives datagrams.
 func (k *peer) address() liveness.Address { return liveness.Address(k.digest.GetDigestAddress()) }
 
-// leads reports whether the peer says that it places experts; it then tells all others each time.
+// leads reports whether the peer places experts, according to its digest. A leader sends each digest to all gateways.
 func (k *peer) leads() bool { return k.digest.GetExpertsFence() > 0 }
 
-// count is how many other gateways are live.
+// count returns the number of live peers.
 func (p *peers) count(now time.Time) int { return len(p.live(now)) }
 
 func newDetector() *liveness.Detector {
--- a/internal/node/gateway/sums.go
+++ b/internal/node/gateway/peerstate.go
@@ -11,10 +11,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// maxAddresses is how many addresses one answer of the directory may name.
+// maxAddresses is the maximum number of addresses in a directory response.
 const maxAddresses = 64
 
-// addresses are those that callers may use: of all gateways that are ready, this one among them.
+// addresses returns the addresses that callers may use: those of all gateways that are ready, including this one.
 func (p *peers) addresses(now time.Time) []string {
 	var out []string
 	if p.g.view.Load().state == stateReady {
@@ -31,36 +31,38 @@
 	return out
 }
 
-// paces are those of the slow ranks among a service's upstreams, as the leader tells them; this gateway may be the leader.
-func (p *peers) paces(name ids.Service, upstreams *catalog.Upstreams, now time.Time) map[ids.UpstreamIncarnation]float64 {
-	told := map[uint64]float64{}
-	for _, s := range p.g.experts.slowKnown() {
-		told[s.GetUpstream()] = s.GetPace()
+// slowdowns returns the slowdown factors of the slow ranks among a service's upstreams, as reported by the leader,
+// which may be this gateway.
+func (p *peers) slowdowns(name ids.Service, upstreams *catalog.Upstreams, now time.Time) map[ids.UpstreamIncarnation]float64 {
+	byHash := map[uint64]float64{}
+	for _, s := range p.g.experts.allSlowRanks() {
+		byHash[s.GetUpstream()] = s.GetPace()
 	}
 	for _, k := range p.live(now) {
 		for _, s := range k.digest.GetSlow() {
-			told[s.GetUpstream()] = s.GetPace()
+			byHash[s.GetUpstream()] = s.GetPace()
 		}
 	}
-	if len(told) == 0 {
+	if len(byHash) == 0 {
 		return nil
 	}
 	out := map[ids.UpstreamIncarnation]float64{}
 	for _, u := range upstreams.Of(name) {
-		if pace, ok := told[hashOf(u.Incarnation())]; ok {
-			out[u.Incarnation()] = pace
+		if slowdown, ok := byHash[hashOf(u.Incarnation())]; ok {
+			out[u.Incarnation()] = slowdown
 		}
 	}
 	return out
 }
 
-// work is what the other gateways have in flight at a service's upstreams, and when the oldest digest that says so came.
+// work returns the requests that the peers have in flight at a service's upstreams, and the last-seen time of the live
+// peer that was seen least recently.
 func (p *peers) work(name ids.Service, upstreams *catalog.Upstreams, now time.Time) (map[ids.UpstreamIncarnation]dispatch.Work, time.Time) {
 	sum := map[uint32]dispatch.Work{}
 	var oldest time.Time
 	for _, k := range p.live(now) {
-		if oldest.IsZero() || k.heardAt.Before(oldest) {
-			oldest = k.heardAt
+		if oldest.IsZero() || k.lastSeen.Before(oldest) {
+			oldest = k.lastSeen
 		}
 		w := k.digest.GetWork()
 		for i, upstream := range w.GetUpstreams() {
--- a/internal/node/gateway/rankwatch.go
+++ b/internal/node/gateway/rankwatch.go
@@ -11,12 +11,13 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// rankWatchMost is the longest pause between two reads of a rank that refuses; the pause doubles from watchInterval. A rank
-// that is left over may refuse for good, and one whose group has formed again is missed for half a second at most.
-const rankWatchMost = 500 * time.Millisecond
+// maxRankWatchInterval is the longest interval between two polls of a rank that refuses requests; the interval doubles
+// from watchInterval. A spare rank may refuse forever, and a rank whose group has formed again stays closed for half a
+// second at most.
+const maxRankWatchInterval = 500 * time.Millisecond
 
-// doubtRank keeps requests from one rank until it says that its group is open. It is called with the lock held.
-func (w *groupWatch) doubtRank(ctx context.Context, u *catalog.Upstream, reason string) {
+// closeRank holds back requests from one rank until it reports that its group is open. The caller holds the lock.
+func (w *groupWatch) closeRank(ctx context.Context, u *catalog.Upstream, reason string) {
 	if u == nil || w.ranksWatched[u.Incarnation()] {
 		return
 	}
@@ -27,27 +28,27 @@
 
 func (w *groupWatch) watchRank(ctx context.Context, u *catalog.Upstream, reason string) {
 	began := time.Now()
-	pause := watchInterval
-	verdict := w.ask(ctx, u)
-	if verdict == groupBroken {
+	interval := watchInterval
+	state := w.readRank(ctx, u)
+	if state == groupBroken {
 		w.survey(ctx, reason)
 	}
-	for w.listed(u) && ctx.Err() == nil && !verdict.opens(time.Since(began)) {
-		monotonic.Sleep(ctx, pause)
-		pause = min(2*pause, rankWatchMost)
-		verdict = w.ask(ctx, u)
+	for w.listed(u) && ctx.Err() == nil && !state.mayOpen(time.Since(began)) {
+		monotonic.Sleep(ctx, interval)
+		interval = min(2*interval, maxRankWatchInterval)
+		state = w.readRank(ctx, u)
 	}
 	w.mu.Lock()
 	delete(w.ranksWatched, u.Incarnation())
 	w.gate.SetUpstreamClosed(u.Incarnation(), false)
 	w.mu.Unlock()
 	if time.Since(began) < watchInterval {
-		return // it was only full
+		return // the rank was only full
 	}
 	_ = level.Info(w.logger).Log("msg", "rank closed to requests", "upstream", u.ID, "reason", reason, "for", time.Since(began))
 }
 
-// listed reports whether the upstream's life is still one of the service's.
+// listed reports whether the upstream's incarnation is still one of the service's upstreams.
 func (w *groupWatch) listed(u *catalog.Upstream) bool {
 	return slices.ContainsFunc(w.upstreams(), func(v *catalog.Upstream) bool { return v.Incarnation() == u.Incarnation() })
 }
--- a/internal/node/gateway/registry.go
+++ b/internal/node/gateway/registry.go
@@ -10,37 +10,37 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/registry"
 )
 
-// maxFindings is how many findings about entries are logged at one change of the registry; a writer that fills it with
-// thousands of entries must not fill the log, too.
+// maxFindings is how many findings about registry entries are logged per change; a writer that fills the registry with
+// thousands of entries must not flood the log as well.
 const maxFindings = 20
 
-// readUpstreams makes the list of upstreams from the copy of the registry.
+// readUpstreams builds the list of upstreams from the replica of the registry.
 func (g *Gateway) readUpstreams(now time.Time) *catalog.Upstreams {
 	var services map[ids.Service]*catalog.Service
 	if g.control.config != nil {
 		services = g.control.config.Services
 	}
 	next, findings := g.control.entries.Update(g.registry.Replica.Rows(), services)
-	g.noteFindings(findings, now)
+	g.processFindings(findings, now)
 	g.logUpstreams(g.control.upstreams, next)
 	return next
 }
 
-func (g *Gateway) noteFindings(findings []registry.Finding, now time.Time) {
+func (g *Gateway) processFindings(findings []registry.Finding, now time.Time) {
 	for i, f := range findings {
 		if f.Kind == registry.Restarted {
-			g.suspects.restarted(f.Previous, now)
+			g.suspects.upstreamRestarted(f.Previous, now)
 		}
 		if i < maxFindings {
 			_ = level.Warn(g.logger).Log("msg", f.Kind, "entry", f.Key, "version", f.Version, "life", f.Incarnation, "before", f.Previous, "err", f.Err)
 		}
 	}
 	if more := len(findings) - maxFindings; more > 0 {
-		_ = level.Warn(g.logger).Log("msg", "more findings about entries", "not_logged", more)
+		_ = level.Warn(g.logger).Log("msg", "further registry findings not logged", "not_logged", more)
 	}
 }
 
-// logUpstreams logs what differs between two lists.
+// logUpstreams logs the differences between two lists of upstreams.
 func (g *Gateway) logUpstreams(before, after *catalog.Upstreams) {
 	for _, u := range after.All() {
 		old := before.Get(u.ID)
@@ -55,12 +55,13 @@
 	}
 }
 
-// reject leaves out the entry of an upstream at whose address another one answered, on the control loop.
-func (g *Gateway) reject(u *catalog.Upstream, answered ids.Upstream, now time.Time) {
+// reject excludes the registry entry of an upstream at whose address another upstream responded. It runs on the control
+// loop.
+func (g *Gateway) reject(u *catalog.Upstream, responder ids.Upstream, now time.Time) {
 	if !g.control.entries.Reject(u.Incarnation()) {
 		return
 	}
-	_ = level.Warn(g.logger).Log("msg", "upstream left out", "reason", "another one answers at its address", "upstream", u.Incarnation(),
-		"address", u.Address, "answered", answered, "entry_version", u.Version)
+	_ = level.Warn(g.logger).Log("msg", "registry entry rejected", "reason", "another upstream responds at its address", "upstream", u.Incarnation(),
+		"address", u.Address, "answered", responder, "entry_version", u.Version)
 	g.reload(now)
 }
--- a/internal/policy/attempt/event.go
+++ b/internal/policy/attempt/event.go
@@ -12,19 +12,19 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// Event is one token of a model's answer, or its end.
+// Event is one token of a model's response, or its end.
 type Event = cardamomyokev1.AttemptEvent
 
-// ContentType is that of a stream of events.
+// ContentType is the content type of a stream of events.
 const ContentType = "application/vnd.cardamomyoke.attempt"
 
-// maxEventBytes bounds one event on the wire.
+// maxEventBytes is the maximum encoded size of an event.
 const maxEventBytes = 256 << 10
 
-// Last reports whether no event follows e.
+// Last reports whether e is the last event of its stream.
 func Last(e *Event) bool { return e.GetFinish() != "" || e.GetFailure() != "" }
 
-// Write writes e to w, length-delimited.
+// Write writes e to w with a length prefix.
 func Write(w io.Writer, e *Event) error {
 	if _, err := protodelim.MarshalTo(w, e); err != nil {
 		return fmt.Errorf("write event: %w", err)
@@ -32,7 +32,8 @@
 	return nil
 }
 
-// MismatchError says that an answer is not the one to this attempt. Its connection must be closed, never reused.
+// MismatchError reports that a response does not belong to this attempt or is out of sequence. The connection must be
+// closed and never reused.
 type MismatchError struct {
 	Attempt ids.Attempt
 	Want    string
@@ -41,64 +42,65 @@
 
 // Error implements error.
 func (e *MismatchError) Error() string {
-	return fmt.Sprintf("attempt %s: answer has %s, want %s", e.Attempt, e.Got, e.Want)
+	return fmt.Sprintf("attempt %s: response has %s, want %s", e.Attempt, e.Got, e.Want)
 }
 
-// CutError says that a stream ended before its last event.
-type CutError struct {
+// TruncatedError reports that a stream ended before its last event.
+type TruncatedError struct {
 	Attempt ids.Attempt
 	Tokens  int
 	Cause   error
 }
 
 // Error implements error.
-func (e *CutError) Error() string {
-	return fmt.Sprintf("attempt %s: answer cut off after %d tokens", e.Attempt, e.Tokens)
+func (e *TruncatedError) Error() string {
+	return fmt.Sprintf("attempt %s: response truncated after %d tokens", e.Attempt, e.Tokens)
 }
 
 // Unwrap returns the cause.
-func (e *CutError) Unwrap() error { return e.Cause }
+func (e *TruncatedError) Unwrap() error { return e.Cause }
 
-// Follower reads the events of one answer and checks that they belong to it and come in order, each once.
-type Follower struct {
+// EventReader reads the events of one response and checks that they belong to the attempt and arrive in sequence, each
+// once.
+type EventReader struct {
 	id    ids.Attempt
-	r     *bufio.Reader
+	src   *bufio.Reader
 	event Event
 	next  int
 	ended bool
 }
 
-// NewFollower reads the answer to attempt a from r; token index next is expected first.
-func NewFollower(a ids.Attempt, next int, r io.Reader) *Follower {
-	return &Follower{id: a, r: bufio.NewReader(r), next: next}
+// NewEventReader returns a reader of the response to attempt a from r. The index of its first token must be next.
+func NewEventReader(a ids.Attempt, next int, r io.Reader) *EventReader {
+	return &EventReader{id: a, src: bufio.NewReader(r), next: next}
 }
 
 // Next returns the next event, which is valid until the following call, and io.EOF after the last one. Errors:
-// *CutError if the stream ends before its last event, *MismatchError for an event of another answer, a gap, a double,
-// or an event after the last.
-func (f *Follower) Next() (*Event, error) {
-	f.event.Reset()
-	err := protodelim.UnmarshalOptions{MaxSize: maxEventBytes}.UnmarshalFrom(f.r, &f.event)
-	if errors.Is(err, io.EOF) && f.ended {
+// *TruncatedError if the stream ends before its last event; *MismatchError for an event of another attempt, a gap, a
+// duplicate, or an event after the last one.
+func (r *EventReader) Next() (*Event, error) {
+	r.event.Reset()
+	err := protodelim.UnmarshalOptions{MaxSize: maxEventBytes}.UnmarshalFrom(r.src, &r.event)
+	if errors.Is(err, io.EOF) && r.ended {
 		return nil, io.EOF
 	}
 	if err != nil {
-		return nil, &CutError{f.id, f.next, err}
+		return nil, &TruncatedError{r.id, r.next, err}
 	}
-	return &f.event, f.check(&f.event)
+	return &r.event, r.check(&r.event)
 }
 
-func (f *Follower) check(e *Event) error {
-	if e.GetAttempt() != f.id.Seq {
-		return &MismatchError{f.id, "its own id", fmt.Sprintf("sequence %d", e.GetAttempt())}
+func (r *EventReader) check(e *Event) error {
+	if e.GetAttempt() != r.id.Seq {
+		return &MismatchError{r.id, "its own id", fmt.Sprintf("sequence %d", e.GetAttempt())}
 	}
-	if f.ended || e.GetFailure() == "" && int(e.GetIndex()) != f.next {
-		got := fmt.Sprintf("index %d (ended %t)", e.GetIndex(), f.ended)
-		return &MismatchError{f.id, fmt.Sprintf("index %d", f.next), got}
+	if r.ended || e.GetFailure() == "" && int(e.GetIndex()) != r.next {
+		got := fmt.Sprintf("index %d (ended %t)", e.GetIndex(), r.ended)
+		return &MismatchError{r.id, fmt.Sprintf("index %d", r.next), got}
 	}
-	f.ended = Last(e)
-	if !f.ended {
-		f.next++
+	r.ended = Last(e)
+	if !r.ended {
+		r.next++
 	}
 	return nil
 }
