--- a/internal/experts/placement/bench_test.go
+++ b/internal/experts/placement/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/placement/expert"
 )
 
-// BenchmarkObserve takes in one rank's report of a group of the size that the product is to carry.
+// BenchmarkObserve measures processing one rank's report in a group of the size that the product must support.
 func BenchmarkObserve(b *testing.B) {
 	g := placement.Group{
 		Shape: expert.Shape{Ranks: 64, Experts: 128, Layers: 60}, Slots: 240, ExpertBytes: 40 << 20, StoreRate: 1e9,
@@ -21,7 +21,7 @@
 	w := 0
 	for b.Loop() {
 		r := placement.Report{Rank: w % 8, Window: uint64(w / 8), Tokens: tokens, Processed: 1, Busy: 1, Step: uint64(w)}
-		if err := p.Observe(at(w/8), r); err != nil {
+		if err := p.Observe(windowTime(w/8), r); err != nil {
 			b.Fatal(err)
 		}
 		w++
--- a/internal/experts/placement/drain.go
+++ b/internal/experts/placement/drain.go
@@ -8,24 +8,24 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/placement/expert"
 )
 
-// drain takes every expert from the stalled ranks, whatever it costs: the group cannot complete a step with them. Only
-// experts whose last replica is on a stalled rank are loaded elsewhere.
+// drain removes every expert from the stalled ranks at any cost, because the group cannot complete a step with them.
+// Only experts whose last replica is on a stalled rank are loaded elsewhere.
 func (p *Policy) drain(d Decision, current *expert.Map, speed, pop []float64) Decision {
 	if pop == nil {
-		pop = usualPopularity(p.group.Shape)
+		pop = uniformPopularity(p.group.Shape)
 	}
 	dr := newDraft(p.group, current, pop, speed)
-	lost := dr.evict(d.Stalled)
-	for _, v := range lost {
-		if !dr.rescue(v) {
-			d.Stay = ReasonNoRoom
+	orphaned := dr.evict(d.Stalled)
+	for _, v := range orphaned {
+		if !dr.assignReplica(v) {
+			d.Stay = ReasonNoCapacity
 			return d
 		}
 	}
-	dr.even()
+	dr.balance()
 	m, err := dr.build(current.Version() + 1)
 	if err != nil {
-		d.Stay = ReasonNoRoom
+		d.Stay = ReasonNoCapacity
 		return d
 	}
 	d.Target = dr.skew()
@@ -35,9 +35,9 @@
 	return d
 }
 
-// evict removes all replicas from the ranks and returns the experts that have none left, heaviest first.
-func (d *draft) evict(ranks []int) []victim {
-	var lost []victim
+// evict removes all replicas from the ranks and returns the experts that have none left, by descending popularity.
+func (d *draft) evict(ranks []int) []expertRef {
+	var orphaned []expertRef
 	for l, ly := range d.layers {
 		for e := range ly.holders {
 			for _, r := range ranks {
@@ -48,40 +48,41 @@
 				d.used[r]--
 			}
 			if len(ly.holders[e]) == 0 {
-				lost = append(lost, victim{l, e})
+				orphaned = append(orphaned, expertRef{l, e})
 			}
 		}
 	}
-	pop := func(v victim) float64 { return d.layers[v.layer].pop[v.expert] }
-	slices.SortStableFunc(lost, func(a, b victim) int { return cmp.Compare(pop(b), pop(a)) })
-	return lost
+	pop := func(v expertRef) float64 { return d.layers[v.layer].pop[v.expert] }
+	slices.SortStableFunc(orphaned, func(a, b expertRef) int { return cmp.Compare(pop(b), pop(a)) })
+	return orphaned
 }
 
-// rescue gives an expert without a replica one on the rank that finishes first. It prefers a rank with a free slot and
-// else takes the slot of a spare replica; false if there is neither.
-func (d *draft) rescue(v victim) bool {
+// assignReplica adds a replica of an expert that has none to the rank that finishes the layer first. It prefers ranks
+// with a free slot; otherwise it replaces a spare replica. It returns false if neither exists.
+func (d *draft) assignReplica(v expertRef) bool {
 	ly := d.layers[v.layer]
-	if r := d.firstRank(ly, func(r int) bool { return d.used[r] < d.group.Slots }); r >= 0 {
+	if r := d.earliestRank(ly, func(r int) bool { return d.used[r] < d.group.Slots }); r >= 0 {
 		ly.add(v.expert, r)
 		d.used[r]++
 		return true
 	}
-	none := func(int, int) bool { return false }
-	r := d.firstRank(ly, func(r int) bool {
-		_, ok := d.spare(r, none)
+	keepNone := func(int, int) bool { return false }
+	r := d.earliestRank(ly, func(r int) bool {
+		_, ok := d.spareReplica(r, keepNone)
 		return ok
 	})
 	if r < 0 {
 		return false
 	}
-	s, _ := d.spare(r, none)
+	s, _ := d.spareReplica(r, keepNone)
 	d.layers[s.layer].remove(s.expert, r)
 	ly.add(v.expert, r)
 	return true
 }
 
-// firstRank returns the working rank that finishes the layer first among those that ok accepts; -1 if there is none.
-func (d *draft) firstRank(ly *layer, ok func(rank int) bool) int {
+// earliestRank returns the working rank that finishes the layer first among those that ok accepts, or -1 if there is
+// none.
+func (d *draft) earliestRank(ly *layer, ok func(rank int) bool) int {
 	best, first := -1, math.Inf(1)
 	for r, v := range d.speed {
 		if v > 0 && ly.time(r) < first && ok(r) {
--- a/internal/experts/placement/expert/encode.go
+++ b/internal/experts/placement/expert/encode.go
@@ -11,22 +11,23 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// Hash names a map by its version and content.
+// Hash identifies a map by its version and content.
 type Hash [sha256.Size]byte
 
 // String formats the hash in hexadecimal.
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
-// EncodingError says that bytes are not an encoded map.
+// EncodingError reports that a map cannot be encoded, or that bytes are not an encoded map.
 type EncodingError struct{ Cause error }
 
 // Error implements error.
-func (e *EncodingError) Error() string { return fmt.Sprintf("expert map cannot be read: %v", e.Cause) }
+func (e *EncodingError) Error() string { return fmt.Sprintf("expert map encoding: %v", e.Cause) }
 
 // Unwrap returns the cause.
 func (e *EncodingError) Unwrap() error { return e.Cause }
 
-// Hash returns the SHA-256 of the version, the shape and all replicas, each number as 64 bits, little endian.
+// Hash returns the SHA-256 of the version, the shape and all replicas, with each number as 64 bits in little-endian
+// byte order.
 func (m *Map) Hash() Hash {
 	numbers := []uint64{m.version, uint64(m.shape.Ranks), uint64(m.shape.Experts), uint64(m.shape.Layers)}
 	for _, list := range m.replicas {
@@ -35,14 +36,14 @@
 			numbers = append(numbers, uint64(r.Rank), uint64(r.Share))
 		}
 	}
-	text := make([]byte, 0, 8*len(numbers))
+	data := make([]byte, 0, 8*len(numbers))
 	for _, n := range numbers {
-		text = binary.LittleEndian.AppendUint64(text, n)
+		data = binary.LittleEndian.AppendUint64(data, n)
 	}
-	return sha256.Sum256(text)
+	return sha256.Sum256(data)
 }
 
-// Proto returns the stored form.
+// Proto returns the map in its stored form.
 func (m *Map) Proto() *cardamomyokev1.ExpertPlacement {
 	p := &cardamomyokev1.ExpertPlacement{
 		Version: m.version,
@@ -60,7 +61,7 @@
 	return p
 }
 
-// MarshalBinary implements encoding.BinaryMarshaler; equal maps give equal bytes in one release of the program.
+// MarshalBinary implements encoding.BinaryMarshaler. Equal maps give equal bytes within one release of the program.
 func (m *Map) MarshalBinary() ([]byte, error) {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m.Proto())
 	if err != nil {
@@ -69,7 +70,7 @@
 	return data, nil
 }
 
-// Decode reads what MarshalBinary wrote; it returns *EncodingError or *InvalidError.
+// Decode decodes the output of MarshalBinary. It returns *EncodingError or *InvalidError on failure.
 func Decode(data []byte) (*Map, error) {
 	p := &cardamomyokev1.ExpertPlacement{}
 	if err := proto.Unmarshal(data, p); err != nil {
@@ -78,25 +79,25 @@
 	return FromProto(p)
 }
 
-// FromProto checks the stored form and returns its map; it returns *InvalidError.
+// FromProto validates the stored form and returns its map. It returns *InvalidError if the form is not valid.
 func FromProto(p *cardamomyokev1.ExpertPlacement) (*Map, error) {
 	if len(p.GetRank()) != len(p.GetShare()) {
 		return nil, &InvalidError{Reason: "lists of ranks and shares differ in length"}
 	}
-	rest := len(p.GetRank())
+	remaining := len(p.GetRank())
 	replicas := make([][]Replica, len(p.GetReplicas()))
-	at := 0
+	next := 0
 	for cell, n := range p.GetReplicas() {
-		if int64(n) > int64(rest) {
+		if int64(n) > int64(remaining) {
 			return nil, &InvalidError{Reason: "fewer replicas than counted"}
 		}
-		rest -= int(n)
+		remaining -= int(n)
 		for range n {
-			replicas[cell] = append(replicas[cell], Replica{int(p.GetRank()[at]), int(p.GetShare()[at])})
-			at++
+			replicas[cell] = append(replicas[cell], Replica{int(p.GetRank()[next]), int(p.GetShare()[next])})
+			next++
 		}
 	}
-	if rest != 0 {
+	if remaining != 0 {
 		return nil, &InvalidError{Reason: "more replicas than counted"}
 	}
 	shape := Shape{int(p.GetRanks()), int(p.GetExperts()), int(p.GetLayers())}
--- a/internal/experts/placement/expert/expert_test.go
+++ b/internal/experts/placement/expert/expert_test.go
@@ -12,7 +12,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/placement/expert"
 )
 
-// TestMain fixes the seed of the random tests, so that each run gives one verdict.
+// TestMain fixes the seed of the random tests so that their results are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.nofailfile": "true"} {
@@ -44,13 +44,13 @@
 	return m
 }
 
-func TestMovesAndEncodingKeepTheMap(t *testing.T) {
+func TestMovesAndEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shape := expert.Shape{Ranks: rapid.IntRange(1, 4).Draw(t, "ranks"), Experts: 3, Layers: 2}
 		a, b := drawMap(t, "a", shape), drawMap(t, "b", shape)
 		got, err := a.Apply(b.Version(), expert.Diff(a, b))
 		if err != nil || !got.Equal(b) || got.Hash() != b.Hash() {
-			t.Fatalf("moves lead to another map (%v)", err)
+			t.Fatalf("the moves do not lead to the target map (%v)", err)
 		}
 		if a.Version() != b.Version() && a.Hash() == b.Hash() {
 			t.Fatal("two versions share a hash")
@@ -65,21 +65,21 @@
 		}
 		read, err := expert.Decode(data)
 		if err != nil || read.Hash() != b.Hash() {
-			t.Fatalf("the encoding changes the map (%v)", err)
+			t.Fatalf("decoding the encoded map gives another map (%v)", err)
 		}
 	})
 }
 
-func TestNewRefusesUnsoundMaps(t *testing.T) {
+func TestNewRejectsInvalidMaps(t *testing.T) {
 	shape := expert.Shape{Ranks: 2, Experts: 1, Layers: 1}
 	full := expert.ShareUnit
 	tests := map[string][][]expert.Replica{
-		"no cell":    {},
-		"no replica": {{}},
-		"share":      {{{Rank: 0, Share: full - 1}}},
-		"negative":   {{{Rank: 0, Share: full + 1}, {Rank: 1, Share: -1}}},
-		"twice":      {{{Rank: 0, Share: full / 2}, {Rank: 0, Share: full / 2}}},
-		"rank":       {{{Rank: 2, Share: full}}},
+		"no cells":       {},
+		"no replica":     {{}},
+		"share sum":      {{{Rank: 0, Share: full - 1}}},
+		"negative share": {{{Rank: 0, Share: full + 1}, {Rank: 1, Share: -1}}},
+		"rank twice":     {{{Rank: 0, Share: full / 2}, {Rank: 0, Share: full / 2}}},
+		"unknown rank":   {{{Rank: 2, Share: full}}},
 	}
 	for name, replicas := range tests {
 		var typed *expert.InvalidError
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestApplyRefusesMovesThatDoNotFit(t *testing.T) {
+func TestApplyRejectsInvalidMoves(t *testing.T) {
 	shape := expert.Shape{Ranks: 2, Experts: 1, Layers: 1}
 	m, err := expert.New(1, shape, [][]expert.Replica{{{Rank: 0, Share: expert.ShareUnit}}})
 	if err != nil {
@@ -120,7 +120,7 @@
 			t.Fatalf("untyped error %v", err)
 		}
 		if err == nil && len(m.Replicas()) != m.Shape().Cells() {
-			t.Fatal("a map without all of its experts was read")
+			t.Fatal("a map with missing experts was decoded")
 		}
 	})
 }
--- a/internal/experts/placement/expert/map.go
+++ b/internal/experts/placement/expert/map.go
@@ -8,10 +8,10 @@
 // ShareUnit is the sum of the shares of an expert's replicas.
 const ShareUnit = 4096
 
-// maxRanks keeps a damaged encoding from asking for lists of absurd length.
+// maxRanks limits the number of ranks of a decoded map, so that a corrupt encoding cannot cause huge allocations.
 const maxRanks = 1 << 16
 
-// Shape is the size of a model group.
+// Shape is the size of a model group's map.
 type Shape struct {
 	Ranks, Experts, Layers int
 }
@@ -19,13 +19,14 @@
 // Cells returns the number of experts over all layers.
 func (s Shape) Cells() int { return s.Experts * s.Layers }
 
-// Cell returns the index of an expert of a layer in lists that run over layers and then experts.
+// Cell returns the index of a layer's expert in lists that are sorted by layer, then expert.
 func (s Shape) Cell(layer, expert int) int { return layer*s.Experts + expert }
 
 // Replica is one copy of an expert.
 type Replica struct {
 	Rank int
-	// Share is the part of the expert's tokens that this copy takes, in 1/ShareUnit; 0 marks a copy in waiting.
+	// Share is the share of the expert's tokens that this replica takes, in units of 1/ShareUnit; 0 marks a standby
+	// replica.
 	Share int
 }
 
@@ -36,7 +37,7 @@
 	replicas [][]Replica
 }
 
-// InvalidError says why a map is not sound.
+// InvalidError describes why a map is invalid. Layer and Expert are 0 if the fault is not one of a single expert.
 type InvalidError struct {
 	Layer, Expert int
 	Reason        string
@@ -47,11 +48,12 @@
 	return fmt.Sprintf("expert map: layer %d expert %d: %s", e.Layer, e.Expert, e.Reason)
 }
 
-// New returns a map with the replicas of each cell (see Shape.Cell); it takes the lists over and sorts them by rank. It
-// returns *InvalidError unless each expert has a replica, no rank holds one twice and shares add up to ShareUnit.
+// New returns a map with the given replicas of each cell (see Shape.Cell). It takes ownership of the lists and sorts
+// them by rank. It returns *InvalidError unless each expert has a replica, no rank holds an expert twice, and the
+// shares of each expert add up to ShareUnit.
 func New(version uint64, shape Shape, replicas [][]Replica) (*Map, error) {
-	small := shape.Ranks <= 0 || shape.Experts <= 0 || shape.Layers <= 0
-	if small || shape.Ranks > maxRanks || len(replicas) != shape.Cells() {
+	tooSmall := shape.Ranks <= 0 || shape.Experts <= 0 || shape.Layers <= 0
+	if tooSmall || shape.Ranks > maxRanks || len(replicas) != shape.Cells() {
 		return nil, &InvalidError{Reason: fmt.Sprintf("%d lists of replicas do not fit shape %+v", len(replicas), shape)}
 	}
 	for cell, list := range replicas {
@@ -86,16 +88,16 @@
 	return ""
 }
 
-// Version returns the number of the map; it only grows within a group.
+// Version returns the version of the map, which only grows within a group.
 func (m *Map) Version() uint64 { return m.version }
 
-// Shape returns the size of the group.
+// Shape returns the size of the map.
 func (m *Map) Shape() Shape { return m.shape }
 
-// At returns the replicas of an expert, ordered by rank; the list must not be changed.
+// At returns the replicas of an expert, sorted by rank. The caller must not change the list.
 func (m *Map) At(layer, expert int) []Replica { return m.replicas[m.shape.Cell(layer, expert)] }
 
-// Replicas returns a copy of the lists of all cells, free to be changed.
+// Replicas returns a copy of the lists of all cells, which the caller may change.
 func (m *Map) Replicas() [][]Replica {
 	out := make([][]Replica, len(m.replicas))
 	for i, list := range m.replicas {
--- a/internal/experts/placement/expert/moves.go
+++ b/internal/experts/placement/expert/moves.go
@@ -5,20 +5,21 @@
 	"slices"
 )
 
-// Op is what a move does to one replica.
+// Op is the operation that a move performs on one replica.
 type Op string
 
 // The operations of moves.
 const (
-	// OpLoad loads an expert's weights on a rank; the replica takes its share from the next map on.
+	// OpLoad loads an expert's weights on a rank. The replica takes its share of tokens once the next map is in
+	// force.
 	OpLoad Op = "load"
-	// OpShare changes the part of the tokens that a replica takes; it costs no weights.
+	// OpShare changes the share of the tokens that a replica takes. It loads no weights.
 	OpShare Op = "share"
 	// OpDrop frees the memory slot of a replica.
 	OpDrop Op = "drop"
 )
 
-// Move is one change of one replica.
+// Move is one change to one replica.
 type Move struct {
 	Op                  Op
 	Layer, Expert, Rank int
@@ -26,7 +27,7 @@
 	Share int
 }
 
-// MoveError says that a move does not fit the map it is applied to.
+// MoveError reports that a move does not fit the map to which it is applied.
 type MoveError struct {
 	Move   Move
 	Reason string
@@ -35,15 +36,15 @@
 // Error implements error.
 func (e *MoveError) Error() string { return fmt.Sprintf("move %+v: %s", e.Move, e.Reason) }
 
-// Diff returns the moves from one map to another of the same shape: loads, then shares, then drops, so that no expert
-// is without a replica after any of them. Within each operation moves run over layers, experts and ranks.
+// Diff returns the moves from one map to another of the same shape: loads, then share changes, then drops, so that no
+// expert is without a replica after any of them. Within each operation, moves are sorted by layer, expert and rank.
 func Diff(from, to *Map) []Move {
 	var loads, shares, drops []Move
 	for cell, list := range to.replicas {
 		layer, e := cell/to.shape.Experts, cell%to.shape.Experts
 		old := from.replicas[cell]
 		for _, r := range list {
-			i := indexOf(old, r.Rank)
+			i := indexOfRank(old, r.Rank)
 			if i < 0 {
 				loads = append(loads, Move{OpLoad, layer, e, r.Rank, r.Share})
 			} else if old[i].Share != r.Share {
@@ -51,7 +52,7 @@
 			}
 		}
 		for _, r := range old {
-			if indexOf(list, r.Rank) < 0 {
+			if indexOfRank(list, r.Rank) < 0 {
 				drops = append(drops, Move{OpDrop, layer, e, r.Rank, 0})
 			}
 		}
@@ -70,8 +71,8 @@
 	return n
 }
 
-// Apply carries out moves in order and returns the map that results; it returns *MoveError for a move that does not
-// fit and *InvalidError if the result is not sound.
+// Apply carries out moves in sequence and returns the resulting map. It returns *MoveError for a move that does not
+// fit, and *InvalidError if the result is invalid.
 func (m *Map) Apply(version uint64, moves []Move) (*Map, error) {
 	replicas := m.Replicas()
 	for _, mv := range moves {
@@ -89,7 +90,7 @@
 }
 
 func applyMove(list []Replica, mv Move) ([]Replica, string) {
-	i := indexOf(list, mv.Rank)
+	i := indexOfRank(list, mv.Rank)
 	switch mv.Op {
 	case OpLoad:
 		if i >= 0 {
@@ -111,6 +112,6 @@
 	return nil, "unknown operation"
 }
 
-func indexOf(list []Replica, rank int) int {
+func indexOfRank(list []Replica, rank int) int {
 	return slices.IndexFunc(list, func(r Replica) bool { return r.Rank == rank })
 }
--- a/internal/experts/placement/improve.go
+++ b/internal/experts/placement/improve.go
@@ -7,28 +7,30 @@
 )
 
 const (
-	// planMinutes is for how long the loads of one plan may last at the limit of bytes a minute.
-	planMinutes = 3
-	// reserveShare is the part of a rank's slots that a plan leaves free, so that the next one has room to load.
+	// maxPlanMinutes is the longest time that the loads of one plan may take at the limit of bytes per minute.
+	maxPlanMinutes = 3
+	// reserveShare is the share of a rank's slots that a plan leaves free, so that the next plan has slots to load
+	// into.
 	reserveShare = 1.0 / 32
-	// fewerLoads divides the number of loads that are tried after too many did not pay.
-	fewerLoads = 4
+	// loadDivisor divides the number of loads to try after the loads tried did not pay back.
+	loadDivisor = 4
 )
 
-// Improvement is the best map that Improve found.
+// Improvement is the best map found by Improve.
 type Improvement struct {
 	Map   *expert.Map
 	Moves []expert.Move
-	// Before and After are the skew of the present and the new map.
+	// Before and After are the skew of the current and the new map.
 	Before, After float64
 }
 
-// Improve looks for a better map under the given popularity (share of each cell in its layer) and speeds. It evens out
-// shares, then adds replicas that each pay for their loading, then frees the slots of replicas that do least. What a
-// rank holds now and what it is to load fit in its slots together, since the present map is in use until the switch.
+// Improve searches for a better map under the given popularity (each cell's share of its layer's tokens) and speeds.
+// It balances shares, then adds replicas that each pay for their loading, then frees the slots of the replicas that
+// do least. A rank's present replicas and those to be loaded must fit in its slots together, because the current map
+// is in use until the switch.
 func Improve(g Group, o Options, current *expert.Map, pop, speed []float64) (Improvement, error) {
 	old := newDraft(g, current, pop, speed)
-	next := candidate(g, o, old)
+	next := bestDraft(g, o, old)
 	m, err := next.build(current.Version() + 1)
 	if err != nil {
 		return Improvement{}, fmt.Errorf("build the improved map: %w", err)
@@ -36,32 +38,32 @@
 	return Improvement{m, expert.Diff(current, m), old.skew(), next.skew()}, nil
 }
 
-// candidate returns the best draft found. Failure: with memory nearly full, many loads push out replicas that do more
-// than the new ones, the whole plan looks worthless, and the map stays as it is for ever. So the loads must pay after
-// the slots are freed as well, and are tried in smaller numbers if they do not.
-func candidate(g Group, o Options, old *draft) *draft {
-	even := old.clone()
-	even.even()
+// bestDraft returns the best draft found. The loads must still pay back after slots are freed, and fewer loads are
+// tried if they do not. Otherwise, with memory nearly full, many loads push out replicas that do more than the new
+// ones, the whole plan looks worthless, and the map never changes.
+func bestDraft(g Group, o Options, old *draft) *draft {
+	balanced := old.clone()
+	balanced.balance()
 	if o.Horizon <= 0 {
-		return even
+		return balanced
 	}
 	price := o.MoveWeight * float64(g.ExpertBytes) / gigabyte / o.Horizon.Seconds()
-	budget := int(min(planBytes(o, g)/g.ExpertBytes, uint64(g.Slots*g.Shape.Ranks)))
+	budget := int(min(maxPlanBytes(o, g)/g.ExpertBytes, uint64(g.Slots*g.Shape.Ranks)))
 	for budget > 0 {
-		next, loads := withLoads(g, old.used, even.clone(), price, budget)
+		next, loads := addLoads(g, old.used, balanced.clone(), price, budget)
 		if loads == 0 {
-			return even
+			return balanced
 		}
-		if even.skew()-next.skew() > price*float64(loads) {
+		if balanced.skew()-next.skew() > price*float64(loads) {
 			return next
 		}
-		budget = min(budget, loads) / fewerLoads
+		budget = min(budget, loads) / loadDivisor
 	}
-	return even
+	return balanced
 }
 
-// withLoads adds up to budget replicas to the draft, frees slots for the next plan, and returns the number of loads.
-func withLoads(g Group, used []int, next *draft, price float64, budget int) (*draft, int) {
+// addLoads adds up to budget replicas to the draft, frees slots for the next plan, and returns the number of loads.
+func addLoads(g Group, used []int, next *draft, price float64, budget int) (*draft, int) {
 	s := &search{draft: next, free: make([]int, len(used)), loads: budget, price: price, added: map[[2]int]bool{}}
 	for r, n := range used {
 		s.free[r] = g.Slots - n
@@ -74,7 +76,7 @@
 	return next, budget - s.loads
 }
 
-// planBytes is what the loads of one plan may take from the store.
-func planBytes(o Options, g Group) uint64 {
-	return planMinutes * min(o.MaxBytesPerMinute, g.StoreRate*60)
+// maxPlanBytes returns the number of bytes that the loads of one plan may read from the weight store.
+func maxPlanBytes(o Options, g Group) uint64 {
+	return maxPlanMinutes * min(o.MaxBytesPerMinute, g.StoreRate*60)
 }
--- a/internal/experts/placement/layer.go
+++ b/internal/experts/placement/layer.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// shareSweeps bounds the rounds in which the shares of a layer are evened out.
-	shareSweeps = 6
-	// settled is the change of a rank's time, relative to the layer's mean, below which shares are not evened further.
-	settled = 1e-4
+	// maxShareSweeps bounds the rounds in which the shares of a layer are balanced.
+	maxShareSweeps = 6
+	// shareTolerance is the change of a rank's time, relative to the layer's mean, below which balancing stops.
+	shareTolerance = 1e-4
 )
 
-// layer is one layer of a map while it is searched. Loads and shares are parts of the layer's tokens.
+// layer is one layer of a draft. Loads and shares are fractions of the layer's tokens.
 type layer struct {
 	pop   []float64
 	speed []float64
-	// holders lists the ranks of each expert in ascending order, and shares what each takes of all tokens.
+	// holders lists the ranks of each expert in ascending order, and shares the fraction of all tokens that each
+	// takes.
 	holders [][]int
 	shares  [][]float64
 	load    []float64
@@ -34,21 +35,22 @@
 	}
 }
 
-// layerOf returns layer number l of m under the given popularity.
-func layerOf(m *expert.Map, l int, pop, speed []float64) *layer {
+// newLayerFromMap returns layer l of m under the given popularity.
+func newLayerFromMap(m *expert.Map, l int, pop, speed []float64) *layer {
 	ly := newLayer(pop, speed)
 	for e := range pop {
 		for _, r := range m.At(l, e) {
-			part := pop[e] * float64(r.Share) / expert.ShareUnit
+			share := pop[e] * float64(r.Share) / expert.ShareUnit
 			ly.holders[e] = append(ly.holders[e], r.Rank)
-			ly.shares[e] = append(ly.shares[e], part)
-			ly.load[r.Rank] += part
+			ly.shares[e] = append(ly.shares[e], share)
+			ly.load[r.Rank] += share
 		}
 	}
 	return ly
 }
 
-// clone copies what a search may change. Lists of holders are replaced and never changed in place, so they are shared.
+// clone returns a copy for a search to change. The inner slices of holders are replaced and never changed in place,
+// so the copy shares them.
 func (ly *layer) clone() *layer {
 	c := *ly
 	c.holders = slices.Clone(ly.holders)
@@ -63,7 +65,8 @@
 	return &c
 }
 
-// time returns how long the rank takes, where 1 is all tokens at speed 1. A rank that cannot work takes for ever.
+// time returns how long the rank takes, where 1 is the time for all tokens at speed 1. It is infinite for a rank that
+// has tokens but speed 0.
 func (ly *layer) time(rank int) float64 {
 	if ly.load[rank] <= 0 {
 		return 0
@@ -84,9 +87,9 @@
 	return rank, t
 }
 
-// roughness is the sum of squared loads over speeds; it falls with each step towards balance, also where the slowest
-// rank's time does not yet because another rank is as slow.
-func (ly *layer) roughness() float64 {
+// imbalance returns the sum over ranks of squared load divided by speed. It falls with each step towards balance,
+// even while the slowest rank's time stays the same because another rank is as slow.
+func (ly *layer) imbalance() float64 {
 	sum := 0.0
 	for r, load := range ly.load {
 		if load > 0 {
@@ -96,7 +99,7 @@
 	return sum
 }
 
-// add gives the expert a replica on the rank, with no share yet.
+// add adds a replica of the expert on the rank. The replica takes no tokens yet, unless it is the expert's only one.
 func (ly *layer) add(e, rank int) {
 	i, _ := slices.BinarySearch(ly.holders[e], rank)
 	ly.holders[e] = slices.Insert(slices.Clone(ly.holders[e]), i, rank)
@@ -107,11 +110,12 @@
 	}
 }
 
-// remove takes the expert's replica from the rank and gives its share to the replica that finishes first.
+// remove removes the expert's replica from the rank and gives its share to the remaining replica whose rank finishes
+// first.
 func (ly *layer) remove(e, rank int) {
 	i := slices.Index(ly.holders[e], rank)
-	part := ly.shares[e][i]
-	ly.load[rank] -= part
+	share := ly.shares[e][i]
+	ly.load[rank] -= share
 	ly.holders[e] = slices.Delete(slices.Clone(ly.holders[e]), i, i+1)
 	ly.shares[e] = slices.Delete(slices.Clone(ly.shares[e]), i, i+1)
 	if len(ly.holders[e]) == 0 {
@@ -123,22 +127,23 @@
 			to = j
 		}
 	}
-	ly.shares[e][to] += part
-	ly.load[ly.holders[e][to]] += part
+	ly.shares[e][to] += share
+	ly.load[ly.holders[e][to]] += share
 }
 
 // holds reports whether the rank has a replica of the expert.
 func (ly *layer) holds(e, rank int) bool { return slices.Contains(ly.holders[e], rank) }
 
-// even spreads the tokens of replicated experts so that the holders of each finish together. The sum of squares that it
-// lowers expert by expert is convex, so that it nears the one best spread whatever the order.
-func (ly *layer) even() {
-	limit := settled / floats.Sum(ly.speed)
-	for range shareSweeps {
+// balance redistributes the tokens of replicated experts so that the holders of each finish together. It lowers the
+// imbalance expert by expert; imbalance is a convex function of the shares, so the result approaches the one optimum
+// in whatever sequence the experts are processed.
+func (ly *layer) balance() {
+	limit := shareTolerance / floats.Sum(ly.speed)
+	for range maxShareSweeps {
 		change := 0.0
 		for e := range ly.holders {
 			if len(ly.holders[e]) > 1 {
-				change = max(change, ly.fill(e))
+				change = max(change, ly.waterFill(e))
 			}
 		}
 		if change < limit {
@@ -147,26 +152,27 @@
 	}
 }
 
-// fill spreads one expert over its holders as water fills vessels, and returns the largest change of a share.
-func (ly *layer) fill(e int) float64 {
-	holders, parts := ly.holders[e], ly.shares[e]
+// waterFill distributes one expert's tokens over its holders by water-filling, and returns the largest change of a
+// share.
+func (ly *layer) waterFill(e int) float64 {
+	holders, replicaShares := ly.holders[e], ly.shares[e]
 	for i, r := range holders {
-		ly.load[r] -= parts[i]
+		ly.load[r] -= replicaShares[i]
 	}
-	level := ly.level(e)
+	level := ly.waterLevel(e)
 	change := 0.0
 	for i, r := range holders {
-		part := max(0, level*ly.speed[r]-ly.load[r])
-		change = max(change, math.Abs(part-parts[i]))
-		parts[i] = part
-		ly.load[r] += part
+		share := max(0, level*ly.speed[r]-ly.load[r])
+		change = max(change, math.Abs(share-replicaShares[i]))
+		replicaShares[i] = share
+		ly.load[r] += share
 	}
 	return change
 }
 
-// level returns the time at which the holders of e finish together, given what else they carry. A holder that carries
-// more than that takes no part, so the busiest ones are left out one by one.
-func (ly *layer) level(e int) float64 {
+// waterLevel returns the time at which the holders of e finish together, given their other load. A holder whose other
+// load alone takes longer gets no share, so the busiest holders are excluded one by one.
+func (ly *layer) waterLevel(e int) float64 {
 	work, speed := ly.pop[e], 0.0
 	active := append(make([]int, 0, len(ly.holders[e])), ly.holders[e]...)
 	for _, r := range active {
@@ -186,7 +192,7 @@
 	return work / speed
 }
 
-// busiest returns the index of the rank that takes longest.
+// busiest returns the index in ranks of the rank that takes longest.
 func (ly *layer) busiest(ranks []int) int {
 	worst := 0
 	for i, r := range ranks {
@@ -197,21 +203,21 @@
 	return worst
 }
 
-// replicas returns the replicas of an expert with whole shares; what rounding leaves goes to the largest.
+// replicas returns the replicas of an expert with integer shares. The rounding remainder goes to the largest one.
 func (ly *layer) replicas(e int) []expert.Replica {
 	out := make([]expert.Replica, len(ly.holders[e]))
-	left, largest := expert.ShareUnit, 0
+	rest, largest := expert.ShareUnit, 0
 	sum := floats.Sum(ly.shares[e])
 	for i, r := range ly.holders[e] {
 		out[i] = expert.Replica{Rank: r}
 		if sum > 0 {
 			out[i].Share = int(ly.shares[e][i] / sum * expert.ShareUnit)
 		}
-		left -= out[i].Share
+		rest -= out[i].Share
 		if out[i].Share > out[largest].Share {
 			largest = i
 		}
 	}
-	out[largest].Share += left
+	out[largest].Share += rest
 	return out
 }
--- a/internal/experts/placement/options.go
+++ b/internal/experts/placement/options.go
@@ -7,35 +7,35 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// gigabyte is the unit of movement that Options.MoveWeight prices.
+// gigabyte is the number of bytes that Options.MoveWeight refers to.
 const gigabyte = 1e9
 
 // Group describes the hardware and the model of a group.
 type Group struct {
 	Shape expert.Shape
-	// Slots is the number of experts, over all layers, that fit in one rank's memory, with those being loaded.
+	// Slots is the number of experts, over all layers, that fit in one rank's memory, including those being loaded.
 	Slots int
 	// ExpertBytes is the size of one expert's weights.
 	ExpertBytes uint64
-	// StoreRate is what the weight store grants to the group, in bytes a second.
+	// StoreRate is the rate that the weight store grants to the group, in bytes per second.
 	StoreRate uint64
 }
 
-// Options are the operator's settings of one group.
+// Options are the operator's settings for one group.
 type Options struct {
-	// Paused keeps the present map whatever happens.
+	// Paused keeps the current map in all cases.
 	Paused bool
 	// MoveWeight is the skew, summed over the seconds of Horizon, that loading one gigabyte must save.
 	MoveWeight float64
-	// Horizon is the time in which a move must pay back.
+	// Horizon is the time within which a move must pay back.
 	Horizon time.Duration
-	// Hysteresis is the skew that a new map must save before anything moves.
+	// Hysteresis is the minimum skew that a new map must save.
 	Hysteresis float64
-	// MaxBytesPerMinute limits what is loaded in any minute; 0 allows no load.
+	// MaxBytesPerMinute limits the bytes loaded in any minute; 0 allows no load.
 	MaxBytesPerMinute uint64
 }
 
-// FromConfig returns the options that the configuration asks for.
+// FromConfig returns the options set in the configuration.
 func FromConfig(r *cardamomyokev1.Rebalancing) Options {
 	return Options{
 		Paused:            r.GetPaused(),
--- a/internal/experts/placement/pack.go
+++ b/internal/experts/placement/pack.go
@@ -9,84 +9,87 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/placement/expert"
 )
 
-// RoomError says that the ranks that work have too little memory for every expert.
-type RoomError struct {
-	// Needed and Slots count experts over all layers.
+// CapacityError reports that the working ranks have too little memory for every expert.
+type CapacityError struct {
+	// Needed is the number of experts of a layer that still need a slot, and Slots the number of free memory slots
+	// for them.
 	Needed, Slots int
 }
 
 // Error implements error.
-func (e *RoomError) Error() string {
-	return fmt.Sprintf("no room: %d experts for %d memory slots", e.Needed, e.Slots)
+func (e *CapacityError) Error() string {
+	return fmt.Sprintf("not enough capacity: %d experts for %d memory slots", e.Needed, e.Slots)
 }
 
-// Pack works out a map from nothing: for each layer it gives replicas to the experts with the most tokens for each
-// replica, then places replicas, heaviest first, on the rank that would finish first. Each rank uses at most slots
-// memory slots, spread evenly over the layers. It is the first map of a group, and the baseline that moves most.
+// Pack computes a map from scratch. For each layer it gives additional replicas to the experts with the most tokens
+// per replica, then assigns replicas, largest first, to the rank that would finish first. Each rank uses at most
+// slots memory slots, spread evenly over the layers. Pack produces the first map of a group. It is also the baseline
+// with the most moves.
 func Pack(g Group, slots int, pop, speed []float64, version uint64) (*expert.Map, error) {
 	d := &draft{group: g, speed: speed, used: make([]int, g.Shape.Ranks)}
 	n := g.Shape.Experts
 	for l := range g.Shape.Layers {
 		ly := newLayer(pop[l*n:(l+1)*n], speed)
-		room := layerRoom(g.Shape, slots, speed, l, d.used)
-		if err := packLayer(ly, room, d.used); err != nil {
+		capacity := layerCapacity(g.Shape, slots, speed, l, d.used)
+		if err := packLayer(ly, capacity, d.used); err != nil {
 			return nil, err
 		}
-		ly.even()
+		ly.balance()
 		d.layers = append(d.layers, ly)
 	}
 	return d.build(version)
 }
 
-// layerRoom returns what each rank may use for layer l so that its slots last for all layers.
-func layerRoom(shape expert.Shape, slots int, speed []float64, l int, used []int) []int {
-	room := make([]int, len(speed))
+// layerCapacity returns the number of slots that each rank may use for layer l so that its slots suffice for all
+// layers.
+func layerCapacity(shape expert.Shape, slots int, speed []float64, l int, used []int) []int {
+	capacity := make([]int, len(speed))
 	for r, v := range speed {
 		if v > 0 {
-			room[r] = max(0, slots*(l+1)/shape.Layers-used[r])
+			capacity[r] = max(0, slots*(l+1)/shape.Layers-used[r])
 		}
 	}
-	return room
+	return capacity
 }
 
-func packLayer(ly *layer, room, used []int) error {
+func packLayer(ly *layer, capacity, used []int) error {
 	total := 0
-	for _, n := range room {
+	for _, n := range capacity {
 		total += n
 	}
 	if total < len(ly.pop) {
-		return &RoomError{len(ly.pop), total}
+		return &CapacityError{len(ly.pop), total}
 	}
-	copies := copiesFor(ly.pop, total, ranksWithRoom(room))
+	counts := replicaCounts(ly.pop, total, ranksWithCapacity(capacity))
 	order := make([]int, len(ly.pop))
 	for e := range order {
 		order[e] = e
 	}
-	each := func(e int) float64 { return ly.pop[e] / float64(copies[e]) }
+	each := func(e int) float64 { return ly.pop[e] / float64(counts[e]) }
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(each(b), each(a)) })
 	for i, e := range order {
-		for c := range copies[e] {
-			r := placeFor(ly, e, room)
+		for c := range counts[e] {
+			r := earliestFreeRank(ly, e, capacity)
 			if r < 0 && c > 0 {
 				break
 			}
 			if r < 0 {
-				return &RoomError{len(order) - i, 0}
+				return &CapacityError{len(order) - i, 0}
 			}
 			ly.put(e, r, each(e))
-			room[r]--
+			capacity[r]--
 			used[r]++
 		}
 	}
 	for e := range ly.pop {
-		ly.fill(e)
+		ly.waterFill(e)
 	}
 	return nil
 }
 
-func ranksWithRoom(room []int) int {
+func ranksWithCapacity(capacity []int) int {
 	n := 0
-	for _, free := range room {
+	for _, free := range capacity {
 		if free > 0 {
 			n++
 		}
@@ -94,34 +97,36 @@
 	return n
 }
 
-// copiesFor hands out replicas one by one to the expert with the most tokens for each replica.
-func copiesFor(pop []float64, total, most int) []int {
-	copies := make([]int, len(pop))
-	for e := range copies {
-		copies[e] = 1
+// replicaCounts returns the number of replicas of each expert: one, plus the remaining slots, each given to the
+// expert with the most tokens per replica.
+func replicaCounts(pop []float64, total, maxPerExpert int) []int {
+	counts := make([]int, len(pop))
+	for e := range counts {
+		counts[e] = 1
 	}
 	for range total - len(pop) {
 		best := -1
 		for e, p := range pop {
-			if copies[e] >= most {
+			if counts[e] >= maxPerExpert {
 				continue
 			}
-			if best < 0 || p*float64(copies[best]) > pop[best]*float64(copies[e]) {
+			if best < 0 || p*float64(counts[best]) > pop[best]*float64(counts[e]) {
 				best = e
 			}
 		}
 		if best < 0 {
 			break
 		}
-		copies[best]++
+		counts[best]++
 	}
-	return copies
+	return counts
 }
 
-// placeFor returns the rank with room that finishes first and does not hold e; -1 if there is none.
-func placeFor(ly *layer, e int, room []int) int {
+// earliestFreeRank returns the rank with free capacity that finishes first and does not hold e, or -1 if there is
+// none.
+func earliestFreeRank(ly *layer, e int, capacity []int) int {
 	best, first := -1, math.Inf(1)
-	for r, free := range room {
+	for r, free := range capacity {
 		if free > 0 && !ly.holds(e, r) && ly.time(r) < first {
 			best, first = r, ly.time(r)
 		}
@@ -129,10 +134,10 @@
 	return best
 }
 
-// put adds a replica with a given part of the layer's tokens.
-func (ly *layer) put(e, rank int, part float64) {
+// put adds a replica with the given share of the layer's tokens.
+func (ly *layer) put(e, rank int, share float64) {
 	i, _ := slices.BinarySearch(ly.holders[e], rank)
 	ly.holders[e] = slices.Insert(ly.holders[e], i, rank)
-	ly.shares[e] = slices.Insert(ly.shares[e], i, part)
-	ly.load[rank] += part
+	ly.shares[e] = slices.Insert(ly.shares[e], i, share)
+	ly.load[rank] += share
 }
--- a/internal/experts/placement/placement_test.go
+++ b/internal/experts/placement/placement_test.go
@@ -18,14 +18,14 @@
 )
 
 var (
-	epoch = time.Unix(1_800_000_000, 0)
-	small = placement.Group{
+	epoch      = time.Unix(1_800_000_000, 0)
+	smallGroup = placement.Group{
 		Shape: expert.Shape{Ranks: 4, Experts: 8, Layers: 2}, Slots: 6, ExpertBytes: 1e6, StoreRate: 1e9,
 	}
-	eager = placement.Options{MoveWeight: 1, Horizon: time.Hour, Hysteresis: 0.01, MaxBytesPerMinute: 1e9}
+	eagerOptions = placement.Options{MoveWeight: 1, Horizon: time.Hour, Hysteresis: 0.01, MaxBytesPerMinute: 1e9}
 )
 
-// TestMain fixes the seed of the random tests, so that each run gives one verdict.
+// TestMain fixes the seed of the random tests so that their results are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.nofailfile": "true"} {
@@ -36,7 +36,8 @@
 	os.Exit(m.Run())
 }
 
-// zipf returns a popularity in which expert (hot + i) mod experts is the i-th.
+// zipf returns a Zipf-distributed popularity: in each layer, the share of expert (hot + i) mod experts is proportional
+// to 1/(i+1).
 func zipf(shape expert.Shape, hot int) []float64 {
 	pop := make([]float64, shape.Cells())
 	for l := range shape.Layers {
@@ -55,7 +56,7 @@
 	return v
 }
 
-func packed(t interface{ Fatal(...any) }, g placement.Group, pop []float64) *expert.Map {
+func packMap(t interface{ Fatal(...any) }, g placement.Group, pop []float64) *expert.Map {
 	slots := g.Shape.Cells()/g.Shape.Ranks + g.Shape.Layers/2
 	m, err := placement.Pack(g, slots, pop, ones(g.Shape.Ranks), 1)
 	if err != nil {
@@ -64,8 +65,9 @@
 	return m
 }
 
-// feed reports windows from to to of a group that steps along. Nothing is heard of the silent ranks.
-func feed(t interface{ Fatal(...any) }, p *placement.Policy, g placement.Group, pop, speed []float64, from, to int, silent ...int) {
+// observeWindows passes the reports of windows from (inclusive) to to (exclusive) of a group that completes steps.
+// Silent ranks report nothing.
+func observeWindows(t interface{ Fatal(...any) }, p *placement.Policy, g placement.Group, pop, speed []float64, from, to int, silent ...int) {
 	for w := from; w < to; w++ {
 		for r := range g.Shape.Ranks {
 			if slices.Contains(silent, r) {
@@ -79,19 +81,19 @@
 				Rank: r, Window: uint64(w), Tokens: tokens, Processed: 1e6, Step: uint64(w + 1),
 				Busy: time.Duration(float64(time.Second) / speed[r]),
 			}
-			if err := p.Observe(at(w), rep); err != nil {
+			if err := p.Observe(windowTime(w), rep); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 }
 
-func at(w int) time.Time { return epoch.Add(time.Duration(w) * time.Minute) }
+func windowTime(w int) time.Time { return epoch.Add(time.Duration(w) * time.Minute) }
 
-func TestDecideNamesItsReasonToStay(t *testing.T) {
-	balanced, skewed := zipf(small.Shape, 0), zipf(small.Shape, 4)
+func TestDecideReportsReasonToStay(t *testing.T) {
+	balanced, skewed := zipf(smallGroup.Shape, 0), zipf(smallGroup.Shape, 4)
 	change := func(f func(*placement.Options)) placement.Options {
-		o := eager
+		o := eagerOptions
 		f(&o)
 		return o
 	}
@@ -101,24 +103,24 @@
 		windows int
 		want    placement.Reason
 	}{
-		"a drift is followed": {eager, skewed, 40, ""},
-		"paused":              {change(func(o *placement.Options) { o.Paused = true }), skewed, 40, placement.ReasonPaused},
-		"nothing heard":       {eager, skewed, 0, placement.ReasonNoData},
-		"too little heard":    {eager, skewed, 6, placement.ReasonNoData},
-		"hysteresis":          {change(func(o *placement.Options) { o.Hysteresis = 5 }), skewed, 40, placement.ReasonHysteresis},
-		"no drift":            {eager, balanced, 40, placement.ReasonHysteresis},
+		"drift":           {eagerOptions, skewed, 40, ""},
+		"paused":          {change(func(o *placement.Options) { o.Paused = true }), skewed, 40, placement.ReasonPaused},
+		"no reports":      {eagerOptions, skewed, 0, placement.ReasonNoData},
+		"too few reports": {eagerOptions, skewed, 6, placement.ReasonNoData},
+		"hysteresis":      {change(func(o *placement.Options) { o.Hysteresis = 5 }), skewed, 40, placement.ReasonHysteresis},
+		"no drift":        {eagerOptions, balanced, 40, placement.ReasonHysteresis},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := placement.NewPolicy(small)
-			start, err := placement.Improve(small, eager, packed(t, small, balanced), balanced, ones(4))
+			p := placement.NewPolicy(smallGroup)
+			initial, err := placement.Improve(smallGroup, eagerOptions, packMap(t, smallGroup, balanced), balanced, ones(4))
 			if err != nil {
 				t.Fatal(err)
 			}
-			m := start.Map
+			m := initial.Map
 			p.Decide(epoch, tc.options, m)
-			feed(t, p, small, tc.pop, ones(4), 0, tc.windows)
-			d := p.Decide(at(tc.windows), tc.options, m)
+			observeWindows(t, p, smallGroup, tc.pop, ones(4), 0, tc.windows)
+			d := p.Decide(windowTime(tc.windows), tc.options, m)
 			if d.Stay != tc.want || (d.Plan == nil) != (tc.want != "") {
 				t.Fatalf("stay %q, plan %v, want %q", d.Stay, d.Plan, tc.want)
 			}
@@ -126,9 +128,11 @@
 	}
 }
 
-func TestSameMapDecodedAnewIsNoChange(t *testing.T) {
-	p := placement.NewPolicy(small)
-	m := packed(t, small, zipf(small.Shape, 0))
+// A caller that decodes the same map again for each decision must not reset the noise estimate: without an estimate
+// no plan is ever made.
+func TestDecodedCopyOfMapIsNoChange(t *testing.T) {
+	p := placement.NewPolicy(smallGroup)
+	m := packMap(t, smallGroup, zipf(smallGroup.Shape, 0))
 	data, err := m.MarshalBinary()
 	if err != nil {
 		t.Fatal(err)
@@ -138,21 +142,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		feed(t, p, small, zipf(small.Shape, 4), ones(4), w, w+1)
-		if d := p.Decide(at(w), eager, copied); d.Plan != nil {
+		observeWindows(t, p, smallGroup, zipf(smallGroup.Shape, 4), ones(4), w, w+1)
+		if d := p.Decide(windowTime(w), eagerOptions, copied); d.Plan != nil {
 			return
 		}
 	}
-	t.Fatal("a drift was not followed in 40 windows")
+	t.Fatal("no plan followed the drift within 40 windows")
 }
 
-func TestMoveWeightAndBudgetHoldLoadsBack(t *testing.T) {
-	pop := zipf(small.Shape, 4)
-	m := packed(t, small, zipf(small.Shape, 0))
+func TestMoveWeightAndBudgetLimitLoads(t *testing.T) {
+	pop := zipf(smallGroup.Shape, 4)
+	m := packMap(t, smallGroup, zipf(smallGroup.Shape, 0))
 	loads := func(f func(*placement.Options)) int {
-		o := eager
+		o := eagerOptions
 		f(&o)
-		better, err := placement.Improve(small, o, m, pop, ones(4))
+		better, err := placement.Improve(smallGroup, o, m, pop, ones(4))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -168,26 +172,26 @@
 		t.Errorf("%d loads without a budget", n)
 	}
 	if n := loads(func(o *placement.Options) { o.Horizon = 0 }); n != 0 {
-		t.Errorf("%d loads without a time to pay back", n)
+		t.Errorf("%d loads without a payback horizon", n)
 	}
 	if n := loads(func(o *placement.Options) { o.MaxBytesPerMinute = 333_334 }); n != 1 {
 		t.Errorf("%d loads with a budget for one", n)
 	}
 }
 
-func TestStragglerGetsWorkInProportionToItsSpeed(t *testing.T) {
-	p := placement.NewPolicy(small)
-	pop := zipf(small.Shape, 0)
-	m := packed(t, small, pop)
+func TestStragglerGetsWorkInProportionToSpeed(t *testing.T) {
+	p := placement.NewPolicy(smallGroup)
+	pop := zipf(smallGroup.Shape, 0)
+	m := packMap(t, smallGroup, pop)
 	speed := []float64{1, 0.5, 1, 1}
-	p.Decide(epoch, eager, m)
+	p.Decide(epoch, eagerOptions, m)
 	for w := range 40 {
-		feed(t, p, small, pop, speed, w, w+1)
-		if plan := p.Decide(at(w), eager, m).Plan; plan != nil {
+		observeWindows(t, p, smallGroup, pop, speed, w, w+1)
+		if plan := p.Decide(windowTime(w), eagerOptions, m).Plan; plan != nil {
 			m = plan.Map
 		}
 	}
-	if diff := cmp.Diff(speed, p.Speeds(at(40))); diff != "" {
+	if diff := cmp.Diff(speed, p.Speeds(windowTime(40))); diff != "" {
 		t.Errorf("estimated speeds: %s", diff)
 	}
 	work := make([]float64, 4)
@@ -202,15 +206,15 @@
 	}
 }
 
-func TestPackRefusesTooLittleRoom(t *testing.T) {
-	var typed *placement.RoomError
-	if _, err := placement.Pack(small, 3, zipf(small.Shape, 0), ones(4), 1); !errors.As(err, &typed) {
+func TestPackRejectsInsufficientCapacity(t *testing.T) {
+	var typed *placement.CapacityError
+	if _, err := placement.Pack(smallGroup, 3, zipf(smallGroup.Shape, 0), ones(4), 1); !errors.As(err, &typed) {
 		t.Fatalf("got %v", err)
 	}
 }
 
-func TestObserveRefusesReportsOfAnotherGroup(t *testing.T) {
-	p := placement.NewPolicy(small)
+func TestObserveRejectsReportsOfAnotherGroup(t *testing.T) {
+	p := placement.NewPolicy(smallGroup)
 	for _, r := range []placement.Report{{Rank: 4}, {Rank: -1}, {Tokens: make([]uint32, 3)}} {
 		var typed *placement.ReportError
 		if err := p.Observe(epoch, r); !errors.As(err, &typed) {
@@ -219,12 +223,12 @@
 	}
 }
 
-// checkPlan holds what every plan must keep.
+// checkPlan checks the invariants of a plan.
 func checkPlan(t *rapid.T, g placement.Group, o placement.Options, old *expert.Map, d placement.Decision) {
 	plan := d.Plan
 	got, err := old.Apply(plan.Map.Version(), plan.Moves)
 	if err != nil || got.Hash() != plan.Map.Hash() {
-		t.Fatalf("the moves lead to another map (%v)", err)
+		t.Fatalf("the moves do not lead to the plan's map (%v)", err)
 	}
 	if plan.Map.Version() != old.Version()+1 {
 		t.Fatalf("version %d after %d", plan.Map.Version(), old.Version())
@@ -256,9 +260,9 @@
 	}
 }
 
-// drawGroup returns a group of any small shape whose memory is nearly full or not.
+// drawGroup returns a group with a random small shape and a random number of free slots.
 func drawGroup(t *rapid.T) placement.Group {
-	g := small
+	g := smallGroup
 	g.Shape = expert.Shape{
 		Ranks:   rapid.IntRange(2, 6).Draw(t, "ranks"),
 		Experts: rapid.IntRange(6, 12).Draw(t, "experts"),
@@ -268,12 +272,12 @@
 	return g
 }
 
-func TestEveryPlanKeepsTheRules(t *testing.T) {
+func TestPlansKeepInvariants(t *testing.T) {
 	plans := 0
 	rapid.Check(t, func(t *rapid.T) {
-		g, o := drawGroup(t), eager
+		g, o := drawGroup(t), eagerOptions
 		o.MaxBytesPerMinute = rapid.Uint64Range(0, 4e6).Draw(t, "limit")
-		a, b := placement.NewPolicy(g), placement.NewPolicy(g)
+		policy, twin := placement.NewPolicy(g), placement.NewPolicy(g)
 		pop, speed := zipf(g.Shape, 0), ones(g.Shape.Ranks)
 		m, err := placement.Pack(g, g.Shape.Layers*(g.Shape.Experts/g.Shape.Ranks+1), pop, speed, 1)
 		if err != nil {
@@ -285,9 +289,9 @@
 				speed[rapid.IntRange(0, g.Shape.Ranks-1).Draw(t, "rank")] = rapid.Float64Range(0.3, 1).Draw(t, "speed")
 			}
 			silent := rapid.IntRange(0, g.Shape.Ranks-1).Draw(t, "silent")
-			feed(t, a, g, pop, speed, w, w+1, silent)
-			feed(t, b, g, pop, speed, w, w+1, silent)
-			d, again := a.Decide(at(w), o, m), b.Decide(at(w), o, m)
+			observeWindows(t, policy, g, pop, speed, w, w+1, silent)
+			observeWindows(t, twin, g, pop, speed, w, w+1, silent)
+			d, again := policy.Decide(windowTime(w), o, m), twin.Decide(windowTime(w), o, m)
 			if diff := cmp.Diff(d.Stay, again.Stay); diff != "" {
 				t.Fatalf("equal inputs, different decisions: %s", diff)
 			}
--- a/internal/experts/placement/policy.go
+++ b/internal/experts/placement/policy.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/placement/expert"
 )
 
-// noiseMargin is how many times what noise alone would show a plan must save.
+// noiseMargin is the factor by which the skew that a plan saves must exceed the skew that noise alone would cause.
 const noiseMargin = 2.5
 
 // Policy decides on the map of one group. It is not safe for concurrent use.
@@ -22,7 +22,7 @@
 	current    *expert.Map
 }
 
-// NewPolicy returns a policy that has heard nothing yet.
+// NewPolicy returns a policy without any reports.
 func NewPolicy(g Group) *Policy {
 	return &Policy{
 		group:      g,
@@ -33,7 +33,7 @@
 	}
 }
 
-// Observe takes in a report that arrives at now; it returns *ReportError for one that does not fit the group.
+// Observe processes a report that arrives at now. It returns *ReportError if the report does not fit the group.
 func (p *Policy) Observe(now time.Time, r Report) error {
 	if err := p.group.checkReport(r); err != nil {
 		return err
@@ -46,23 +46,26 @@
 	return nil
 }
 
-// Popularity returns the estimated share of each cell in its layer's tokens, or nil before the first window.
+// Popularity returns the estimated share of each cell in its layer's tokens, or nil before the first window is
+// complete.
 func (p *Policy) Popularity() []float64 { return p.popularity.best().value }
 
-// Speeds returns each rank's estimated speed over the median; 0 for a stalled one.
-func (p *Policy) Speeds(now time.Time) []float64 { return p.speeds.relative(p.stalls.find(now)) }
+// Speeds returns each rank's estimated speed relative to the median; 0 for a stalled rank.
+func (p *Policy) Speeds(now time.Time) []float64 {
+	return p.speeds.relative(p.stalls.stalledRanks(now))
+}
 
-// Decide weighs whether the map that is in force should be replaced. The caller must not ask while a plan is being
+// Decide decides whether to replace the map in force, and by which one. It must not be called while a plan is being
 // carried out. The map of a plan has the version after current's.
 func (p *Policy) Decide(now time.Time, o Options, current *expert.Map) Decision {
-	p.follow(current)
-	stalled := p.stalls.find(now)
+	p.setCurrent(current)
+	stalled := p.stalls.stalledRanks(now)
 	d := Decision{Stalled: indices(stalled)}
 	if o.Paused {
 		d.Stay = ReasonPaused
 		return d
 	}
-	for r, idle := range p.stalls.idle(now, current.Used()) {
+	for r, idle := range p.stalls.idleRanks(now, current.Used()) {
 		stalled[r] = stalled[r] || idle
 	}
 	speed := p.speeds.relative(stalled)
@@ -70,16 +73,17 @@
 	if holdsAny(current, d.Stalled) {
 		return p.drain(d, current, speed, pop)
 	}
-	if pop == nil || !p.noise.known() {
+	if pop == nil || !p.noise.ready() {
 		d.Stay = ReasonNoData
 		return d
 	}
 	return p.rebalance(d, o, pop, speed)
 }
 
-// follow notes which map is in force. Failure: a caller that decodes the same map anew for each decision would seem to
-// change it each time, so that noise is never known and nothing ever moves. So maps are compared by content.
-func (p *Policy) follow(current *expert.Map) {
+// setCurrent records the map in force. Maps are compared by content: a caller that decodes the same map again for
+// each decision would otherwise seem to change it each time, noise would never be estimated and nothing would ever
+// move.
+func (p *Policy) setCurrent(current *expert.Map) {
 	if p.current != nil && p.current.Version() == current.Version() && p.current.Equal(current) {
 		return
 	}
@@ -95,15 +99,15 @@
 	}
 	d.Skew, d.Target = better.Before, better.After
 	bytes := uint64(expert.Loads(better.Moves)) * p.group.ExpertBytes
-	d.Stay = weigh(o, d, bytes)
+	d.Stay = stayReason(o, d, bytes)
 	if d.Stay == "" {
 		d.Plan = &Plan{CauseSkew, better.Map, better.Moves, bytes}
 	}
 	return d
 }
 
-// weigh returns the reason not to take the best map found, or none.
-func weigh(o Options, d Decision, bytes uint64) Reason {
+// stayReason returns the reason not to switch to the best map found, or "" if the switch is worth it.
+func stayReason(o Options, d Decision, bytes uint64) Reason {
 	gain := d.Skew - d.Target
 	switch {
 	case gain <= 0:
@@ -133,8 +137,9 @@
 	return out
 }
 
-// usualPopularity is assumed where nothing is known: each expert of a layer takes as many tokens.
-func usualPopularity(shape expert.Shape) []float64 {
+// uniformPopularity returns the popularity assumed without data: the experts of a layer take equal shares of its
+// tokens.
+func uniformPopularity(shape expert.Shape) []float64 {
 	pop := make([]float64, shape.Cells())
 	floats.AddConst(1/float64(shape.Experts), pop)
 	return pop
--- a/internal/experts/placement/report.go
+++ b/internal/experts/placement/report.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// Report is what one rank tells of one window. A missing report and a doubled one do no harm; one that is late counts
-// as long as its window is open.
+// Report is one rank's report of one window. Missing and duplicate reports are tolerated; a late one counts as long
+// as its window is open.
 type Report struct {
 	Rank   int
 	Window uint64
-	// Tokens counts what the rank sent to each cell (see expert.Shape.Cell) in the window; nil if it was not its turn.
+	// Tokens is the number of tokens that the rank sent to each cell (see expert.Shape.Cell) in the window; nil in a
+	// report without counts, since ranks may take turns in reporting them.
 	Tokens []uint32
-	// Processed is the number of tokens that the rank's own experts took in the window, and Busy the time they took.
+	// Processed is the number of tokens that the rank's own experts processed in the window, and Busy the time they
+	// took.
 	Processed uint64
 	Busy      time.Duration
 	// Step is the last step that the rank completed.
 	Step uint64
-	// Waiting says that the rank stands at the barrier of the next step and waits for others. While it does, a report is
-	// due at least every third of StallAfter, also between windows; the window's tokens may be left out of it.
+	// Waiting is set while the rank waits for others at the barrier of the next step. During that time a report is
+	// due at least every third of StallAfter, also between windows; such a report may omit the window's tokens.
 	Waiting bool
 }
 
-// ReportError says that a report does not fit the group.
+// ReportError reports that a rank's report does not fit the group.
 type ReportError struct {
 	Rank   int
 	Reason string
--- a/internal/experts/placement/search.go
+++ b/internal/experts/placement/search.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// layerMoves is the number of loads that are tried in one layer before the best number of them is taken.
-	layerMoves = 4
-	// triedExperts and triedRanks bound the pairs that are weighed for each load.
-	triedExperts = 4
-	triedRanks   = 4
+	// maxLayerLoads is the number of loads tried in one layer before the best number of them is chosen.
+	maxLayerLoads = 4
+	// maxTriedExperts and maxTriedRanks bound the pairs that are evaluated for each load.
+	maxTriedExperts = 4
+	maxTriedRanks   = 4
 )
 
-// search looks for replicas whose saving pays for their loading.
+// search looks for additional replicas whose saving pays for their loading.
 type search struct {
 	draft *draft
-	// free is the number of experts that each rank can still load beside all that it holds now.
+	// free is the number of experts that each rank can load in addition to all that it holds now.
 	free []int
-	// loads is the number of loads that the budget still allows.
+	// loads is the number of loads left in the budget.
 	loads int
 	// price is the skew that one load must save.
 	price float64
-	// added marks the cells that got a replica, by cell and rank.
+	// added holds the added replicas, by cell and rank.
 	added map[[2]int]bool
 }
 
-// run improves the draft, worst layers first.
+// run improves the draft, starting with the slowest layers.
 func (s *search) run() {
 	order := make([]int, len(s.draft.layers))
 	times := make([]float64, len(order))
@@ -46,15 +46,16 @@
 // load is a replica that a layer may get.
 type load struct{ expert, rank int }
 
-// improve adds to layer l the number of replicas, up to layerMoves, that saves most beyond its price.
+// improve adds replicas to layer l, up to maxLayerLoads, and keeps the number of them with the highest saving after
+// their price.
 func (s *search) improve(l int) {
 	start := s.draft.layers[l]
 	_, before := start.slowest()
-	scale := float64(len(s.draft.layers)) * s.draft.ideal()
+	scale := float64(len(s.draft.layers)) * s.draft.idealTime()
 	best, bestNet, bestCount := start, 0.0, 0
 	free := slices.Clone(s.free)
 	var tried []load
-	for now := start; len(tried) < min(layerMoves, s.loads); {
+	for now := start; len(tried) < min(maxLayerLoads, s.loads); {
 		next, ld, ok := bestLoad(now, free)
 		if !ok {
 			break
@@ -68,10 +69,10 @@
 			best, bestNet, bestCount = now, net, len(tried)
 		}
 	}
-	s.take(l, best, tried[:bestCount])
+	s.apply(l, best, tried[:bestCount])
 }
 
-func (s *search) take(l int, ly *layer, loads []load) {
+func (s *search) apply(l int, ly *layer, loads []load) {
 	s.draft.layers[l] = ly
 	for _, ld := range loads {
 		s.free[ld.rank]--
@@ -81,16 +82,16 @@
 	}
 }
 
-// bestLoad returns the layer with the one more replica that does most against its slowest rank.
+// bestLoad returns a copy of the layer with the one additional replica that helps its slowest rank most.
 func bestLoad(ly *layer, free []int) (*layer, load, bool) {
 	slow, _ := ly.slowest()
 	var best *layer
 	var chosen load
-	for _, e := range heaviest(ly, slow) {
-		for _, r := range quickest(ly, e, free) {
+	for _, e := range heaviestExperts(ly, slow) {
+		for _, r := range fastestRanks(ly, e, free) {
 			c := ly.clone()
 			c.add(e, r)
-			c.fill(e)
+			c.waterFill(e)
 			if best == nil || c.score() < best.score() {
 				best, chosen = c, load{e, r}
 			}
@@ -99,38 +100,39 @@
 	if best == nil {
 		return nil, load{}, false
 	}
-	best.even()
+	best.balance()
 	return best, chosen, true
 }
 
-// score is what a load should lower: the slowest rank's time first, and the roughness so that a second load can follow.
+// score returns the value that a load should lower: the slowest rank's time plus the imbalance. The imbalance makes a
+// load count that helps the slowest rank only together with a second one.
 func (ly *layer) score() float64 {
 	_, t := ly.slowest()
-	return t + ly.roughness()
+	return t + ly.imbalance()
 }
 
-// heaviest returns the experts of which the rank takes most tokens.
-func heaviest(ly *layer, rank int) []int {
-	type part struct {
+// heaviestExperts returns the experts that have the most tokens on the rank.
+func heaviestExperts(ly *layer, rank int) []int {
+	type expertShare struct {
 		expert int
 		share  float64
 	}
-	var parts []part
+	var list []expertShare
 	for e, holders := range ly.holders {
 		if i := slices.Index(holders, rank); i >= 0 && ly.shares[e][i] > 0 {
-			parts = append(parts, part{e, ly.shares[e][i]})
+			list = append(list, expertShare{e, ly.shares[e][i]})
 		}
 	}
-	slices.SortStableFunc(parts, func(a, b part) int { return cmp.Compare(b.share, a.share) })
+	slices.SortStableFunc(list, func(a, b expertShare) int { return cmp.Compare(b.share, a.share) })
 	var out []int
-	for _, p := range parts[:min(triedExperts, len(parts))] {
+	for _, p := range list[:min(maxTriedExperts, len(list))] {
 		out = append(out, p.expert)
 	}
 	return out
 }
 
-// quickest returns the ranks that finish first and have room for a replica of the expert.
-func quickest(ly *layer, e int, free []int) []int {
+// fastestRanks returns the ranks that finish first among those with free capacity that do not hold the expert.
+func fastestRanks(ly *layer, e int, free []int) []int {
 	var out []int
 	for r := range free {
 		if free[r] > 0 && ly.speed[r] > 0 && !ly.holds(e, r) {
@@ -138,5 +140,5 @@
 		}
 	}
 	slices.SortStableFunc(out, func(a, b int) int { return cmp.Compare(ly.time(a), ly.time(b)) })
-	return out[:min(triedRanks, len(out))]
+	return out[:min(maxTriedRanks, len(out))]
 }
--- a/internal/experts/placement/speed.go
+++ b/internal/experts/placement/speed.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// speedMemory is the length of the average of a rank's speed, in reports.
+	// speedMemory is the number of reports over which a rank's speed is averaged.
 	speedMemory = 3.0
-	// speedTolerance is how far from the others' speed a rank may be and still count as equally fast.
+	// speedTolerance is the relative deviation from the median up to which a rank counts as equally fast.
 	speedTolerance = 0.06
-	// speedNoiseFactor is how many times its own noise a deviation must be before it counts.
+	// speedNoiseFactor is the factor by which a deviation must exceed the noise of the rank's own estimate to count.
 	speedNoiseFactor = 4.0
-	slowest, fastest = 0.05, 1.5
+	// minSpeed and maxSpeed bound the relative speed of a rank that is not stalled.
+	minSpeed, maxSpeed = 0.05, 1.5
 )
 
-// speeds estimates how fast each rank computes, in tokens a second of work.
+// speeds estimates how fast each rank computes, in tokens per second of work.
 type speeds struct {
 	rate     []float64
-	last     []float64
+	lastRate []float64
 	variance []float64
 }
 
@@ -34,19 +35,19 @@
 	}
 	rate := float64(r.Processed) / r.Busy.Seconds()
 	if s.rate[r.Rank] == 0 {
-		s.rate[r.Rank], s.last[r.Rank] = rate, rate
+		s.rate[r.Rank], s.lastRate[r.Rank] = rate, rate
 		return
 	}
-	diff := rate - s.last[r.Rank]
-	s.last[r.Rank] = rate
+	diff := rate - s.lastRate[r.Rank]
+	s.lastRate[r.Rank] = rate
 	s.variance[r.Rank] += (diff*diff/2 - s.variance[r.Rank]) / (2 * speedMemory)
 	s.rate[r.Rank] += (rate - s.rate[r.Rank]) / speedMemory
 }
 
-// relative returns each rank's speed over the median; 1 for one that is not known or not clearly different, and 0 for
-// one that is stalled.
+// relative returns each rank's speed relative to the median: 1 for a rank whose speed is unknown or not clearly
+// different, and 0 for a stalled one.
 func (s *speeds) relative(stalled []bool) []float64 {
-	typical := s.median()
+	medianRate := s.median()
 	out := make([]float64, len(s.rate))
 	for r, rate := range s.rate {
 		out[r] = 1
@@ -57,10 +58,10 @@
 		if rate == 0 {
 			continue
 		}
-		off := math.Abs(rate/typical - 1)
-		noise := speedNoiseFactor * math.Sqrt(s.variance[r]/(2*speedMemory-1)) / typical
-		if off > speedTolerance && off > noise {
-			out[r] = min(max(rate/typical, slowest), fastest)
+		deviation := math.Abs(rate/medianRate - 1)
+		noise := speedNoiseFactor * math.Sqrt(s.variance[r]/(2*speedMemory-1)) / medianRate
+		if deviation > speedTolerance && deviation > noise {
+			out[r] = min(max(rate/medianRate, minSpeed), maxSpeed)
 		}
 	}
 	return out
--- a/internal/experts/placement/staging/budget.go
+++ b/internal/experts/placement/staging/budget.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// budgetSeconds is the span over which a Budget sums: a minute and the second that is being filled, so that no minute,
-// wherever it starts, holds more than the limit.
+// budgetSeconds is the number of seconds over which a Budget sums: a full minute plus the current second, so that no
+// minute, wherever it starts, exceeds the limit.
 const budgetSeconds = 61
 
-// Budget enforces a limit of bytes in any minute. It outlives plans: a new plan starts with what the last one left.
+// Budget enforces a limit of bytes in any minute. It is shared by successive plans: a new plan starts with what the
+// previous one left.
 type Budget struct {
 	limit   uint64
 	seconds [budgetSeconds]uint64
 	newest  int64
 }
 
-// NewBudget returns a budget of which nothing is used.
+// NewBudget returns an unused budget.
 func NewBudget(bytesPerMinute uint64) *Budget { return &Budget{limit: bytesPerMinute} }
 
-// Left returns how many bytes may still be taken now.
+// Left returns how many bytes may still be loaded now.
 func (b *Budget) Left(now time.Time) uint64 {
 	b.advance(now)
 	used := uint64(0)
@@ -26,13 +27,14 @@
 	return b.limit - min(used, b.limit)
 }
 
-// Consume uses up bytes; the caller has asked Left before.
+// Consume records that bytes are loaded now. The caller must have checked Left.
 func (b *Budget) Consume(now time.Time, bytes uint64) {
 	b.advance(now)
 	b.seconds[b.newest%budgetSeconds] += bytes
 }
 
-// advance forgets what is older than the span. A clock that steps back counts into the newest second.
+// advance drops the seconds that are older than the span. After the clock steps back, bytes count for the newest
+// second.
 func (b *Budget) advance(now time.Time) {
 	second := now.Unix()
 	if second-b.newest >= budgetSeconds {
--- a/internal/experts/placement/staging/staging.go
+++ b/internal/experts/placement/staging/staging.go
@@ -7,57 +7,59 @@
 )
 
 const (
-	// storeBurst is the time at the store's rate that may be saved up.
+	// storeBurst is the maximum burst, as time at the store's rate.
 	storeBurst = 50 * time.Millisecond
-	// smallestPiece keeps requests to the store from becoming many and tiny; the rest of a load may be smaller.
-	smallestPiece = 64 << 10
-	// slackShare is the part of the expected slack that is used, since the slack of the next step is a forecast.
+	// minPiece is the minimum size of a piece in bytes, which avoids many tiny requests to the store. The last piece
+	// of a load may be smaller.
+	minPiece = 64 << 10
+	// slackShare is the share of the expected slack that is used; it is below 1 because the slack of the next step is
+	// a forecast.
 	slackShare = 0.5
 )
 
-// Limits bound how fast weights are taken in.
+// Limits bound the rate at which weights are loaded.
 type Limits struct {
-	// StoreRate is what the weight store grants to the group, in bytes a second.
+	// StoreRate is the rate that the weight store grants to the group, in bytes per second.
 	StoreRate uint64
-	// CopyRate is how fast one rank takes weights in, in bytes a second.
+	// CopyRate is the rate at which one rank can load weights, in bytes per second.
 	CopyRate uint64
-	// IgnoreSlack is set while the group stands still, so that there is no step to hold up.
+	// IgnoreSlack is set while the group is stalled and there is no step that loading could delay.
 	IgnoreSlack bool
 }
 
-// Load is one expert's weights on their way to a rank.
+// Load is one expert's weights to be loaded on a rank.
 type Load struct {
 	Rank  int
 	Bytes uint64
 }
 
-// Piece is a part of a load that a rank takes in during one step.
+// Piece is the part of a load that a rank loads during one step.
 type Piece struct {
 	// Load is the index of the load in the list given to New.
 	Load  int
 	Rank  int
 	Bytes uint64
-	// Last says that the load is complete with this piece.
+	// Last is set if this piece completes the load.
 	Last bool
 }
 
 // Stager paces a list of loads. It is not safe for concurrent use.
 type Stager struct {
-	limits Limits
-	budget *Budget
-	store  *rate.Limiter
-	loads  []Load
-	left   []uint64
-	// first is the first load that is not complete.
+	limits    Limits
+	budget    *Budget
+	store     *rate.Limiter
+	loads     []Load
+	remaining []uint64
+	// first is the index of the first incomplete load.
 	first int
 }
 
-// New returns a stager for loads, in order of their importance.
+// New returns a stager for loads, which are sorted by descending importance.
 func New(l Limits, b *Budget, loads []Load) *Stager {
-	burst := max(smallestPiece, int(float64(l.StoreRate)*storeBurst.Seconds()))
+	burst := max(minPiece, int(float64(l.StoreRate)*storeBurst.Seconds()))
 	s := &Stager{limits: l, budget: b, store: rate.NewLimiter(rate.Limit(l.StoreRate), burst), loads: loads}
 	for _, ld := range loads {
-		s.left = append(s.left, ld.Bytes)
+		s.remaining = append(s.remaining, ld.Bytes)
 	}
 	s.skipDone()
 	return s
@@ -66,33 +68,33 @@
 // Done reports whether all loads are complete.
 func (s *Stager) Done() bool { return s.first == len(s.loads) }
 
-// Step returns the pieces that ranks take in during the step that starts now. A rank takes in one load at a time.
-// slack is how long each rank is expected to wait for the slowest one in the step.
+// Step returns the pieces to load during the step that starts now. A rank works on one load at a time. slack is how
+// long each rank is expected to wait for the slowest one in the step.
 func (s *Stager) Step(now time.Time, slack []time.Duration) []Piece {
 	var pieces []Piece
 	busy := make([]bool, len(slack))
 	left := min(s.budget.Left(now), uint64(max(0, s.store.TokensAt(now))))
 	for i := s.first; i < len(s.loads) && left > 0; i++ {
 		ld := s.loads[i]
-		if s.left[i] == 0 || busy[ld.Rank] {
+		if s.remaining[i] == 0 || busy[ld.Rank] {
 			continue
 		}
 		busy[ld.Rank] = true
-		n := min(s.left[i], left, s.copyable(slack[ld.Rank]))
-		if n == 0 || n < min(smallestPiece, s.left[i]) {
+		n := min(s.remaining[i], left, s.copyableBytes(slack[ld.Rank]))
+		if n == 0 || n < min(minPiece, s.remaining[i]) {
 			continue
 		}
 		left -= n
-		s.left[i] -= n
+		s.remaining[i] -= n
 		s.budget.Consume(now, n)
 		s.store.AllowN(now, int(n))
-		pieces = append(pieces, Piece{i, ld.Rank, n, s.left[i] == 0})
+		pieces = append(pieces, Piece{i, ld.Rank, n, s.remaining[i] == 0})
 	}
 	s.skipDone()
 	return pieces
 }
 
-func (s *Stager) copyable(slack time.Duration) uint64 {
+func (s *Stager) copyableBytes(slack time.Duration) uint64 {
 	if s.limits.IgnoreSlack {
 		return s.limits.CopyRate
 	}
@@ -100,7 +102,7 @@
 }
 
 func (s *Stager) skipDone() {
-	for s.first < len(s.loads) && s.left[s.first] == 0 {
+	for s.first < len(s.loads) && s.remaining[s.first] == 0 {
 		s.first++
 	}
 }
--- a/internal/experts/placement/staging/staging_test.go
+++ b/internal/experts/placement/staging/staging_test.go
@@ -15,7 +15,7 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// TestMain fixes the seed of the random tests, so that each run gives one verdict.
+// TestMain fixes the seed of the random tests so that their results are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.nofailfile": "true"} {
@@ -26,14 +26,14 @@
 	os.Exit(m.Run())
 }
 
-// taken is what was loaded at a time.
-type taken struct {
+// transfer is a number of bytes loaded at one time.
+type transfer struct {
 	at    time.Time
 	bytes uint64
 }
 
-// maxPerMinute returns the most bytes that any span of a minute holds.
-func maxPerMinute(list []taken) uint64 {
+// maxPerMinute returns the largest number of bytes transferred within any minute.
+func maxPerMinute(list []transfer) uint64 {
 	most, sum, from := uint64(0), uint64(0), 0
 	for _, t := range list {
 		sum += t.bytes
@@ -46,7 +46,7 @@
 	return most
 }
 
-func TestStagingKeepsItsLimits(t *testing.T) {
+func TestStagingKeepsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ranks, size = 3, 4 << 20
 		perMinute := rapid.Uint64Range(1<<20, 16<<20).Draw(t, "bytes a minute")
@@ -57,7 +57,7 @@
 		}
 		s := staging.New(limits, staging.NewBudget(perMinute), loads)
 		got := make([]uint64, len(loads))
-		var list []taken
+		var list []transfer
 		total := uint64(0)
 		now := epoch
 		for now.Sub(epoch) < 5*time.Minute {
@@ -71,7 +71,7 @@
 				}
 				got[p.Load] += p.Bytes
 				total += p.Bytes
-				list = append(list, taken{now, p.Bytes})
+				list = append(list, transfer{now, p.Bytes})
 				if p.Last != (got[p.Load] == size) {
 					t.Fatalf("load %d: last %v at %d bytes", p.Load, p.Last, got[p.Load])
 				}
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestBudgetOutlivesPlans(t *testing.T) {
+func TestBudgetIsSharedByPlans(t *testing.T) {
 	b := staging.NewBudget(100 << 10)
 	limits := staging.Limits{StoreRate: 1 << 30, CopyRate: 1 << 30}
 	plan := func(at time.Time) uint64 {
@@ -118,17 +118,17 @@
 			t.Fatal("not done after 1000 steps")
 		}
 	}
-	// 80 MiB at 500 MB/s, less the burst, are about 20 steps.
+	// 80 MiB at 500 MB/s, less the burst, take about 20 steps.
 	if steps < 15 {
 		t.Errorf("done after %d steps, faster than the store allows", steps)
 	}
-	idle := staging.New(limits, staging.NewBudget(1<<40), []staging.Load{{Rank: 0, Bytes: 40 << 20}})
-	if got := idle.Step(epoch, []time.Duration{0}); len(got) != 0 {
+	withoutSlack := staging.New(limits, staging.NewBudget(1<<40), []staging.Load{{Rank: 0, Bytes: 40 << 20}})
+	if got := withoutSlack.Step(epoch, []time.Duration{0}); len(got) != 0 {
 		t.Errorf("%d pieces without slack", len(got))
 	}
 	limits.IgnoreSlack = true
-	still := staging.New(limits, staging.NewBudget(1<<40), []staging.Load{{Rank: 0, Bytes: 10 << 20}})
-	if got := still.Step(epoch, []time.Duration{0}); len(got) != 1 || !got[0].Last {
-		t.Errorf("%+v while the group stands still", got)
+	stalled := staging.New(limits, staging.NewBudget(1<<40), []staging.Load{{Rank: 0, Bytes: 10 << 20}})
+	if got := stalled.Step(epoch, []time.Duration{0}); len(got) != 1 || !got[0].Last {
+		t.Errorf("%+v while the group is stalled", got)
 	}
 }
--- a/internal/experts/placement/stall_test.go
+++ b/internal/experts/placement/stall_test.go
@@ -9,28 +9,29 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/placement"
 )
 
-// A rank hangs in the middle of a step. Callers see their streams stop: in lock-step the other ranks wait at the barrier
-// for good. They report that they wait; the hung rank reports nothing. After StallAfter its experts move elsewhere.
+// A rank hangs in the middle of a step and stops reporting; in lockstep the other ranks wait at the barrier forever
+// and report that they wait, so the callers' streams stop. After StallAfter the hung rank's experts must move to
+// other ranks.
 func TestStalledRankIsDrained(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		pop := zipf(small.Shape, rapid.IntRange(0, 7).Draw(t, "hot"))
-		m := packed(t, small, pop)
-		p := placement.NewPolicy(small)
+		pop := zipf(smallGroup.Shape, rapid.IntRange(0, 7).Draw(t, "hot"))
+		m := packMap(t, smallGroup, pop)
+		p := placement.NewPolicy(smallGroup)
 		hung := rapid.IntRange(0, 3).Draw(t, "hung")
-		known := rapid.IntRange(0, 20).Draw(t, "windows before")
-		feed(t, p, small, pop, ones(4), 0, known)
-		now := standStill(t, p, known, map[int]bool{hung: true}, placement.StallAfter)
-		d := p.Decide(now, eager, m)
+		windowsBefore := rapid.IntRange(0, 20).Draw(t, "windows before")
+		observeWindows(t, p, smallGroup, pop, ones(4), 0, windowsBefore)
+		now := stallGroup(t, p, windowsBefore, map[int]bool{hung: true}, placement.StallAfter)
+		d := p.Decide(now, eagerOptions, m)
 		if d.Plan == nil || d.Plan.Cause != placement.CauseStall || len(d.Stalled) != 1 || d.Stalled[0] != hung {
 			t.Fatalf("got %+v", d)
 		}
-		checkPlan(t, small, eager, m, d)
+		checkPlan(t, smallGroup, eagerOptions, m, d)
 
-		// The others step on without it. It must not get experts back while it is silent.
+		// The other ranks step on without it. It must not get experts back while it does not report.
 		m = d.Plan.Map
-		for w := known + 10; w < known+40; w++ {
-			feed(t, p, small, zipf(small.Shape, 3), ones(4), w, w+1, hung)
-			if d := p.Decide(at(w), eager, m); d.Plan != nil {
+		for w := windowsBefore + 10; w < windowsBefore+40; w++ {
+			observeWindows(t, p, smallGroup, zipf(smallGroup.Shape, 3), ones(4), w, w+1, hung)
+			if d := p.Decide(windowTime(w), eagerOptions, m); d.Plan != nil {
 				m = d.Plan.Map
 			}
 			if m.Used()[hung] > 0 {
@@ -40,11 +41,12 @@
 	})
 }
 
-// standStill lets the group complete one more step and then all ranks that are not silent report that they wait, and returns the time after the given span.
-func standStill(t interface{ Fatal(...any) }, p *placement.Policy, w int, silent map[int]bool, span time.Duration) time.Time {
-	now := at(w)
-	for ; now.Before(at(w).Add(span)); now = now.Add(placement.StallAfter / 3) {
-		for r := range small.Shape.Ranks {
+// stallGroup completes one more step of the group, then has all ranks that are not silent report that they wait. It
+// returns the time after the given span.
+func stallGroup(t interface{ Fatal(...any) }, p *placement.Policy, w int, silent map[int]bool, span time.Duration) time.Time {
+	now := windowTime(w)
+	for ; now.Before(windowTime(w).Add(span)); now = now.Add(placement.StallAfter / 3) {
+		for r := range smallGroup.Shape.Ranks {
 			if silent[r] {
 				continue
 			}
@@ -56,45 +58,45 @@
 	return now
 }
 
-func TestOnlyProvenStallsDrain(t *testing.T) {
-	pop := zipf(small.Shape, 0)
-	m := packed(t, small, pop)
+func TestUnprovenStallsDoNotDrain(t *testing.T) {
+	pop := zipf(smallGroup.Shape, 0)
+	m := packMap(t, smallGroup, pop)
 	tests := map[string]func(p *placement.Policy) time.Time{
-		"the group has not stood still for long": func(p *placement.Policy) time.Time {
-			return standStill(t, p, 20, map[int]bool{1: true}, placement.StallAfter/3)
+		"the group has not been stalled for long": func(p *placement.Policy) time.Time {
+			return stallGroup(t, p, 20, map[int]bool{1: true}, placement.StallAfter/3)
 		},
-		// The decider is cut off from most ranks: they may be well.
+		// The policy's node is partitioned from half of the ranks, which may be healthy.
 		"half of the ranks are silent": func(p *placement.Policy) time.Time {
-			return standStill(t, p, 20, map[int]bool{1: true, 2: true}, placement.StallAfter)
+			return stallGroup(t, p, 20, map[int]bool{1: true, 2: true}, placement.StallAfter)
 		},
-		// Its reports are lost, but the others could not step without it.
+		// The reports of one rank are lost, but the others could not step without it.
 		"the others step on": func(p *placement.Policy) time.Time {
-			feed(t, p, small, pop, ones(4), 20, 25, 1)
-			return at(25)
+			observeWindows(t, p, smallGroup, pop, ones(4), 20, 25, 1)
+			return windowTime(25)
 		},
 	}
-	for name, happens := range tests {
+	for name, scenario := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := placement.NewPolicy(small)
-			feed(t, p, small, pop, ones(4), 0, 20)
-			if d := p.Decide(happens(p), eager, m); len(d.Stalled) != 0 || d.Plan != nil {
+			p := placement.NewPolicy(smallGroup)
+			observeWindows(t, p, smallGroup, pop, ones(4), 0, 20)
+			if d := p.Decide(scenario(p), eagerOptions, m); len(d.Stalled) != 0 || d.Plan != nil {
 				t.Fatalf("got %+v", d)
 			}
 		})
 	}
 }
 
-func TestDrainWithoutRoomSaysSo(t *testing.T) {
-	g := small
+func TestDrainWithoutCapacityReportsReason(t *testing.T) {
+	g := smallGroup
 	g.Slots = 4
-	pop := zipf(small.Shape, 0)
+	pop := zipf(smallGroup.Shape, 0)
 	m, err := placement.Pack(g, 4, pop, ones(4), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := placement.NewPolicy(g)
-	now := standStill(t, p, 1, map[int]bool{0: true}, placement.StallAfter)
-	if d := p.Decide(now, eager, m); d.Stay != placement.ReasonNoRoom {
+	now := stallGroup(t, p, 1, map[int]bool{0: true}, placement.StallAfter)
+	if d := p.Decide(now, eagerOptions, m); d.Stay != placement.ReasonNoCapacity {
 		t.Fatalf("got %+v", d)
 	}
 }
