--- a/internal/experts/rebalance/audit_test.go
+++ b/internal/experts/rebalance/audit_test.go
@@ -18,22 +18,22 @@
 	platform "github.com/cardamomyoke/cardamomyoke/internal/testing/standin/platform"
 )
 
-// empty are ranks without a map.
-type empty struct{}
+// ranksWithoutMap reports ranks that run no map.
+type ranksWithoutMap struct{}
 
-func (empty) Report(_ context.Context, _ ids.Group, rank int, _ uint64) (*cardamomyokev1.GetRankReportResponse, error) {
+func (ranksWithoutMap) Report(_ context.Context, _ ids.Group, rank int, _ uint64) (*cardamomyokev1.GetRankReportResponse, error) {
 	return &cardamomyokev1.GetRankReportResponse{Rank: uint32(rank)}, nil
 }
 
-// verdict is what becomes of every proposal.
-type verdict struct{ err error }
+// fixedProposer returns the same result for every proposal.
+type fixedProposer struct{ err error }
 
-func (v verdict) Propose(_ context.Context, _ ids.Fence, to expertmap.MapID) (expertmap.Result, error) {
-	return expertmap.Result{To: to, Start: 42, Err: v.err}, v.err
+func (p fixedProposer) Propose(_ context.Context, _ ids.Fence, to expertmap.MapID) (expertmap.Result, error) {
+	return expertmap.Result{To: to, Start: 42, Err: p.err}, p.err
 }
 
-// A switch that came about is recorded with both maps, the step and the cause; one that failed is not.
-func TestSwitchesAreRecorded(t *testing.T) {
+// A switch that succeeded is recorded with both maps, the first step and the cause; one that failed is not recorded.
+func TestSwitchesAreAudited(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		want string
@@ -42,15 +42,15 @@
 		s := platform.NewStore(platform.Limits{})
 		g := rebalance.New(t.Context(), rebalance.Options{
 			Group: "g", Config: &cardamomyokev1.ModelGroup{Name: "g", Ranks: 2, Experts: 4, Layers: 1},
-			Ranks: empty{}, Proposer: verdict{c.err}, Objects: s, Weights: s, Logger: log.NewNopLogger(),
+			Ranks: ranksWithoutMap{}, Proposer: fixedProposer{c.err}, Objects: s, Weights: s, Logger: log.NewNopLogger(),
 			Audit: func(_ time.Time, r *audit.Row) {
 				name, rest, _ := strings.Cut(r.GetAfter(), " (")
 				_, step, _ := strings.Cut(rest, ") ")
 				got = append(got, fmt.Sprintf("%s %s: %s -> %s; %s; %s", r.GetKind(), r.GetSubject(), r.GetBefore(), name, step, r.GetReason()))
 			},
 		})
-		if _, err := g.Turn(t.Context(), time.Unix(1000, 0), 1); (err == nil) != (c.err == nil) {
-			t.Fatalf("turn: %v", err)
+		if _, err := g.RunRound(t.Context(), time.Unix(1000, 0), 1); (err == nil) != (c.err == nil) {
+			t.Fatalf("round: %v", err)
 		}
 		if strings.Join(got, "; ") != c.want {
 			t.Fatalf("got %q, want %q", got, c.want)
--- a/internal/experts/rebalance/directory.go
+++ b/internal/experts/rebalance/directory.go
@@ -13,7 +13,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1/cardamomyokev1connect"
 )
 
-// UnknownRankError says that the roster names no slot for a rank.
+// UnknownRankError reports that the roster has no slot for a rank.
 type UnknownRankError struct {
 	Group ids.Group
 	Rank  int
@@ -24,28 +24,28 @@
 	return fmt.Sprintf("no slot of group %s has rank %d", e.Group, e.Rank)
 }
 
-// Directory finds nodes by the roster of the configuration log. It is safe for concurrent use.
+// Directory resolves nodes to addresses by the roster of the configuration log. It is safe for concurrent use.
 type Directory struct {
 	// Members returns the roster's members.
 	Members func() []*cardamomyokev1.Member
-	// Client and Scheme reach them.
+	// Client and Scheme are used to call members.
 	Client connect.HTTPClient
 	Scheme string
 	mu     sync.Mutex
 	ranks  map[string]cardamomyokev1connect.RankServiceClient
 }
 
-// Resolve returns the URL of a proposer or a rank's slot; it serves as node.Resolve.
+// Resolve returns the URL of a proposer or of a rank's slot. It can be used as node.Resolve.
 func (d *Directory) Resolve(group ids.Group, to expertmap.Addr) (string, bool) {
 	for _, m := range d.Members() {
-		if is(m, group, to) {
+		if matches(m, group, to) {
 			return d.Scheme + "://" + m.GetAddress(), true
 		}
 	}
 	return "", false
 }
 
-func is(m *cardamomyokev1.Member, group ids.Group, to expertmap.Addr) bool {
+func matches(m *cardamomyokev1.Member, group ids.Group, to expertmap.Addr) bool {
 	if to.IsProposer() {
 		return m.GetName() == string(to.Proposer)
 	}
--- a/internal/experts/rebalance/doc.go
+++ b/internal/experts/rebalance/doc.go
@@ -1,7 +1,8 @@
-// Package rebalance is the duty of the entry that holds a group's lease: it asks the group's ranks what they did, has
-// package placement decide, and leads the group to the new map with package expertmap.
+// Package rebalance implements the duty of the entry that holds a group's lease: it collects reports from the group's ranks,
+// has package placement decide on the map, and switches the group to the new map with package expertmap.
 //
-// Any entry can hold the lease and none is set aside. What a holder forgets when it ends is soft: its successor starts
-// its estimates anew and takes the map in force from the ranks. A holder that was paused past its lease does no harm:
-// the switch rests on no lease (see package expertmap), and a map is only ever stored under a name of its own.
+// Any entry can hold the lease; none is reserved for it. The state of a holder is soft: its successor starts its
+// estimates anew and reads the map in force from the ranks. A holder that was paused beyond its lease does no harm:
+// the safety of a switch does not depend on the lease (see package expertmap), and each map is stored under its own
+// name.
 package rebalance
--- a/internal/experts/rebalance/group.go
+++ b/internal/experts/rebalance/group.go
@@ -18,17 +18,17 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// Ranks asks the slot of each rank for its report, without the counts of the window that is known already.
+// Ranks fetches the report of a rank from its slot. The report omits the token counts if its window is the known one.
 type Ranks interface {
 	Report(ctx context.Context, group ids.Group, rank int, known uint64) (*cardamomyokev1.GetRankReportResponse, error)
 }
 
-// Proposer leads a group to a map; node.Proposer is one.
+// Proposer switches a group to a map. It is implemented by node.Proposer.
 type Proposer interface {
 	Propose(ctx context.Context, fence ids.Fence, to expertmap.MapID) (expertmap.Result, error)
 }
 
-// Options are what a Group is made of.
+// Options configures a Group.
 type Options struct {
 	Group    ids.Group
 	Config   *cardamomyokev1.ModelGroup
@@ -36,42 +36,44 @@
 	Proposer Proposer
 	Objects  platform.Objects
 	Weights  platform.Weights
-	// Audit takes in each switch; nil: it is only logged.
+	// Audit records each switch. If it is nil, switches are only logged.
 	Audit  func(now time.Time, r *audit.Row)
 	Logger log.Logger
 }
 
 const (
-	// reportTimeout bounds the round of reports.
+	// reportTimeout bounds the collection of reports in one round.
 	reportTimeout = 2 * time.Second
-	// decideInterval is the longest time between two decisions; it is a third of the time after which a rank is stalled.
+	// decideInterval is the longest time between two decisions: a third of the time after which a rank counts as
+	// stalled.
 	decideInterval = placement.StallAfter / 3
-	// switchTimeout bounds a switch with its loading of weights.
+	// switchTimeout bounds a switch, including the loading of weights.
 	switchTimeout = 5 * time.Minute
-	// memorySlack is the room for replicas, and for those being loaded, over one copy of each expert, as a part of it.
-	memorySlack = 0.5
-	// minSlack keeps a small group from having no room at all to move in.
-	minSlack = 4
-	// expertBytes is the size of an expert's weights that is assumed as long as engines do not report it.
+	// memoryHeadroom is the memory for additional replicas and for those being loaded, as a share of the memory for
+	// one copy of each expert.
+	memoryHeadroom = 0.5
+	// minHeadroom is the minimum headroom in slots, so that experts of a small group can be moved at all.
+	minHeadroom = 4
+	// expertBytes is the assumed size of an expert's weights, which engines do not report yet.
 	expertBytes = 64 << 20
-	// defaultStoreRate is assumed while the weight store does not answer, in bytes a second.
+	// defaultStoreRate is the assumed rate in bytes per second while the weight store does not respond.
 	defaultStoreRate = 1 << 30
 )
 
-// Group is the duty for one model group. It belongs to one goroutine.
+// Group carries out the duty for one model group. It must be used by one goroutine.
 type Group struct {
 	opts   Options
 	shape  expert.Shape
 	group  placement.Group
 	policy *placement.Policy
-	// windows are the newest windows of the ranks, and decided is when the map was last weighed.
-	windows []uint64
-	decided time.Time
-	// current is the map in force; nil before it is known.
+	// windows are the newest windows of the ranks, and lastDecision is the time of the last decision on the map.
+	windows      []uint64
+	lastDecision time.Time
+	// current is the map in force; nil until it is read from the ranks.
 	current *expert.Map
 }
 
-// New returns the duty of a holder that knows nothing yet.
+// New returns a Group without any reports or map.
 func New(ctx context.Context, o Options) *Group {
 	shape := expert.Shape{
 		Ranks: int(o.Config.GetRanks()), Experts: int(o.Config.GetExperts()), Layers: int(o.Config.GetLayers()),
@@ -87,7 +89,7 @@
 
 func memorySlots(s expert.Shape) int {
 	each := (s.Cells() + s.Ranks - 1) / s.Ranks
-	return each + max(minSlack, int(memorySlack*float64(each)))
+	return each + max(minHeadroom, int(memoryHeadroom*float64(each)))
 }
 
 func storeRate(ctx context.Context, o Options) uint64 {
@@ -98,26 +100,26 @@
 	return rate
 }
 
-// Turn is one round: reports, a decision, and the switch if there is a better map. It returns the decision's reason to
-// stay, or the map that the group runs now. Errors are of the platform, the ranks or the switch; the next turn starts
-// from what the ranks then run.
-func (g *Group) Turn(ctx context.Context, now time.Time, fence ids.Fence) (placement.Reason, error) {
-	reports := g.collect(ctx)
+// RunRound runs one round: it collects reports, decides, and switches the group if there is a better map. It returns
+// the decision's reason to keep the map, or "" after a switch. Errors come from the platform, the ranks or the
+// switch; the next round starts from the map that the ranks then run.
+func (g *Group) RunRound(ctx context.Context, now time.Time, fence ids.Fence) (placement.Reason, error) {
+	reports := g.collectReports(ctx)
 	if len(reports) == 0 {
 		return placement.ReasonNoData, nil
 	}
-	if err := g.follow(ctx, reports); err != nil {
+	if err := g.loadCurrentMap(ctx, reports); err != nil {
 		return "", err
 	}
 	if g.current == nil {
-		return "", g.first(ctx, fence)
+		return "", g.startFirstMap(ctx, fence)
 	}
 	for _, r := range reports {
 		if err := g.policy.Observe(now, reportOf(r)); err != nil {
 			_ = level.Warn(g.opts.Logger).Log("msg", "rank report refused", "group", g.opts.Group, "err", err)
 		}
 	}
-	if !g.due(reports, now) {
+	if !g.decisionDue(reports, now) {
 		return placement.ReasonNoData, nil
 	}
 	d := g.policy.Decide(now, placement.FromConfig(g.opts.Config.GetRebalancing()), g.current)
@@ -127,24 +129,25 @@
 	return "", g.switchTo(ctx, fence, d.Plan.Map, string(d.Plan.Cause))
 }
 
-// due reports whether there is something to decide on: a new window, or enough time that a rank may have stalled. A
-// decision costs milliseconds, so it is not made again on reports that were seen.
-func (g *Group) due(reports []*cardamomyokev1.GetRankReportResponse, now time.Time) bool {
-	news := now.Sub(g.decided) >= decideInterval
+// decisionDue reports whether to decide in this round: there is a new window, or so much time has passed that a rank
+// may have stalled. A decision costs milliseconds, so it is not repeated for reports that were processed before.
+func (g *Group) decisionDue(reports []*cardamomyokev1.GetRankReportResponse, now time.Time) bool {
+	isDue := now.Sub(g.lastDecision) >= decideInterval
 	for _, r := range reports {
 		if r.GetWindow() != g.windows[r.GetRank()] {
 			g.windows[r.GetRank()] = r.GetWindow()
-			news = true
+			isDue = true
 		}
 	}
-	if news {
-		g.decided = now
+	if isDue {
+		g.lastDecision = now
 	}
-	return news
+	return isDue
 }
 
-// collect asks all ranks at once; a rank that does not answer is left out, which the policy expects.
-func (g *Group) collect(ctx context.Context) []*cardamomyokev1.GetRankReportResponse {
+// collectReports requests the reports of all ranks concurrently. Ranks that do not respond are omitted, which the
+// policy tolerates.
+func (g *Group) collectReports(ctx context.Context) []*cardamomyokev1.GetRankReportResponse {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	out := make([]*cardamomyokev1.GetRankReportResponse, g.shape.Ranks)
@@ -173,8 +176,9 @@
 	}
 }
 
-// follow takes the map in force from the ranks, which are the ones who know.
-func (g *Group) follow(ctx context.Context, reports []*cardamomyokev1.GetRankReportResponse) error {
+// loadCurrentMap reads the map in force. The ranks are the authority on its name and version; its content comes from
+// the object store.
+func (g *Group) loadCurrentMap(ctx context.Context, reports []*cardamomyokev1.GetRankReportResponse) error {
 	newest := reports[0]
 	for _, r := range reports {
 		if r.GetMapVersion() > newest.GetMapVersion() {
@@ -196,26 +200,26 @@
 	return nil
 }
 
-// first gives a group without a map its first one: every expert counts the same.
-func (g *Group) first(ctx context.Context, fence ids.Fence) error {
-	even := make([]float64, g.shape.Cells())
-	for i := range even {
-		even[i] = 1 / float64(g.shape.Experts)
+// startFirstMap switches a group without a map to its first one, which assumes that all experts are equally popular.
+func (g *Group) startFirstMap(ctx context.Context, fence ids.Fence) error {
+	popularity := make([]float64, g.shape.Cells())
+	for i := range popularity {
+		popularity[i] = 1 / float64(g.shape.Experts)
 	}
 	speed := make([]float64, g.shape.Ranks)
 	for i := range speed {
 		speed[i] = 1
 	}
-	// Half of the room over one copy stays free, so that the next map can be loaded beside this one.
+	// Half of the headroom stays free, so that the next map can be loaded in addition to this one.
 	each := (g.shape.Cells() + g.shape.Ranks - 1) / g.shape.Ranks
-	m, err := placement.Pack(g.group, each+(g.group.Slots-each)/2, even, speed, 1)
+	m, err := placement.Pack(g.group, each+(g.group.Slots-each)/2, popularity, speed, 1)
 	if err != nil {
-		return fmt.Errorf("first map: %w", err)
+		return fmt.Errorf("compute first map: %w", err)
 	}
 	return g.switchTo(ctx, fence, m, "first")
 }
 
-// switchTo stores the map and leads the group to it.
+// switchTo stores the map and switches the group to it.
 func (g *Group) switchTo(ctx context.Context, fence ids.Fence, m *expert.Map, cause string) error {
 	ctx, cancel := context.WithTimeout(ctx, switchTimeout)
 	defer cancel()
@@ -229,16 +233,16 @@
 	}
 	result, err := g.opts.Proposer.Propose(ctx, fence, expertmap.MapID{Version: m.Version(), Name: name})
 	if err != nil {
-		return fmt.Errorf("switch of group %s: %w", g.opts.Group, err)
+		return fmt.Errorf("switch group %s: %w", g.opts.Group, err)
 	}
-	g.record(result, m, cause)
+	g.auditSwitch(result, m, cause)
 	g.current = m
 	_ = level.Info(g.opts.Logger).Log("msg", "expert map switched", "group", g.opts.Group, "map", result.To, "from_step", result.Start, "cause", cause)
 	return nil
 }
 
-// record tells the audit of a switch, before g.current is the new map.
-func (g *Group) record(result expertmap.Result, m *expert.Map, cause string) {
+// auditSwitch records a switch in the audit. It must be called before g.current is replaced by the new map.
+func (g *Group) auditSwitch(result expertmap.Result, m *expert.Map, cause string) {
 	if g.opts.Audit == nil {
 		return
 	}
--- a/internal/experts/rebalance/group_test.go
+++ b/internal/experts/rebalance/group_test.go
@@ -32,24 +32,24 @@
 	layers  = 2
 )
 
-// bed is a group of ranks in lock-step with a slot beside each, and whoever leads it.
-type bed struct {
+// testbed is a group of ranks in lockstep with one slot per rank. Entries that lead it are started with startLeader.
+type testbed struct {
 	group   *group.Group
 	store   *platform.Store
 	mu      sync.Mutex
 	members []*cardamomyokev1.Member
 }
 
-// roster returns the members as the slots and leaders know them now.
-func (b *bed) roster() []*cardamomyokev1.Member {
+// roster returns the members that slots and leaders see now.
+func (b *testbed) roster() []*cardamomyokev1.Member {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.members)
 }
 
-func startBed(t *testing.T) *bed {
+func startTestbed(t *testing.T) *testbed {
 	t.Helper()
-	b := &bed{store: platform.NewStore(platform.Limits{WeightBytesPerSecond: 1 << 30})}
+	b := &testbed{store: platform.NewStore(platform.Limits{WeightBytesPerSecond: 1 << 30})}
 	var addresses []string
 	for range ranks {
 		addresses = append(addresses, loopback.Address())
@@ -66,12 +66,12 @@
 	return b
 }
 
-func (b *bed) directory() *rebalance.Directory {
+func (b *testbed) directory() *rebalance.Directory {
 	return &rebalance.Directory{Members: b.roster, Client: http.DefaultClient, Scheme: "http"}
 }
 
 // serve starts a process with a control loop and an RPC port, and adds it to the roster.
-func (b *bed) serve(t *testing.T, m *cardamomyokev1.Member, mux *http.ServeMux) *control.Loop {
+func (b *testbed) serve(t *testing.T, m *cardamomyokev1.Member, mux *http.ServeMux) *control.Loop {
 	t.Helper()
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
@@ -84,7 +84,7 @@
 	return loop
 }
 
-func (b *bed) startSlot(t *testing.T, i int, engineAddress string) {
+func (b *testbed) startSlot(t *testing.T, i int, engineAddress string) {
 	t.Helper()
 	mux := http.NewServeMux()
 	loop := b.serve(t, &cardamomyokev1.Member{Name: fmt.Sprintf("slot-%d", i), Group: "g", Rank: uint32(i)}, mux)
@@ -106,8 +106,8 @@
 	go slot.Run(t.Context())
 }
 
-// startLeader starts an entry that leads the group.
-func (b *bed) startLeader(t *testing.T, name string) *rebalance.Group {
+// startLeader starts an entry that leads the group, as the holder of its lease does.
+func (b *testbed) startLeader(t *testing.T, name string) *rebalance.Group {
 	t.Helper()
 	mux := http.NewServeMux()
 	hub := node.NewHub()
@@ -131,7 +131,7 @@
 	})
 }
 
-func (b *bed) checkOneMap(t *testing.T, version uint64) {
+func (b *testbed) checkOneMap(t *testing.T, version uint64) {
 	t.Helper()
 	_, maps := b.group.Steps()
 	for r, m := range maps {
@@ -144,37 +144,37 @@
 	}
 }
 
-// An operator sees a group without a map start to step as soon as a holder of its lease takes a turn, and switch again
-// when popularity shifts for good, while it goes on stepping; in every step all ranks use one and the same map.
-func TestAGroupGetsItsFirstMapAndFollowsAShift(t *testing.T) {
-	b := startBed(t)
+// A group without a map must start stepping as soon as a holder of its lease runs a round. When popularity shifts
+// permanently, it must switch to another map and keep stepping; in each step all ranks use the same map.
+func TestGroupGetsFirstMapAndFollowsShift(t *testing.T) {
+	b := startTestbed(t)
 	leader := b.startLeader(t, "entry-1")
-	if _, err := leader.Turn(t.Context(), time.Now(), 1); err != nil {
+	if _, err := leader.RunRound(t.Context(), time.Now(), 1); err != nil {
 		t.Fatal(err)
 	}
 	b.checkOneMap(t, 1)
-	b.group.SetWeights(hot())
+	b.group.SetWeights(skewedWeights())
 	now := time.Now()
 	before, _ := b.group.Steps()
-	for turn := 0; version(b) < 2; turn++ {
-		if turn == 600 {
-			t.Fatal("the map never followed the shift")
+	for round := 0; version(b) < 2; round++ {
+		if round == 600 {
+			t.Fatal("the map did not follow the shift")
 		}
 		waitForWindow(b)
 		now = now.Add(2 * time.Second)
-		if _, err := leader.Turn(t.Context(), now, 1); err != nil {
+		if _, err := leader.RunRound(t.Context(), now, 1); err != nil {
 			t.Fatal(err)
 		}
 	}
 	b.checkOneMap(t, version(b))
 	if after, _ := b.group.Steps(); after == before {
-		t.Fatal("the group stood still")
+		t.Fatal("the group made no progress")
 	}
 }
 
-// hot sends most tokens to the two last experts of each layer; the first map, which takes all for equal, gives the room
-// for replicas to the first ones.
-func hot() []uint32 {
+// skewedWeights sends most tokens to the two last experts of each layer. The first map assumes equal popularity and
+// gives the additional replicas to the first experts.
+func skewedWeights() []uint32 {
 	w := make([]uint32, experts*layers)
 	for i := range w {
 		w[i] = 2_000
@@ -185,13 +185,13 @@
 	return w
 }
 
-func version(b *bed) uint64 {
+func version(b *testbed) uint64 {
 	_, maps := b.group.Steps()
 	return maps[0].Version
 }
 
-// waitForWindow lets the group run on until its next window is whole.
-func waitForWindow(b *bed) {
+// waitForWindow waits until the group completes its next window.
+func waitForWindow(b *testbed) {
 	from, _ := b.group.Steps()
 	for {
 		if at, _ := b.group.Steps(); at/20 > from/20 {
@@ -201,43 +201,43 @@
 	}
 }
 
-// Nothing is seen outside when the holder of the lease ends and another entry takes over: it learns the map in force
-// from the ranks and the object store, and does not start the group from its first map again.
-func TestASuccessorTakesTheMapFromTheRanks(t *testing.T) {
-	b := startBed(t)
-	if _, err := b.startLeader(t, "entry-1").Turn(t.Context(), time.Now(), 1); err != nil {
+// When the holder of the lease dies and another entry takes over, the successor reads the map in force from the ranks
+// and the object store. It must not switch the group back to a first map.
+func TestSuccessorReadsMapFromRanks(t *testing.T) {
+	b := startTestbed(t)
+	if _, err := b.startLeader(t, "entry-1").RunRound(t.Context(), time.Now(), 1); err != nil {
 		t.Fatal(err)
 	}
 	successor := b.startLeader(t, "entry-2")
-	if _, err := successor.Turn(t.Context(), time.Now(), 2); err != nil {
+	if _, err := successor.RunRound(t.Context(), time.Now(), 2); err != nil {
 		t.Fatal(err)
 	}
 	b.checkOneMap(t, 1)
 }
 
-// The group keeps its map when the object store is down: no new map is started, and the turn says why.
-func TestNoNewMapWithoutTheObjectStore(t *testing.T) {
-	b := startBed(t)
+// While the object store is down the group keeps its map: no new one is started, and the round returns the error.
+func TestNoNewMapWithoutObjectStore(t *testing.T) {
+	b := startTestbed(t)
 	b.store.SetFaults(platform.PartObjects, platform.Faults{Outage: true})
-	_, err := b.startLeader(t, "entry-1").Turn(t.Context(), time.Now(), 1)
+	_, err := b.startLeader(t, "entry-1").RunRound(t.Context(), time.Now(), 1)
 	if err == nil {
-		t.Fatal("a map was started that nobody else could read")
+		t.Fatal("a map was started that no other node could read")
 	}
 	if version(b) != 0 {
 		t.Fatal("the group runs a map that is not stored")
 	}
 }
 
-// A rank whose slot is not known keeps the switch from beginning, and the others keep their map: without all
+// A rank without a slot in the roster must prevent the switch, and the others keep their map: without all
 // acknowledgements there is no certificate.
 func TestNoSwitchWithoutEveryRank(t *testing.T) {
-	b := startBed(t)
+	b := startTestbed(t)
 	b.mu.Lock()
 	b.members = b.members[1:]
 	b.mu.Unlock()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	_, err := b.startLeader(t, "entry-1").Turn(ctx, time.Now(), 1)
+	_, err := b.startLeader(t, "entry-1").RunRound(ctx, time.Now(), 1)
 	if !errors.Is(err, context.DeadlineExceeded) || version(b) != 0 {
 		t.Fatalf("got %v, map version %d", err, version(b))
 	}
--- a/internal/experts/rebalance/runner.go
+++ b/internal/experts/rebalance/runner.go
@@ -21,15 +21,16 @@
 )
 
 const (
-	// turnInterval is the time between two rounds of reports; it is below a third of placement.StallAfter.
-	turnInterval = 2 * time.Second
-	// checkInterval is the time between two looks at the configuration and the roster.
+	// roundInterval is the time between two rounds of reports. It is below a third of placement.StallAfter.
+	roundInterval = 2 * time.Second
+	// checkInterval is the time between two checks of the configuration and the roster.
 	checkInterval = time.Second
-	// candidates is how many entries want a group's lease, so that one that is lost has a successor at hand.
-	candidates = 3
+	// candidateCount is the number of entries that contend for a group's lease, so that a lost holder has a
+	// successor.
+	candidateCount = 3
 )
 
-// RunnerOptions are what a Runner is made of.
+// RunnerOptions configures a Runner.
 type RunnerOptions struct {
 	Node      ids.Node
 	Config    config.Source
@@ -39,42 +40,42 @@
 	Loop      *control.Loop
 	Objects   platform.Objects
 	Weights   platform.Weights
-	// Audit takes in each switch; nil: it is only logged.
+	// Audit records each switch. If it is nil, switches are only logged.
 	Audit  func(now time.Time, r *audit.Row)
 	Logger log.Logger
 }
 
-// Runner carries the duty for every group whose lease its entry holds.
+// Runner carries out the duty for every group whose lease its entry holds.
 type Runner struct {
-	opts   RunnerOptions
-	groups map[ids.Group]context.CancelFunc
-	looked time.Time
+	opts      RunnerOptions
+	groups    map[ids.Group]context.CancelFunc
+	lastCheck time.Time
 }
 
-// NewRunner returns a runner without duties.
+// NewRunner returns a runner without groups.
 func NewRunner(o RunnerOptions) *Runner {
 	return &Runner{opts: o, groups: map[ids.Group]context.CancelFunc{}}
 }
 
-// DutyOf names the lease of a group.
+// DutyOf returns the name of a group's lease.
 func DutyOf(g ids.Group) lease.Duty { return lease.Duty("group/" + string(g)) }
 
-// Tick follows the configuration: one duty a group. It runs on the control loop.
+// Tick starts and stops groups to match the configuration, with one duty per group. It runs on the control loop.
 func (r *Runner) Tick(now time.Time) {
 	snap := r.opts.Config.Current()
-	if snap == nil || now.Sub(r.looked) < checkInterval {
+	if snap == nil || now.Sub(r.lastCheck) < checkInterval {
 		return
 	}
-	r.looked = now
+	r.lastCheck = now
 	wanted := map[ids.Group]bool{}
 	for _, g := range snap.Proto.GetGroups() {
 		name := ids.Group(g.GetName())
 		wanted[name] = true
-		r.opts.Leases.SetWanted(now, DutyOf(name), r.candidate(DutyOf(name)))
+		r.opts.Leases.SetWanted(now, DutyOf(name), r.isCandidate(DutyOf(name)))
 		if r.groups[name] == nil {
 			ctx, cancel := context.WithCancel(context.Background())
 			r.groups[name] = cancel
-			go r.serve(ctx, name, g)
+			go r.runGroup(ctx, name, g)
 		}
 	}
 	for name, cancel := range r.groups {
@@ -86,15 +87,15 @@
 	}
 }
 
-// candidate reports whether this entry is among the few that want the duty.
-func (r *Runner) candidate(d lease.Duty) bool {
+// isCandidate reports whether this entry is among the few that contend for the duty.
+func (r *Runner) isCandidate(d lease.Duty) bool {
 	var names []string
 	for _, m := range r.opts.Directory.Members() {
 		if m.GetRole() == cardamomyokev1.NodeRole_NODE_ROLE_ENTRY {
 			names = append(names, m.GetName())
 		}
 	}
-	for _, name := range lease.Candidates(d, names, candidates) {
+	for _, name := range lease.Candidates(d, names, candidateCount) {
 		if name == string(r.opts.Node) {
 			return true
 		}
@@ -102,15 +103,15 @@
 	return false
 }
 
-// Stop gives up all duties.
+// Stop ends all duties.
 func (r *Runner) Stop() {
 	for _, cancel := range r.groups {
 		cancel()
 	}
 }
 
-// serve takes turns for one group while this entry holds its lease.
-func (r *Runner) serve(ctx context.Context, name ids.Group, g *cardamomyokev1.ModelGroup) {
+// runGroup runs rounds for one group while this entry holds its lease.
+func (r *Runner) runGroup(ctx context.Context, name ids.Group, g *cardamomyokev1.ModelGroup) {
 	proposer := node.NewProposer(node.ProposerOptions{
 		Group: name,
 		Node:  r.opts.Node,
@@ -123,20 +124,21 @@
 	r.opts.Hub.AddProposer(name, proposer)
 	go proposer.Run(ctx)
 	var duty *Group
-	tick := time.NewTicker(turnInterval)
+	tick := time.NewTicker(roundInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			duty = r.turn(ctx, now, name, duty, proposer)
+			duty = r.runRound(ctx, now, name, duty, proposer)
 		}
 	}
 }
 
-// turn takes one turn, if the lease is held; without it what was learned is dropped, since the next holder decides.
-func (r *Runner) turn(ctx context.Context, now time.Time, name ids.Group, duty *Group, p *node.Proposer) *Group {
+// runRound runs one round if the lease is held. Otherwise it drops the group's state, because the next holder
+// decides.
+func (r *Runner) runRound(ctx context.Context, now time.Time, name ids.Group, duty *Group, p *node.Proposer) *Group {
 	held := r.opts.Leases.Held(DutyOf(name))
 	snap := r.opts.Config.Current()
 	if !held.ValidAt(now) || snap.Group(name) == nil {
@@ -149,9 +151,9 @@
 		})
 	}
 	duty.opts.Config = snap.Group(name)
-	stay, err := duty.Turn(ctx, now, held.Fence)
+	stay, err := duty.RunRound(ctx, now, held.Fence)
 	if err != nil {
-		_ = level.Warn(r.opts.Logger).Log("msg", "rebalancing turn failed", "group", name, "err", err)
+		_ = level.Warn(r.opts.Logger).Log("msg", "rebalancing round failed", "group", name, "err", err)
 	} else if stay != "" {
 		_ = level.Debug(r.opts.Logger).Log("msg", "expert map stays", "group", name, "reason", stay)
 	}
