--- a/internal/state/platform/client.go
+++ b/internal/state/platform/client.go
@@ -11,17 +11,18 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// Options are the settings of Client; a zero value stands for the default.
+// Options configures a Client; a zero value selects the default.
 type Options struct {
-	// Attempts is the most tries of one call, including the first; default 3.
+	// Attempts is the maximum number of attempts of one call, including the first; default 3.
 	Attempts uint `yaml:"attempts"`
-	// FirstWait is the mean wait before the second try; it doubles from try to try, each with jitter; default 50ms.
-	FirstWait time.Duration `yaml:"-"`
-	// MaxWait bounds the wait between tries; default 500ms.
+	// InitialWait is the mean wait before the second attempt; the mean grows by half from attempt to attempt, and
+	// each wait has jitter; default 50ms.
+	InitialWait time.Duration `yaml:"-"`
+	// MaxWait bounds the mean wait between attempts; default 500ms.
 	MaxWait time.Duration `yaml:"-"`
-	// Failures is how many tries in a row must fail before the circuit opens; default 5.
+	// Failures is the number of consecutive failed attempts after which the circuit opens; default 5.
 	Failures uint32 `yaml:"failures"`
-	// Probe is how long an open circuit refuses calls before it lets one through; default 1s.
+	// Probe is how long an open circuit rejects calls before it lets one through; default 1s.
 	Probe time.Duration `yaml:"-"`
 }
 
@@ -29,8 +30,8 @@
 	if o.Attempts == 0 {
 		o.Attempts = 3
 	}
-	if o.FirstWait == 0 {
-		o.FirstWait = 50 * time.Millisecond
+	if o.InitialWait == 0 {
+		o.InitialWait = 50 * time.Millisecond
 	}
 	if o.MaxWait == 0 {
 		o.MaxWait = 500 * time.Millisecond
@@ -44,11 +45,13 @@
 	return o
 }
 
-// Client adds retries with jitter and a circuit for long outages to a Service that tries once. A write is sent again
-// with its operation id, which the platform applies once, so a lost answer is settled by the next try's.
+// Client adds retries with jitter, and circuit breakers for long outages, to a Service that attempts each call once.
+// A write is repeated with its operation ID. The platform applies an operation once, so a retry resolves a lost
+// response.
 //
-// The circuit is one for each part. While it is open calls fail at once, so that an outage of hours costs the platform
-// one probe a second for each node and keeps no goroutine waiting. It implements Service.
+// The table, the object store, the host list and the weight store have one circuit breaker each. While it is open,
+// calls fail immediately, so that an outage of hours costs the platform one probe per second and node and keeps no
+// goroutine waiting. Client implements Service.
 type Client struct {
 	next    Service
 	options Options
@@ -60,53 +63,53 @@
 
 var _ Service = (*Client)(nil)
 
-// NewClient returns a Client over next.
+// NewClient returns a Client that calls next.
 func NewClient(next Service, o Options) *Client {
 	o = o.withDefaults()
 	return &Client{
 		next:    next,
 		options: o,
-		table:   circuit("table", o),
-		objects: circuit("objects", o),
-		hosts:   circuit("hosts", o),
-		weights: circuit("weights", o),
+		table:   newBreaker("table", o),
+		objects: newBreaker("objects", o),
+		hosts:   newBreaker("hosts", o),
+		weights: newBreaker("weights", o),
 	}
 }
 
-func circuit(name string, o Options) *gobreaker.CircuitBreaker[any] {
+func newBreaker(name string, o Options) *gobreaker.CircuitBreaker[any] {
 	return gobreaker.NewCircuitBreaker[any](gobreaker.Settings{
 		Name:         name,
 		Timeout:      o.Probe,
 		ReadyToTrip:  func(c gobreaker.Counts) bool { return c.ConsecutiveFailures >= o.Failures },
-		IsSuccessful: answered,
+		IsSuccessful: processed,
 	})
 }
 
-// answered reports whether the platform did its work, even if it refused.
-func answered(err error) bool {
+// processed reports whether the platform processed the call, even if it rejected it.
+func processed(err error) bool {
 	var conflict *ConflictError
-	var missing *NotFoundError
-	return err == nil || errors.As(err, &conflict) || errors.As(err, &missing)
+	var notFound *NotFoundError
+	return err == nil || errors.As(err, &conflict) || errors.As(err, &notFound)
 }
 
-// Up reports whether the table's circuit lets calls through.
+// Up reports whether the table's circuit breaker lets calls through.
 func (c *Client) Up() bool { return c.table.State() != gobreaker.StateOpen }
 
-// try runs one call with retries. It gives up at once when the platform answered or the circuit is open.
+// try runs one call with retries. It stops as soon as the platform has processed the call or the circuit is open.
 func try[T any](ctx context.Context, o Options, b *gobreaker.CircuitBreaker[any], call func() (T, error)) (T, error) {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = o.FirstWait
+	wait.InitialInterval = o.InitialWait
 	wait.MaxInterval = o.MaxWait
 	var value T
 	var last error
 	_, _ = backoff.Retry(ctx, func() (struct{}, error) {
 		_, err := b.Execute(func() (any, error) {
-			var failed error
-			value, failed = call()
-			return nil, failed
+			var callErr error
+			value, callErr = call()
+			return nil, callErr
 		})
-		last = merge(last, err)
-		if answered(err) || isOpen(err) {
+		last = mergeErrors(last, err)
+		if processed(err) || isBreakerOpen(err) {
 			return struct{}{}, nil
 		}
 		return struct{}{}, err
@@ -114,25 +117,25 @@
 	return value, last
 }
 
-func isOpen(err error) bool {
+func isBreakerOpen(err error) bool {
 	return errors.Is(err, gobreaker.ErrOpenState) || errors.Is(err, gobreaker.ErrTooManyRequests)
 }
 
-// merge keeps what must not be forgotten between tries: once the outcome of a write is unknown, a later try that was
-// not carried out proves nothing about the earlier one, which may still be under way.
-func merge(before, now error) error {
+// mergeErrors returns the error of a call after another attempt. An unknown outcome of a write is retained: a later
+// attempt that was not carried out proves nothing about the earlier one, which may still take effect.
+func mergeErrors(previous, latest error) error {
 	var unknown *UnknownOutcomeError
-	if errors.As(before, &unknown) && !answered(now) {
-		return before
+	if errors.As(previous, &unknown) && !processed(latest) {
+		return previous
 	}
-	if before != nil && isOpen(now) {
-		return before // says why the circuit opened
+	if previous != nil && isBreakerOpen(latest) {
+		return previous // the failure that opened the circuit
 	}
-	return now
+	return latest
 }
 
 func unavailable(op string, err error) error {
-	if isOpen(err) {
+	if isBreakerOpen(err) {
 		return &UnavailableError{op, err}
 	}
 	return err
@@ -153,7 +156,7 @@
 // Commit implements Table.
 func (c *Client) Commit(ctx context.Context, t Txn) (Result, error) {
 	if t.Operation == "" {
-		// Without an id a second try could apply the transaction twice.
+		// Without an operation ID a retry could apply the transaction twice.
 		t.Operation = ids.NewOperation()
 	}
 	res, err := try(ctx, c.options, c.table, func() (Result, error) { return c.next.Commit(ctx, t) })
@@ -172,17 +175,17 @@
 	return data, unavailable("get object", err)
 }
 
-// hostsResponse carries the two results of Hosts through try.
-type hostsResponse struct {
+// hostsResult carries the two results of Hosts through try.
+type hostsResult struct {
 	hosts []Host
 	age   time.Duration
 }
 
 // Hosts implements HostList.
 func (c *Client) Hosts(ctx context.Context) ([]Host, time.Duration, error) {
-	out, err := try(ctx, c.options, c.hosts, func() (hostsResponse, error) {
+	out, err := try(ctx, c.options, c.hosts, func() (hostsResult, error) {
 		hosts, age, err := c.next.Hosts(ctx)
-		return hostsResponse{hosts, age}, err
+		return hostsResult{hosts, age}, err
 	})
 	return out.hosts, out.age, unavailable("hosts", err)
 }
--- a/internal/state/platform/client_test.go
+++ b/internal/state/platform/client_test.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// The caller sees one successful write. Its first answer is lost after the write took effect; the client sends the
-// same operation again, and the platform returns the first result instead of a conflict with the caller's own write.
-func TestLostAnswerIsSettledByItsOperation(t *testing.T) {
+// The response to a commit is lost after the write took effect, and the client retries with the same operation ID.
+// The caller must see one successful write, not a conflict with its own write.
+func TestLostResponseIsResolvedByOperationID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore(standin.Limits{})
 		c := platform.NewClient(s, platform.Options{})
@@ -42,12 +42,12 @@
 	})
 }
 
-// The caller is told that the outcome is unknown, never "unavailable": the first try may still take effect after the
-// platform has gone down for the later ones, and here it does.
-func TestLateWriteIsNeverCalledUnavailable(t *testing.T) {
+// A delayed write takes effect after the platform has become unavailable for the retries. The caller must get an
+// unknown outcome, never "unavailable", because the first attempt may still take effect.
+func TestLateWriteIsNeverReportedUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore(standin.Limits{})
-		c := platform.NewClient(s, platform.Options{FirstWait: 100 * time.Millisecond})
+		c := platform.NewClient(s, platform.Options{InitialWait: 100 * time.Millisecond})
 		s.SetFaults(standin.PartTable, standin.Faults{LateWrites: 1, LateBy: time.Minute})
 		time.AfterFunc(10*time.Millisecond, func() { s.SetFaults(standin.PartTable, standin.Faults{Outage: true}) })
 		_, err := c.Commit(t.Context(), put("op", "k", "v", 0))
@@ -64,8 +64,9 @@
 	})
 }
 
-// During a long outage a node asks about once a second, not with every call, and finds the platform again by itself.
-func TestCircuitBoundsCallsDuringAnOutage(t *testing.T) {
+// During a long outage a node must call the platform about once per second instead of on every call, and recover by
+// itself after the outage.
+func TestCircuitBreakerLimitsCallsDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore(standin.Limits{})
 		c := platform.NewClient(s, platform.Options{})
@@ -77,8 +78,8 @@
 			if !errors.As(err, &down) {
 				t.Fatalf("got %v", err)
 			}
-			var off *standin.OutageError
-			if errors.As(err, &off) {
+			var outage *standin.OutageError
+			if errors.As(err, &outage) {
 				reached++
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -94,7 +95,7 @@
 	})
 }
 
-func TestConflictIsNotTriedAgain(t *testing.T) {
+func TestConflictIsNotRetried(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	c := platform.NewClient(s, platform.Options{})
 	if _, err := c.Commit(t.Context(), put("a", "k", "v", 0)); err != nil {
@@ -116,7 +117,7 @@
 	return platform.NewHTTP(strings.TrimPrefix(srv.URL, "http://"), time.Minute)
 }
 
-func TestHTTPCarriesEachCall(t *testing.T) {
+func TestHTTPCalls(t *testing.T) {
 	s := standin.NewStore(standin.Limits{WeightBytesPerSecond: 7})
 	h := serve(t, s)
 	ctx := t.Context()
@@ -140,8 +141,8 @@
 	if data, err := h.GetObject(ctx, "maps/a"); err != nil || string(data) != "x" {
 		t.Fatalf("object %q, %v", data, err)
 	}
-	var missing *platform.NotFoundError
-	if _, err := h.GetObject(ctx, "maps/b"); !errors.As(err, &missing) {
+	var notFound *platform.NotFoundError
+	if _, err := h.GetObject(ctx, "maps/b"); !errors.As(err, &notFound) {
 		t.Fatalf("missing: %v", err)
 	}
 	want := []platform.Host{{Name: "a", Role: "entry", DataCentre: "vallejo", State: platform.HostLive}}
@@ -155,7 +156,7 @@
 	}
 }
 
-func TestHTTPTellsNeverSentFromUnknown(t *testing.T) {
+func TestHTTPDistinguishesNotSentFromUnknown(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	h := serve(t, s)
 	var unknown *platform.UnknownOutcomeError
@@ -164,7 +165,7 @@
 
 	s.SetFaults(standin.PartTable, standin.Faults{LoseAnswers: 1})
 	if _, err := h.Commit(t.Context(), put("a", "k", "v", 0)); !errors.As(err, &unknown) {
-		t.Fatalf("lost answer: %v", err)
+		t.Fatalf("lost response: %v", err)
 	}
 	if _, err := h.Commit(t.Context(), put("b", "k", "v", 0)); !errors.As(err, &conflict) || conflict.Rows[0].Version != 1 {
 		t.Fatalf("conflict: %v", err)
@@ -181,8 +182,8 @@
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	nobody := platform.NewHTTP(addr, time.Minute)
-	if _, err := nobody.Commit(context.Background(), put("d", "k", "v", 1)); !errors.As(err, &down) {
+	noListener := platform.NewHTTP(addr, time.Minute)
+	if _, err := noListener.Commit(context.Background(), put("d", "k", "v", 1)); !errors.As(err, &down) {
 		t.Fatalf("no listener: %v", err)
 	}
 }
--- a/internal/state/platform/http.go
+++ b/internal/state/platform/http.go
@@ -21,19 +21,20 @@
 	maxResponseBody = 64 << 20
 )
 
-// HTTP speaks the platform's protocol, one attempt for each call: see Client for retries. It implements Service.
+// HTTP is a client of the platform's protocol that attempts each call once; see Client for retries. It implements
+// Service.
 type HTTP struct {
 	client *fasthttp.HostClient
-	// limit bounds an attempt whose context has no earlier deadline.
-	limit time.Duration
+	// timeout bounds an attempt whose context has no earlier deadline.
+	timeout time.Duration
 }
 
 var _ Service = (*HTTP)(nil)
 
-// NewHTTP returns a client of the platform at address, which is IP:PORT; limit bounds each attempt.
-func NewHTTP(address string, limit time.Duration) *HTTP {
+// NewHTTP returns a client of the platform at address, in the form IP:PORT. timeout bounds each attempt.
+func NewHTTP(address string, timeout time.Duration) *HTTP {
 	return &HTTP{
-		limit: limit,
+		timeout: timeout,
 		client: &fasthttp.HostClient{
 			Addr:                address,
 			Name:                "cardamomyoke",
@@ -41,20 +42,21 @@
 			MaxIdleConnDuration: maxIdleConn,
 			MaxResponseBodySize: maxResponseBody,
 			Dial:                dial,
-			// The library would send a request twice without saying so; only Client decides about that.
+			// Without these two settings the library would repeat a request by itself; only Client decides about
+			// retries.
 			MaxIdemponentCallAttempts: 1,
 			RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		},
 	}
 }
 
-// notSentError says that no byte of a request left this process.
+// notSentError reports that no byte of a request left this process.
 type notSentError struct{ cause error }
 
 func (e *notSentError) Error() string { return fmt.Sprintf("not sent: %v", e.cause) }
 func (e *notSentError) Unwrap() error { return e.cause }
 
-// StatusError is an answer that the protocol does not know.
+// StatusError is a response with a status that the call does not expect.
 type StatusError struct {
 	Status int
 	Body   string
@@ -71,16 +73,16 @@
 	return conn, nil
 }
 
-type reply struct {
+type response struct {
 	status int
 	body   []byte
 }
 
-func (h *HTTP) do(ctx context.Context, method, path string, body []byte) (reply, error) {
+func (h *HTTP) do(ctx context.Context, method, path string, body []byte) (response, error) {
 	if err := ctx.Err(); err != nil {
-		return reply{}, &notSentError{err}
+		return response{}, &notSentError{err}
 	}
-	deadline := time.Now().Add(h.limit)
+	deadline := time.Now().Add(h.timeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
@@ -93,23 +95,23 @@
 	req.SetBody(body)
 	if err := h.client.DoDeadline(req, resp, deadline); err != nil {
 		if errors.Is(err, fasthttp.ErrNoFreeConns) {
-			return reply{}, &notSentError{err}
+			return response{}, &notSentError{err}
 		}
-		return reply{}, err
+		return response{}, err
 	}
-	return reply{resp.StatusCode(), append([]byte(nil), resp.Body()...)}, nil
+	return response{resp.StatusCode(), append([]byte(nil), resp.Body()...)}, nil
 }
 
-// call sends in as JSON and reads the answer into out. A 409 is returned as *ConflictError, any other status but 200
-// as *StatusError.
+// call sends in as JSON and decodes the response into out. It returns a 409 as *ConflictError, and any other status
+// except 200 as *StatusError.
 func (h *HTTP) call(ctx context.Context, method, path string, in, out any) error {
 	var body []byte
 	if in != nil {
-		text, err := json.Marshal(in)
+		data, err := json.Marshal(in)
 		if err != nil {
 			return &notSentError{err}
 		}
-		body = text
+		body = data
 	}
 	r, err := h.do(ctx, method, path, body)
 	if err != nil {
@@ -128,8 +130,9 @@
 	return &StatusError{r.status, string(r.body)}
 }
 
-// writeError sorts the failure of a write into applied never, or not known.
-func writeError(op string, id ids.Operation, err error) error {
+// classifyWriteError returns the error of a failed write by its effect: *ConflictError or *UnavailableError if the
+// write was not applied and never will be, *UnknownOutcomeError otherwise.
+func classifyWriteError(op string, id ids.Operation, err error) error {
 	var conflict *ConflictError
 	if errors.As(err, &conflict) {
 		return conflict
@@ -139,8 +142,8 @@
 		return &UnavailableError{op, err}
 	}
 	var status *StatusError
-	refused := errors.As(err, &status) && (status.Status == http.StatusServiceUnavailable || status.Status < http.StatusInternalServerError)
-	if refused {
+	rejected := errors.As(err, &status) && (status.Status == http.StatusServiceUnavailable || status.Status < http.StatusInternalServerError)
+	if rejected {
 		return &UnavailableError{op, err}
 	}
 	return &UnknownOutcomeError{id, err}
@@ -168,7 +171,7 @@
 func (h *HTTP) Commit(ctx context.Context, t Txn) (Result, error) {
 	var out Result
 	if err := h.call(ctx, http.MethodPost, PathCommit, t, &out); err != nil {
-		return Result{}, writeError("commit", t.Operation, err)
+		return Result{}, classifyWriteError("commit", t.Operation, err)
 	}
 	return out, nil
 }
@@ -185,7 +188,7 @@
 		}
 		err = &StatusError{r.status, string(r.body)}
 	}
-	return writeError("put object", ids.Operation(name), err)
+	return classifyWriteError("put object", ids.Operation(name), err)
 }
 
 // GetObject implements Objects.
--- a/internal/state/platform/platform.go
+++ b/internal/state/platform/platform.go
@@ -1,7 +1,8 @@
-// Package platform is what the system sees of the platform it runs on: a transactional table, an object store, a
-// lagging list of hosts and a rate-limited store of weights.
+// Package platform defines the services of the platform that the system runs on: a transactional table, an object
+// store, a delayed list of hosts and a rate-limited store of weights.
 //
-// The interfaces are small so that tests can meet them with fakes; the client in this package meets them over HTTP.
+// The interfaces are small so that tests can replace them with fakes. Client and HTTP in this package implement them
+// over HTTP.
 package platform
 
 import (
@@ -12,14 +13,14 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// Row is one row of the table. Version 0 means that the row does not exist; each write raises it by one.
+// Row is one row of the table. Version is 0 if the row does not exist; each write increments it.
 type Row struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 	Value   []byte `json:"value"`
 }
 
-// Check is a condition of a transaction: the row's version must be exactly this one, 0 for a row that must not exist.
+// Check is a precondition of a transaction: the row must have exactly this version; 0 means that it must not exist.
 type Check struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
@@ -31,40 +32,41 @@
 	Value []byte `json:"value"`
 }
 
-// Txn is applied whole or not at all. A transaction whose Operation was applied before is not applied again and
-// returns the first result, so that a lost answer can be settled by sending it once more.
+// Txn is a transaction, which is applied entirely or not at all. If its Operation was applied before, it is not
+// applied again and returns the first result, so that a lost response can be resolved by a retry.
 type Txn struct {
 	Operation ids.Operation `json:"operation"`
 	Checks    []Check       `json:"checks"`
 	Puts      []Put         `json:"puts"`
 }
 
-// Result tells what a transaction did: the new version of each row put, in the order of Txn.Puts.
+// Result is the outcome of a transaction: the new version of each row put, in the sequence of Txn.Puts.
 type Result struct {
 	Versions []uint64 `json:"versions"`
 }
 
 // Table is the platform's transactional table. All methods honour the context's deadline.
 type Table interface {
-	// Get reads rows in one consistent read; an absent row has version 0. Errors: *UnavailableError.
+	// Get reads rows in one consistent read; a row that does not exist has version 0. Errors: *UnavailableError.
 	Get(ctx context.Context, keys ...string) ([]Row, error)
-	// List reads up to limit rows with the prefix and a key larger than after, in key order. Errors: *UnavailableError.
+	// List reads up to limit rows whose key has the prefix and is greater than after, sorted by key. Errors:
+	// *UnavailableError.
 	List(ctx context.Context, prefix, after string, limit int) ([]Row, error)
-	// Commit applies a transaction. Errors: *ConflictError (not applied), *UnavailableError (not applied),
-	// *UnknownOutcomeError (may have been applied, or may still be).
+	// Commit applies a transaction. Errors: *ConflictError and *UnavailableError (not applied), *UnknownOutcomeError
+	// (may have been applied, or may still be).
 	Commit(ctx context.Context, t Txn) (Result, error)
 }
 
-// Objects is the platform's object store. Objects are never overwritten with other content.
+// Objects is the platform's object store. An object is never overwritten with other content.
 type Objects interface {
-	// PutObject stores data under name; storing the same data again is no error. Errors: *ConflictError (other
-	// data is stored there), *UnavailableError, *UnknownOutcomeError.
+	// PutObject stores data under name; storing the same data again is no error. Errors: *ConflictError (other data
+	// is stored under the name), *UnavailableError, *UnknownOutcomeError.
 	PutObject(ctx context.Context, name string, data []byte) error
 	// GetObject reads an object. Errors: *NotFoundError, *UnavailableError.
 	GetObject(ctx context.Context, name string) ([]byte, error)
 }
 
-// HostState is what the host list says of a host.
+// HostState is the state of a host in the host list.
 type HostState string
 
 // The states of a host in the list.
@@ -73,7 +75,7 @@
 	HostLeaving HostState = "leaving"
 )
 
-// Host is one line of the host list, which lags behind the truth by seconds to minutes.
+// Host is one host of the host list, which lags by seconds to minutes.
 type Host struct {
 	Name       string         `json:"name"`
 	Role       string         `json:"role"`
@@ -84,17 +86,17 @@
 
 // HostList is the platform's list of hosts.
 type HostList interface {
-	// Hosts returns the whole list and how old it says it is. Errors: *UnavailableError.
+	// Hosts returns the full list and its age as reported by the platform. Errors: *UnavailableError.
 	Hosts(ctx context.Context) (hosts []Host, age time.Duration, err error)
 }
 
-// Weights is the rate-limited store that engines load weights from.
+// Weights is the rate-limited store from which engines load weights.
 type Weights interface {
-	// Rate returns the bytes a second that the store grants to one group.
+	// Rate returns the rate that the store grants to one group, in bytes per second.
 	Rate(ctx context.Context, group ids.Group) (bytesPerSecond uint64, err error)
 }
 
-// Service is everything that the platform gives.
+// Service combines all services of the platform.
 type Service interface {
 	Table
 	Objects
@@ -102,9 +104,11 @@
 	Weights
 }
 
-// ConflictError says that a transaction was not applied because a row had another version than its check.
+// ConflictError reports that a write was not applied: the version of a row differs from its check, or an object is
+// stored with other data under the name.
 type ConflictError struct {
-	// Rows are the rows as they are, for the checks that failed.
+	// Rows are the current rows of the checks that failed. For an object, Rows has one row with its name and version
+	// 1.
 	Rows []Row
 }
 
@@ -113,10 +117,10 @@
 	if len(e.Rows) == 0 {
 		return "platform: conflict"
 	}
-	return fmt.Sprintf("platform: conflict at %s, which has version %d", e.Rows[0].Key, e.Rows[0].Version)
+	return fmt.Sprintf("platform: conflict at %s: current version is %d", e.Rows[0].Key, e.Rows[0].Version)
 }
 
-// UnavailableError says that the platform did not do what was asked, and will not do it later.
+// UnavailableError reports that the platform did not carry out the call, and will not do so later.
 type UnavailableError struct {
 	Op    string
 	Cause error
@@ -130,7 +134,7 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// UnknownOutcomeError says that a write may or may not have taken effect, or may still do so.
+// UnknownOutcomeError reports that a write may or may not have taken effect, or may still do so.
 type UnknownOutcomeError struct {
 	Operation ids.Operation
 	Cause     error
@@ -144,7 +148,7 @@
 // Unwrap returns the cause.
 func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// NotFoundError says that an object does not exist.
+// NotFoundError reports that an object does not exist.
 type NotFoundError struct{ Name string }
 
 // Error implements error.
