--- a/internal/state/platform/client.go
+++ b/internal/state/platform/client.go
@@ -22,8 +22,8 @@
 	MaxWait time.Duration `yaml:"-"`
 	// Failures is the number of consecutive failed attempts after which the circuit opens; default 5.
 	Failures uint32 `yaml:"failures"`
-	// Probe is how long an open circuit rejects calls before it lets one through; default 1s.
-	Probe time.Duration `yaml:"-"`
+	// ProbeAfter is how long an open circuit rejects calls before it lets one through; default 1s.
+	ProbeAfter time.Duration `yaml:"-"`
 }
 
 func (o Options) withDefaults() Options {
@@ -39,8 +39,8 @@
 	if o.Failures == 0 {
 		o.Failures = 5
 	}
-	if o.Probe == 0 {
-		o.Probe = time.Second
+	if o.ProbeAfter == 0 {
+		o.ProbeAfter = time.Second
 	}
 	return o
 }
@@ -79,7 +79,7 @@
 func newBreaker(name string, o Options) *gobreaker.CircuitBreaker[any] {
 	return gobreaker.NewCircuitBreaker[any](gobreaker.Settings{
 		Name:         name,
-		Timeout:      o.Probe,
+		Timeout:      o.ProbeAfter,
 		ReadyToTrip:  func(c gobreaker.Counts) bool { return c.ConsecutiveFailures >= o.Failures },
 		IsSuccessful: processed,
 	})
