--- a/internal/state/registry/finding.go
+++ b/internal/state/registry/finding.go
@@ -2,25 +2,26 @@
 
 import "github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 
-// Kind says what was found about an entry.
+// Kind classifies a finding about an entry.
 type Kind string
 
 const (
-	// Unreadable entries name no upstream.
+	// Unreadable entries cannot be decoded to an upstream.
 	Unreadable Kind = "entry names no upstream"
-	// Late entries are of a life that has ended; the newer one's stays in force.
+	// Late entries belong to an incarnation that has ended; the entry of the newer one stays in force.
 	Late Kind = "entry of an ended life"
-	// Restarted upstreams have a new life under their id.
+	// Restarted upstreams have a new incarnation under the same ID.
 	Restarted Kind = "upstream restarted"
 )
 
-// Finding is something about an entry that belongs in the log. Each version of an entry is reported once.
+// Finding is an observation about an entry, to be logged. Each version of an entry is reported once.
 type Finding struct {
 	Kind    Kind
 	Key     string
 	Version uint64
-	// Err says why the entry is Unreadable.
+	// Err is the reason why the entry is Unreadable.
 	Err error
-	// Incarnation and Previous are the life that the entry names and the one before it, of Late and Restarted entries.
+	// Incarnation is the incarnation that the entry names, and Previous the one before it. They are set for Late and
+	// Restarted entries.
 	Incarnation, Previous ids.UpstreamIncarnation
 }
--- a/internal/state/registry/registry.go
+++ b/internal/state/registry/registry.go
@@ -8,43 +8,43 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// Decode reads one row.
+// Decode decodes one row.
 type Decode func(platform.Row) (*catalog.Upstream, error)
 
-// Registry follows the registry's rows. It is not safe for concurrent use.
+// Registry tracks the rows of the registry. It is not safe for concurrent use.
 type Registry struct {
 	decode  Decode
 	entries map[string]*entry
-	// rejected are lives whose address answered as another upstream.
+	// rejected holds incarnations whose address answered as another upstream.
 	rejected map[ids.UpstreamIncarnation]bool
 }
 
-// entry is what is known of one row's key.
+// entry is the state of one row's key.
 type entry struct {
-	// version is that of the row that was read last.
+	// version is the version of the last row that was read.
 	version uint64
-	// up is the newest life that the entry named, nil if the row cannot be read.
+	// up is the newest incarnation that the entry named; nil if the row cannot be decoded.
 	up *catalog.Upstream
-	// ended are the starts of the lives before it, the latest last.
-	ended []int64
+	// pastStarts holds the start times of the incarnations before it, the latest last.
+	pastStarts []int64
 }
 
-// keptIncarnations is how many ended lives are remembered of one id: a late entry is of one of the last few.
+// keptIncarnations is the number of past incarnations remembered per ID. A late entry belongs to one of the last few.
 const keptIncarnations = 8
 
-// New returns a registry without rows.
+// New returns an empty registry.
 func New(decode Decode) *Registry {
 	return &Registry{decode: decode, entries: map[string]*entry{}, rejected: map[ids.UpstreamIncarnation]bool{}}
 }
 
-// Update takes in all rows that the registry has now, and returns the upstreams that may be used for the services. Rows that
-// did not change since the last call are not decoded again: the whole registry is passed with each change of one row.
+// Update processes all rows of the registry, and returns the usable upstreams of the given services. Rows that did
+// not change since the last call are not decoded again, because every change of one row passes the whole registry.
 func (r *Registry) Update(rows []platform.Row, services map[ids.Service]*catalog.Service) (*catalog.Upstreams, []Finding) {
 	next := make(map[string]*entry, len(rows))
 	var findings []Finding
 	var list []*catalog.Upstream
 	for _, row := range rows {
-		e, f := r.read(row)
+		e, f := r.readRow(row)
 		next[row.Key] = e
 		if f != nil {
 			findings = append(findings, *f)
@@ -54,23 +54,24 @@
 		}
 	}
 	r.entries = next
-	r.forget()
+	r.dropRejected()
 	return catalog.NewUpstreams(list), findings
 }
 
-// usable reports whether the entry names an upstream that requests may go to.
+// usable reports whether the entry names an upstream to which requests may be sent.
 //
-// An entry of a service that nobody configured, or one whose address answered as another upstream, may name the address of a
-// healthy one, which would get nothing: of two entries with one address the later counts.
+// An entry is not usable if its service is not configured, or if its address answered as another upstream. Such an
+// entry may name the address of a healthy upstream. Because only the later of two entries with the same address
+// counts, the healthy upstream would then get no requests.
 func (r *Registry) usable(e *entry, services map[ids.Service]*catalog.Service) bool {
 	return e.up != nil && services[e.up.Service] != nil && !r.rejected[e.up.Incarnation()]
 }
 
-// Reject notes that the life's address answered as another upstream, which is proof that the entry is not the address's
-// owner's. It reports whether that is news.
+// Reject records that the address of the incarnation answered as another upstream, which proves that the entry is
+// false. It returns false if that was recorded before.
 //
-// What is left: a false entry that is well formed costs each gateway one attempt, which did not run, for each id that it is
-// written under.
+// A well-formed false entry still costs each gateway one attempt, which the upstream does not run, for each ID under
+// which it is written.
 func (r *Registry) Reject(i ids.UpstreamIncarnation) bool {
 	if r.rejected[i] {
 		return false
@@ -79,8 +80,8 @@
 	return true
 }
 
-// forget drops what is known of lives whose entries are gone.
-func (r *Registry) forget() {
+// dropRejected drops rejected incarnations that no entry names any more.
+func (r *Registry) dropRejected() {
 	for i := range r.rejected {
 		e := r.entries[string(i.Upstream)]
 		if e == nil || e.up == nil || e.up.Incarnation() != i {
@@ -89,57 +90,59 @@
 	}
 }
 
-// read takes in one row and says what is worth a line in the log.
-func (r *Registry) read(row platform.Row) (*entry, *Finding) {
+// readRow processes one row and returns its entry and a finding, if there is one to log.
+func (r *Registry) readRow(row platform.Row) (*entry, *Finding) {
 	old := r.entries[row.Key]
 	if old != nil && old.version == row.Version {
 		return old, nil
 	}
 	e := &entry{version: row.Version}
 	if old != nil {
-		e.ended = old.ended
+		e.pastStarts = old.pastStarts
 	}
 	up, err := r.decode(row)
 	if err != nil {
-		return e.without(old), &Finding{Key: row.Key, Version: row.Version, Kind: Unreadable, Err: err}
+		return e.keepHistory(old), &Finding{Key: row.Key, Version: row.Version, Kind: Unreadable, Err: err}
 	}
 	e.up = up
 	if old == nil || old.up == nil {
 		return e, nil
 	}
-	return e.after(old)
+	return e.resolveIncarnation(old)
 }
 
-// without is an entry that cannot be read after one that could: what lives it named stays known.
-func (e *entry) without(old *entry) *entry {
+// keepHistory completes an unreadable entry that follows old: the incarnation that old named becomes a past one, so
+// that it is not mistaken for a new one later.
+func (e *entry) keepHistory(old *entry) *entry {
 	if old != nil && old.up != nil {
-		e.end(old.up.StartedAtMS)
+		e.addPastStart(old.up.StartedAtMS)
 	}
 	return e
 }
 
-// after follows an entry of the same id.
+// resolveIncarnation completes an entry that follows old under the same ID, and decides which incarnation is in
+// force.
 //
-// The last heartbeat of an ended life may come after the first of the next. Starts do not order lives, as a clock may have
-// been set back, but a life that was replaced never comes back.
-func (e *entry) after(old *entry) (*entry, *Finding) {
-	was, is := old.up.Incarnation(), e.up.Incarnation()
-	if was == is {
+// The last heartbeat of a past incarnation may arrive after the first one of the next. Incarnations are not ordered
+// by start time, because a clock may have been set back, but a replaced incarnation never returns.
+func (e *entry) resolveIncarnation(old *entry) (*entry, *Finding) {
+	previous, current := old.up.Incarnation(), e.up.Incarnation()
+	if previous == current {
 		return e, nil
 	}
-	f := &Finding{Key: string(is.Upstream), Version: e.version, Incarnation: is, Previous: was, Kind: Restarted}
-	if is.StartedAtMS == 0 || slices.Contains(e.ended, is.StartedAtMS) {
+	f := &Finding{Key: string(current.Upstream), Version: e.version, Incarnation: current, Previous: previous, Kind: Restarted}
+	if current.StartedAtMS == 0 || slices.Contains(e.pastStarts, current.StartedAtMS) {
 		f.Kind = Late
 		e.up = old.up
 		return e, f
 	}
-	e.end(was.StartedAtMS)
+	e.addPastStart(previous.StartedAtMS)
 	return e, f
 }
 
-func (e *entry) end(born int64) {
-	if born == 0 {
+func (e *entry) addPastStart(startedAtMS int64) {
+	if startedAtMS == 0 {
 		return
 	}
-	e.ended = append(slices.Clone(e.ended[max(0, len(e.ended)+1-keptIncarnations):]), born)
+	e.pastStarts = append(slices.Clone(e.pastStarts[max(0, len(e.pastStarts)+1-keptIncarnations):]), startedAtMS)
 }
