--- a/internal/state/replica/doc.go
+++ b/internal/state/replica/doc.go
@@ -1,6 +1,6 @@
-// Package replica keeps copies of tables of the platform's store in a node's memory.
+// Package replica holds copies of tables of the platform's store in a node's memory.
 //
-// Each node follows the store's feed. A node that the store turns away, or that cannot reach it, learns what changed
-// from other nodes: they tell the version of the newest change that they know, and it pulls what it lacks. A copy only
-// moves forward, whichever way news come.
+// Each node follows the store's feed. A node that is rejected by the store or cannot reach it gets changes from its
+// peers: they gossip the version of their newest change, and the node pulls what it lacks. A copy only moves forward,
+// whatever the source of an update.
 package replica
--- a/internal/state/replica/follower.go
+++ b/internal/state/replica/follower.go
@@ -13,22 +13,24 @@
 )
 
 const (
-	// sentinelWait is how long one call of a sentinel waits for changes. It bounds how long a store that accepts a call and
-	// forgets it goes unnoticed, which must be less than the time in which a change is to be in force after an outage.
+	// sentinelWait is how long one call of a sentinel waits for changes. It bounds how long a store that accepts
+	// calls and never responds goes unnoticed. That time must be less than the time within which a change must be in
+	// force after an outage.
 	sentinelWait = 2500 * time.Millisecond
-	// usualWait is the same for a node that hears from sentinels what its own call may miss.
-	usualWait = 12 * time.Second
-	// spacing is the least time between the starts of two calls. Changes that come in quick succession, as when all
-	// upstreams register at once, are read together; it is a tenth of the shortest time in which one must be in force.
-	spacing = 150 * time.Millisecond
-	// relayCheck is how often a node that hears of changes from others looks whether they are still heard.
-	relayCheck = 100 * time.Millisecond
-	// firstPause and lastPause bound the wait after a failed call; it doubles between them.
-	firstPause = 100 * time.Millisecond
-	lastPause  = 800 * time.Millisecond
+	// normalWait is that wait for all other nodes, which get from sentinels what their own calls may miss.
+	normalWait = 12 * time.Second
+	// minCallInterval is the minimum time between the starts of two calls. Changes in quick succession, as when all
+	// upstreams register at the same time, are read together. It is a tenth of the shortest time within which a
+	// change must be in force.
+	minCallInterval = 150 * time.Millisecond
+	// relayCheckInterval is how often a node that gets changes from its peers checks whether it still does.
+	relayCheckInterval = 100 * time.Millisecond
+	// minBackoff and maxBackoff bound the wait after a failed call, which doubles from one to the other.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
 )
 
-// StaleError says that the store answered with an older table than is known.
+// StaleError reports that the store returned an older version of a table than the copy has.
 type StaleError struct {
 	Table       string
 	Read, Known uint64
@@ -36,42 +38,45 @@
 
 // Error implements error.
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("table %s was read as of version %d, but %d is known", e.Table, e.Read, e.Known)
+	return fmt.Sprintf("table %s was read as of version %d, older than the copy's version %d", e.Table, e.Read, e.Known)
 }
 
-// StoreConnection is what is known of a node's way to the store.
+// StoreConnection is the state of a node's connection to the store.
 type StoreConnection struct {
-	// Up says that the last call succeeded.
+	// Up is set if the last call succeeded.
 	Up bool
-	// Since is when that changed last.
+	// Since is when Up changed last.
 	Since time.Time
 	// Cause is the failure of the last call, nil if it succeeded.
 	Cause error
 }
 
-// Follower keeps a table's copy in step with the store.
+// Follower keeps the copy of a table up to date with the store.
 type Follower struct {
 	Feed    platform.Feed
 	Replica *Replica
-	// Changed is called after rows changed, ConnectionChanged after the way to the store was lost or found again.
+	// Changed is called after rows changed, and ConnectionChanged after the connection to the store was lost or
+	// restored.
 	Changed           func(r *Replica)
 	ConnectionChanged func(r *Replica, c StoreConnection)
-	// Sentinel reports whether this node is one of the few that notice soon when the store no longer answers. Calls are
-	// priced, and the others hear of changes from their peers as well. Nil means that it is.
+	// Sentinel reports whether this node is one of the few that must notice soon when the store stops responding.
+	// Calls are priced, and the other nodes also get changes from their peers. If it is nil, the node is a sentinel.
 	Sentinel func() bool
-	// Relayed reports whether enough others that follow the table in the store are heard, so that this node needs no calls
-	// of its own. Nil means that they are not.
+	// Relayed reports whether enough peers that follow the table in the store are heard from, so that this node needs
+	// no calls of its own. If it is nil, they are not.
 	Relayed func() bool
-	// FollowingChanged is called when the node begins or ceases to follow the table in the store itself; it may be nil.
+	// FollowingChanged is called when the node starts or stops following the table in the store itself; it may be
+	// nil.
 	FollowingChanged func(r *Replica, following bool)
 	connection       atomic.Pointer[StoreConnection]
 	following        atomic.Bool
 }
 
-// Following reports whether the node follows the table in the store itself, and its last call succeeded.
+// Following reports whether the node follows the table in the store itself and its last call succeeded.
 func (f *Follower) Following() bool { return f.following.Load() && f.Connection().Up }
 
-// relayed reports whether the table is followed through others: calls to the store would otherwise grow with the nodes.
+// relayed reports whether the node gets the table's changes from its peers instead of the store. Without that, the
+// number of calls to the store would grow with the number of nodes.
 func (f *Follower) relayed() bool {
 	_, loaded := f.Replica.Position()
 	relayed := loaded && f.Relayed != nil && f.Relayed()
@@ -81,7 +86,7 @@
 	return relayed
 }
 
-// Connection returns what is known of the way to the store.
+// Connection returns the state of the connection to the store; it is zero before the first call.
 func (f *Follower) Connection() StoreConnection {
 	if c := f.connection.Load(); c != nil {
 		return *c
@@ -89,35 +94,36 @@
 	return StoreConnection{}
 }
 
-// Run follows the table until ctx ends.
+// Run follows the table until ctx is cancelled.
 func (f *Follower) Run(ctx context.Context) {
-	pause := firstPause
+	pause := minBackoff
 	for ctx.Err() == nil {
 		if f.relayed() {
-			f.note(nil)
-			monotonic.Sleep(ctx, relayCheck)
+			f.recordResult(nil)
+			monotonic.Sleep(ctx, relayCheckInterval)
 			continue
 		}
-		began := time.Now()
+		start := time.Now()
 		err := f.step(ctx)
-		f.note(err)
+		f.recordResult(err)
 		if err == nil {
-			pause = firstPause
-			monotonic.Sleep(ctx, spacing-time.Since(began))
+			pause = minBackoff
+			monotonic.Sleep(ctx, minCallInterval-time.Since(start))
 			continue
 		}
 		monotonic.Sleep(ctx, pause/2+rand.N(pause/2))
-		pause = min(lastPause, 2*pause)
+		pause = min(maxBackoff, 2*pause)
 	}
 }
 
-// step makes one call. A history that is no longer kept is no failure: the whole table is read.
+// step makes one call. If the store no longer retains the history since the copy's version, the full table is read
+// instead.
 func (f *Follower) step(ctx context.Context) error {
 	after, loaded := f.Replica.Position()
 	if !loaded {
 		return f.load(ctx)
 	}
-	changes, version, err := f.Feed.Changes(ctx, f.Replica.Name(), after, f.wait())
+	changes, version, err := f.Feed.Changes(ctx, f.Replica.Name(), after, f.callWait())
 	var lost *platform.HistoryLostError
 	if errors.As(err, &lost) {
 		return f.load(ctx)
@@ -131,16 +137,16 @@
 	return nil
 }
 
-// wait is how long the next call waits for changes: not at all after a failure.
+// callWait returns how long the next call waits for changes; after a failure it does not wait.
 //
-// A store that was stuck never answers the calls that it accepted before. A call that does not wait fails soon, and the next
-// one is answered.
-func (f *Follower) wait() time.Duration {
+// A store never responds to the calls that it accepted while it hung. A call without a wait fails soon, and the next
+// one gets a response.
+func (f *Follower) callWait() time.Duration {
 	if !f.Connection().Up {
 		return 0
 	}
 	if f.Sentinel != nil && !f.Sentinel() {
-		return usualWait
+		return normalWait
 	}
 	return sentinelWait
 }
@@ -159,7 +165,7 @@
 	return nil
 }
 
-func (f *Follower) note(err error) {
+func (f *Follower) recordResult(err error) {
 	old := f.Connection()
 	next := StoreConnection{Up: err == nil, Since: old.Since, Cause: err}
 	if old.Up != next.Up || old.Since.IsZero() {
--- a/internal/state/replica/follower_test.go
+++ b/internal/state/replica/follower_test.go
@@ -13,12 +13,12 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/replica"
 )
 
-// feed is a store's feed that may hang: calls that begin before the given time are never answered.
+// feed is a fake feed of the store that can hang: calls that start before hangsUntil never get a response.
 type feed struct {
-	// mu guards the rest: the follower calls from a goroutine of its own.
-	mu    sync.Mutex
-	src   *source
-	hangs time.Time
+	// mu guards the other fields, because the follower calls from its own goroutine.
+	mu         sync.Mutex
+	src        *source
+	hangsUntil time.Time
 }
 
 func (f *feed) put(key, value string) {
@@ -30,13 +30,13 @@
 func (f *feed) hang(until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hangs = until
+	f.hangsUntil = until
 }
 
 func (f *feed) hanging() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Now().Before(f.hangs)
+	return time.Now().Before(f.hangsUntil)
 }
 
 func (f *feed) since(after uint64) ([]platform.Change, uint64) {
@@ -45,7 +45,7 @@
 	return f.src.since(after), f.src.version
 }
 
-var errAway = errors.New("away")
+var errUnreachable = errors.New("store unreachable")
 
 func (f *feed) Rows(context.Context, string) ([]platform.Row, uint64, error) {
 	f.mu.Lock()
@@ -55,9 +55,9 @@
 
 func (f *feed) Changes(ctx context.Context, _ string, after uint64, wait time.Duration) ([]platform.Change, uint64, error) {
 	if f.hanging() {
-		// As with the real client: a call ends some time after it should have been answered.
+		// As with the real client, the call ends some time after its response was due.
 		time.Sleep(wait + 700*time.Millisecond)
-		return nil, 0, errAway
+		return nil, 0, errUnreachable
 	}
 	changes, version := f.since(after)
 	for end := time.Now().Add(wait); time.Now().Before(end) && len(changes) == 0; changes, version = f.since(after) {
@@ -66,22 +66,22 @@
 	return changes, version, ctx.Err()
 }
 
-// The store accepts calls for five seconds and answers none. Then it is sound again and a configuration changes. The
-// call under way was accepted before and is never answered; the change must be seen well before that call's time is over.
-func TestAChangeIsSeenSoonAfterASilentStoreReturns(t *testing.T) {
+// The store accepts calls for five seconds and responds to none. Then it recovers and a configuration changes. The
+// pending call never gets a response; the change must be seen well before that call times out.
+func TestChangeIsSeenSoonAfterStoreRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		src := &source{rows: map[string]platform.Row{}}
-		src.put("config", "1")
-		f := &feed{src: src}
+		table := &source{rows: map[string]platform.Row{}}
+		table.put("config", "1")
+		f := &feed{src: table}
 		replicated := replica.NewReplica("op")
 		var mu sync.Mutex
-		var changed time.Time
+		var seen time.Time
 		follower := &replica.Follower{
 			Feed: f, Replica: replicated,
 			Changed: func(*replica.Replica) {
 				mu.Lock()
 				defer mu.Unlock()
-				changed = time.Now()
+				seen = time.Now()
 			},
 			ConnectionChanged: func(*replica.Replica, replica.StoreConnection) {},
 		}
@@ -91,44 +91,44 @@
 		f.hang(time.Now().Add(5 * time.Second))
 		time.Sleep(5*time.Second + 100*time.Millisecond)
 		f.put("config", "2")
-		sent := time.Now()
+		changedAt := time.Now()
 		time.Sleep(5 * time.Second)
 		cancel()
 		mu.Lock()
 		defer mu.Unlock()
-		if got := changed.Sub(sent); changed.Before(sent) || got > 2*time.Second {
-			t.Fatalf("seen after %s", got)
+		if got := seen.Sub(changedAt); seen.Before(changedAt) || got > 2*time.Second {
+			t.Fatalf("the change was seen after %s", got)
 		}
 		time.Sleep(5 * time.Second)
 	})
 }
 
-// calls counts calls of the feed behind it.
-type calls struct {
+// countingFeed counts the calls to its feed.
+type countingFeed struct {
 	feed
 	n int
 }
 
-func (c *calls) Changes(ctx context.Context, table string, after uint64, wait time.Duration) ([]platform.Change, uint64, error) {
-	c.mu.Lock()
-	c.n++
-	c.mu.Unlock()
-	return c.feed.Changes(ctx, table, after, wait)
+func (f *countingFeed) Changes(ctx context.Context, table string, after uint64, wait time.Duration) ([]platform.Change, uint64, error) {
+	f.mu.Lock()
+	f.n++
+	f.mu.Unlock()
+	return f.feed.Changes(ctx, table, after, wait)
 }
 
-func (c *calls) count() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.n
+func (f *countingFeed) count() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.n
 }
 
-// A node hears of changes from others that follow the store, and makes no calls. Then they fall silent, while a
-// configuration changes: the node must see it by a call of its own, at once.
-func TestANodeFollowsTheStoreItselfWhenOthersFallSilent(t *testing.T) {
+// A node gets changes from peers that follow the store, and makes no calls. Then the peers become unresponsive while
+// a configuration changes. The node must see the change immediately by a call of its own.
+func TestNodeFollowsStoreWhenPeersGoSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		src := &source{rows: map[string]platform.Row{}}
-		src.put("config", "1")
-		f := &calls{feed: feed{src: src}}
+		table := &source{rows: map[string]platform.Row{}}
+		table.put("config", "1")
+		f := &countingFeed{feed: feed{src: table}}
 		replicated := replica.NewReplica("op")
 		var relayed atomic.Bool
 		relayed.Store(true)
@@ -148,7 +148,7 @@
 		relayed.Store(false)
 		time.Sleep(500 * time.Millisecond)
 		if newest := replicated.Newest(); newest != 2 {
-			t.Fatalf("version %d is known", newest)
+			t.Fatalf("newest version is %d, want 2", newest)
 		}
 		cancel()
 		time.Sleep(15 * time.Second)
--- a/internal/state/replica/replica.go
+++ b/internal/state/replica/replica.go
@@ -11,20 +11,20 @@
 	name string
 	mu   sync.Mutex
 	rows map[string]platform.Change
-	// version is the one up to which the copy is complete.
+	// version is the version up to which the copy is complete.
 	version uint64
-	// newest is the version of the latest change that the copy holds.
+	// newest is the version of the latest change in the copy.
 	newest uint64
-	// removedSince is the version since which the copy remembers every removed row.
+	// removedSince is the version since which the copy retains every removed row.
 	removedSince uint64
 	loaded       bool
 }
 
-// maxRemoved is how many removed rows are remembered for nodes that are behind; with more of them they get the whole
-// table. It is some minutes of the registry's changes at the size that the system is built for.
+// maxRemoved is the number of removed rows that are retained for nodes that are behind. Beyond it such nodes get the
+// full table. At the size that the system is built for, it covers some minutes of the registry's changes.
 const maxRemoved = 1024
 
-// NewReplica returns an empty copy that nothing was loaded into.
+// NewReplica returns an empty copy, which counts as not loaded.
 func NewReplica(name string) *Replica {
 	return &Replica{name: name, rows: map[string]platform.Change{}}
 }
@@ -39,24 +39,25 @@
 	return r.version, r.loaded
 }
 
-// Newest returns the version of the latest change that the copy holds.
+// Newest returns the version of the latest change in the copy.
 func (r *Replica) Newest() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.newest
 }
 
-// Has reports whether the copy holds what was changed at a version: it has a later change, or is complete up to there.
+// Has reports whether the copy includes the change at a version: it has that or a later change, or is complete up to
+// that version.
 //
-// A copy that was read whole knows nothing of rows that were removed before. If the latest change of others is such a removal,
-// it would ask for it with each digest, for good.
+// The second condition is needed after a full read, which includes no rows that were removed before. If the latest
+// change of the peers is such a removal, the copy would otherwise request it with each digest, forever.
 func (r *Replica) Has(version uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return version <= r.newest || r.loaded && version <= r.version
 }
 
-// Rows returns the rows that exist, in no order.
+// Rows returns the existing rows in unspecified order.
 func (r *Replica) Rows() []platform.Row {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,10 +70,11 @@
 	return out
 }
 
-// Load replaces the copy by a whole table as of a version. A table that is older than the copy changes nothing. It
-// reports whether a row changed.
+// Load replaces the copy with a full table as of a version, and reports whether a row changed or this was the first
+// load. A table older than the copy is ignored.
 //
-// A peer that is behind must not bring back a configuration that was replaced. Versions are the store's own and only grow.
+// A peer that is behind must not bring back a replaced configuration. Versions are assigned by the store and only
+// grow.
 func (r *Replica) Load(rows []platform.Row, version uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,7 +87,8 @@
 	for _, row := range rows {
 		changed = r.put(platform.Change{Row: row}) || changed
 	}
-	// A row that came and went between two whole reads left no trace here.
+	// A row that was created and removed between two full reads is not in the copy, so removals are complete only
+	// from this version on.
 	r.removedSince = version
 	r.version = version
 	return changed || first
@@ -105,27 +108,28 @@
 	return changed
 }
 
-// Apply takes in changes that follow a version up to which the copy is complete. It reports whether a row changed.
+// Apply applies changes that follow a version up to which the copy is complete. It reports whether a row changed.
 func (r *Replica) Apply(changes []platform.Change, version uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	changed := false
 	for _, c := range changes {
-		// What is not newer than the copy is in it already. An answer that comes late would bring back a row that was
-		// removed before the last whole read, of which nothing is remembered.
+		// The copy includes all changes up to its version. Applying one of them from a late response would bring back
+		// a row that was removed before the last full read, since that removal is not retained.
 		if c.Version > r.version {
 			changed = r.put(c) || changed
 		}
 	}
 	r.version = max(r.version, version)
-	r.forget()
+	r.dropRemoved()
 	return changed
 }
 
-// put takes in one row unless the copy has a newer one.
+// put stores one row unless the copy has a newer version of it. It reports whether the row changed. The removal of a
+// row that the copy never had is stored but does not count as a change.
 func (r *Replica) put(c platform.Change) bool {
-	old, known := r.rows[c.Key]
-	if known && c.Version <= old.Version {
+	old, found := r.rows[c.Key]
+	if found && c.Version <= old.Version {
 		return false
 	}
 	if c.Removed {
@@ -133,11 +137,11 @@
 	}
 	r.rows[c.Key] = c
 	r.newest = max(r.newest, c.Version)
-	return known || !c.Removed
+	return found || !c.Removed
 }
 
-// forget drops the removed rows once there are too many.
-func (r *Replica) forget() {
+// dropRemoved drops all removed rows once there are more than maxRemoved.
+func (r *Replica) dropRemoved() {
 	removed := 0
 	for _, c := range r.rows {
 		if c.Removed {
@@ -155,15 +159,15 @@
 	r.removedSince = r.version
 }
 
-// Delta is what one copy gives another that is complete up to an older version.
+// Delta is what a copy lacks from another one.
 type Delta struct {
-	// Full says that Changes is the whole table.
+	// Full is set if Changes is the full table.
 	Full    bool
 	Version uint64
 	Changes []platform.Change
 }
 
-// Since returns what a copy that is complete up to a version lacks.
+// Since returns what a copy that is complete up to a version lacks. It is empty if this copy is not loaded.
 func (r *Replica) Since(version uint64) Delta {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,10 +183,11 @@
 	return d
 }
 
-// Merge takes in another copy's delta. It reports whether a row changed.
+// Merge applies another copy's delta and reports whether a row changed.
 //
-// All changes from the beginning are the whole table. A gateway that got them from a peer has a complete copy: a peer gives a
-// delta only from one. Not counted as loaded, it would tell of news and have nothing for those that ask.
+// All changes since version 0 amount to the full table, so the copy counts as loaded afterwards: a peer returns a
+// delta only from a complete copy. If it did not count as loaded, the gateway would announce updates but return
+// nothing to peers that pull them.
 func (r *Replica) Merge(d Delta) bool {
 	if !d.Full {
 		if d.Version == 0 {
--- a/internal/state/replica/replica_test.go
+++ b/internal/state/replica/replica_test.go
@@ -12,7 +12,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/replica"
 )
 
-// source is the table as the store has it, with its history.
+// source is the store's table with its history.
 type source struct {
 	rows    map[string]platform.Row
 	history []platform.Change
@@ -66,9 +66,9 @@
 	return out
 }
 
-// Copies follow the feed, read whole tables, and pull from each other, in any order. What requests see of a row must
-// never go back, and a copy that has pulled from one that is up to date is up to date.
-func TestCopiesOnlyMoveForward(t *testing.T) {
+// Copies follow the feed, read full tables, and pull from each other, in any sequence. A row's version must never
+// decrease in a copy, and a copy that pulled from one that is up to date must be up to date.
+func TestReplicasOnlyMoveForward(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		src := &source{rows: map[string]platform.Row{}}
 		copies := []*replica.Replica{replica.NewReplica("t"), replica.NewReplica("t"), replica.NewReplica("t")}
@@ -92,13 +92,13 @@
 				after, _ := c.Position()
 				c.Merge(from.Since(after))
 			case 5:
-				// An old answer that arrives late.
+				// A response that arrives late.
 				if after, ok := c.Position(); ok && after > 0 {
 					old := src.since(after / 2)
 					c.Apply(old[:min(1, len(old))], after/2)
 				}
 			}
-			forward(t, c, newest)
+			checkForward(t, c, newest)
 		}
 		c := copies[0]
 		c.Load(src.all(), src.version)
@@ -115,7 +115,7 @@
 	})
 }
 
-func forward(t *rapid.T, c *replica.Replica, newest map[*replica.Replica]map[string]uint64) {
+func checkForward(t *rapid.T, c *replica.Replica, newest map[*replica.Replica]map[string]uint64) {
 	seen := newest[c]
 	if seen == nil {
 		seen = map[string]uint64{}
@@ -131,9 +131,9 @@
 	newest[c] = seen
 }
 
-// A node that was cut off for long pulls from one that no longer remembers each removed row: it must get the whole table,
-// or a row that is gone would stay.
-func TestACopyThatIsFarBehindGetsTheWholeTable(t *testing.T) {
+// A node that was partitioned for long pulls from one that no longer retains each removed row. It must get the full
+// table, or a removed row would stay in its copy.
+func TestReplicaFarBehindGetsFullTable(t *testing.T) {
 	src := &source{rows: map[string]platform.Row{}}
 	src.put("kept", "v")
 	src.put("gone", "v")
@@ -150,7 +150,7 @@
 	after, _ = behind.Position()
 	d := ahead.Since(after)
 	if !d.Full {
-		t.Fatal("only the changes were given")
+		t.Fatal("got only the changes, want the full table")
 	}
 	behind.Merge(d)
 	if diff := cmp.Diff(src.content(), content(behind)); diff != "" {
@@ -158,10 +158,10 @@
 	}
 }
 
-// Two gateways start again one after the other while the store cannot be reached. The first pulls the table from one that has
-// followed it from the beginning; the second asks the first, which has the change that it tells of. It must be given it, or
-// the second handles requests by the old configuration for as long as it believes the first.
-func TestACopyThatWasPulledCanBePulledFrom(t *testing.T) {
+// Two gateways restart one after the other while the store is unreachable. The first pulls the table from a peer that
+// has followed it from the start. The second pulls from the first, which gossips its newest change. If it gets
+// nothing, it handles requests by the old configuration for as long as it trusts the first.
+func TestPulledReplicaServesOthers(t *testing.T) {
 	src := &source{rows: map[string]platform.Row{}}
 	first, second, third := replica.NewReplica("t"), replica.NewReplica("t"), replica.NewReplica("t")
 	first.Load(src.all(), src.version)
@@ -171,7 +171,7 @@
 	first.Apply(src.since(0), src.version)
 	second.Merge(first.Since(0))
 	if _, loaded := second.Position(); !loaded {
-		t.Error("a copy that was pulled whole counts as not loaded")
+		t.Error("a fully pulled copy counts as not loaded")
 	}
 	third.Merge(second.Since(0))
 	if diff := cmp.Diff(src.content(), content(third)); diff != "" {
@@ -179,9 +179,10 @@
 	}
 }
 
-// A gateway starts after the latest change, the removal of a row, and reads the whole table. Others tell of that change. It
-// lacks nothing: asking for it again and again would cost each of them an answer for each digest.
-func TestACopyThatWasReadWholeHasWhatWasRemovedBefore(t *testing.T) {
+// A gateway starts after the latest change, the removal of a row, and reads the full table. Its peers gossip the
+// version of that change. The gateway lacks nothing: requesting the change would cost each peer a response per
+// digest, forever.
+func TestFullReplicaHasEarlierRemovals(t *testing.T) {
 	src := &source{rows: map[string]platform.Row{}}
 	src.put("kept", "v")
 	src.put("gone", "v")
