--- a/internal/state/catalog/catalog_test.go
+++ b/internal/state/catalog/catalog_test.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-func TestRouteIsTheLongestPrefixOfTheHost(t *testing.T) {
+func TestRouteIsLongestMatchingPrefix(t *testing.T) {
 	routes := []*catalog.Route{
 		{Name: "short", Host: "a.example", Prefix: "/x/"},
 		{Name: "long", Host: "A.example", Prefix: "/x/y/"},
@@ -17,15 +17,15 @@
 	}
 	c := catalog.New(1, routes, nil, nil, catalog.Limits{})
 	tests := map[string]struct{ host, path, want string }{
-		"longest":          {"a.example", "/x/y/z/1", "long"},
-		"shorter":          {"a.example", "/x/q", "short"},
-		"a port":           {"a.example:80", "/x/q", "short"},
-		"capitals":         {"A.EXAMPLE", "/x/y/", "long"},
-		"no such path":     {"a.example", "/y/", ""},
-		"no slash":         {"a.example", "/x", ""},
-		"another host":     {"b.example", "/x/y/", ""},
-		"no such host":     {"c.example", "/x/", ""},
-		"the other's path": {"b.example", "/x/y/z/", "other"},
+		"longest prefix":      {"a.example", "/x/y/z/1", "long"},
+		"shorter prefix":      {"a.example", "/x/q", "short"},
+		"host with port":      {"a.example:80", "/x/q", "short"},
+		"upper-case host":     {"A.EXAMPLE", "/x/y/", "long"},
+		"no such path":        {"a.example", "/y/", ""},
+		"no trailing slash":   {"a.example", "/x", ""},
+		"another host":        {"b.example", "/x/y/", ""},
+		"no such host":        {"c.example", "/x/", ""},
+		"other host's prefix": {"b.example", "/x/y/z/", "other"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestKeysAreAskedForOnlyIfThereAreAccounts(t *testing.T) {
+func TestKeyIsNeededOnlyIfAccountsExist(t *testing.T) {
 	open, closed := &catalog.Route{Public: true}, &catalog.Route{}
 	none := catalog.New(1, nil, nil, nil, catalog.Limits{})
 	some := catalog.New(1, nil, nil, map[string]*catalog.Account{"k": {Name: "a"}}, catalog.Limits{})
@@ -50,9 +50,10 @@
 	}
 }
 
-// All hosts of a service lose power and come back. Their new lives register at once, while the old entries stay for some
-// heartbeats; callers would see half of their requests refused by lives that are gone.
-func TestALaterEntryEndsAnEarlierOneAtItsAddress(t *testing.T) {
+// All hosts of a service lose power and restart. Their new incarnations register immediately, while the old entries
+// remain for some heartbeats. If both counted, half of the requests would go to incarnations that have ended and be
+// refused.
+func TestLaterEntryReplacesEarlierAtSameAddress(t *testing.T) {
 	u := catalog.NewUpstreams([]*catalog.Upstream{
 		{ID: "old", Service: "s", Address: "10.0.0.1:1", Version: 5},
 		{ID: "new", Service: "s", Address: "10.0.0.1:1", Version: 9},
--- a/internal/state/catalog/configuration.go
+++ b/internal/state/catalog/configuration.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// Kind says what may be done with a request of a route.
+// Kind determines whether and how requests of a route may be repeated.
 type Kind string
 
 const (
@@ -17,18 +17,18 @@
 	KindSafe Kind = "safe"
 	// KindUnsafe requests run at most once for each attempt of the caller.
 	KindUnsafe Kind = "unsafe"
-	// KindStream requests are answered by a stream of events; they run at most once unless the route is resumable.
+	// KindStream requests are answered with a stream of events. They run at most once unless the route is resumable.
 	KindStream Kind = "stream"
 )
 
 // WeightedService is one destination of a route.
 type WeightedService struct {
 	Service ids.Service
-	// Weight is its part of the requests, relative to the sum of the route's weights.
+	// Weight is the destination's share of the requests, relative to the sum of the route's weights.
 	Weight int
 }
 
-// Route says what happens to requests for one host and path prefix.
+// Route defines the handling of requests for one host and path prefix.
 type Route struct {
 	Name string
 	Host string
@@ -37,52 +37,52 @@
 	Kind   Kind
 	// Services are the destinations; at least one.
 	Services []WeightedService
-	// Attempts is the most upstreams that one request may be sent to, at least 1.
+	// Attempts is the maximum number of upstreams to which one request may be sent, at least 1.
 	Attempts int
-	// Timeout is how long a caller may be kept waiting for the whole answer.
+	// Timeout is the longest time that a caller may wait for the full response.
 	Timeout time.Duration
-	// TargetLatency is the time to the answer, or to a stream's first event, that the operator aims at.
+	// TargetLatency is the operator's target for the time to the response, or to a stream's first event.
 	TargetLatency time.Duration
-	// TargetGap is the longest pause between two events of a stream that the operator aims at.
+	// TargetGap is the operator's target for the longest pause between two events of a stream.
 	TargetGap time.Duration
-	// Priority is the rank among requests that compete; 0 goes first.
+	// Priority is the priority among competing requests; 0 is the highest.
 	Priority int
 	// Public routes need no key.
 	Public bool
-	// Resumable streams may go on at another upstream after the last event that was delivered.
+	// Resumable streams may continue at another upstream after the last delivered event.
 	Resumable bool
 }
 
-// Repeatable reports whether a request that may have run may be run again.
+// Repeatable reports whether a request that may have run can be run again.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindSafe || r.Kind == KindStream && r.Resumable
 }
 
-// CallerTimeout is how long a caller of a stream waits for its first event, and between two events, before it leaves: the
-// longest of two seconds, four times the aim for the first event and eight times the aim for pauses.
+// CallerTimeout returns how long the caller of a stream waits for its first event, and between two events, before it
+// disconnects: the maximum of two seconds, four times TargetLatency and eight times TargetGap.
 func (r *Route) CallerTimeout() time.Duration {
 	return max(minCallerTimeout, 4*r.TargetLatency, 8*r.TargetGap)
 }
 
 const minCallerTimeout = 2 * time.Second
 
-// Engine is the published model of a service whose upstreams are model engines that batch requests.
+// Engine is the published performance model of a service whose upstreams are model engines that batch requests.
 type Engine struct {
-	// Slots is how many requests an engine runs at once.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
-	// CacheTokens is the KV cache of one engine, in tokens.
+	// CacheTokens is the size of the KV cache of one engine, in tokens.
 	CacheTokens int
-	// StepBase is the length of a step without work; StepPerRequest and StepPerKiloContext are added for each request
-	// that is writing and for each 1,000 tokens of its context.
+	// StepBase is the duration of a step without work. StepPerRequest is added for each request that generates
+	// tokens, and StepPerKiloContext for each 1,000 tokens of its context.
 	StepBase, StepPerRequest, StepPerKiloContext time.Duration
-	// Stride is how many steps a pass makes.
+	// Stride is the number of steps in a pass.
 	Stride int
-	// PromptTokensPerSecond is the speed at which prompts are read, at most Chunk tokens in a step.
+	// PromptTokensPerSecond is the speed of prompt processing, with at most Chunk tokens in a step.
 	PromptTokensPerSecond float64
 	Chunk                 int
-	// ReportLag is how old a report is that is read from another host.
+	// ReportLag is the age of a report that is read from another host.
 	ReportLag time.Duration
-	// UsualPrompt and UsualOutput are mean tokens of a request.
+	// MeanPromptTokens and MeanOutputTokens are the mean numbers of tokens of a request.
 	UsualPrompt, UsualOutput float64
 	// Experts is nil unless the engines are ranks of groups that share experts.
 	Experts *Experts
@@ -90,23 +90,24 @@
 
 // Experts describes the experts of a group of ranks.
 type Experts struct {
-	// Sets is the number of sets of layers that are placed independently; each has PerSet experts.
+	// Sets is the number of sets of layers that are placed independently, and PerSet the number of experts in each.
 	Sets, PerSet int
-	// Placements is the most experts of a set on one rank; Spare is how many new ones one switch may bring there.
+	// Placements is the maximum number of experts of a set on one rank, and Spare the maximum number of new ones that
+	// one switch may load there.
 	Placements, Spare int
-	// CopyTime is how long a rank takes to copy one expert's weights.
+	// CopyTime is the time in which a rank copies one expert's weights.
 	CopyTime time.Duration
-	// Share is the part of the work for tokens that experts do.
+	// Share is the share of the work for tokens that experts do.
 	Share float64
-	// FormTime is how long a group takes to form again once all its ranks are back.
+	// FormTime is the time in which a group forms again once all its ranks are back.
 	FormTime time.Duration
 }
 
-// Service is a set of upstreams that answer the same requests.
+// Service is a set of upstreams that handle the same requests.
 type Service struct {
 	Name       ids.Service
 	HealthPath string
-	// ConnectionLimit is how many connections an upstream accepts from all hosts together.
+	// ConnectionLimit is the number of connections that an upstream accepts from all hosts together.
 	ConnectionLimit int
 	// Engine is nil for a plain service.
 	Engine *Engine
@@ -115,12 +116,12 @@
 // Account is a client account.
 type Account struct {
 	Name ids.Client
-	// Priority goes before that of the route if HasPriority is set.
+	// Priority overrides that of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
 
-// Limits bound what a caller may send.
+// Limits bound the requests of callers.
 type Limits struct {
 	HeaderBytes, BodyBytes     int
 	HeaderTimeout, IdleTimeout time.Duration
@@ -132,14 +133,14 @@
 	Services map[ids.Service]*Service
 	Limits   Limits
 
-	// routes lists each host's routes, the longest prefix first.
+	// routes lists each host's routes, sorted by descending length of the prefix.
 	routes map[string][]*Route
-	// accounts maps keys to accounts; nil if no account is configured, so that no key is asked for.
+	// accounts maps keys to accounts. It is nil if no account is configured; then no key is required.
 	accounts map[string]*Account
 	count    int
 }
 
-// New indexes a configuration. accounts maps each key to its account.
+// New returns an indexed configuration. accounts maps each key to its account.
 func New(version ids.Revision, routes []*Route, services []*Service, accounts map[string]*Account, limits Limits) *Configuration {
 	c := &Configuration{
 		Version:  version,
@@ -162,7 +163,8 @@
 	return c
 }
 
-// Route returns the route of the host with the longest prefix that begins the path, or nil. A port in host is ignored.
+// Route returns the route of the host with the longest matching prefix of the path, or nil. A port in host is
+// ignored.
 func (c *Configuration) Route(host, path string) *Route {
 	name, _, _ := strings.Cut(host, ":")
 	for _, r := range c.routes[strings.ToLower(name)] {
@@ -176,8 +178,8 @@
 // Routes returns the number of routes.
 func (c *Configuration) Routes() int { return c.count }
 
-// NeedsKey reports whether requests of the route must name a client account.
+// NeedsKey reports whether requests of the route require the key of a client account.
 func (c *Configuration) NeedsKey(r *Route) bool { return c.accounts != nil && !r.Public }
 
-// Account returns the account that holds the key, or nil.
+// Account returns the account of the key, or nil.
 func (c *Configuration) Account(key string) *Account { return c.accounts[key] }
--- a/internal/state/catalog/upstreams.go
+++ b/internal/state/catalog/upstreams.go
@@ -7,48 +7,49 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// State is what an upstream says of itself in the registry.
+// State is the state that an upstream reports in the registry.
 type State string
 
 const (
-	// StateReady upstreams take new requests.
+	// StateReady upstreams accept new requests.
 	StateReady State = "ready"
-	// StateDraining upstreams finish what they have and will exit.
+	// StateDraining upstreams finish their requests and will exit.
 	StateDraining State = "draining"
 )
 
-// Upstream is one life of a back end. A restart may keep its ID, and the address may belong to another service after it.
+// Upstream is one incarnation of an upstream process. A restart may keep its ID, after which the address may belong
+// to another service.
 type Upstream struct {
 	ID ids.Upstream
-	// StartedAtMS tells the lives of one ID apart; see ids.UpstreamIncarnation.
+	// StartedAtMS distinguishes the incarnations of one ID; see ids.UpstreamIncarnation.
 	StartedAtMS int64
 	Service     ids.Service
 	Address     string
 	DataCentre  ids.DataCentre
-	// Release is the version of its software.
+	// Release is the version of the upstream's software.
 	Release string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the upstream runs concurrently.
 	Slots int
 	State State
-	// Version is that of the entry in the registry; a later one was written later.
+	// Version is the version of the entry in the registry; entries that were written later have higher versions.
 	Version uint64
 }
 
-// Incarnation names the upstream's life.
+// Incarnation returns the upstream's incarnation.
 func (u *Upstream) Incarnation() ids.UpstreamIncarnation {
 	return ids.UpstreamIncarnation{Upstream: u.ID, StartedAtMS: u.StartedAtMS}
 }
 
-// Upstreams is the list of all upstreams that are registered. It is immutable.
+// Upstreams is the list of all registered upstreams. It is immutable.
 type Upstreams struct {
 	byID      map[ids.Upstream]*Upstream
 	byService map[ids.Service][]*Upstream
 }
 
-// NewUpstreams indexes a list. Of two entries with one address only the later one counts.
+// NewUpstreams returns an indexed list. Of two entries with the same address only the later one counts.
 //
-// After a restart the entry of the old life stays for some heartbeats beside the new one. An address has one owner at a time,
-// so the later entry proves that the earlier one's life has ended.
+// After a restart the entry of the old incarnation remains for some heartbeats in addition to the new one. An address
+// has one owner at a time, so the later entry proves that the earlier incarnation has ended.
 func NewUpstreams(list []*Upstream) *Upstreams {
 	latest := make(map[string]uint64, len(list))
 	for _, up := range list {
@@ -68,22 +69,22 @@
 	return u
 }
 
-// Get returns the upstream with that id, or nil.
+// Get returns the upstream with the ID, or nil.
 func (u *Upstreams) Get(id ids.Upstream) *Upstream { return u.byID[id] }
 
-// Has reports whether that life is in the list.
+// Has reports whether the incarnation is in the list.
 func (u *Upstreams) Has(i ids.UpstreamIncarnation) bool {
 	up := u.byID[i.Upstream]
 	return up != nil && up.StartedAtMS == i.StartedAtMS
 }
 
-// Of returns the upstreams of a service, ordered by ID; the list must not be changed.
+// Of returns the upstreams of a service, sorted by ID. The caller must not change the list.
 func (u *Upstreams) Of(s ids.Service) []*Upstream { return u.byService[s] }
 
 // Len returns the number of upstreams.
 func (u *Upstreams) Len() int { return len(u.byID) }
 
-// All returns every upstream, in no order.
+// All returns all upstreams in unspecified order.
 func (u *Upstreams) All() []*Upstream {
 	out := make([]*Upstream, 0, len(u.byID))
 	for _, up := range u.byID {
