--- a/internal/experts/placement/layer.go
+++ b/internal/experts/placement/layer.go
@@ -12,7 +12,8 @@
 const (
 	// maxShareSweeps bounds the rounds in which the shares of a layer are balanced.
 	maxShareSweeps = 6
-	// shareTolerance is the change of a rank's time, relative to the layer's mean, below which balancing stops.
+	// shareTolerance is the largest change of a share in a sweep, relative to the time of a perfectly balanced layer,
+	// below which balancing stops.
 	shareTolerance = 1e-4
 )
 
--- a/internal/experts/placement/pack.go
+++ b/internal/experts/placement/pack.go
@@ -23,8 +23,8 @@
 
 // Pack computes a map from scratch. For each layer it gives additional replicas to the experts with the most tokens
 // per replica, then assigns replicas, largest first, to the rank that would finish first. Each rank uses at most
-// slots memory slots, spread evenly over the layers. Pack produces the first map of a group. It is also the baseline
-// with the most moves.
+// slots memory slots, spread evenly over the layers. Pack produces the first map of a group. Later it serves as a
+// baseline for comparison, because a map from scratch needs the most moves.
 func Pack(g Group, slots int, pop, speed []float64, version uint64) (*expert.Map, error) {
 	d := &draft{group: g, speed: speed, used: make([]int, g.Shape.Ranks)}
 	n := g.Shape.Experts
--- a/internal/experts/placement/placement_test.go
+++ b/internal/experts/placement/placement_test.go
@@ -150,6 +150,7 @@
 	t.Fatal("no plan followed the drift within 40 windows")
 }
 
+// Loads that cannot pay back, or that exceed the limit of bytes per minute, must not be planned.
 func TestMoveWeightAndBudgetLimitLoads(t *testing.T) {
 	pop := zipf(smallGroup.Shape, 4)
 	m := packMap(t, smallGroup, zipf(smallGroup.Shape, 0))
@@ -179,6 +180,7 @@
 	}
 }
 
+// A rank at half speed delays every step of its group unless it gets half of the work.
 func TestStragglerGetsWorkInProportionToSpeed(t *testing.T) {
 	p := placement.NewPolicy(smallGroup)
 	pop := zipf(smallGroup.Shape, 0)
@@ -272,6 +274,8 @@
 	return g
 }
 
+// Plans under random shifts of popularity, speeds and missing reports must satisfy checkPlan, and two policies with equal
+// inputs must make equal decisions.
 func TestPlansKeepInvariants(t *testing.T) {
 	plans := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/experts/placement/policy.go
+++ b/internal/experts/placement/policy.go
@@ -80,9 +80,9 @@
 	return p.rebalance(d, o, pop, speed)
 }
 
-// setCurrent records the map in force. Maps are compared by content: a caller that decodes the same map again for
-// each decision would otherwise seem to change it each time, noise would never be estimated and nothing would ever
-// move.
+// setCurrent records the map in force. Maps are compared by content. Otherwise a caller that decodes the same map
+// again for each decision would seem to change the map each time: noise would never be estimated and no plan ever
+// made.
 func (p *Policy) setCurrent(current *expert.Map) {
 	if p.current != nil && p.current.Version() == current.Version() && p.current.Equal(current) {
 		return
--- a/internal/experts/placement/popularity_test.go
+++ b/internal/experts/placement/popularity_test.go
@@ -62,6 +62,7 @@
 	}
 }
 
+// A short average that is best only by chance must rarely be used: its estimate swings, and experts would move.
 func TestShortMemoryIsRarelyChosenOnNoise(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	p := newPopularity(twoRanks)
--- a/internal/experts/placement/search.go
+++ b/internal/experts/placement/search.go
@@ -46,8 +46,8 @@
 // load is a replica that a layer may get.
 type load struct{ expert, rank int }
 
-// improve adds replicas to layer l, up to maxLayerLoads, and keeps the number of them with the highest saving after
-// their price.
+// improve tries up to maxLayerLoads additional replicas in layer l, one after the other, and keeps as many of them as
+// save most after their price.
 func (s *search) improve(l int) {
 	start := s.draft.layers[l]
 	_, before := start.slowest()
@@ -104,8 +104,8 @@
 	return best, chosen, true
 }
 
-// score returns the value that a load should lower: the slowest rank's time plus the imbalance. The imbalance makes a
-// load count that helps the slowest rank only together with a second one.
+// score returns the value that a load should lower: the slowest rank's time plus the imbalance. Without the
+// imbalance, a load that helps the slowest rank only together with a second load would never be chosen.
 func (ly *layer) score() float64 {
 	_, t := ly.slowest()
 	return t + ly.imbalance()
--- a/internal/experts/placement/staging/staging.go
+++ b/internal/experts/placement/staging/staging.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// storeBurst is the maximum burst, as time at the store's rate.
+	// storeBurst is the maximum burst from the store, as time at the store's rate.
 	storeBurst = 50 * time.Millisecond
 	// minPiece is the minimum size of a piece in bytes, which avoids many tiny requests to the store. The last piece
 	// of a load may be smaller.
@@ -54,7 +54,7 @@
 	first int
 }
 
-// New returns a stager for loads, which are sorted by descending importance.
+// New returns a stager for loads, which must be sorted by descending importance.
 func New(l Limits, b *Budget, loads []Load) *Stager {
 	burst := max(minPiece, int(float64(l.StoreRate)*storeBurst.Seconds()))
 	s := &Stager{limits: l, budget: b, store: rate.NewLimiter(rate.Limit(l.StoreRate), burst), loads: loads}
--- a/internal/experts/placement/staging/staging_test.go
+++ b/internal/experts/placement/staging/staging_test.go
@@ -46,6 +46,7 @@
 	return most
 }
 
+// Random loads must exceed neither the slack of a step, nor the store's rate, nor the limit of bytes per minute.
 func TestStagingKeepsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ranks, size = 3, 4 << 20
@@ -87,6 +88,7 @@
 	})
 }
 
+// Two plans within a minute share one budget: a new plan must not start with an unused one.
 func TestBudgetIsSharedByPlans(t *testing.T) {
 	b := staging.NewBudget(100 << 10)
 	limits := staging.Limits{StoreRate: 1 << 30, CopyRate: 1 << 30}
--- a/internal/experts/placement/stall_test.go
+++ b/internal/experts/placement/stall_test.go
@@ -58,6 +58,7 @@
 	return now
 }
 
+// Ranks that do not report for a reason other than a stall must keep their experts.
 func TestUnprovenStallsDoNotDrain(t *testing.T) {
 	pop := zipf(smallGroup.Shape, 0)
 	m := packMap(t, smallGroup, pop)
--- a/internal/state/catalog/configuration.go
+++ b/internal/state/catalog/configuration.go
@@ -17,7 +17,7 @@
 	KindSafe Kind = "safe"
 	// KindUnsafe requests run at most once for each attempt of the caller.
 	KindUnsafe Kind = "unsafe"
-	// KindStream requests are answered with a stream of events. They run at most once unless the route is resumable.
+	// KindStream requests get a stream of events in response. They run at most once unless the route is resumable.
 	KindStream Kind = "stream"
 )
 
--- a/internal/state/catalog/doc.go
+++ b/internal/state/catalog/doc.go
@@ -1,6 +1,6 @@
-// Package catalog defines the data by which a gateway handles requests: the operators' configuration and the list of
-// upstreams.
+// Package catalog defines the data that a gateway needs to handle requests: the operators' configuration and the list
+// of upstreams.
 //
 // Both are plain immutable data. A gateway publishes a new value when the platform's store reports a change, and a
-// request uses the values that were in force when it was read. The package does not know the source of the data.
+// request uses the values that were in force when it was read. The package does not know where the data come from.
 package catalog
--- a/internal/state/platform/client_test.go
+++ b/internal/state/platform/client_test.go
@@ -156,6 +156,7 @@
 	}
 }
 
+// A write that was rejected or never sent is unavailable; one whose response is lost has an unknown outcome.
 func TestHTTPDistinguishesNotSentFromUnknown(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	h := serve(t, s)
--- a/internal/state/registry/doc.go
+++ b/internal/state/registry/doc.go
@@ -1,4 +1,4 @@
 // Any client of the platform can write to the registry, upstreams update their entries some tenths of a second late,
 // and a restarted upstream may keep its ID. The package does no I/O and reads no clock: the caller passes in rows and
-// rejects entries whose address answered as another upstream, and gets the list of upstreams and the findings to log.
+// rejects entries whose address belongs to another upstream, and gets the list of upstreams and the findings to log.
 package registry
--- a/internal/state/registry/registry.go
+++ b/internal/state/registry/registry.go
@@ -15,7 +15,7 @@
 type Registry struct {
 	decode  Decode
 	entries map[string]*entry
-	// rejected holds incarnations whose address answered as another upstream.
+	// rejected holds incarnations at whose address another upstream responded.
 	rejected map[ids.UpstreamIncarnation]bool
 }
 
@@ -37,8 +37,8 @@
 	return &Registry{decode: decode, entries: map[string]*entry{}, rejected: map[ids.UpstreamIncarnation]bool{}}
 }
 
-// Update processes all rows of the registry, and returns the usable upstreams of the given services. Rows that did
-// not change since the last call are not decoded again, because every change of one row passes the whole registry.
+// Update processes all rows of the registry, and returns the usable upstreams of the given services. Only rows that
+// changed since the last call are decoded, because each call passes the whole registry even if only one row changed.
 func (r *Registry) Update(rows []platform.Row, services map[ids.Service]*catalog.Service) (*catalog.Upstreams, []Finding) {
 	next := make(map[string]*entry, len(rows))
 	var findings []Finding
@@ -60,14 +60,14 @@
 
 // usable reports whether the entry names an upstream to which requests may be sent.
 //
-// An entry is not usable if its service is not configured, or if its address answered as another upstream. Such an
+// An entry is not usable if its service is not configured, or if another upstream responded at its address. Such an
 // entry may name the address of a healthy upstream. Because only the later of two entries with the same address
 // counts, the healthy upstream would then get no requests.
 func (r *Registry) usable(e *entry, services map[ids.Service]*catalog.Service) bool {
 	return e.up != nil && services[e.up.Service] != nil && !r.rejected[e.up.Incarnation()]
 }
 
-// Reject records that the address of the incarnation answered as another upstream, which proves that the entry is
+// Reject records that another upstream responded at the address of the incarnation, which proves that the entry is
 // false. It returns false if that was recorded before.
 //
 // A well-formed false entry still costs each gateway one attempt, which the upstream does not run, for each ID under
@@ -111,8 +111,8 @@
 	return e.resolveIncarnation(old)
 }
 
-// keepHistory completes an unreadable entry that follows old: the incarnation that old named becomes a past one, so
-// that it is not mistaken for a new one later.
+// keepHistory returns e, the unreadable successor of old. It adds the incarnation that old named to the past ones, so
+// that a late heartbeat cannot bring that incarnation back.
 func (e *entry) keepHistory(old *entry) *entry {
 	if old != nil && old.up != nil {
 		e.addPastStart(old.up.StartedAtMS)
@@ -120,8 +120,8 @@
 	return e
 }
 
-// resolveIncarnation completes an entry that follows old under the same ID, and decides which incarnation is in
-// force.
+// resolveIncarnation returns e, the successor of old under the same ID, with the incarnation in force, and a finding
+// if the two entries name different incarnations.
 //
 // The last heartbeat of a past incarnation may arrive after the first one of the next. Incarnations are not ordered
 // by start time, because a clock may have been set back, but a replaced incarnation never returns.
--- a/internal/state/registry/registry_test.go
+++ b/internal/state/registry/registry_test.go
@@ -116,8 +116,8 @@
 }
 
 // A false, well-formed entry has the address of a healthy upstream and, as the later entry, takes the address over.
-// The first request sent there is answered by the other upstream, which does not run it and proves that the entry is
-// false. From then on the owner must be used, for as long as the false entry exists and however often it is
+// The healthy upstream receives the first request sent there and does not run it; its response proves that the entry
+// is false. From then on the owner must be used, for as long as the false entry exists and however often it is
 // rewritten.
 func TestAddressReturnsToOwnerAfterReject(t *testing.T) {
 	w := newTable()
--- a/internal/state/replica/follower.go
+++ b/internal/state/replica/follower.go
@@ -23,9 +23,10 @@
 	// upstreams register at the same time, are read together. It is a tenth of the shortest time within which a
 	// change must be in force.
 	minCallInterval = 150 * time.Millisecond
-	// relayCheckInterval is how often a node that gets changes from its peers checks whether it still does.
+	// relayCheckInterval is how often a node that gets changes from its peers checks whether it still gets them.
 	relayCheckInterval = 100 * time.Millisecond
-	// minBackoff and maxBackoff bound the wait after a failed call, which doubles from one to the other.
+	// minBackoff and maxBackoff are the first and the longest backoff after failed calls. The backoff doubles with
+	// each consecutive failure, and jitter shortens it by up to half.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 800 * time.Millisecond
 )
@@ -43,11 +44,11 @@
 
 // StoreConnection is the state of a node's connection to the store.
 type StoreConnection struct {
-	// Up is set if the last call succeeded.
+	// Up is set if the last call succeeded, or if the node gets changes from its peers and makes no calls.
 	Up bool
 	// Since is when Up changed last.
 	Since time.Time
-	// Cause is the failure of the last call, nil if it succeeded.
+	// Cause is the error of the last call; nil if Up is set.
 	Cause error
 }
 
@@ -62,8 +63,8 @@
 	// Sentinel reports whether this node is one of the few that must notice soon when the store stops responding.
 	// Calls are priced, and the other nodes also get changes from their peers. If it is nil, the node is a sentinel.
 	Sentinel func() bool
-	// Relayed reports whether enough peers that follow the table in the store are heard from, so that this node needs
-	// no calls of its own. If it is nil, they are not.
+	// Relayed reports whether messages arrive from enough peers that follow the table in the store, so that this node
+	// needs no calls of its own. If it is nil, they do not.
 	Relayed func() bool
 	// FollowingChanged is called when the node starts or stops following the table in the store itself; it may be
 	// nil.
