--- a/internal/state/claims/batch.go
+++ b/internal/state/claims/batch.go
@@ -18,26 +18,26 @@
 	pruneInterval  = time.Second
 )
 
-// batch is one transaction until the table has told what became of it.
+// batch is a transaction whose outcome is not decided yet.
 type batch struct {
 	txn    platform.Txn
 	claims []*claim
-	// sending is set while an answer is awaited.
+	// sending is set while a response is awaited.
 	sending bool
-	// unknown is set once an answer was lost: from then on the original may still take effect.
+	// unknown is set once a response was lost. From then on the original transaction may still take effect.
 	unknown bool
-	// fencing is set once the operation is to be taken by an empty transaction.
+	// fencing is set once an empty transaction with the same operation id is to replace the original.
 	fencing bool
-	// conflict holds the rows of a conflict that came after a lost answer, until the fence is in place.
-	conflict []platform.Row
-	resendAt time.Time
-	delay    time.Duration
+	// conflictRows holds the existing rows of a conflict reported after a lost response, until the fence is applied.
+	conflictRows []platform.Row
+	resendAt     time.Time
+	delay        time.Duration
 }
 
-// Tick does what is due at now.
+// Tick advances the ledger to now and returns the effects that are due.
 func (l *Ledger) Tick(now time.Time) []Effect { return l.flush(now) }
 
-// Next returns when Tick has something to do, and false if only an event can bring something.
+// Next returns the time at which Tick is due next, and false if nothing is due before the next event.
 func (l *Ledger) Next() (time.Time, bool) {
 	var next time.Time
 	earliest := func(t time.Time) {
@@ -59,8 +59,8 @@
 	return next, !next.IsZero()
 }
 
-// expires reports whether the deadline of a claim still matters.
-func expires(c *claim) bool {
+// canExpire reports whether the deadline of a claim still applies: the claim has neither started nor been refused.
+func canExpire(c *claim) bool {
 	switch c.machine.State() {
 	case stateAbandoned, stateRunning, stateStoring, stateReleasing, stateEnded:
 		return false
@@ -68,7 +68,7 @@
 	return true
 }
 
-// nextSend returns when the next transaction of queued writes may be sent.
+// nextSend returns the time at which the next transaction of queued writes may be sent, and false if there is none.
 func (l *Ledger) nextSend() (time.Time, bool) {
 	if len(l.batches) >= l.opts.MaxInFlight || len(l.urgent)+len(l.lazy) == 0 {
 		return time.Time{}, false
@@ -83,7 +83,7 @@
 	return at, true
 }
 
-// flush expires claims, sends what is due and returns all effects since the last call.
+// flush expires claims, sends the transactions that are due and returns all effects since the last call.
 func (l *Ledger) flush(now time.Time) []Effect {
 	l.expireDue(now)
 	l.resendDue(now)
@@ -105,30 +105,30 @@
 func (l *Ledger) expireDue(now time.Time) {
 	for len(l.deadlines) > 0 {
 		c := l.deadlines[0]
-		if expires(c) && now.Before(c.req.Deadline) {
+		if canExpire(c) && now.Before(c.req.Deadline) {
 			return
 		}
 		heap.Pop(&l.deadlines)
-		if expires(c) {
+		if canExpire(c) {
 			l.expire(c, failure.CodeDeadlineUnmet)
 		}
 	}
 }
 
-// prune forgets attempts whose copies are refused by their deadline alone.
+// prune deletes the decided attempts whose duplicates are refused because of their deadline anyway.
 func (l *Ledger) prune(now time.Time) {
 	if now.Before(l.pruneAt) {
 		return
 	}
 	l.pruneAt = now.Add(pruneInterval)
-	for a, r := range l.past {
+	for a, r := range l.decided {
 		if now.After(r.until) {
-			delete(l.past, a)
+			delete(l.decided, a)
 		}
 	}
 }
 
-// byDeadline is a heap of claims, the earliest deadline first.
+// byDeadline is a heap of claims with the earliest deadline at the root.
 type byDeadline []*claim
 
 func (h byDeadline) Len() int           { return len(h) }
@@ -146,9 +146,9 @@
 	return c
 }
 
-// sendBatch sends the oldest queued writes as one transaction; it reports whether there were any.
+// sendBatch sends the oldest queued writes as one transaction. It reports whether there were any.
 func (l *Ledger) sendBatch(now time.Time) bool {
-	items := l.take()
+	items := l.dequeue()
 	if len(items) == 0 {
 		return false
 	}
@@ -158,14 +158,15 @@
 		l.fire(now, c, evSent)
 	}
 	l.batches[b.txn.Operation] = b
-	l.order = append(l.order, b.txn.Operation)
+	l.sendOrder = append(l.sendOrder, b.txn.Operation)
 	l.lastSent = now
 	l.send(b)
 	return true
 }
 
-// take removes up to MaxBatch live writes from the queues, claims first.
-func (l *Ledger) take() []*claim {
+// dequeue removes up to MaxBatch writes from the queues, claims before outcomes and releases. It drops claims that have
+// ended.
+func (l *Ledger) dequeue() []*claim {
 	var items []*claim
 	for _, q := range []*[]*claim{&l.urgent, &l.lazy} {
 		for len(*q) > 0 && len(items) < l.opts.MaxBatch {
@@ -191,7 +192,7 @@
 			expire = max(expire, c.row.GetExpireMs())
 		}
 	}
-	// One list for each transaction lets the sweeper find what has expired without reading every claim.
+	// With one list for each transaction the sweeper finds expired claims without reading every claim.
 	if len(list.GetKeys()) > 0 {
 		key := batchKey(time.UnixMilli(expire), t.Operation)
 		t.Puts = append(t.Puts, platform.Put{Key: key, Value: encode(list)})
@@ -199,7 +200,7 @@
 	return t
 }
 
-// value returns what a claim's row is to hold; nil deletes it.
+// value returns the new value of a claim's row; nil deletes the row.
 func (l *Ledger) value(c *claim) []byte {
 	if c.machine.State() == stateReleasing {
 		return nil
@@ -207,7 +208,7 @@
 	return encode(c.row)
 }
 
-// send sends a batch's transaction, or an empty one in its place if it is to be fenced.
+// send sends the batch's transaction, or an empty one with the same operation id if the batch is being fenced.
 func (l *Ledger) send(b *batch) {
 	b.sending = true
 	t := b.txn
@@ -218,39 +219,39 @@
 }
 
 func (l *Ledger) resendDue(now time.Time) {
-	for _, op := range slices.Clone(l.order) {
+	for _, op := range slices.Clone(l.sendOrder) {
 		b := l.batches[op]
 		if b == nil || b.sending || now.Before(b.resendAt) {
 			continue
 		}
-		// Nobody waits for the claims any more: take the operation's place instead of claiming in vain.
-		if !b.fencing && !slices.ContainsFunc(b.claims, wanted) {
+		// All claims of the batch are abandoned: fence the operation instead of sending it again.
+		if !b.fencing && !slices.ContainsFunc(b.claims, notAbandoned) {
 			b.fencing = true
 		}
 		l.send(b)
 	}
 }
 
-func wanted(c *claim) bool { return c.machine.State() != stateAbandoned }
+func notAbandoned(c *claim) bool { return c.machine.State() != stateAbandoned }
 
-// Committed takes in the table's answer to a Commit effect.
+// Committed processes the table's response to a Commit effect.
 func (l *Ledger) Committed(now time.Time, op ids.Operation, res platform.Result, err error) []Effect {
 	b := l.batches[op]
 	if b == nil || !b.sending {
 		return l.flush(now)
 	}
 	b.sending = false
-	// A claim whose deadline passed while its answer was on the way must not start.
+	// A claim whose deadline passed while the response was in flight must not start.
 	l.expireDue(now)
 	var conflict *platform.ConflictError
 	var unavailable *platform.UnavailableError
 	switch {
 	case err == nil:
-		l.settled(now, b, res)
+		l.onApplied(now, b, res)
 	case errors.As(err, &conflict):
-		l.conflicted(now, b, conflict.Rows)
+		l.onConflict(now, b, conflict.Rows)
 	case errors.As(err, &unavailable) && !b.unknown:
-		l.end(b)
+		l.removeBatch(b)
 		l.fireAll(now, b, evUnavailable)
 	default:
 		l.retryLater(now, b)
@@ -258,7 +259,7 @@
 	return l.flush(now)
 }
 
-// retryLater keeps a batch whose original may still take effect.
+// retryLater schedules the resend of a batch whose original may still take effect.
 func (l *Ledger) retryLater(now time.Time, b *batch) {
 	if !b.unknown {
 		b.unknown = true
@@ -268,11 +269,12 @@
 	b.delay = min(2*b.delay, maxResendDelay)
 }
 
-// settled ends a batch whose transaction, or the fence in its place, was applied.
-func (l *Ledger) settled(now time.Time, b *batch, res platform.Result) {
-	l.end(b)
+// onApplied removes a batch whose transaction or fence was applied. A result without the versions of the batch's puts
+// is that of the fence.
+func (l *Ledger) onApplied(now time.Time, b *batch, res platform.Result) {
+	l.removeBatch(b)
 	if len(res.Versions) != len(b.txn.Puts) {
-		l.resolve(now, b, b.conflict)
+		l.resolve(now, b, b.conflictRows)
 		return
 	}
 	for i, c := range b.claims {
@@ -281,23 +283,24 @@
 	}
 }
 
-// conflicted handles a transaction that was refused because rows were taken.
-func (l *Ledger) conflicted(now time.Time, b *batch, rows []platform.Row) {
-	// After a lost answer the original may still arrive and be applied, if the rows in its way are gone by then. Its
-	// claims would belong to nobody, so the operation is fenced before anything is decided.
+// onConflict handles a transaction that was refused because rows of its claims exist already.
+func (l *Ledger) onConflict(now time.Time, b *batch, rows []platform.Row) {
+	// After a lost response the original may still arrive, and be applied if the conflicting rows are deleted by then.
+	// Its claims would then be held by attempts that never start. So the operation is fenced before its claims are
+	// decided.
 	if b.unknown {
-		b.conflict = rows
+		b.conflictRows = rows
 		b.fencing = true
 		b.resendAt = now
 		return
 	}
-	l.end(b)
+	l.removeBatch(b)
 	l.resolve(now, b, rows)
 }
 
-// resolve decides the claims of a transaction that was not applied: those whose rows are taken are answered from
-// them, the others did nothing wrong and are queued again. A row that names this very attempt is taken as well: the
-// attempt held it before, and a late copy of the attempt must not start a second time.
+// resolve decides the claims of a transaction that was not applied. A claim whose row exists gets its verdict from that
+// row; the others are queued again. This also applies to a row that names the same attempt: the attempt held it before,
+// and a delayed duplicate of the attempt must not start a second time.
 func (l *Ledger) resolve(now time.Time, b *batch, rows []platform.Row) {
 	for _, c := range b.claims {
 		i := slices.IndexFunc(rows, func(r platform.Row) bool { return r.Key == c.rowKey })
@@ -305,7 +308,7 @@
 			l.fire(now, c, evNotApplied)
 			continue
 		}
-		c.found = rows[i]
+		c.conflictRow = rows[i]
 		l.fire(now, c, evTaken)
 	}
 }
@@ -319,7 +322,7 @@
 	}
 }
 
-func (l *Ledger) end(b *batch) {
+func (l *Ledger) removeBatch(b *batch) {
 	delete(l.batches, b.txn.Operation)
-	l.order = slices.DeleteFunc(l.order, func(op ids.Operation) bool { return op == b.txn.Operation })
+	l.sendOrder = slices.DeleteFunc(l.sendOrder, func(op ids.Operation) bool { return op == b.txn.Operation })
 }
--- a/internal/state/claims/ledger.go
+++ b/internal/state/claims/ledger.go
@@ -12,16 +12,16 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// Effect is something that the owner of a Ledger must do: an Answer or a Commit.
+// Effect is an action that the caller of a Ledger must execute: an Answer or a Commit.
 type Effect interface{ effect() }
 
-// Answer is the verdict on an attempt; each Submit leads to exactly one.
+// Answer delivers the verdict on an attempt. Each Submit results in exactly one Answer.
 type Answer struct {
 	Attempt ids.Attempt
 	Verdict Verdict
 }
 
-// Commit is a transaction to send; its answer goes to Ledger.Committed.
+// Commit requests that a transaction be sent to the table. The table's response goes to Ledger.Committed.
 type Commit struct {
 	Txn platform.Txn
 }
@@ -29,7 +29,7 @@
 func (Answer) effect() {}
 func (Commit) effect() {}
 
-// The events and actions of claim.yaml.
+// The events, actions and states of claim.yaml.
 const (
 	evSent        charts.Event = "sent"
 	evApplied     charts.Event = "applied"
@@ -57,42 +57,44 @@
 
 var chart = charts.MustLoad("claim")
 
-// claim is one request on this slot.
+// claim is the claim of one attempt on this slot.
 type claim struct {
 	req     Request
 	rowKey  string
 	machine charts.Machine
-	// row is what the table holds or is to hold; version is that of the table's row, 0 before it was written.
+	// row is the content of the table's row, or the content to be written; version is the version of the table's row, 0
+	// before it was written.
 	row     *cardamomyokev1.Claim
 	version uint64
-	// due is when a queued write may be sent without claims to share a transaction with.
+	// due is the time from which a queued outcome or release is sent even without claims to share a transaction with.
 	due time.Time
-	// found is the table's row that ended the claim, if another attempt holds it.
-	found platform.Row
-	// code is the refusal that actRefuse gives.
+	// conflictRow is the existing row of the table that decided the claim, if the row was taken.
+	conflictRow platform.Row
+	// code is the code of the refusal that actRefuse returns.
 	code failure.Code
 }
 
-// Ledger decides over the claims of one slot process. It is not safe for concurrent use.
+// Ledger decides on the claims of one slot process. It is not safe for concurrent use.
 type Ledger struct {
 	opts Options
 	// byAttempt and byRow hold the claims that have not ended.
 	byAttempt map[ids.Attempt]*claim
 	byRow     map[string]*claim
-	// urgent are claims that callers wait for; lazy are outcomes and releases.
+	// urgent queues the claims for which callers wait; lazy queues outcomes and releases.
 	urgent, lazy []*claim
 	batches      map[ids.Operation]*batch
-	order        []ids.Operation
+	sendOrder    []ids.Operation
 	lastSent     time.Time
-	// past holds what a late copy of an answered attempt gets, until the attempt's deadline has passed for every clock.
-	past    map[ids.Attempt]pastAttempt
+	// decided holds the refusal code for delayed duplicates of decided attempts, until the attempt's deadline has
+	// passed on every host's clock.
+	decided map[ids.Attempt]decidedAttempt
 	pruneAt time.Time
-	// deadlines holds each claim once; those that no longer expire are dropped when they come up.
+	// deadlines holds each claim once. Claims that can no longer expire are dropped when they reach the root.
 	deadlines byDeadline
 	effects   []Effect
 }
 
-type pastAttempt struct {
+type decidedAttempt struct {
 	code  failure.Code
 	until time.Time
 }
@@ -104,13 +106,13 @@
 		byAttempt: map[ids.Attempt]*claim{},
 		byRow:     map[string]*claim{},
 		batches:   map[ids.Operation]*batch{},
-		past:      map[ids.Attempt]pastAttempt{},
+		decided:   map[ids.Attempt]decidedAttempt{},
 	}
 }
 
-// Submit takes in an attempt.
+// Submit processes a new attempt, or a duplicate of an earlier one.
 func (l *Ledger) Submit(now time.Time, r Request) []Effect {
-	if v, answered := l.judgeArrival(now, r); answered {
+	if v, done := l.immediateVerdict(now, r); done {
 		l.answer(r, v)
 		return l.flush(now)
 	}
@@ -127,28 +129,29 @@
 	return l.flush(now)
 }
 
-// judgeArrival answers an attempt that needs no claim of its own.
-func (l *Ledger) judgeArrival(now time.Time, r Request) (Verdict, bool) {
+// immediateVerdict returns the verdict on an attempt that can be decided without a claim, and false if the attempt
+// needs one.
+func (l *Ledger) immediateVerdict(now time.Time, r Request) (Verdict, bool) {
 	if !utf8.ValidString(string(r.Client) + string(r.Service) + string(r.Attempt.Entry)) {
 		return refusal(failure.CodeMalformed, nil), true
 	}
 	if other := l.byRow[RowKey(r.Client, r.Key)]; other != nil && other.req.Attempt == r.Attempt {
-		return l.judgeLive(r, other), true
+		return l.verdictFromLive(r, other), true
 	}
-	if old, ok := l.past[r.Attempt]; ok {
+	if old, ok := l.decided[r.Attempt]; ok {
 		return refusal(old.code, nil), true
 	}
 	if !now.Before(r.Deadline.Add(l.opts.Margin)) {
-		// Too late to remember whether this is a copy of an attempt that ran, so nothing is promised.
+		// The attempt may be a duplicate of one that ran and has been pruned, so it cannot be refused as not run.
 		return refusal(failure.CodeDeadlinePassed, nil), true
 	}
 	if other := l.byRow[RowKey(r.Client, r.Key)]; other != nil {
-		return l.judgeLive(r, other), true
+		return l.verdictFromLive(r, other), true
 	}
 	if !now.Before(r.Deadline) {
 		return refusal(failure.CodeDeadlineUnmet, nil), true
 	}
-	if l.cutOff() {
+	if l.allOutcomesUnknown() {
 		return refusal(failure.CodeStoreUnavailable, nil), true
 	}
 	if len(l.byAttempt) >= l.opts.MaxLive {
@@ -157,9 +160,9 @@
 	return Verdict{}, false
 }
 
-// cutOff reports whether every transaction that may be in flight has lost its answer, so that a new claim would
-// only wait for its deadline.
-func (l *Ledger) cutOff() bool {
+// allOutcomesUnknown reports whether MaxInFlight transactions are in flight and all have lost a response. A new claim
+// would then only wait for its deadline.
+func (l *Ledger) allOutcomesUnknown() bool {
 	if len(l.batches) < l.opts.MaxInFlight {
 		return false
 	}
@@ -171,14 +174,14 @@
 	return true
 }
 
-// judgeLive answers r from another claim of this process on the same key.
-func (l *Ledger) judgeLive(r Request, other *claim) Verdict {
+// verdictFromLive returns the verdict on r from a claim of this process on the same key.
+func (l *Ledger) verdictFromLive(r Request, other *claim) Verdict {
 	if r.Service != other.req.Service || r.BodyHash != other.req.BodyHash {
 		return refusal(failure.CodeKeyReused, nil)
 	}
 	switch other.machine.State() {
 	case stateAbandoned, stateReleasing:
-		// Not started and never to be, but the row is not free yet.
+		// The other attempt never starts, but its row is not deleted yet.
 		return refusal(failure.CodeStoreUnavailable, nil)
 	case stateStoring:
 		if other.row.GetState() == cardamomyokev1.ClaimState_CLAIM_STATE_UNKNOWN {
@@ -189,8 +192,8 @@
 	return refusal(failure.CodeRunning, nil)
 }
 
-// Cancel tells that the caller of an attempt has gone. An attempt that has not been answered is refused and never
-// starts; to an attempt that was answered it does nothing.
+// Cancel processes the disconnect of an attempt's caller. An undecided attempt is refused and never starts; for a
+// decided one Cancel has no effect.
 func (l *Ledger) Cancel(now time.Time, a ids.Attempt) []Effect {
 	if c := l.byAttempt[a]; c != nil {
 		l.expire(c, failure.CodeCancelled)
@@ -198,7 +201,7 @@
 	return l.flush(now)
 }
 
-// Finished tells that the upstream answered a started attempt.
+// Finished records the upstream's response to a started attempt.
 func (l *Ledger) Finished(now time.Time, a ids.Attempt, o Outcome) []Effect {
 	c := l.byAttempt[a]
 	if c == nil || c.machine.State() != stateRunning {
@@ -217,7 +220,7 @@
 	return l.flush(now)
 }
 
-// Lost tells that a started attempt may have run but has no answer, for example because the upstream died.
+// Lost records that a started attempt may have run but has no response, for example because the upstream crashed.
 func (l *Ledger) Lost(now time.Time, a ids.Attempt) []Effect {
 	c := l.byAttempt[a]
 	if c == nil || c.machine.State() != stateRunning {
@@ -228,41 +231,41 @@
 	return l.flush(now)
 }
 
-// NotStarted tells that a started attempt provably did not reach the upstream; its row is deleted.
+// NotStarted records that a started attempt provably did not reach the upstream. Its row is deleted.
 func (l *Ledger) NotStarted(now time.Time, a ids.Attempt) []Effect {
 	c := l.byAttempt[a]
 	if c == nil || c.machine.State() != stateRunning {
 		return l.flush(now)
 	}
-	l.remember(c.req, failure.CodeNoUpstream)
+	l.recordDecided(c.req, failure.CodeNoUpstream)
 	l.fire(now, c, evNotStarted)
 	return l.flush(now)
 }
 
-// Live returns how many claims have not ended; a slot may exit once it is zero.
+// Live returns the number of claims that have not ended. A slot may exit once it is zero.
 func (l *Ledger) Live() int { return len(l.byAttempt) }
 
-// expire refuses a claim that nobody waits for any more, unless it has been answered.
+// expire refuses a claim whose deadline has passed or whose caller disconnected, unless it is decided.
 func (l *Ledger) expire(c *claim, code failure.Code) {
 	c.code = code
 	l.fire(time.Time{}, c, evExpire)
 }
 
-// fire moves a claim along its chart and carries out the actions.
+// fire applies an event to a claim's state machine and runs the resulting actions.
 func (l *Ledger) fire(now time.Time, c *claim, ev charts.Event) {
 	actions, err := c.machine.Fire(ev)
 	if err != nil {
-		panic(err) // Every event of this package is declared in the chart; a test fires each in each state.
+		panic(err) // The chart declares every event of this package; a test fires each event in each state.
 	}
 	for _, a := range actions {
-		l.do(now, c, a)
+		l.runAction(now, c, a)
 	}
 	if c.machine.State() == stateEnded {
-		l.forget(c)
+		l.removeClaim(c)
 	}
 }
 
-func (l *Ledger) do(now time.Time, c *claim, a charts.Action) {
+func (l *Ledger) runAction(now time.Time, c *claim, a charts.Action) {
 	switch a {
 	case actStart:
 		l.answer(c.req, Verdict{Start: true})
@@ -271,7 +274,7 @@
 	case actQueue:
 		l.queue(now, c)
 	case actAnswerFromRow:
-		l.answer(c.req, judge(now, c.req, c.found, l.opts.Margin))
+		l.answer(c.req, verdictFromRow(now, c.req, c.conflictRow, l.opts.Margin))
 	}
 }
 
@@ -286,21 +289,22 @@
 
 func (l *Ledger) answer(r Request, v Verdict) {
 	if v.Start {
-		l.remember(r, failure.CodeOutcomeUnknown)
+		l.recordDecided(r, failure.CodeOutcomeUnknown)
 	}
 	if v.Refusal != nil && v.Refusal.Code.Meaning().NotRun {
-		l.remember(r, v.Refusal.Code)
+		l.recordDecided(r, v.Refusal.Code)
 	}
 	l.effects = append(l.effects, Answer{r.Attempt, v})
 }
 
-// remember keeps what a copy of an attempt gets that arrives late. Without it the copy of a refused attempt could
-// start, or that of a started one be refused as past its deadline: either way "not run" would have been false.
-func (l *Ledger) remember(r Request, code failure.Code) {
-	l.past[r.Attempt] = pastAttempt{code: code, until: r.Deadline.Add(l.opts.Margin)}
+// recordDecided stores the refusal code for delayed duplicates of an attempt. Without it a duplicate of a refused
+// attempt could start, or a duplicate of a started attempt could be refused because of its deadline. In both cases the
+// response "not run" would be false.
+func (l *Ledger) recordDecided(r Request, code failure.Code) {
+	l.decided[r.Attempt] = decidedAttempt{code: code, until: r.Deadline.Add(l.opts.Margin)}
 }
 
-func (l *Ledger) forget(c *claim) {
+func (l *Ledger) removeClaim(c *claim) {
 	delete(l.byAttempt, c.req.Attempt)
 	if l.byRow[c.rowKey] == c {
 		delete(l.byRow, c.rowKey)
--- a/internal/state/claims/ledger_test.go
+++ b/internal/state/claims/ledger_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// bench drives one ledger by hand: it keeps the commits that wait for an answer and the verdicts given.
-type bench struct {
+// harness drives one ledger step by step. It records the commits without a response and the verdicts.
+type harness struct {
 	t        *testing.T
 	ledger   *Ledger
 	mem      *memtable.Memory
@@ -49,8 +49,8 @@
 	verdicts map[uint64][]string
 }
 
-func newBench(t *testing.T, mem *memtable.Memory, slot string) *bench {
-	return &bench{
+func newHarness(t *testing.T, mem *memtable.Memory, slot string) *harness {
+	return &harness{
 		t:        t,
 		ledger:   NewLedger(testOptions(slot)),
 		mem:      mem,
@@ -59,13 +59,13 @@
 	}
 }
 
-func (b *bench) take(effects []Effect) {
+func (h *harness) collect(effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Commit:
-			b.commits = append(b.commits, e.Txn)
+			h.commits = append(h.commits, e.Txn)
 		case Answer:
-			b.verdicts[e.Attempt.Seq] = append(b.verdicts[e.Attempt.Seq], verdictName(e.Verdict))
+			h.verdicts[e.Attempt.Seq] = append(h.verdicts[e.Attempt.Seq], verdictName(e.Verdict))
 		}
 	}
 }
@@ -80,251 +80,251 @@
 	return string(v.Refusal.Code)
 }
 
-func (b *bench) submit(r Request) { b.take(b.ledger.Submit(b.now, r)) }
+func (h *harness) submit(r Request) { h.collect(h.ledger.Submit(h.now, r)) }
 
-// pass lets time pass and the ledger do what is due.
-func (b *bench) pass(d time.Duration) {
-	b.now = b.now.Add(d)
-	b.take(b.ledger.Tick(b.now))
+// advance moves the clock by d and ticks the ledger.
+func (h *harness) advance(d time.Duration) {
+	h.now = h.now.Add(d)
+	h.collect(h.ledger.Tick(h.now))
 }
 
-func (b *bench) pop() platform.Txn {
-	b.t.Helper()
-	if len(b.commits) == 0 {
-		b.t.Fatal("no transaction was sent")
+func (h *harness) popCommit() platform.Txn {
+	h.t.Helper()
+	if len(h.commits) == 0 {
+		h.t.Fatal("no transaction was sent")
 	}
-	txn := b.commits[0]
-	b.commits = b.commits[1:]
+	txn := h.commits[0]
+	h.commits = h.commits[1:]
 	return txn
 }
 
-// serve applies the oldest commit and answers it.
-func (b *bench) serve() {
-	b.t.Helper()
-	txn := b.pop()
-	res, err := b.mem.Apply(txn)
-	b.take(b.ledger.Committed(b.now, txn.Operation, res, err))
+// commitNext applies the oldest commit and returns the result to the ledger.
+func (h *harness) commitNext() {
+	h.t.Helper()
+	txn := h.popCommit()
+	res, err := h.mem.Apply(txn)
+	h.collect(h.ledger.Committed(h.now, txn.Operation, res, err))
 }
 
-// lose answers the oldest commit as unknown and returns it, not applied.
-func (b *bench) lose() platform.Txn {
-	b.t.Helper()
-	txn := b.pop()
+// loseNext reports the outcome of the oldest commit as unknown and returns the transaction, which is not applied.
+func (h *harness) loseNext() platform.Txn {
+	h.t.Helper()
+	txn := h.popCommit()
 	err := &platform.UnknownOutcomeError{Operation: txn.Operation}
-	b.take(b.ledger.Committed(b.now, txn.Operation, platform.Result{}, err))
+	h.collect(h.ledger.Committed(h.now, txn.Operation, platform.Result{}, err))
 	return txn
 }
 
-// settle serves and lets time pass until nothing is left to do.
-func (b *bench) settle() {
-	b.t.Helper()
+// runUntilIdle advances the clock by ten seconds in steps and applies every commit.
+func (h *harness) runUntilIdle() {
+	h.t.Helper()
 	for range 20 {
-		b.pass(500 * time.Millisecond)
-		for len(b.commits) > 0 {
-			b.serve()
+		h.advance(500 * time.Millisecond)
+		for len(h.commits) > 0 {
+			h.commitNext()
 		}
 	}
 }
 
-func (b *bench) want(want map[uint64][]string) {
-	b.t.Helper()
-	if diff := cmp.Diff(want, b.verdicts); diff != "" {
-		b.t.Fatal(diff)
+func (h *harness) wantVerdicts(want map[uint64][]string) {
+	h.t.Helper()
+	if diff := cmp.Diff(want, h.verdicts); diff != "" {
+		h.t.Fatal(diff)
 	}
 }
 
-// The caller resends a pick slip under the same key: it gets the stored slip and the slip is printed once. The first
-// attempt claims, runs and stores its outcome; the resend, through another slot, finds the row.
-func TestResendGetsTheStoredOutcome(t *testing.T) {
+// A client resends a request with the same key after the first attempt finished. Both the same slot and another slot
+// must return the stored outcome instead of running the request again.
+func TestResendReturnsStoredOutcome(t *testing.T) {
 	mem := memtable.NewMemory()
-	first := newBench(t, mem, "s1")
+	first := newHarness(t, mem, "s1")
 	first.submit(request(1, "k", "slip"))
-	first.serve()
-	first.want(map[uint64][]string{1: {"start"}})
-	first.take(first.ledger.Finished(first.now, ids.Attempt{Entry: "e", Seq: 1}, Outcome{Status: 200, Body: []byte("printed")}))
+	first.commitNext()
+	first.wantVerdicts(map[uint64][]string{1: {"start"}})
+	first.collect(first.ledger.Finished(first.now, ids.Attempt{Entry: "e", Seq: 1}, Outcome{Status: 200, Body: []byte("printed")}))
 	first.submit(request(2, "k", "slip"))
-	first.want(map[uint64][]string{1: {"start"}, 2: {"outcome printed"}})
-	first.settle()
+	first.wantVerdicts(map[uint64][]string{1: {"start"}, 2: {"outcome printed"}})
+	first.runUntilIdle()
 	if first.ledger.Live() != 0 {
 		t.Fatalf("%d claims are live", first.ledger.Live())
 	}
-	other := newBench(t, mem, "s2")
+	other := newHarness(t, mem, "s2")
 	other.submit(request(3, "k", "slip"))
 	other.submit(request(4, "k2", "slip"))
-	other.serve()
-	other.settle()
-	other.want(map[uint64][]string{3: {"outcome printed"}, 4: {"start"}})
+	other.commitNext()
+	other.runUntilIdle()
+	other.wantVerdicts(map[uint64][]string{3: {"outcome printed"}, 4: {"start"}})
 }
 
-// Two callers share a transaction and one of them uses a key that is taken. The other caller notices nothing: its
-// claim is written by the next transaction.
-func TestConflictDoesNotFailTheOthersOfItsBatch(t *testing.T) {
+// Claims share a transaction, and the keys of some of them are taken. The claim with a free key must be written by a
+// later transaction instead of failing with the others.
+func TestConflictDoesNotFailOtherClaimsInBatch(t *testing.T) {
 	mem := memtable.NewMemory()
-	holder := newBench(t, mem, "s1")
+	holder := newHarness(t, mem, "s1")
 	holder.submit(request(1, "taken", "a"))
-	holder.serve()
-	b := newBench(t, mem, "s2")
-	b.submit(request(10, "warm-up", "a"))
-	b.submit(request(2, "taken", "a"))
-	b.submit(request(3, "taken-2", "a"))
-	b.submit(request(4, "free", "a"))
+	holder.commitNext()
+	h := newHarness(t, mem, "s2")
+	h.submit(request(10, "warm-up", "a"))
+	h.submit(request(2, "taken", "a"))
+	h.submit(request(3, "taken-2", "a"))
+	h.submit(request(4, "free", "a"))
 	holder.submit(request(5, "taken-2", "a"))
-	holder.pass(time.Second)
-	holder.serve()
-	b.serve()
-	b.pass(time.Second)
-	if n := len(b.commits[0].Checks); n != 3 {
+	holder.advance(time.Second)
+	holder.commitNext()
+	h.commitNext()
+	h.advance(time.Second)
+	if n := len(h.commits[0].Checks); n != 3 {
 		t.Fatalf("%d claims share the transaction, want 3", n)
 	}
-	b.serve()
-	b.settle()
-	b.want(map[uint64][]string{10: {"start"}, 2: {"running"}, 3: {"running"}, 4: {"start"}})
+	h.commitNext()
+	h.runUntilIdle()
+	h.wantVerdicts(map[uint64][]string{10: {"start"}, 2: {"running"}, 3: {"running"}, 4: {"start"}})
 }
 
-// The caller uses its key for another body and is refused; the first request is untouched.
+// A client reuses its key for a request with another body. It must be refused, without effect on the first request.
 func TestKeyReusedWithAnotherBodyIsRefused(t *testing.T) {
 	mem := memtable.NewMemory()
-	b := newBench(t, mem, "s1")
-	b.submit(request(1, "k", "a"))
-	b.submit(request(2, "k", "b"))
-	b.serve()
-	other := newBench(t, mem, "s2")
+	h := newHarness(t, mem, "s1")
+	h.submit(request(1, "k", "a"))
+	h.submit(request(2, "k", "b"))
+	h.commitNext()
+	other := newHarness(t, mem, "s2")
 	other.submit(request(3, "k", "b"))
-	other.serve()
-	b.want(map[uint64][]string{1: {"start"}, 2: {"idempotency-key-reused"}})
-	other.want(map[uint64][]string{3: {"idempotency-key-reused"}})
+	other.commitNext()
+	h.wantVerdicts(map[uint64][]string{1: {"start"}, 2: {"idempotency-key-reused"}})
+	other.wantVerdicts(map[uint64][]string{3: {"idempotency-key-reused"}})
 }
 
-// The caller waits a little longer, and its request runs once. The table applies the claim and its answer is lost;
-// the same operation is sent again and answers as the first time.
-func TestLostAnswerIsSettledByTheSameOperation(t *testing.T) {
-	b := newBench(t, memtable.NewMemory(), "s1")
-	b.submit(request(1, "k", "a"))
-	lost := b.lose()
-	if _, err := b.mem.Apply(lost); err != nil {
+// The table applies the claim and its response is lost. The resend with the same operation id must return the first
+// result, so that the request starts once.
+func TestLostResponseIsResolvedByResend(t *testing.T) {
+	h := newHarness(t, memtable.NewMemory(), "s1")
+	h.submit(request(1, "k", "a"))
+	lost := h.loseNext()
+	if _, err := h.mem.Apply(lost); err != nil {
 		t.Fatal(err)
 	}
-	b.pass(time.Second)
-	b.want(map[uint64][]string{})
-	b.serve()
-	b.want(map[uint64][]string{1: {"start"}})
+	h.advance(time.Second)
+	h.wantVerdicts(map[uint64][]string{})
+	h.commitNext()
+	h.wantVerdicts(map[uint64][]string{1: {"start"}})
 }
 
-// The caller is told "not run" and resends later, which runs. The claim's transaction got lost; at the deadline an
-// empty transaction takes its place, so that the original, arriving very late, claims nothing.
-func TestLateOriginalIsFenced(t *testing.T) {
-	b := newBench(t, memtable.NewMemory(), "s1")
-	b.submit(request(1, "k", "a"))
-	late := b.lose()
-	b.pass(11 * time.Second)
-	b.want(map[uint64][]string{1: {"deadline-cannot-be-met"}})
-	b.settle()
-	if _, err := b.mem.Apply(late); err != nil {
+// The claim's transaction is delayed until after the deadline, when the client has been refused as "not run". An empty
+// transaction must have fenced it by then, so that it does not take the key and a resend can run.
+func TestDelayedTransactionIsFenced(t *testing.T) {
+	h := newHarness(t, memtable.NewMemory(), "s1")
+	h.submit(request(1, "k", "a"))
+	late := h.loseNext()
+	h.advance(11 * time.Second)
+	h.wantVerdicts(map[uint64][]string{1: {"deadline-cannot-be-met"}})
+	h.runUntilIdle()
+	if _, err := h.mem.Apply(late); err != nil {
 		t.Fatal(err)
 	}
-	if row := b.mem.Row(RowKey("arriaga", "k")); row.Version != 0 {
+	if row := h.mem.Row(RowKey("arriaga", "k")); row.Version != 0 {
 		t.Fatal("the late original claimed the key")
 	}
 	again := request(2, "k", "a")
-	again.Deadline = b.now.Add(time.Second)
-	b.submit(again)
-	b.serve()
-	b.want(map[uint64][]string{1: {"deadline-cannot-be-met"}, 2: {"start"}})
+	again.Deadline = h.now.Add(time.Second)
+	h.submit(again)
+	h.commitNext()
+	h.wantVerdicts(map[uint64][]string{1: {"deadline-cannot-be-met"}, 2: {"start"}})
 }
 
-// The caller is told "not run" and resends later, which runs. The claim was written but its answer was lost until
-// after the deadline; the row is deleted, since its attempt will never start.
-func TestClaimWrittenAfterItsDeadlineIsReleased(t *testing.T) {
-	b := newBench(t, memtable.NewMemory(), "s1")
-	b.submit(request(1, "k", "a"))
-	if _, err := b.mem.Apply(b.lose()); err != nil {
+// The claim was written, but the response is lost until after the deadline, when the client has been refused as "not
+// run". The row must be deleted, because its attempt never starts, so that a resend can run.
+func TestClaimConfirmedAfterDeadlineIsReleased(t *testing.T) {
+	h := newHarness(t, memtable.NewMemory(), "s1")
+	h.submit(request(1, "k", "a"))
+	if _, err := h.mem.Apply(h.loseNext()); err != nil {
 		t.Fatal(err)
 	}
-	b.pass(11 * time.Second)
+	h.advance(11 * time.Second)
 	again := request(2, "k", "a")
-	again.Deadline = b.now.Add(time.Hour)
-	b.submit(again)
-	b.settle()
+	again.Deadline = h.now.Add(time.Hour)
+	h.submit(again)
+	h.runUntilIdle()
 	again.Attempt.Seq = 3
-	b.submit(again)
-	b.settle()
-	b.want(map[uint64][]string{1: {"deadline-cannot-be-met"}, 2: {"store-unavailable"}, 3: {"start"}})
+	h.submit(again)
+	h.runUntilIdle()
+	h.wantVerdicts(map[uint64][]string{1: {"deadline-cannot-be-met"}, 2: {"store-unavailable"}, 3: {"start"}})
 }
 
-// The caller was told "not run"; a copy of its attempt that was held up in the network must not run after all, also
-// when the first was refused by the upstream after the claim.
-func TestLateCopyOfARefusedAttemptStaysRefused(t *testing.T) {
-	b := newBench(t, memtable.NewMemory(), "s1")
-	b.submit(request(1, "k", "a"))
-	txn := b.pop()
+// A duplicate of an attempt that was refused as "not run" is delayed in the network. It must not run, also when the
+// original was refused by the upstream after the claim.
+func TestDelayedDuplicateOfRefusedAttemptIsRefused(t *testing.T) {
+	h := newHarness(t, memtable.NewMemory(), "s1")
+	h.submit(request(1, "k", "a"))
+	txn := h.popCommit()
 	down := &platform.UnavailableError{Op: "commit"}
-	b.take(b.ledger.Committed(b.now, txn.Operation, platform.Result{}, down))
-	b.submit(request(1, "k", "a"))
-	b.pass(time.Second)
-	b.submit(request(2, "k2", "a"))
-	b.serve()
-	b.take(b.ledger.NotStarted(b.now, ids.Attempt{Entry: "e", Seq: 2}))
-	b.settle()
-	b.now = start.Add(8 * time.Second)
-	b.submit(request(2, "k2", "a"))
-	b.want(map[uint64][]string{
+	h.collect(h.ledger.Committed(h.now, txn.Operation, platform.Result{}, down))
+	h.submit(request(1, "k", "a"))
+	h.advance(time.Second)
+	h.submit(request(2, "k2", "a"))
+	h.commitNext()
+	h.collect(h.ledger.NotStarted(h.now, ids.Attempt{Entry: "e", Seq: 2}))
+	h.runUntilIdle()
+	h.now = start.Add(8 * time.Second)
+	h.submit(request(2, "k2", "a"))
+	h.wantVerdicts(map[uint64][]string{
 		1: {"store-unavailable", "store-unavailable"},
 		2: {"start", "no-upstream"},
 	})
 }
 
-// The caller has its answer; a copy of the attempt that arrives late does not run. At first the slot remembers the
-// attempt; a copy that was given a new deadline and comes after that finds the row, which names the very attempt and
-// must not be taken for leave to start.
-func TestLateCopyOfAFinishedAttemptDoesNotStart(t *testing.T) {
-	b := newBench(t, memtable.NewMemory(), "s1")
-	b.submit(request(1, "k", "a"))
-	b.serve()
-	b.take(b.ledger.Finished(b.now, ids.Attempt{Entry: "e", Seq: 1}, Outcome{Status: 200, Body: []byte("x")}))
-	b.pass(time.Second)
-	b.serve()
-	b.submit(request(1, "k", "a"))
-	b.pass(time.Minute)
+// A duplicate of a finished attempt arrives late and must not run. At first the ledger still holds the decided attempt.
+// Later a duplicate with a new deadline conflicts with the row; that the row names the same attempt must not start it.
+func TestDelayedDuplicateOfFinishedAttemptDoesNotStart(t *testing.T) {
+	h := newHarness(t, memtable.NewMemory(), "s1")
+	h.submit(request(1, "k", "a"))
+	h.commitNext()
+	h.collect(h.ledger.Finished(h.now, ids.Attempt{Entry: "e", Seq: 1}, Outcome{Status: 200, Body: []byte("x")}))
+	h.advance(time.Second)
+	h.commitNext()
+	h.submit(request(1, "k", "a"))
+	h.advance(time.Minute)
 	late := request(1, "k", "a")
-	late.Deadline = b.now.Add(time.Second)
-	b.submit(late)
-	b.serve()
-	b.want(map[uint64][]string{1: {"start", "outcome-unknown", "outcome x"}})
+	late.Deadline = h.now.Add(time.Second)
+	h.submit(late)
+	h.commitNext()
+	h.wantVerdicts(map[uint64][]string{1: {"start", "outcome-unknown", "outcome x"}})
 }
 
-// The caller whose slot died in the middle asks again: "running" until the deadline, "outcome unknown" after it, and
-// never a second run.
-func TestSlotThatDiedLeavesOutcomeUnknown(t *testing.T) {
+// A slot crashes during a request and the client resends it. The resend must get "running" until the deadline and
+// "outcome unknown" after it, and must never run.
+func TestCrashedSlotLeavesOutcomeUnknown(t *testing.T) {
 	mem := memtable.NewMemory()
-	dead := newBench(t, mem, "s1")
-	dead.submit(request(1, "k", "a"))
-	dead.serve()
-	b := newBench(t, mem, "s1-restarted")
-	b.submit(request(2, "k", "a"))
-	b.serve()
-	b.now = start.Add(time.Minute)
+	crashed := newHarness(t, mem, "s1")
+	crashed.submit(request(1, "k", "a"))
+	crashed.commitNext()
+	h := newHarness(t, mem, "s1-restarted")
+	h.submit(request(2, "k", "a"))
+	h.commitNext()
+	h.now = start.Add(time.Minute)
 	late := request(3, "k", "a")
-	late.Deadline = b.now.Add(time.Minute)
-	b.submit(late)
-	b.serve()
-	b.want(map[uint64][]string{2: {"running"}, 3: {"outcome-unknown"}})
+	late.Deadline = h.now.Add(time.Minute)
+	h.submit(late)
+	h.commitNext()
+	h.wantVerdicts(map[uint64][]string{2: {"running"}, 3: {"outcome-unknown"}})
 }
 
-// The caller whose engine died, and the one whose answer is too large to keep, are told that the outcome is unknown.
-func TestLostAndTooLargeOutcomes(t *testing.T) {
+// Resends of a request whose upstream crashed, and of one whose response was too large to store, must get "outcome
+// unknown".
+func TestLostAndOversizedOutcomesAreUnknown(t *testing.T) {
 	mem := memtable.NewMemory()
-	b := newBench(t, mem, "s1")
-	b.ledger.opts.MaxOutcomeBytes = 3
-	b.submit(request(1, "lost", "a"))
-	b.serve()
-	b.pass(time.Second)
-	b.submit(request(2, "large", "a"))
-	b.serve()
-	b.take(b.ledger.Lost(b.now, ids.Attempt{Entry: "e", Seq: 1}))
-	b.take(b.ledger.Finished(b.now, ids.Attempt{Entry: "e", Seq: 2}, Outcome{Status: 200, Body: []byte("long")}))
-	b.settle()
+	h := newHarness(t, mem, "s1")
+	h.ledger.opts.MaxOutcomeBytes = 3
+	h.submit(request(1, "lost", "a"))
+	h.commitNext()
+	h.advance(time.Second)
+	h.submit(request(2, "large", "a"))
+	h.commitNext()
+	h.collect(h.ledger.Lost(h.now, ids.Attempt{Entry: "e", Seq: 1}))
+	h.collect(h.ledger.Finished(h.now, ids.Attempt{Entry: "e", Seq: 2}, Outcome{Status: 200, Body: []byte("long")}))
+	h.runUntilIdle()
 	for _, key := range []string{"lost", "large"} {
-		v := judge(b.now, request(3, key, "a"), mem.Row(RowKey("arriaga", key)), time.Second)
+		v := verdictFromRow(h.now, request(3, key, "a"), mem.Row(RowKey("arriaga", key)), time.Second)
 		if v.Refusal == nil || v.Refusal.Code != failure.CodeOutcomeUnknown {
 			t.Errorf("%s: %+v", key, v)
 		}
@@ -335,49 +335,49 @@
 	}
 }
 
-// Claims that arrive within one interval share a transaction, so that the write rate does not follow the claim rate.
-func TestClaimsShareTransactions(t *testing.T) {
-	b := newBench(t, memtable.NewMemory(), "s1")
+// Claims that arrive within one interval must share a transaction, so that the write rate does not grow with the claim
+// rate.
+func TestClaimsAreBatched(t *testing.T) {
+	h := newHarness(t, memtable.NewMemory(), "s1")
 	for i := range uint64(300) {
-		b.submit(request(i, fmt.Sprint("k", i), "a"))
+		h.submit(request(i, fmt.Sprint("k", i), "a"))
 	}
-	b.settle()
-	// The first claim goes alone, the other 299 in batches of 128.
-	if b.mem.Writes != 4 {
-		t.Fatalf("%d transactions for 300 claims", b.mem.Writes)
+	h.runUntilIdle()
+	// The first claim is sent alone, the other 299 in batches of up to 128.
+	if h.mem.Writes != 4 {
+		t.Fatalf("%d transactions for 300 claims", h.mem.Writes)
 	}
 }
 
-// The caller is told "not run", and that holds although the claim was written: the process was paused while the answer
-// of the table was on its way and woke up after the deadline, with the answer the first thing it read.
+// The slot is paused while the table's response is in flight, resumes after the deadline and reads the response first.
+// The claim was written, but the request must be refused as "not run" and must not start.
 func TestPausedSlotDoesNotStartAfterTheDeadline(t *testing.T) {
-	b := newBench(t, memtable.NewMemory(), "s1")
-	b.submit(request(1, "k", "a"))
-	b.now = b.now.Add(11 * time.Second)
-	b.serve()
-	b.want(map[uint64][]string{1: {"deadline-cannot-be-met"}})
+	h := newHarness(t, memtable.NewMemory(), "s1")
+	h.submit(request(1, "k", "a"))
+	h.now = h.now.Add(11 * time.Second)
+	h.commitNext()
+	h.wantVerdicts(map[uint64][]string{1: {"deadline-cannot-be-met"}})
 }
 
-// Two callers share a transaction whose answer is lost, and the key of one is taken meanwhile. The other runs once;
-// when the taken key is free again and the lost transaction arrives at last, it claims nothing. Without the fence it
-// would hold both keys for attempts that never start.
-func TestConflictAfterALostAnswerIsFenced(t *testing.T) {
+// Two claims share a transaction whose response is lost, and the key of one is taken meanwhile. When that key is free
+// again, the delayed transaction arrives. Without the fence it would take both keys for attempts that never start.
+func TestConflictAfterLostResponseIsFenced(t *testing.T) {
 	mem := memtable.NewMemory()
-	b := newBench(t, mem, "s1")
-	b.submit(request(1, "warm-up", "a"))
-	b.submit(request(2, "k1", "a"))
-	b.submit(request(3, "k2", "a"))
-	b.serve()
-	b.pass(time.Second)
-	late := b.lose()
-	other := newBench(t, mem, "s2")
+	h := newHarness(t, mem, "s1")
+	h.submit(request(1, "warm-up", "a"))
+	h.submit(request(2, "k1", "a"))
+	h.submit(request(3, "k2", "a"))
+	h.commitNext()
+	h.advance(time.Second)
+	late := h.loseNext()
+	other := newHarness(t, mem, "s2")
 	other.submit(request(10, "k1", "a"))
-	other.serve()
-	b.settle()
-	b.want(map[uint64][]string{1: {"start"}, 2: {"running"}, 3: {"start"}})
-	for seq, side := range map[uint64]*bench{3: b, 10: other} {
-		side.take(side.ledger.NotStarted(side.now, ids.Attempt{Entry: "e", Seq: seq}))
-		side.settle()
+	other.commitNext()
+	h.runUntilIdle()
+	h.wantVerdicts(map[uint64][]string{1: {"start"}, 2: {"running"}, 3: {"start"}})
+	for seq, side := range map[uint64]*harness{3: h, 10: other} {
+		side.collect(side.ledger.NotStarted(side.now, ids.Attempt{Entry: "e", Seq: seq}))
+		side.runUntilIdle()
 	}
 	if _, err := mem.Apply(late); err != nil {
 		t.Fatal(err)
--- a/internal/state/claims/metrics.go
+++ b/internal/state/claims/metrics.go
@@ -15,7 +15,7 @@
 	return o.Metrics.GetOrCreateCounter(name)
 }
 
-// countVerdict counts a verdict by what the caller gets: start, replay or the code of the refusal.
+// countVerdict counts a verdict by its result: start, replay or the code of the refusal.
 func (o *Options) countVerdict(v Verdict) {
 	kind := "start"
 	switch {
--- a/internal/state/claims/options.go
+++ b/internal/state/claims/options.go
@@ -8,37 +8,42 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// Options bounds a Ledger.
+// Options configures a Ledger and a Store.
 type Options struct {
-	// Incarnation is the life of the slot process; a restarted slot has another one and owns no claim of the last.
+	// Incarnation identifies this run of the slot process. A restarted slot has a new incarnation and does not own the
+	// claims of the previous one.
 	Incarnation ids.Incarnation
-	// MaxBatch is the most claims and outcomes in one transaction.
+	// MaxBatch is the maximum number of claims and outcomes in one transaction.
 	MaxBatch int
-	// Interval is the shortest time between the starts of two transactions: it bounds the write rate of the slot.
+	// Interval is the minimum time between the starts of two transactions. It bounds the write rate of the slot.
 	Interval time.Duration
-	// OutcomeDelay is for how long an outcome waits for claims to share a transaction with.
+	// OutcomeDelay is the time that an outcome waits for claims to share a transaction with.
 	OutcomeDelay time.Duration
-	// MaxInFlight is the most transactions without an answer.
+	// MaxInFlight is the maximum number of transactions without a response.
 	MaxInFlight int
-	// MaxOutcomeBytes is the largest body that is kept; of a larger one only the status is.
+	// MaxOutcomeBytes is the size of the largest response body that is stored. For a larger body only the status is
+	// stored.
 	MaxOutcomeBytes int
-	// MaxLive is the most claims in memory; more are refused as overloaded.
+	// MaxLive is the maximum number of claims in memory; further ones are refused as overloaded.
 	MaxLive int
-	// ResendDelay is the first wait before a transaction with a lost answer is sent again; it doubles up to a second.
+	// ResendDelay is the initial delay before a transaction with a lost response is sent again. It doubles with each
+	// resend, up to one second.
 	ResendDelay time.Duration
-	// Margin is the largest difference between two hosts' clocks that is allowed for.
+	// Margin is the maximum clock difference between two hosts that is tolerated.
 	Margin time.Duration
-	// SweepInterval is how often a Store removes expired claims; 0 for never. SweepWrites bounds each time.
+	// SweepInterval is the time between two sweeps for expired claims by a Store; 0 disables them. SweepWrites is the
+	// maximum number of transactions per sweep.
 	SweepInterval time.Duration
 	SweepWrites   int
-	// Metrics gets the counters of a Store; nil for the default set.
+	// Metrics is the set in which a Store registers its counters; nil selects the default set.
 	Metrics *metrics.Set
-	// NewOperation draws the id of a transaction.
+	// NewOperation generates the operation id of a transaction.
 	NewOperation func() ids.Operation
 }
 
-// DefaultOptions returns the options of a slot in a deployment with at most 15 slots of non-repeatable services, which
-// together write no more than 300 transactions a second; IntervalFor gives the interval for more.
+// DefaultOptions returns the options of a slot in a deployment with at most 15 slots of non-repeatable services. At the
+// default interval these write at most 300 transactions per second in total. For more slots, set Interval from
+// IntervalFor.
 func DefaultOptions(incarnation ids.Incarnation) Options {
 	return Options{
 		Incarnation:     incarnation,
@@ -56,9 +61,9 @@
 	}
 }
 
-// IntervalFor returns the Options.Interval with which so many slots stay within a deployment's share of the table's
-// writes a second, but no less than shortest.
-func IntervalFor(slots int, writesPerSecond float64, shortest time.Duration) time.Duration {
-	each := time.Duration(float64(slots) / writesPerSecond * float64(time.Second))
-	return max(each, shortest)
+// IntervalFor returns the Options.Interval with which the given number of slots together write at most writesPerSecond
+// transactions per second. It returns at least minInterval.
+func IntervalFor(slots int, writesPerSecond float64, minInterval time.Duration) time.Duration {
+	interval := time.Duration(float64(slots) / writesPerSecond * float64(time.Second))
+	return max(interval, minInterval)
 }
--- a/internal/state/claims/request.go
+++ b/internal/state/claims/request.go
@@ -9,22 +9,22 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// Request is one attempt at a request that may not be repeated.
+// Request is one attempt at a non-repeatable request.
 type Request struct {
 	Client  ids.Client
 	Service ids.Service
-	// Key is the caller's idempotency key; with Client it identifies the request.
+	// Key is the client's idempotency key. Client and Key together identify the request.
 	Key string
-	// BodyHash is the SHA-256 of the body.
+	// BodyHash is the SHA-256 of the request body.
 	BodyHash [sha256.Size]byte
 	Attempt  ids.Attempt
-	// Deadline is when the caller's patience ends; the request does not start after it.
+	// Deadline is the time at which the caller times out. The request does not start after it.
 	Deadline time.Time
-	// Keep is for how long the outcome stays in the table after Deadline.
+	// Retention is the time that the outcome stays in the table after Deadline.
 	Keep time.Duration
 }
 
-// Outcome is an answer that can be given again.
+// Outcome is the upstream's response, in the form in which it is stored and replayed.
 type Outcome struct {
 	// Status is the HTTP status.
 	Status      int
@@ -32,28 +32,28 @@
 	Body        []byte
 }
 
-// Verdict says what to do with an attempt. Exactly one of its three fields is set.
+// Verdict is the decision on an attempt. Exactly one of its three fields is set.
 type Verdict struct {
-	// Start: this attempt holds the claim and may be handed to the upstream, once.
+	// Start is set if this attempt holds the claim and may be sent to the upstream, once.
 	Start bool
-	// Outcome is the stored answer of an earlier attempt.
+	// Outcome is the stored response of an earlier attempt.
 	Outcome *Outcome
-	// Refusal is the typed answer to the caller.
+	// Refusal is the error for the caller.
 	Refusal *failure.Error
 }
 
-// TooLargeError says that a request ran to its end but its answer was too large to be kept.
+// TooLargeError reports that a request finished but its response was too large to store.
 type TooLargeError struct {
-	// Status is the HTTP status of the answer.
+	// Status is the HTTP status of the response.
 	Status int
 }
 
 // Error implements error.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("claims: the answer with status %d was too large to be kept", e.Status)
+	return fmt.Sprintf("claims: response with status %d was too large to store", e.Status)
 }
 
-// RowError says that a row of the table cannot be read as a claim.
+// RowError reports that a row of the table cannot be decoded as a claim or a list of claims.
 type RowError struct {
 	Key   string
 	Cause error
@@ -62,7 +62,7 @@
 // Error implements error.
 func (e *RowError) Error() string { return fmt.Sprintf("claims: row %s: %v", e.Key, e.Cause) }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause.
 func (e *RowError) Unwrap() error { return e.Cause }
 
 func refusal(code failure.Code, cause error) Verdict {
--- a/internal/state/claims/row.go
+++ b/internal/state/claims/row.go
@@ -15,15 +15,16 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// Prefixes of the table's keys that belong to this package.
+// Key prefixes of this package in the platform's table.
 const (
-	// RowPrefix starts the key of each claim.
+	// RowPrefix is the key prefix of claims.
 	RowPrefix = "claim/"
-	// BatchPrefix starts the key of each list of claims; what follows sorts by the time of removal.
+	// BatchPrefix is the key prefix of lists of claims. The rest of the key sorts by expiry time.
 	BatchPrefix = "claim-batch/"
 )
 
-// RowKey returns the table's key of a claim. The caller's key is hashed, since it may be long and hold any byte.
+// RowKey returns the table key of a claim. The client's idempotency key is hashed, because it may be long and may hold
+// any byte.
 func RowKey(client ids.Client, key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return RowPrefix + string(client) + "/" + hex.EncodeToString(sum[:16])
@@ -49,7 +50,7 @@
 func encode(m proto.Message) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		panic(err) // Marshal fails only for a string that is not UTF-8, and config and entry refuse those.
+		panic(err) // Marshal fails only for strings that are not valid UTF-8; Submit refuses requests with such strings.
 	}
 	return data
 }
@@ -62,8 +63,9 @@
 	return c, nil
 }
 
-// judge answers r from a row that another attempt holds. Margin covers the difference between the hosts' clocks.
-func judge(now time.Time, r Request, row platform.Row, margin time.Duration) Verdict {
+// verdictFromRow returns the verdict on r from a row that another attempt holds. Margin is the tolerated clock
+// difference between the hosts.
+func verdictFromRow(now time.Time, r Request, row platform.Row, margin time.Duration) Verdict {
 	c, err := decodeRow(row)
 	if err != nil {
 		return refusal(failure.CodeOutcomeUnknown, err)
@@ -79,7 +81,8 @@
 			return refusal(failure.CodeRunning, nil)
 		}
 	}
-	// A slot that died in the middle leaves its row as running: after the deadline nobody can tell what happened.
+	// A slot that crashed during the request leaves its row as running. After the deadline the outcome cannot be
+	// determined any more.
 	return refusal(failure.CodeOutcomeUnknown, nil)
 }
 
--- a/internal/state/claims/store.go
+++ b/internal/state/claims/store.go
@@ -9,10 +9,11 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// eventBuffer is how many events may wait for the goroutine that owns the ledger.
+// eventBuffer is the number of events that can be queued for the goroutine of Run.
 const eventBuffer = 256
 
-// Store runs a Ledger against the platform's table. Its methods are safe for concurrent use; they wait for Run.
+// Store runs a Ledger against the platform's table. Its methods are safe for concurrent use. They pass events to the
+// goroutine of Run and wait for it.
 type Store struct {
 	table   platform.Table
 	opts    Options
@@ -22,17 +23,18 @@
 	done chan struct{}
 }
 
-// event is a change that the goroutine of Run makes.
-type event func(o *owner, now time.Time) []Effect
+// event is a function that the goroutine of Run executes on its state.
+type event func(st *loopState, now time.Time) []Effect
 
-// owner is what only the goroutine of Run touches.
-type owner struct {
+// loopState is the state that only the goroutine of Run accesses.
+type loopState struct {
 	ledger  *Ledger
 	waiting map[ids.Attempt]chan Verdict
 	drained []chan struct{}
 }
 
-// NewStore returns a store. The answer to a transaction counts as lost after timeout.
+// NewStore returns a Store. If the table does not respond to a transaction within timeout, the response is regarded as
+// lost.
 func NewStore(table platform.Table, opts Options, timeout time.Duration) *Store {
 	return &Store{
 		table:   table,
@@ -43,29 +45,30 @@
 	}
 }
 
-// Run owns the ledger until ctx ends. What the table did not acknowledge by then stays in the table as running, so
-// that a resend gets "running" and, after the deadline, "outcome unknown". Call Drain first for an orderly exit.
+// Run drives the ledger until ctx is done. Claims whose outcome the table has not acknowledged by then stay in the
+// table as running: a resend gets "running" and, after the deadline, "outcome unknown". For an orderly exit call Drain
+// first.
 func (s *Store) Run(ctx context.Context) {
 	defer close(s.done)
 	if s.opts.SweepInterval > 0 {
 		go s.sweeper().Run(ctx, s.opts.SweepInterval, s.opts.countSwept)
 	}
-	o := &owner{ledger: NewLedger(s.opts), waiting: map[ids.Attempt]chan Verdict{}}
+	st := &loopState{ledger: NewLedger(s.opts), waiting: map[ids.Attempt]chan Verdict{}}
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		if next, ok := o.ledger.Next(); ok {
+		if next, ok := st.ledger.Next(); ok {
 			timer.Reset(time.Until(next))
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case ev := <-s.events:
-			s.perform(ctx, o, ev(o, time.Now()))
+			s.perform(ctx, st, ev(st, time.Now()))
 		case <-timer.C:
-			s.perform(ctx, o, o.ledger.Tick(time.Now()))
+			s.perform(ctx, st, st.ledger.Tick(time.Now()))
 		}
-		o.checkDrained()
+		st.checkDrained()
 	}
 }
 
@@ -78,29 +81,30 @@
 	}
 }
 
-// Claim asks whether the attempt may start. After Verdict.Start exactly one of Finished, Lost and NotStarted must
-// follow. If ctx ends first, the attempt is refused as cancelled and never starts.
+// Claim returns the verdict on the attempt. After Verdict.Start the caller must call exactly one of Finished, Lost and
+// NotStarted. If ctx is done first, the attempt is refused as cancelled and never starts.
 func (s *Store) Claim(ctx context.Context, r Request) Verdict {
-	answer := make(chan Verdict, 1)
-	s.post(func(o *owner, now time.Time) []Effect { return o.submit(now, r, answer) })
+	verdict := make(chan Verdict, 1)
+	s.post(func(st *loopState, now time.Time) []Effect { return st.submit(now, r, verdict) })
 	select {
-	case v := <-answer:
+	case v := <-verdict:
 		return v
 	case <-s.done:
 		return refusal(failure.CodeStopping, nil)
 	case <-ctx.Done():
 	}
-	s.post(func(o *owner, now time.Time) []Effect { return o.ledger.Cancel(now, r.Attempt) })
+	s.post(func(st *loopState, now time.Time) []Effect { return st.ledger.Cancel(now, r.Attempt) })
 	select {
-	case v := <-answer:
-		return s.tooLate(r.Attempt, v)
+	case v := <-verdict:
+		return s.cancelStart(r.Attempt, v)
 	case <-s.done:
 		return refusal(failure.CodeStopping, nil)
 	}
 }
 
-// tooLate turns a start that crossed with the end of the caller's context into a refusal.
-func (s *Store) tooLate(a ids.Attempt, v Verdict) Verdict {
+// cancelStart turns a start that was decided after the caller's context was done into a refusal. Other verdicts are
+// returned unchanged.
+func (s *Store) cancelStart(a ids.Attempt, v Verdict) Verdict {
 	if !v.Start {
 		return v
 	}
@@ -110,24 +114,25 @@
 
 // Finished stores the outcome of a started attempt, in the background.
 func (s *Store) Finished(a ids.Attempt, out Outcome) {
-	s.post(func(o *owner, now time.Time) []Effect { return o.ledger.Finished(now, a, out) })
+	s.post(func(st *loopState, now time.Time) []Effect { return st.ledger.Finished(now, a, out) })
 }
 
-// Lost says that a started attempt may have run but has no answer; a resend gets "outcome unknown".
+// Lost records that a started attempt may have run but has no response. A resend gets "outcome unknown".
 func (s *Store) Lost(a ids.Attempt) {
-	s.post(func(o *owner, now time.Time) []Effect { return o.ledger.Lost(now, a) })
+	s.post(func(st *loopState, now time.Time) []Effect { return st.ledger.Lost(now, a) })
 }
 
-// NotStarted says that a started attempt provably never reached the upstream; the claim is given back.
+// NotStarted records that a started attempt provably never reached the upstream. Its claim is released.
 func (s *Store) NotStarted(a ids.Attempt) {
-	s.post(func(o *owner, now time.Time) []Effect { return o.ledger.NotStarted(now, a) })
+	s.post(func(st *loopState, now time.Time) []Effect { return st.ledger.NotStarted(now, a) })
 }
 
-// Drain waits until no claim is live, the table having acknowledged every outcome, or until ctx or Run ends.
+// Drain waits until no claim is live, which means that the table has acknowledged every outcome. It returns earlier if
+// ctx is done or Run returns.
 func (s *Store) Drain(ctx context.Context) {
 	empty := make(chan struct{})
-	s.post(func(o *owner, _ time.Time) []Effect {
-		o.drained = append(o.drained, empty)
+	s.post(func(st *loopState, _ time.Time) []Effect {
+		st.drained = append(st.drained, empty)
 		return nil
 	})
 	select {
@@ -144,33 +149,33 @@
 	}
 }
 
-func (o *owner) submit(now time.Time, r Request, answer chan Verdict) []Effect {
-	// A copy of an attempt that still waits must not take the verdict of the original.
-	if o.waiting[r.Attempt] != nil {
-		answer <- refusal(failure.CodeRunning, nil)
+func (st *loopState) submit(now time.Time, r Request, verdict chan Verdict) []Effect {
+	// A duplicate of an attempt that still waits must not receive the verdict of the original.
+	if st.waiting[r.Attempt] != nil {
+		verdict <- refusal(failure.CodeRunning, nil)
 		return nil
 	}
-	o.waiting[r.Attempt] = answer
-	return o.ledger.Submit(now, r)
+	st.waiting[r.Attempt] = verdict
+	return st.ledger.Submit(now, r)
 }
 
-func (o *owner) checkDrained() {
-	if o.ledger.Live() > 0 {
+func (st *loopState) checkDrained() {
+	if st.ledger.Live() > 0 {
 		return
 	}
-	for _, c := range o.drained {
+	for _, c := range st.drained {
 		close(c)
 	}
-	o.drained = nil
+	st.drained = nil
 }
 
-func (s *Store) perform(ctx context.Context, o *owner, effects []Effect) {
+func (s *Store) perform(ctx context.Context, st *loopState, effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Answer:
 			s.opts.countVerdict(e.Verdict)
-			if c := o.waiting[e.Attempt]; c != nil {
-				delete(o.waiting, e.Attempt)
+			if c := st.waiting[e.Attempt]; c != nil {
+				delete(st.waiting, e.Attempt)
 				c <- e.Verdict
 			}
 		case Commit:
@@ -179,11 +184,11 @@
 	}
 }
 
-// commit sends one transaction and posts what became of it.
+// commit sends one transaction and posts its result to Run.
 func (s *Store) commit(ctx context.Context, t platform.Txn) {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
 	res, err := s.table.Commit(ctx, t)
 	s.opts.countTransaction(err)
-	s.post(func(o *owner, now time.Time) []Effect { return o.ledger.Committed(now, t.Operation, res, err) })
+	s.post(func(st *loopState, now time.Time) []Effect { return st.ledger.Committed(now, t.Operation, res, err) })
 }
--- a/internal/state/claims/store_test.go
+++ b/internal/state/claims/store_test.go
@@ -13,8 +13,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/faulttest/memtable"
 )
 
-// inStore runs f with a running store inside a bubble of synthetic time.
-func inStore(t *testing.T, plan memtable.Plan, f func(t *testing.T, s *Store, table *memtable.Table)) {
+// withStore runs f with a running store in a synctest bubble.
+func withStore(t *testing.T, plan memtable.Plan, f func(t *testing.T, s *Store, table *memtable.Table)) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memtable.New(plan)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -26,19 +26,19 @@
 	})
 }
 
-func nowRequest(seq uint64, key string, patience time.Duration) Request {
+func requestWithTimeout(seq uint64, key string, timeout time.Duration) Request {
 	r := request(seq, key, "a")
-	r.Deadline = time.Now().Add(patience)
+	r.Deadline = time.Now().Add(timeout)
 	return r
 }
 
-// Two hundred callers at once each get one start, in a handful of transactions.
-func TestStoreGroupsClaims(t *testing.T) {
-	inStore(t, nil, func(t *testing.T, s *Store, table *memtable.Table) {
+// 200 concurrent claims must all start, and share a few transactions.
+func TestStoreBatchesConcurrentClaims(t *testing.T) {
+	withStore(t, nil, func(t *testing.T, s *Store, table *memtable.Table) {
 		var wg sync.WaitGroup
 		for i := range uint64(200) {
 			wg.Go(func() {
-				if v := s.Claim(t.Context(), nowRequest(i, fmt.Sprint(i), time.Minute)); !v.Start {
+				if v := s.Claim(t.Context(), requestWithTimeout(i, fmt.Sprint(i), time.Minute)); !v.Start {
 					t.Errorf("claim %d: %+v", i, v)
 				}
 				s.Finished(ids.Attempt{Entry: "e", Seq: i}, Outcome{Status: 200})
@@ -54,39 +54,39 @@
 	})
 }
 
-// The caller whose claim cannot be written is refused as not run at once when the table says that it is down, and at
-// its deadline when the table says nothing.
+// A claim that cannot be written must be refused as not run: immediately if the table reports that it is unavailable,
+// and at its deadline if the table does not respond.
 func TestStoreRefusesDuringAnOutage(t *testing.T) {
 	fault, delay := memtable.Unavailable, time.Duration(0)
 	plan := func() (memtable.Fault, time.Duration) { return fault, delay }
-	inStore(t, plan, func(t *testing.T, s *Store, table *memtable.Table) {
-		v := s.Claim(t.Context(), nowRequest(1, "a", 5*time.Second))
+	withStore(t, plan, func(t *testing.T, s *Store, table *memtable.Table) {
+		v := s.Claim(t.Context(), requestWithTimeout(1, "a", 5*time.Second))
 		if v.Refusal == nil || v.Refusal.Code != failure.CodeStoreUnavailable || v.Refusal.Proof != failure.ProofRefusedBeforeStart {
 			t.Errorf("refused by the table: %+v", v)
 		}
 		table.SetPlan(func() (memtable.Fault, time.Duration) { return memtable.None, time.Hour })
 		begin := time.Now()
-		v = s.Claim(t.Context(), nowRequest(2, "a", 5*time.Second))
+		v = s.Claim(t.Context(), requestWithTimeout(2, "a", 5*time.Second))
 		if v.Refusal == nil || v.Refusal.Code != failure.CodeDeadlineUnmet || time.Since(begin) != 5*time.Second {
-			t.Errorf("silent table: %+v after %v", v, time.Since(begin))
+			t.Errorf("unresponsive table: %+v after %v", v, time.Since(begin))
 		}
 		table.SetPlan(nil)
 		s.Drain(t.Context())
 	})
 }
 
-// The caller hangs up while its claim is being written: the request does not run, and the key is free again.
-func TestStoreReleasesWhatItsCallerGaveUp(t *testing.T) {
+// The caller disconnects while its claim is being written. The request must not run, and the key must be free again.
+func TestStoreReleasesCancelledClaim(t *testing.T) {
 	slow := func() (memtable.Fault, time.Duration) { return memtable.None, 500 * time.Millisecond }
-	inStore(t, slow, func(t *testing.T, s *Store, table *memtable.Table) {
+	withStore(t, slow, func(t *testing.T, s *Store, table *memtable.Table) {
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		v := s.Claim(ctx, nowRequest(1, "a", time.Minute))
+		v := s.Claim(ctx, requestWithTimeout(1, "a", time.Minute))
 		if v.Refusal == nil || v.Refusal.Code != failure.CodeCancelled {
 			t.Errorf("cancelled claim: %+v", v)
 		}
 		s.Drain(t.Context())
-		if v := s.Claim(t.Context(), nowRequest(2, "a", time.Minute)); !v.Start {
+		if v := s.Claim(t.Context(), requestWithTimeout(2, "a", time.Minute)); !v.Start {
 			t.Errorf("after the release: %+v", v)
 		}
 		s.NotStarted(ids.Attempt{Entry: "e", Seq: 2})
@@ -94,11 +94,12 @@
 	})
 }
 
-// The operator sees the table shrink again: expired claims go, a claim made again under the same key stays.
-func TestSweeperRemovesWhatExpired(t *testing.T) {
-	inStore(t, nil, func(t *testing.T, s *Store, table *memtable.Table) {
+// Expired claims must be deleted. A key that was released and claimed again is in two lists; its claim must stay when the
+// first list expires.
+func TestSweeperRemovesExpiredClaims(t *testing.T) {
+	withStore(t, nil, func(t *testing.T, s *Store, table *memtable.Table) {
 		claim := func(seq uint64, key string, keep time.Duration) {
-			r := nowRequest(seq, key, time.Second)
+			r := requestWithTimeout(seq, key, time.Second)
 			r.Keep = keep
 			if v := s.Claim(t.Context(), r); !v.Start {
 				t.Errorf("claim %d: %+v", seq, v)
--- a/internal/state/claims/sweep.go
+++ b/internal/state/claims/sweep.go
@@ -15,26 +15,27 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// Sweeper removes claims whose outcomes were kept long enough. Several may run at once: each deletes on condition that
-// nothing changed, so that the worst they do to each other is work in vain. Every Store runs one.
+// Sweeper deletes claims whose retention has ended. Several sweepers may run concurrently: each deletes on condition
+// that the rows are unchanged, so two of them at worst duplicate work. Every Store whose SweepInterval is set runs one.
 type Sweeper struct {
 	Table platform.Table
-	// Margin is added to the expiry, for the difference between two hosts' clocks.
+	// Margin is added to the expiry time to tolerate the clock difference between two hosts.
 	Margin time.Duration
-	// MaxWrites is the most transactions of one Sweep.
+	// MaxWrites is the maximum number of transactions of one Sweep.
 	MaxWrites int
-	// NewOperation draws the id of a transaction.
+	// NewOperation generates the operation id of a transaction.
 	NewOperation func() ids.Operation
 }
 
-// SweepResult tells what a Sweep did.
+// SweepResult is the result of one Sweep.
 type SweepResult struct {
-	// Writes counts transactions, Claims the claims that they removed.
+	// Writes is the number of transactions, Claims the number of claims that they deleted.
 	Writes, Claims int
 }
 
-// Sweep removes up to MaxWrites lists of expired claims, the oldest first. Errors are those of the table; what was
-// removed before an error stays removed, and the rest waits for the next Sweep.
+// Sweep deletes up to MaxWrites lists of expired claims, the oldest first. It returns an error of the table, or a
+// *RowError for a list that cannot be decoded. The result counts the deletions before the error; the next Sweep deletes
+// the rest.
 func (s *Sweeper) Sweep(ctx context.Context, now time.Time) (SweepResult, error) {
 	var result SweepResult
 	lists, err := s.Table.List(ctx, BatchPrefix, "", s.MaxWrites)
@@ -55,7 +56,7 @@
 	return result, nil
 }
 
-// expired reads the time out of a list's key. A key that cannot be read never expires.
+// expired reports whether the expiry time in a list's key has passed. A key that cannot be parsed never expires.
 func expired(now time.Time, key string, margin time.Duration) bool {
 	text, _, _ := strings.Cut(strings.TrimPrefix(key, BatchPrefix), "/")
 	ms, err := strconv.ParseInt(text, 16, 64)
@@ -86,7 +87,7 @@
 	_, err = s.Table.Commit(ctx, t)
 	var conflict *platform.ConflictError
 	if errors.As(err, &conflict) {
-		return 0, nil // Another sweeper was faster, or an outcome came in very late; the next Sweep looks again.
+		return 0, nil // Another sweeper was faster, or an outcome arrived very late; the next Sweep retries.
 	}
 	if err != nil {
 		return 0, fmt.Errorf("delete expired claims: %w", err)
@@ -94,13 +95,14 @@
 	return n, nil
 }
 
-// rowExpired reads a claim's own expiry: a key that was released and claimed again stands in a later list as well.
+// rowExpired reports whether a claim has expired by the time in its own row. The expiry time of the list is not enough:
+// a key that was released and claimed again is in a later list as well.
 func (s *Sweeper) rowExpired(now time.Time, row platform.Row) bool {
 	c, err := decodeRow(row)
 	return err == nil && now.After(time.UnixMilli(c.GetExpireMs()).Add(s.Margin))
 }
 
-// Run sweeps every interval until ctx ends and calls report with what each Sweep did.
+// Run sweeps at the given interval until ctx is done and calls report with the result of each Sweep.
 func (s *Sweeper) Run(ctx context.Context, interval time.Duration, report func(SweepResult, error)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
