--- a/internal/state/audit/audit_test.go
+++ b/internal/state/audit/audit_test.go
@@ -12,8 +12,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/audit"
 )
 
-// whole is an audit without fault: two nodes' chains, the changes and the register.
-func whole() []*audit.Row {
+// validAudit returns the rows of an audit without faults: the chains of two nodes, the changes and the register.
+func validAudit() []*audit.Row {
 	var heads, rows []*audit.Row
 	add := func(chain audit.Chain, list ...*audit.Row) {
 		linked, head := audit.Head{Chain: chain}.Link(list)
@@ -60,57 +60,58 @@
 	}
 }
 
-// Somebody with access to the table removes or changes rows after the fact, so that a regulator would be shown a false
-// story. Each way must be found by the hashes, the heads or the register.
-func TestVerifyFinds(t *testing.T) {
-	if got := faults(whole()); got != "" {
-		t.Fatalf("a whole audit has faults: %s", got)
+// An attacker with access to the table removes or changes rows afterwards, so that a regulator would see a false
+// record. Each manipulation must be detected by the hashes, the heads or the register.
+func TestVerifyDetectsTampering(t *testing.T) {
+	if got := faults(validAudit()); got != "" {
+		t.Fatalf("a valid audit has faults: %s", got)
 	}
 	second := audit.Chain("a").RowKey(2)
 	last := audit.Chain("a").RowKey(3)
 	for name, c := range map[string]struct {
-		do   func([]*audit.Row) []*audit.Row
-		want string
+		tamper func([]*audit.Row) []*audit.Row
+		want   string
 	}{
-		"a row in the middle is gone":  {without(second), "rows 2 to 2 are missing before it"},
-		"the first row is gone":        {without(audit.Chain("a").RowKey(1)), "rows 1 to 1 are missing"},
-		"the last row is gone":         {without(last), "rows 3 to 3 are missing at the end"},
-		"the last row is changed":      {edit(last, func(r *audit.Row) { r.Actor = "m" }), "does not have the hash that the chain's head names"},
-		"a row's reason is changed":    {edit(second, func(r *audit.Row) { r.Reason = "x" }), "does not carry the hash"},
-		"a row's time is changed":      {edit(second, func(r *audit.Row) { r.UnixMs = 2 }), "does not carry the hash"},
-		"a row is moved":               {edit(second, func(r *audit.Row) { r.Key = "audit/row/a/x" }), "is no key of the audit"},
-		"a head is gone":               {without(audit.Chain("b").HeadKey()), "has no head"},
-		"a head is another chain's":    {edit(audit.Chain("b").HeadKey(), func(r *audit.Row) { r.Subject = "a" }), "is the head of another chain"},
-		"the rows of a chain are gone": {without("audit/row/b/"), "rows 1 to 1 are missing at the end"},
-		"a whole chain is gone": {func(rows []*audit.Row) []*audit.Row {
+		"a row in the middle is missing":  {without(second), "rows 2 to 2 are missing before it"},
+		"the first row is missing":        {without(audit.Chain("a").RowKey(1)), "rows 1 to 1 are missing"},
+		"the last row is missing":         {without(last), "rows 3 to 3 are missing at the end"},
+		"the last row is changed":         {edit(last, func(r *audit.Row) { r.Actor = "m" }), "does not have the hash that the chain's head names"},
+		"a row's reason is changed":       {edit(second, func(r *audit.Row) { r.Reason = "x" }), "does not carry the hash"},
+		"a row's time is changed":         {edit(second, func(r *audit.Row) { r.UnixMs = 2 }), "does not carry the hash"},
+		"a row is moved":                  {edit(second, func(r *audit.Row) { r.Key = "audit/row/a/x" }), "is no key of the audit"},
+		"a head is missing":               {without(audit.Chain("b").HeadKey()), "has no head"},
+		"a head belongs to another chain": {edit(audit.Chain("b").HeadKey(), func(r *audit.Row) { r.Subject = "a" }), "is the head of another chain"},
+		"the rows of a chain are missing": {without("audit/row/b/"), "rows 1 to 1 are missing at the end"},
+		"a chain with its head is missing": {func(rows []*audit.Row) []*audit.Row {
 			return without("audit/row/b/")(without(audit.Chain("b").HeadKey())(rows))
 		}, "is in the register, but has no head"},
-		"the register's row is gone":  {without(audit.RegisterChain.RowKey(2)), "the chain is not in the register"},
-		"the register's head is gone": {without(audit.RegisterChain.HeadKey()), "the chain has no head"},
-		"the changes' head is gone":   {without(audit.ChangesChain.HeadKey()), "the chain has no head"},
+		"a row of the register is missing":    {without(audit.RegisterChain.RowKey(2)), "the chain is not in the register"},
+		"the head of the register is missing": {without(audit.RegisterChain.HeadKey()), "the chain has no head"},
+		"the head of the changes is missing":  {without(audit.ChangesChain.HeadKey()), "the chain has no head"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := faults(c.do(whole())); !strings.Contains(got, c.want) {
+			if got := faults(c.tamper(validAudit())); !strings.Contains(got, c.want) {
 				t.Fatalf("got %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// Rows are written while a reader lists: what comes after the heads were read is no fault.
-func TestVerifyAllowsRowsAfterTheHeads(t *testing.T) {
-	before := whole()
+// Rows are written while a reader lists the audit. Rows and chains added after the heads were read must not be reported
+// as faults.
+func TestVerifyAllowsRowsWrittenAfterHeads(t *testing.T) {
+	before := validAudit()
 	more, _ := audit.HeadOf(before[0]).Link([]*audit.Row{row(audit.KindInForce, "4")})
-	born, _ := audit.Head{Chain: "c"}.Link([]*audit.Row{row(audit.KindInForce, "4")})
-	started, _ := audit.HeadOf(before[3]).Link([]*audit.Row{row(audit.KindStarted, "c")})
-	rows := slices.Concat(before[:7], more, before[7:], born, started)
+	newChain, _ := audit.Head{Chain: "c"}.Link([]*audit.Row{row(audit.KindInForce, "4")})
+	registered, _ := audit.HeadOf(before[3]).Link([]*audit.Row{row(audit.KindStarted, "c")})
+	rows := slices.Concat(before[:7], more, before[7:], newChain, registered)
 	if got := faults(rows); got != "" {
 		t.Fatal(got)
 	}
 }
 
 func TestHashCoversEveryField(t *testing.T) {
-	r := whole()[5]
+	r := validAudit()[5]
 	fields := r.ProtoReflect().Descriptor().Fields()
 	for i := range fields.Len() {
 		other := proto.Clone(r).(*audit.Row)
@@ -130,9 +131,9 @@
 	}
 }
 
-// The table is down for longer than the buffer lasts. The newest rows are lost; when there is room again, one row says
-// how many and when, so that the gap is known and not silent.
-func TestOverflowBecomesARow(t *testing.T) {
+// The table is unavailable until the buffer overflows, and the newest rows are lost. Once there is capacity again, one
+// row must record how many rows were lost, so that the gap is visible.
+func TestOverflowIsRecordedAsRow(t *testing.T) {
 	b := audit.Buffer{Actor: "e1"}
 	at := time.Unix(100, 0)
 	for i := range audit.MaxRows + 3 {
@@ -142,16 +143,16 @@
 		t.Fatalf("%d rows, %d lost", b.Len(), b.Lost())
 	}
 	b.Drop(10)
-	rows := b.First(audit.MaxRows)
+	rows := b.Peek(audit.MaxRows)
 	last := rows[len(rows)-1]
 	if last.GetKind() != audit.KindOverflow || !strings.HasPrefix(last.GetAfter(), "3 rows lost") || rows[0].GetSubject() != "10" {
 		t.Fatalf("last %v, first %v", last, rows[0])
 	}
 	if !b.Add(at, row(audit.KindUpstream, "x")) || b.Lost() != 0 {
-		t.Fatal("the buffer takes no rows again")
+		t.Fatal("the buffer accepts no rows after the overflow")
 	}
 	big := row(audit.KindUpstream, strings.Repeat("x", audit.MaxBytes))
 	if b.Add(at, big) {
-		t.Fatal("a row over the bound in bytes was taken")
+		t.Fatal("a row that exceeds the bound in bytes was accepted")
 	}
 }
--- a/internal/state/audit/buffer.go
+++ b/internal/state/audit/buffer.go
@@ -7,17 +7,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bounds of a node's buffer. At 1,800 changes a day a node writes some 2,000 rows a day, so they last for a day
-// without the table; a storm of upstream changes is what can overflow it.
+// Bounds of a node's buffer. At 1,800 changes per day a node writes about 2,000 rows per day, so the buffer covers a
+// table outage of a day. Very frequent state changes of upstreams can overflow it earlier.
 const (
 	MaxRows  = 4096
 	MaxBytes = 2 << 20
 )
 
-// Buffer keeps rows until they are in the table. When it is full the newest rows are lost, so that what is kept has no
-// holes but one at its end, and one row tells how many were lost, and when. It is not safe for concurrent use.
+// Buffer holds rows until they are in the table. While it is full, new rows are dropped, so that the only gap is at the
+// end of the retained rows. An overflow row records how many rows were lost, and when. Buffer is not safe for
+// concurrent use.
 type Buffer struct {
-	// Actor is the node that an overflow is told of.
+	// Actor is the node that overflow rows name.
 	Actor string
 	rows  []*Row
 	bytes int
@@ -26,11 +27,12 @@
 	until time.Time
 }
 
-// Add takes a row in; it reports whether there was room.
+// Add appends a row. It reports whether there was capacity for it; if not, the row is lost. Once a row is lost, Add
+// drops all rows until Drop has appended the overflow row.
 func (b *Buffer) Add(now time.Time, r *Row) bool {
 	size := proto.Size(r)
 	if b.lost > 0 || len(b.rows) >= MaxRows || b.bytes+size > MaxBytes {
-		b.lose(now)
+		b.recordLoss(now)
 		return false
 	}
 	b.rows = append(b.rows, r)
@@ -38,7 +40,7 @@
 	return true
 }
 
-func (b *Buffer) lose(now time.Time) {
+func (b *Buffer) recordLoss(now time.Time) {
 	if b.lost == 0 {
 		b.since = now
 	}
@@ -46,16 +48,17 @@
 	b.until = now
 }
 
-// Len is how many rows wait.
+// Len returns the number of rows in the buffer.
 func (b *Buffer) Len() int { return len(b.rows) }
 
-// Lost is how many rows were lost since the last overflow row.
+// Lost returns the number of rows lost since the last overflow row.
 func (b *Buffer) Lost() int { return b.lost }
 
-// First returns up to n rows, the oldest first, and leaves them in the buffer.
-func (b *Buffer) First(n int) []*Row { return b.rows[:min(n, len(b.rows))] }
+// Peek returns the oldest rows, up to n, and leaves them in the buffer.
+func (b *Buffer) Peek(n int) []*Row { return b.rows[:min(n, len(b.rows))] }
 
-// Drop removes the n oldest rows, which are in the table now. The overflow row takes the first room there is.
+// Drop removes the n oldest rows after they were written to the table. If rows were lost, it appends the overflow row
+// in the freed capacity.
 func (b *Buffer) Drop(n int) {
 	for _, r := range b.rows[:n] {
 		b.bytes -= proto.Size(r)
--- a/internal/state/audit/chain.go
+++ b/internal/state/audit/chain.go
@@ -4,14 +4,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Head is the end of a chain: its length and the hash of its last row.
+// Head describes the end of a chain: its length and the hash of its last row.
 type Head struct {
 	Chain Chain
 	Seq   uint64
 	Hash  []byte
 }
 
-// Link gives rows their keys and the hashes of their predecessors. It returns copies and the head after them.
+// Link appends rows to the chain. It returns copies of the rows with their keys and the hashes of their predecessors,
+// and the head after the last of them.
 func (h Head) Link(rows []*Row) ([]*Row, Head) {
 	out := make([]*Row, 0, len(rows))
 	for _, r := range rows {
@@ -25,12 +26,12 @@
 	return out, h
 }
 
-// Row is the head as it is kept in the table.
+// Row returns the head as the row that is stored in the table.
 func (h Head) Row() *Row {
 	return &Row{Key: h.Chain.HeadKey(), Kind: KindHead, Subject: string(h.Chain), Revision: h.Seq, Previous: h.Hash}
 }
 
-// HeadOf reads what Row wrote.
+// HeadOf decodes a head from the row that Row returned.
 func HeadOf(r *Row) Head {
 	return Head{Chain: Chain(r.GetSubject()), Seq: r.GetRevision(), Hash: r.GetPrevious()}
 }
--- a/internal/state/audit/doc.go
+++ b/internal/state/audit/doc.go
@@ -1,11 +1,13 @@
-// Package audit holds the rows that a regulator can be shown, and the chains of hashes that show that none was removed
-// or changed. It is pure: writer puts rows in the platform's table, cardamomyokectl verifies them.
+// Package audit defines the audit rows that can be shown to a regulator, and the hash chains that prove that no row was
+// removed or changed. It does no I/O: package writer writes rows to the platform's table, cardamomyokectl verifies
+// them.
 //
-// There are three sorts of chains; docs/design/audit.md says why:
+// There are three kinds of chains; docs/design/audit.md gives the reasons:
 //
-//   - ChangesChain: one row for each entry of the configuration log, written by whichever entry comes first.
-//   - RegisterChain: one row for each chain of a node, so that a whole chain cannot go missing.
-//   - one chain for each life of a node, named by its incarnation: what that node did and when.
+//   - ChangesChain has one row for each record of the configuration log. The first entry that notices the record writes
+//     the row.
+//   - RegisterChain has one row for each chain of a node, so that removing a full chain is detected.
+//   - Each incarnation of a node has a chain, named by the incarnation, that records what the node did and when.
 //
-// Each chain has a head row with its length and last hash, so that its end cannot be cut off unnoticed.
+// Each chain has a head row with its length and last hash, so that truncating the chain is detected.
 package audit
--- a/internal/state/audit/writer/auditor.go
+++ b/internal/state/audit/writer/auditor.go
@@ -16,58 +16,61 @@
 )
 
 const (
-	// catchUpPeriod is the mean time after which an entry writes the rows of changes whose own entry died.
+	// catchUpPeriod is the mean interval at which an entry checks the configuration log for changes without audit rows.
+	// It writes the rows of changes whose own entry crashed before it wrote them.
 	catchUpPeriod  = time.Minute
 	catchUpTimeout = 10 * time.Second
 )
 
-// Auditor is what an entry has: its own chain and the copier of changes.
+// Auditor is the audit writer of an entry: the Writer of its own chain and the Changes that copies the configuration
+// log.
 type Auditor struct {
 	*Writer
 	Changes *Changes
 }
 
-// Committed writes the rows of changes that were just committed, without waiting.
+// Committed writes the rows of changes that were just committed, in the background.
 func (a *Auditor) Committed() {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), catchUpTimeout)
 		defer cancel()
 		if err := a.Changes.CatchUp(ctx); err != nil {
-			_ = level.Warn(a.o.Logger).Log("msg", "audit of changes waits", "err", err)
+			_ = level.Warn(a.o.Logger).Log("msg", "audit rows of changes not written", "err", err)
 		}
 	}()
 }
 
-// FlushAll writes what it can of all that this entry knows of, so that what is listed next holds it. A chain that somebody
-// changed takes no more rows; it must still be possible to list and verify it, so a failure is only logged.
+// FlushAll writes the rows of all committed changes and of this entry, so that a listing that follows contains them. It
+// only logs a failure: a chain that was tampered with accepts no more rows, but must still be listed and verified.
 func (a *Auditor) FlushAll(ctx context.Context) {
 	if err := errors.Join(a.Changes.CatchUp(ctx), a.Flush(ctx)); err != nil {
-		_ = level.Warn(a.o.Logger).Log("msg", "audit is behind", "rows", a.Waiting(), "err", err)
+		_ = level.Warn(a.o.Logger).Log("msg", "audit rows not flushed", "rows", a.Waiting(), "err", err)
 	}
 }
 
-// RunCatchUp catches up from time to time until ctx ends.
+// RunCatchUp calls CatchUp at random intervals with a mean of catchUpPeriod until ctx is done.
 func (a *Auditor) RunCatchUp(ctx context.Context, r *rand.Rand, logger log.Logger) {
 	for {
-		pause := catchUpPeriod/2 + time.Duration(r.Int64N(int64(catchUpPeriod)))
+		delay := catchUpPeriod/2 + time.Duration(r.Int64N(int64(catchUpPeriod)))
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return
 		}
 		if err := a.Changes.CatchUp(ctx); err != nil && ctx.Err() == nil {
-			_ = level.Warn(logger).Log("msg", "audit of changes waits", "err", err)
+			_ = level.Warn(logger).Log("msg", "audit rows of changes not written", "err", err)
 		}
 	}
 }
 
-// RevisionRecorder records each revision that a node puts in force. It is used on the control loop only.
+// RevisionRecorder records each revision that a node puts in force. It must be used on the control loop only.
 type RevisionRecorder struct {
 	Writer *Writer
 	last   uint64
 }
 
-// Observe looks at the node's newest view. A node that starts records what it starts with.
+// Observe records the revision in force in v if it differs from that of the last call. A node that starts records the
+// revision that it starts with, unless that is 0.
 func (r *RevisionRecorder) Observe(now time.Time, v *revision.View) {
 	rev := v.InForce.Revision()
 	if rev == r.last {
@@ -81,7 +84,8 @@
 	r.last = rev
 }
 
-// LeaseAcquired records that this node took a duty; it is a lease manager's OnAcquired.
+// LeaseAcquired records that this node acquired the lease of a duty. It is meant as the OnAcquired callback of a lease
+// manager.
 func (w *Writer) LeaseAcquired(now time.Time, h lease.HeldLease) {
 	w.Record(now, &audit.Row{
 		Kind: audit.KindLeaseAcquired, Subject: string(h.Duty), After: fmt.Sprintf("fencing number %d", h.Fence),
--- a/internal/state/audit/writer/changes.go
+++ b/internal/state/audit/writer/changes.go
@@ -19,26 +19,28 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision/store"
 )
 
-// Changes copies the configuration log into the chain of changes, row by row. The log is written together with each
-// change, so none can be lost when the entry that took it dies: any other entry's next CatchUp writes its row.
+// Changes copies the configuration log to ChangesChain, one row for each record of the log. Each change is committed
+// together with its log record, so no audit row is lost if the entry that committed the change crashes: the next
+// CatchUp of any other entry writes it.
 type Changes struct {
 	table platform.Table
 	log   *store.Store
-	// newest returns a state that this process holds, to start from; it may be nil.
-	newest func() *revision.State
+	// localState returns a configuration state of this process from which to apply the log; the state may be nil.
+	localState func() *revision.State
 
 	mu sync.Mutex
 	// state is the state at the end of the chain, or nil.
 	state *revision.State
 }
 
-// NewChanges returns a copier for one process.
-func NewChanges(table platform.Table, log *store.Store, newest func() *revision.State) *Changes {
-	return &Changes{table: table, log: log, newest: newest}
+// NewChanges returns the Changes of one process.
+func NewChanges(table platform.Table, log *store.Store, localState func() *revision.State) *Changes {
+	return &Changes{table: table, log: log, localState: localState}
 }
 
-// CatchUp writes a row for each entry that has none yet. Two processes that do it together write each row once: only
-// one's transaction finds the end where it was, and the other's work is found done.
+// CatchUp writes a row for each record of the log that has none yet. Processes that do so concurrently write each row
+// once: a transaction is applied only if the end of the chain is unchanged, and the other process then reads the new
+// end.
 func (c *Changes) CatchUp(ctx context.Context) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,7 +63,7 @@
 		case err == nil:
 			c.state = after
 		case isConflict(err) || isUnknown(err):
-			// The end, read again, tells what happened.
+			// The next iteration reads the end again and continues from there.
 		default:
 			return fmt.Errorf("audit: %w", err)
 		}
@@ -71,7 +73,7 @@
 	}
 }
 
-// rows returns the rows of the entries after one up to another, and the state at the last.
+// rows returns the audit rows of the log records after number after up to number last, and the state at the last one.
 func (c *Changes) rows(ctx context.Context, after, last uint64) ([]*audit.Row, *revision.State, error) {
 	st, err := c.stateAt(ctx, after)
 	if err != nil {
@@ -87,17 +89,18 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		out = append(out, rowOf(e, st, next))
+		out = append(out, newChangeRow(e, st, next))
 		st = next
 	}
 	return out, st, nil
 }
 
-// stateAt returns the state at one entry: from what this process holds if that is old enough, else from the whole log,
-// which is read only when an entry died before it wrote its row.
+// stateAt returns the configuration state at log record seq. It starts from the newest state of this process that is
+// not newer than seq, else from the start of the log. The full log is read only if an entry crashed before it wrote its
+// row.
 func (c *Changes) stateAt(ctx context.Context, seq uint64) (*revision.State, error) {
 	st := revision.Empty()
-	for _, have := range []*revision.State{c.state, c.newest()} {
+	for _, have := range []*revision.State{c.state, c.localState()} {
 		if have != nil && have.Seq <= seq && have.Seq > st.Seq {
 			st = have
 		}
@@ -114,9 +117,10 @@
 	return st, nil
 }
 
-// rowOf tells an entry of the log: who, when, why, from what to what. Of the roster only the nodes that left and joined
-// are told: whole rosters of 1,140 names would make the chain large.
-func rowOf(e *revision.Entry, before, after *revision.State) *audit.Row {
+// newChangeRow returns the audit row of a log record: the operator, time, reason, and the objects before and after. For
+// a change of the roster it lists only the nodes removed and added: full rosters of 1,140 names would make the chain
+// large.
+func newChangeRow(e *revision.Entry, before, after *revision.State) *audit.Row {
 	r := &audit.Row{
 		UnixMs: e.GetCommittedAtUnixMs(), Actor: e.GetMeta().GetOperator(), Reason: e.GetMeta().GetReason(),
 		Kind: audit.KindChange, OperationId: e.GetMeta().GetOperationId(), Revision: e.GetRevision(),
@@ -125,19 +129,19 @@
 		r.Kind = audit.KindRoster
 		r.Subject = "roster"
 		r.Before = strings.Join(slices.Concat(e.GetRoster().GetRemove(), e.GetRoster().GetSilent()), ", ")
-		r.After = names(e.GetRoster().GetAdd())
+		r.After = memberNames(e.GetRoster().GetAdd())
 		return r
 	}
 	var subjects []string
 	for _, edit := range e.GetEdits() {
-		subjects = append(subjects, keyOf(edit))
+		subjects = append(subjects, editKey(edit))
 	}
 	r.Subject = strings.Join(subjects, ", ")
-	r.Before, r.After = list(subjects, before.Configuration()), list(subjects, after.Configuration())
+	r.Before, r.After = objectsJSON(subjects, before.Configuration()), objectsJSON(subjects, after.Configuration())
 	return r
 }
 
-func names(members []*cardamomyokev1.Member) string {
+func memberNames(members []*cardamomyokev1.Member) string {
 	var out []string
 	for _, m := range members {
 		out = append(out, m.GetName())
@@ -145,31 +149,31 @@
 	return strings.Join(out, ", ")
 }
 
-// list returns objects as a JSON list; one that does not exist is null.
-func list(keys []string, c *cardamomyokev1.Configuration) string {
-	found := find(keys, c)
+// objectsJSON returns the objects with the given keys as a JSON list. An object that does not exist is null.
+func objectsJSON(keys []string, c *cardamomyokev1.Configuration) string {
+	found := findObjects(keys, c)
 	objects := make([]json.RawMessage, 0, len(keys))
 	for _, k := range keys {
 		objects = append(objects, found[k])
 	}
 	text, err := json.Marshal(objects)
 	if err != nil {
-		panic(err) // protojson wrote them
+		panic(err) // the list elements were encoded by protojson
 	}
 	return string(text)
 }
 
-func keyOf(e *cardamomyokev1.Edit) string {
+func editKey(e *cardamomyokev1.Edit) string {
 	m := e.ProtoReflect()
 	f := m.WhichOneof(m.Descriptor().Oneofs().ByName("object"))
 	if f == nil {
 		return ""
 	}
-	return key(m.Get(f).Message())
+	return objectKey(m.Get(f).Message())
 }
 
-// key names an object by its type and name; policies, which exist once, have no name.
-func key(m protoreflect.Message) string {
+// objectKey identifies an object by its type and name. Policies exist only once and have no name.
+func objectKey(m protoreflect.Message) string {
 	kind := string(m.Descriptor().Name())
 	if f := m.Descriptor().Fields().ByName("name"); f != nil {
 		return kind + " " + m.Get(f).String()
@@ -177,11 +181,11 @@
 	return kind
 }
 
-// find returns the objects of a configuration that have one of the keys, as JSON.
-func find(keys []string, c *cardamomyokev1.Configuration) map[string]json.RawMessage {
+// findObjects returns the objects of a configuration that have one of the keys, encoded as JSON.
+func findObjects(keys []string, c *cardamomyokev1.Configuration) map[string]json.RawMessage {
 	out := map[string]json.RawMessage{}
-	take := func(m protoreflect.Message) {
-		if k := key(m); slices.Contains(keys, k) {
+	collect := func(m protoreflect.Message) {
+		if k := objectKey(m); slices.Contains(keys, k) {
 			out[k] = json.RawMessage(protojson.MarshalOptions{UseProtoNames: true}.Format(m.Interface()))
 		}
 	}
@@ -190,10 +194,10 @@
 		case f.Message() == nil:
 		case f.IsList():
 			for i := range v.List().Len() {
-				take(v.List().Get(i).Message())
+				collect(v.List().Get(i).Message())
 			}
 		default:
-			take(v.Message())
+			collect(v.Message())
 		}
 		return true
 	})
--- a/internal/state/audit/writer/table.go
+++ b/internal/state/audit/writer/table.go
@@ -12,8 +12,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// CorruptError says that a row of the audit cannot be read.
+// CorruptError reports that an audit row or an archived object cannot be decoded.
 type CorruptError struct {
+	// Key is the key of the row or the name of the object.
 	Key   string
 	Cause error
 }
@@ -21,34 +22,34 @@
 // Error implements error.
 func (e *CorruptError) Error() string { return fmt.Sprintf("audit: %s: %v", e.Key, e.Cause) }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause.
 func (e *CorruptError) Unwrap() error { return e.Cause }
 
-// end is a chain's head with its version in the table.
-type end struct {
+// chainEnd is the head of a chain with its version in the table.
+type chainEnd struct {
 	audit.Head
 	version uint64
 }
 
-// readEnd reads the end of a chain; a chain that was never written is empty.
-func readEnd(ctx context.Context, table platform.Table, chain audit.Chain) (end, error) {
+// readEnd reads the end of a chain. For a chain that was never written it returns an empty one with version 0.
+func readEnd(ctx context.Context, table platform.Table, chain audit.Chain) (chainEnd, error) {
 	rows, err := table.Get(ctx, chain.HeadKey())
 	if err != nil {
-		return end{}, fmt.Errorf("audit: %w", err)
+		return chainEnd{}, fmt.Errorf("audit: %w", err)
 	}
 	if rows[0].Version == 0 {
-		return end{Head: audit.Head{Chain: chain}}, nil
+		return chainEnd{Head: audit.Head{Chain: chain}}, nil
 	}
 	r := &audit.Row{}
 	if err := proto.Unmarshal(rows[0].Value, r); err != nil {
-		return end{}, &CorruptError{chain.HeadKey(), err}
+		return chainEnd{}, &CorruptError{chain.HeadKey(), err}
 	}
-	return end{audit.HeadOf(r), rows[0].Version}, nil
+	return chainEnd{audit.HeadOf(r), rows[0].Version}, nil
 }
 
-// appendTxn returns the transaction that puts rows at the end of a chain, and the end after it. It is applied only if
-// the end is still the same, so that two writers never fork a chain.
-func appendTxn(e end, rows []*audit.Row, op ids.Operation) (platform.Txn, end, []*audit.Row) {
+// appendTxn returns the transaction that appends rows to the chain, the end after it and the rows with their keys and
+// hashes. The transaction is applied only if the end is unchanged, so that two writers never fork a chain.
+func appendTxn(e chainEnd, rows []*audit.Row, op ids.Operation) (platform.Txn, chainEnd, []*audit.Row) {
 	linked, next := e.Link(rows)
 	t := platform.Txn{
 		Operation: op,
@@ -59,13 +60,13 @@
 		t.Checks = append(t.Checks, platform.Check{Key: r.GetKey()})
 		t.Puts = append(t.Puts, platform.Put{Key: r.GetKey(), Value: encode(r)})
 	}
-	return t, end{next, e.version + 1}, linked
+	return t, chainEnd{next, e.version + 1}, linked
 }
 
 func encode(r *audit.Row) []byte {
 	value, err := proto.Marshal(r)
 	if err != nil {
-		panic(err) // rows are built by this program; only text that is no UTF-8 fails, which Record replaces
+		panic(err) // Marshal fails only for text that is not valid UTF-8, and Record replaces that
 	}
 	return value
 }
--- a/internal/state/audit/writer/writer.go
+++ b/internal/state/audit/writer/writer.go
@@ -1,7 +1,7 @@
-// Package writer puts audit rows in the platform's table and copies them to its object store.
+// Package writer writes audit rows to the platform's table and copies them to its object store.
 //
-// Wiring: w := writer.New(writer.Options{...}); go w.Run(ctx); w.Record(now, row) from anywhere; w.Flush(ctx) as the last
-// step of a shutdown.
+// Usage: w := writer.New(writer.Options{...}); go w.Run(ctx); w.Record(now, row) from any goroutine; w.Flush(ctx) as
+// the last step of a shutdown.
 package writer
 
 import (
@@ -24,51 +24,53 @@
 )
 
 const (
-	// DefaultPeriod is the mean time between two writes of a node. All nodes put a revision in force within seconds;
-	// the period spreads their proofs, 1,140 rows at the target size, over half a minute.
+	// DefaultPeriod is the mean time between two writes of a node. All nodes put a revision in force within seconds of
+	// each other. The period spreads the resulting rows, 1,140 at the target size, over half a minute.
 	DefaultPeriod = 30 * time.Second
-	// maxBatch is how many rows go into one transaction.
+	// maxBatch is the maximum number of rows in one transaction.
 	maxBatch = 64
-	// archiveRows is how many rows go into one object.
-	archiveRows = 256
-	// registerTries bounds the races for the end of the register within one flush.
+	// rowsPerObject is the maximum number of rows in one archived object.
+	rowsPerObject = 256
+	// registerTries is the number of attempts per flush to append to the register, where nodes conflict with each
+	// other.
 	registerTries = 8
 )
 
-// Options are what a Writer is built from.
+// Options configures a Writer.
 type Options struct {
 	Node        string
 	Incarnation ids.Incarnation
 	Table       platform.Table
-	// Objects takes the archive; nil: there is none.
+	// Objects is the store for archived rows; nil disables archiving.
 	Objects platform.Objects
-	// Period is DefaultPeriod if it is 0.
+	// Period is the mean time between two writes; 0 selects DefaultPeriod.
 	Period time.Duration
 	Rand   *rand.Rand
 	Logger log.Logger
 }
 
-// Writer writes one node's chain. Record is safe for concurrent use and never waits.
+// Writer writes the chain of one node's incarnation. Its methods are safe for concurrent use, and Record never blocks
+// on I/O.
 type Writer struct {
 	o  Options
 	mu sync.Mutex // guards buffer
-	// buffer holds what is not known to be in the table.
+	// buffer holds the rows that are not confirmed to be in the table.
 	buffer audit.Buffer
 
-	flushing sync.Mutex // guards all below
-	end      end
-	started  bool
-	// underWay is a transaction whose outcome is unknown; it is sent again, unchanged, until it is known.
-	underWay *batch
-	// archive are rows that are in the table and in no object yet.
-	archive []*audit.Row
-	// object is an object whose put is not known to have succeeded; its name and content stay the same.
-	object *object
+	flushing   sync.Mutex // guards all below
+	end        chainEnd
+	registered bool
+	// pending is a transaction whose outcome is unknown. It is sent again, unchanged, until the outcome is known.
+	pending *batch
+	// unarchived holds the rows that are in the table but not in an object yet.
+	unarchived []*audit.Row
+	// pendingObject is an object whose put is not confirmed. Each retry uses the same name and content.
+	pendingObject *object
 }
 
 type batch struct {
 	txn    platform.Txn
-	next   end
+	next   chainEnd
 	linked []*audit.Row
 }
 
@@ -78,7 +80,7 @@
 	rows int
 }
 
-// New returns a writer.
+// New returns a Writer for the chain named o.Incarnation.
 func New(o Options) *Writer {
 	if o.Period == 0 {
 		o.Period = DefaultPeriod
@@ -86,12 +88,13 @@
 	if o.Logger == nil {
 		o.Logger = log.NewNopLogger()
 	}
-	w := &Writer{o: o, end: end{Head: audit.Head{Chain: audit.Chain(o.Incarnation)}}}
+	w := &Writer{o: o, end: chainEnd{Head: audit.Head{Chain: audit.Chain(o.Incarnation)}}}
 	w.buffer.Actor = o.Node
 	return w
 }
 
-// Record takes a row in; its time is now if it has none, and its actor this node.
+// Record adds a copy of the row to the buffer. The time defaults to now and the actor to this node. Invalid UTF-8 in
+// its texts is replaced.
 func (w *Writer) Record(now time.Time, r *audit.Row) {
 	r = proto.Clone(r).(*audit.Row)
 	if r.UnixMs == 0 {
@@ -108,30 +111,31 @@
 	w.buffer.Add(now, r)
 }
 
-// Run flushes from time to time until ctx ends.
+// Run flushes at random intervals with a mean of Options.Period until ctx is done. It archives only full objects.
 func (w *Writer) Run(ctx context.Context) {
 	for {
-		// Between half and one and a half periods, so that nodes do not write together.
-		pause := w.o.Period/2 + time.Duration(w.o.Rand.Int64N(int64(w.o.Period)))
+		// The delay is between half and one and a half periods, so that nodes do not write at the same time.
+		delay := w.o.Period/2 + time.Duration(w.o.Rand.Int64N(int64(w.o.Period)))
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return
 		}
-		if err := w.flush(ctx, archiveRows); err != nil && ctx.Err() == nil {
-			_ = level.Warn(w.o.Logger).Log("msg", "audit waits", "rows", w.Waiting(), "err", err)
+		if err := w.flush(ctx, rowsPerObject); err != nil && ctx.Err() == nil {
+			_ = level.Warn(w.o.Logger).Log("msg", "audit rows not written", "rows", w.Waiting(), "err", err)
 		}
 	}
 }
 
-// Waiting is how many rows are not known to be in the table.
+// Waiting returns the number of rows that are not confirmed to be in the table.
 func (w *Writer) Waiting() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.buffer.Len()
 }
 
-// Flush writes all that waits and archives the rest. What cannot be written stays in the buffer.
+// Flush writes all rows of the buffer to the table and archives all unarchived rows. Rows that cannot be written stay
+// in the buffer.
 func (w *Writer) Flush(ctx context.Context) error { return w.flush(ctx, 1) }
 
 func (w *Writer) flush(ctx context.Context, archiveFrom int) error {
@@ -145,16 +149,17 @@
 			return err
 		}
 	}
-	if len(w.archive) >= archiveFrom || w.object != nil {
+	if len(w.unarchived) >= archiveFrom || w.pendingObject != nil {
 		return w.putObjects(ctx)
 	}
 	return nil
 }
 
-// register names the chain in the register before its first row is written, together with its head: a whole chain that
-// goes missing later is noticed. A chain begins with the first row, so a node that records nothing leaves no trace.
+// register adds the chain to the register, in one transaction with the chain's head and before its first row. This way
+// the removal of a full chain is detected. It is called only when there are rows, so a node that records nothing has no
+// chain.
 func (w *Writer) register(ctx context.Context) error {
-	if w.started {
+	if w.registered {
 		return nil
 	}
 	start := &audit.Row{
@@ -163,23 +168,23 @@
 	}
 	var last error
 	for range registerTries {
-		// Whether an earlier try was applied is seen by the chain's head, which is written with it.
+		// The chain's head exists exactly if an earlier attempt was applied, because both are one transaction.
 		own, err := readEnd(ctx, w.o.Table, w.end.Chain)
 		if err != nil {
 			return err
 		}
 		if own.version > 0 {
-			w.end, w.started = own, true
+			w.end, w.registered = own, true
 			return nil
 		}
-		if last = w.enter(ctx, start, own); last != nil && !isConflict(last) && !isUnknown(last) {
+		if last = w.commitRegistration(ctx, start, own); last != nil && !isConflict(last) && !isUnknown(last) {
 			return last
 		}
 	}
 	return last
 }
 
-func (w *Writer) enter(ctx context.Context, start *audit.Row, own end) error {
+func (w *Writer) commitRegistration(ctx context.Context, start *audit.Row, own chainEnd) error {
 	register, err := readEnd(ctx, w.o.Table, audit.RegisterChain)
 	if err != nil {
 		return err
@@ -193,25 +198,25 @@
 	return nil
 }
 
-// write puts the oldest rows in the table.
+// write writes the oldest rows of the buffer to the table, or retries the pending transaction.
 func (w *Writer) write(ctx context.Context) error {
-	b := w.underWay
+	b := w.pending
 	if b == nil {
 		b = w.nextBatch()
 	}
 	_, err := w.o.Table.Commit(ctx, b.txn)
 	switch {
 	case err == nil:
-		w.written(b)
+		w.onWritten(b)
 		return nil
 	case isUnknown(err):
-		// Sent again with other rows it could be applied twice, and the chain would hold one row two times.
-		w.underWay = b
+		// The same rows in another transaction could be applied a second time, so this one is sent again unchanged.
+		w.pending = b
 	case isConflict(err):
 		return w.resolve(ctx, b, err)
 	default:
-		if w.underWay != nil {
-			break // an earlier try may still have been applied
+		if w.pending != nil {
+			break // an earlier attempt may still have been applied
 		}
 	}
 	return fmt.Errorf("audit: %w", err)
@@ -219,77 +224,77 @@
 
 func (w *Writer) nextBatch() *batch {
 	w.mu.Lock()
-	rows := w.buffer.First(maxBatch)
+	rows := w.buffer.Peek(maxBatch)
 	w.mu.Unlock()
 	b := &batch{}
 	b.txn, b.next, b.linked = appendTxn(w.end, rows, ids.NewOperation())
 	return b
 }
 
-func (w *Writer) written(b *batch) {
+func (w *Writer) onWritten(b *batch) {
 	w.mu.Lock()
 	w.buffer.Drop(len(b.linked))
 	w.mu.Unlock()
-	w.end, w.underWay = b.next, nil
+	w.end, w.pending = b.next, nil
 	if w.o.Objects != nil {
-		w.archive = append(w.archive, b.linked...)
+		w.unarchived = append(w.unarchived, b.linked...)
 	}
 }
 
-// resolve finds out whether a batch that met a conflict was applied before. Nobody else writes this chain: if its head
-// is another one, somebody changed it, and the writer leaves it as it is.
+// resolve determines whether a batch that was refused with a conflict had been applied before. No other node writes
+// this chain: if its head is not the one after the batch, the chain was tampered with, and resolve returns an error.
 func (w *Writer) resolve(ctx context.Context, b *batch, conflict error) error {
 	now, err := readEnd(ctx, w.o.Table, w.end.Chain)
 	if err != nil {
-		w.underWay = b
+		w.pending = b
 		return err
 	}
 	if now.Seq == b.next.Seq && bytes.Equal(now.Hash, b.next.Hash) {
 		b.next.version = now.version
-		w.written(b)
+		w.onWritten(b)
 		return nil
 	}
-	return fmt.Errorf("audit: the chain was changed by somebody else: %w", conflict)
+	return fmt.Errorf("audit: chain was modified by another writer: %w", conflict)
 }
 
-// putObjects copies rows to the object store. The rows stay in the table.
+// putObjects copies the unarchived rows to the object store. The rows stay in the table.
 func (w *Writer) putObjects(ctx context.Context) error {
-	for w.object != nil || len(w.archive) > 0 {
-		if w.object == nil {
-			w.object = pack(w.archive[:min(archiveRows, len(w.archive))])
+	for w.pendingObject != nil || len(w.unarchived) > 0 {
+		if w.pendingObject == nil {
+			w.pendingObject = encodeObject(w.unarchived[:min(rowsPerObject, len(w.unarchived))])
 		}
-		if err := w.o.Objects.PutObject(ctx, w.object.name, w.object.data); err != nil {
-			w.dropArchive()
+		if err := w.o.Objects.PutObject(ctx, w.pendingObject.name, w.pendingObject.data); err != nil {
+			w.trimUnarchived()
 			return fmt.Errorf("audit: archive: %w", err)
 		}
-		w.archive = w.archive[w.object.rows:]
-		w.object = nil
+		w.unarchived = w.unarchived[w.pendingObject.rows:]
+		w.pendingObject = nil
 	}
 	return nil
 }
 
-// dropArchive bounds the memory during a long outage of the object store: rows over the buffer's bound are in the table
-// only. Their numbers are missing between the names of two objects.
-func (w *Writer) dropArchive() {
-	over := len(w.archive) - audit.MaxRows
+// trimUnarchived bounds the memory during a long outage of the object store. Rows beyond the bound of the buffer are
+// never archived and are in the table only. Their sequence numbers are missing between the names of two objects.
+func (w *Writer) trimUnarchived() {
+	over := len(w.unarchived) - audit.MaxRows
 	if over <= 0 {
 		return
 	}
-	kept := w.object.rows
-	w.archive = append(w.archive[:kept:kept], w.archive[kept+over:]...)
-	_ = level.Warn(w.o.Logger).Log("msg", "audit rows are in the table only", "rows", over)
+	packed := w.pendingObject.rows
+	w.unarchived = append(w.unarchived[:packed:packed], w.unarchived[packed+over:]...)
+	_ = level.Warn(w.o.Logger).Log("msg", "audit rows not archived; they are in the table only", "rows", over)
 }
 
-// ObjectName is the name of the object with the rows first to last of a chain.
+// ObjectName returns the name of the object with the rows of a chain from sequence number first to last.
 func ObjectName(chain audit.Chain, first, last string) string {
 	return fmt.Sprintf("audit/%s/%s-%s", chain, first, last)
 }
 
-func pack(rows []*audit.Row) *object {
+func encodeObject(rows []*audit.Row) *object {
 	var data bytes.Buffer
 	for _, r := range rows {
 		if _, err := protodelim.MarshalTo(&data, r); err != nil {
-			panic(err) // encode has marshalled the same rows before
+			panic(err) // encode has marshalled the same rows already
 		}
 	}
 	first, last := rows[0].GetKey(), rows[len(rows)-1].GetKey()
@@ -298,7 +303,7 @@
 	return &object{name, data.Bytes(), len(rows)}
 }
 
-// ReadObject reads the rows of an archived object.
+// ReadObject returns the rows of an archived object. A *CorruptError reports that the object cannot be decoded.
 func ReadObject(ctx context.Context, objects platform.Objects, name string) ([]*audit.Row, error) {
 	data, err := objects.GetObject(ctx, name)
 	if err != nil {
--- a/internal/state/audit/writer/writer_test.go
+++ b/internal/state/audit/writer/writer_test.go
@@ -22,12 +22,12 @@
 
 var at = time.Unix(1000, 0)
 
-func newWriter(s *standin.Store, life string) *writer.Writer {
-	return writer.New(writer.Options{Node: "n-" + life, Incarnation: ids.Incarnation(life), Table: s, Objects: s})
+func newWriter(s *standin.Store, name string) *writer.Writer {
+	return writer.New(writer.Options{Node: "n-" + name, Incarnation: ids.Incarnation(name), Table: s, Objects: s})
 }
 
-// kept returns the rows in the table, after it has verified them.
-func kept(t *testing.T, s *standin.Store) []*audit.Row {
+// storedRows ends all faults of the table, verifies its audit rows and returns them without the heads.
+func storedRows(t *testing.T, s *standin.Store) []*audit.Row {
 	t.Helper()
 	s.SetFaults(standin.PartTable, standin.Faults{})
 	rows, err := s.List(t.Context(), audit.Prefix, "", 10_000)
@@ -52,7 +52,7 @@
 	return out
 }
 
-// subjects are the subjects of one kind, in order.
+// subjects returns the subjects of the rows of one kind, in sequence.
 func subjects(rows []*audit.Row, kind string) string {
 	var out []string
 	for _, r := range rows {
@@ -67,7 +67,7 @@
 	w.Record(at, &audit.Row{Kind: audit.KindUpstream, Subject: subject})
 }
 
-// flushAll flushes until all is written; each failure of the stand-in is used up by one try.
+// flushAll flushes until all rows are written. Each attempt consumes one failure of the stand-in.
 func flushAll(t *testing.T, w *writer.Writer) {
 	t.Helper()
 	var err error
@@ -79,28 +79,28 @@
 	t.Fatalf("the rows are not written: %v", err)
 }
 
-// Answers of the table are lost after the writes took effect, first of the registration, then of the rows; meanwhile
-// more rows come. Each row must stand in the chain once: written again with others, it would stand there twice.
-func TestLostAnswersWriteEachRowOnce(t *testing.T) {
+// Responses of the table are lost after the writes took effect, first of the registration, then of the rows. Meanwhile
+// another row is recorded. Each row must be in the chain once; retried in another transaction, it would be there twice.
+func TestLostResponsesWriteEachRowOnce(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	w := newWriter(s, "a")
 	record(w, "u1")
 	s.SetFaults(standin.PartTable, standin.Faults{LoseAnswers: 3})
 	if err := w.Flush(t.Context()); err == nil {
-		t.Fatal("no answer was lost")
+		t.Fatal("no response was lost")
 	}
 	record(w, "u2")
 	flushAll(t, w)
-	if got := subjects(kept(t, s), audit.KindUpstream); got != "u1 u2" {
+	if got := subjects(storedRows(t, s), audit.KindUpstream); got != "u1 u2" {
 		t.Fatalf("rows %q", got)
 	}
-	if got := subjects(kept(t, s), audit.KindStarted); got != "a" {
+	if got := subjects(storedRows(t, s), audit.KindStarted); got != "a" {
 		t.Fatalf("register %q", got)
 	}
 }
 
-// The table is down while things happen. Nothing is lost within the bound, and the order is kept.
-func TestOutage(t *testing.T) {
+// The table is unavailable while rows are recorded. No row within the buffer's bound may be lost or reordered.
+func TestRowsSurviveTableOutage(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	w := newWriter(s, "a")
 	s.SetFaults(standin.PartTable, standin.Faults{Outage: true})
@@ -112,14 +112,15 @@
 	}
 	s.SetFaults(standin.PartTable, standin.Faults{})
 	flushAll(t, w)
-	got := strings.Fields(subjects(kept(t, s), audit.KindUpstream))
+	got := strings.Fields(subjects(storedRows(t, s), audit.KindUpstream))
 	if len(got) != 200 || got[0] != "u000" || got[199] != "u199" {
 		t.Fatalf("%d rows: %v", len(got), got)
 	}
 }
 
-// Many nodes start together, as after a data centre comes back: each must end up in the register.
-func TestNodesRegisterTogether(t *testing.T) {
+// Many nodes start at the same time, as after the outage of a data centre, and conflict at the end of the register.
+// Each must be registered.
+func TestNodesRegisterConcurrently(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	var all sync.WaitGroup
 	for i := range 8 {
@@ -128,13 +129,14 @@
 		all.Go(func() { flushAll(t, w) })
 	}
 	all.Wait()
-	if got := strings.Fields(subjects(kept(t, s), audit.KindStarted)); len(got) != 8 {
+	if got := strings.Fields(subjects(storedRows(t, s), audit.KindStarted)); len(got) != 8 {
 		t.Fatalf("register %v", got)
 	}
 }
 
-// Somebody cuts the end of a node's chain off, head and all. The writer must not go on as if nothing had happened.
-func TestWriterLeavesAChangedChainAlone(t *testing.T) {
+// An attacker truncates a node's chain and resets its head. The writer must report a conflict instead of appending
+// rows.
+func TestWriterStopsOnModifiedChain(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	w := newWriter(s, "a")
 	record(w, "u1")
@@ -154,8 +156,9 @@
 	}
 }
 
-// The object store is down at first; then the archive holds every row once, in the order of the chain.
-func TestArchive(t *testing.T) {
+// The object store is unavailable at first. Afterwards the archive must hold every row once, in the sequence of the
+// chain.
+func TestArchiveAfterOutage(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	w := newWriter(s, "a")
 	s.SetFaults(standin.PartObjects, standin.Faults{Outage: true})
@@ -188,8 +191,8 @@
 	}
 }
 
-// keep is a change of one policy; the reason is its operation id too.
-func keep(t *testing.T, l *store.Store, id string, base uint64, ms uint32) {
+// changePolicy commits a change of one policy. The operation id is also the reason.
+func changePolicy(t *testing.T, l *store.Store, id string, base uint64, ms uint32) {
 	t.Helper()
 	meta := &cardamomyokev1.ChangeMeta{Operator: "ana", Reason: id, OperationId: id, BaseRevision: base}
 	_, err := l.Change(t.Context(), nil, meta, func(*revision.State) ([]*cardamomyokev1.Edit, error) {
@@ -203,18 +206,18 @@
 	}
 }
 
-// An entry commits changes and dies before it writes their rows. The other entries find them in the log; two do so
-// together and lose answers, and each change must have one row, with what was before and after.
-func TestChangesOfADeadEntryAreAudited(t *testing.T) {
+// An entry commits changes and crashes before it writes their rows. Several entries find the changes in the log at the
+// same time, and a response is lost. Each change must have one row, with its objects before and after.
+func TestChangesOfDeadEntryAreAudited(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	l := store.New(s, func() time.Time { return at })
-	keep(t, l, "op-1", 0, 5000)
-	keep(t, l, "op-2", 1, 6000)
-	none := func() *revision.State { return nil }
+	changePolicy(t, l, "op-1", 0, 5000)
+	changePolicy(t, l, "op-2", 1, 6000)
+	noState := func() *revision.State { return nil }
 	s.SetFaults(standin.PartTable, standin.Faults{LoseAnswers: 1})
 	var all sync.WaitGroup
 	for range 4 {
-		c := writer.NewChanges(s, l, none)
+		c := writer.NewChanges(s, l, noState)
 		all.Go(func() {
 			if err := c.CatchUp(t.Context()); err != nil {
 				t.Error(err)
@@ -222,11 +225,11 @@
 		})
 	}
 	all.Wait()
-	keep(t, l, "op-3", 2, 7000)
-	if err := writer.NewChanges(s, l, none).CatchUp(t.Context()); err != nil {
+	changePolicy(t, l, "op-3", 2, 7000)
+	if err := writer.NewChanges(s, l, noState).CatchUp(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	rows := kept(t, s)
+	rows := storedRows(t, s)
 	var got []string
 	for _, r := range rows {
 		got = append(got, r.GetOperationId())
@@ -240,14 +243,14 @@
 	}
 }
 
-func TestInForceRecordsEachRevisionOnce(t *testing.T) {
+func TestRevisionRecorderRecordsEachRevisionOnce(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	l := store.New(s, func() time.Time { return at })
 	w := newWriter(s, "a")
 	r := &writer.RevisionRecorder{Writer: w}
 	r.Observe(at, &revision.View{})
 	for n := range 3 {
-		keep(t, l, fmt.Sprint("op-", n), uint64(n), uint32(5000+n))
+		changePolicy(t, l, fmt.Sprint("op-", n), uint64(n), uint32(5000+n))
 		st, err := l.Committed(t.Context(), nil)
 		if err != nil {
 			t.Fatal(err)
@@ -257,7 +260,7 @@
 	}
 	flushAll(t, w)
 	var got []string
-	for _, r := range kept(t, s) {
+	for _, r := range storedRows(t, s) {
 		if r.GetKind() == audit.KindInForce {
 			got = append(got, fmt.Sprint(r.GetActor(), " ", r.GetBefore(), " -> ", r.GetAfter()))
 		}
