--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -16,13 +16,13 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1/cardamomyokev1connect"
 )
 
-// Settings are the static settings of an agent.
+// Settings holds the static settings of an agent.
 type Settings struct {
-	// Name of the host.
+	// Name is the name of the host.
 	Name string `yaml:"name"`
-	// Listen is where gateways reach the agent, IP:PORT.
+	// Listen is the address at which gateways reach the agent, IP:PORT.
 	Listen string `yaml:"listen"`
-	// Engine is the address of the rank beside it, IP:PORT.
+	// Engine is the address of the rank on the same host, IP:PORT.
 	Engine string          `yaml:"engine"`
 	Log    logging.Options `yaml:"log"`
 }
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// Run serves until ctx ends. There is nothing to finish: an order that is cut off is sent again by its gateway.
+// Run serves until ctx is done. It does not wait for running calls: the gateway sends an interrupted order again.
 func Run(ctx context.Context, set *Settings, client lockstep.RankClient, logger log.Logger) error {
 	mux := http.NewServeMux()
 	mux.Handle(cardamomyokev1connect.NewAgentServiceHandler(NewServer(client, set.Engine)))
--- a/internal/node/agent/agent_test.go
+++ b/internal/node/agent/agent_test.go
@@ -19,47 +19,47 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// errLost stands for an order that got no answer.
-var errLost = errors.New("no answer")
-
-// rank is an engine that loses the answers to its first orders, and has a map prepared after some reports.
-type rank struct {
-	mu        sync.Mutex
-	lose      int
-	reports   int
-	slow      int
-	orders    []lockstep.Order
-	prepared  uint64
-	preparing uint64
-	// silent is for how long an order without an answer keeps its sender waiting.
-	silent time.Duration
-	// deafTo is an operation whose orders never get an answer.
-	deafTo lockstep.Op
-}
-
-func (r *rank) Report(context.Context, *catalog.Upstream) (lockstep.Report, error) {
+// errLost is the error of an order without a reply.
+var errLost = errors.New("no reply")
+
+// fakeRank is an engine that does not reply to its first orders, and has a map prepared after some reports.
+type fakeRank struct {
+	mu           sync.Mutex
+	losses       int
+	reports      int
+	prepareAfter int
+	orders       []lockstep.Order
+	prepared     uint64
+	preparing    uint64
+	// lossDelay is the time after which an order without a reply returns errLost.
+	lossDelay time.Duration
+	// ignoredOp is an operation whose orders never get a reply.
+	ignoredOp lockstep.Op
+}
+
+func (r *fakeRank) Report(context.Context, *catalog.Upstream) (lockstep.Report, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reports++
-	if r.reports > r.slow {
+	if r.reports > r.prepareAfter {
 		r.prepared = r.preparing
 	}
 	return lockstep.Report{Prepared: r.prepared}, nil
 }
 
-func (r *rank) Counts(context.Context, *catalog.Upstream, int) (lockstep.Since, lockstep.Counts, error) {
+func (r *fakeRank) Counts(context.Context, *catalog.Upstream, int) (lockstep.Since, lockstep.Counts, error) {
 	return lockstep.Since{}, nil, errLost
 }
 
-func (r *rank) Held(context.Context, *catalog.Upstream) (lockstep.Held, error) {
+func (r *fakeRank) Held(context.Context, *catalog.Upstream) (lockstep.Held, error) {
 	return lockstep.Held{}, errLost
 }
 
-func (r *rank) IsLocal(*catalog.Upstream) bool { return false }
+func (r *fakeRank) IsLocal(*catalog.Upstream) bool { return false }
 
-func (r *rank) Order(ctx context.Context, _ *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
-	if r.loses(o) {
-		monotonic.Sleep(ctx, r.silent)
+func (r *fakeRank) Order(ctx context.Context, _ *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
+	if r.record(o) {
+		monotonic.Sleep(ctx, r.lossDelay)
 		return lockstep.ReplyLost, errLost
 	}
 	r.mu.Lock()
@@ -70,36 +70,36 @@
 	return lockstep.ReplyBegun, nil
 }
 
-// loses takes in an order and reports whether it is one that gets no answer.
-func (r *rank) loses(o lockstep.Order) bool {
+// record records an order and reports whether it gets no reply.
+func (r *fakeRank) record(o lockstep.Order) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.orders = append(r.orders, o)
-	r.lose--
-	return r.lose >= 0 || o.Op == r.deafTo
+	r.losses--
+	return r.losses >= 0 || o.Op == r.ignoredOp
 }
 
-func (r *rank) count() int {
+func (r *fakeRank) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.orders)
 }
 
-func (r *rank) last() lockstep.Order {
+func (r *fakeRank) lastOrder() lockstep.Order {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.orders[len(r.orders)-1]
 }
 
-// host is an agent that may be replaced by one that knows nothing.
-type host struct {
+// agentHost is a server for an agent that can be replaced by a new one with empty caches.
+type agentHost struct {
 	handler  http.Handler
 	upstream *catalog.Upstream
 	port     string
 }
 
-func startHost(t *testing.T, r *rank) *host {
-	h := &host{}
+func startHost(t *testing.T, r *fakeRank) *agentHost {
+	h := &agentHost{}
 	h.restart(r)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { h.handler.ServeHTTP(w, q) }))
 	t.Cleanup(server.Close)
@@ -111,7 +111,7 @@
 	return h
 }
 
-func (h *host) restart(r *rank) {
+func (h *agentHost) restart(r *fakeRank) {
 	mux := http.NewServeMux()
 	mux.Handle(cardamomyokev1connect.NewAgentServiceHandler(agent.NewServer(r, "127.0.0.1:1")))
 	h.handler = mux
@@ -121,10 +121,10 @@
 	return lockstep.Order{Op: lockstep.OpPrepare, Epoch: 1, Version: version, Placement: p, Wait: wait}
 }
 
-// A leader prepares one map after the other; the second is sent as what differs. Then the agent is replaced by one that
-// knows no map: it must get the whole of the third, since a rank with a wrong map would mix two.
-func TestEachMapArrivesWhole(t *testing.T) {
-	r := &rank{}
+// A leader prepares three maps in sequence and sends the second as a difference. Then the agent is replaced by one
+// without a base map, which must get the third in full. With a wrong base the rank would have a mixture of two maps.
+func TestMapDifferenceYieldsFullMap(t *testing.T) {
+	r := &fakeRank{}
 	h := startHost(t, r)
 	c := agent.NewClient(r, h.port)
 	maps := []lockstep.Placement{
@@ -140,17 +140,17 @@
 		if err != nil || reply != lockstep.ReplyBegun {
 			t.Fatalf("map %d: %v, %v", i, reply, err)
 		}
-		got := r.last()
+		got := r.lastOrder()
 		if diff := cmp.Diff(p, got.Placement); diff != "" || got.Version != uint64(i+1) {
 			t.Fatalf("map %d arrived as version %d: %s", i, got.Version, diff)
 		}
 	}
 }
 
-// A rank loses the answer to an order and takes a moment to load what the map needs. The agent sends the order again and
-// answers once the rank has the map, so that the gateway asks once instead of again and again.
-func TestAnAgentAnswersOnceTheMapIsPrepared(t *testing.T) {
-	r := &rank{lose: 2, slow: 3}
+// A rank does not reply to its first orders and takes time to prepare the map. The agent must retry the order and reply
+// once the map is prepared, so that the gateway sends it only once.
+func TestAgentRepliesOnceMapIsPrepared(t *testing.T) {
+	r := &fakeRank{losses: 2, prepareAfter: 3}
 	h := startHost(t, r)
 	c := agent.NewClient(r, h.port)
 	reply, err := c.Order(t.Context(), h.upstream, prepare(7, lockstep.Placement{{{0}}}, time.Minute))
@@ -162,26 +162,28 @@
 	}
 }
 
-// A rank leaves orders unanswered: the group stood still for as long as the call to it may take, on each of them.
-func TestAnAgentGivesAnOrderAgainBeforeItsCallIsOver(t *testing.T) {
+// A rank does not reply to its first orders. Without retries by the agent the group would be paused for the full
+// call timeout at each of them.
+func TestAgentRetriesLostOrderWithinOneCall(t *testing.T) {
 	for _, op := range []lockstep.Op{lockstep.OpPrepare, lockstep.OpArm, lockstep.OpDisarm} {
-		r := &rank{lose: 3, silent: time.Minute}
+		r := &fakeRank{losses: 3, lossDelay: time.Minute}
 		h := startHost(t, r)
 		c := agent.NewClient(r, h.port)
-		began := time.Now()
+		started := time.Now()
 		reply, err := c.Order(t.Context(), h.upstream, lockstep.Order{Op: op, Version: 1, Placement: lockstep.Placement{{{0}}}, Wait: time.Minute})
 		if err != nil || reply == lockstep.ReplyLost || len(r.orders) != 4 {
 			t.Fatalf("%s: %v, %v after %d orders", op, reply, err, len(r.orders))
 		}
-		if took := time.Since(began); took > 2*time.Second {
+		if took := time.Since(started); took > 2*time.Second {
 			t.Fatalf("%s: took %s", op, took)
 		}
 	}
 }
 
-// A rank is to be disarmed: tries to arm it that go on would arm it once more.
-func TestAnOrderThatFollowsEndsTheTriesOfTheOneBefore(t *testing.T) {
-	r := &rank{deafTo: lockstep.OpArm, silent: time.Minute}
+// A rank is disarmed while the agent still retries the order to arm it. The retries must end, because they would arm
+// the rank again.
+func TestNewOrderEndsRetriesOfPreviousOrder(t *testing.T) {
+	r := &fakeRank{ignoredOp: lockstep.OpArm, lossDelay: time.Minute}
 	h := startHost(t, r)
 	c := agent.NewClient(r, h.port)
 	armed := make(chan struct{})
@@ -202,14 +204,14 @@
 	}
 }
 
-// Without time to wait the agent passes on what the rank said, and an order without an answer stays one.
-func TestAnAgentDoesNotGuess(t *testing.T) {
-	r := &rank{lose: 1}
+// The rank does not reply and the order allows no wait. The agent must report the reply as lost.
+func TestAgentReportsLostReply(t *testing.T) {
+	r := &fakeRank{losses: 1}
 	h := startHost(t, r)
 	c := agent.NewClient(r, h.port)
 	reply, err := c.Order(t.Context(), h.upstream, lockstep.Order{Op: lockstep.OpArm, Epoch: 1, Version: 7, Pass: 9})
-	var told *agent.ReplyError
-	if reply != lockstep.ReplyLost || !errors.As(err, &told) {
+	var replyErr *agent.ReplyError
+	if reply != lockstep.ReplyLost || !errors.As(err, &replyErr) {
 		t.Fatalf("%v, %v", reply, err)
 	}
 }
--- a/internal/node/agent/client.go
+++ b/internal/node/agent/client.go
@@ -17,61 +17,62 @@
 )
 
 const (
-	// callTimeout bounds one call: the agent's own call to its rank, and the way there.
+	// callTimeout bounds one call, including the network delay and the agent's own call to its rank.
 	callTimeout = 250 * time.Millisecond
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout bounds the setup of a connection.
 	dialTimeout = 100 * time.Millisecond
-	// firstDirect is how long a rank is reached directly after its agent could not be reached once; it doubles with each
-	// further time in a row up to maxDirect. An agent that starts takes some tenths of a second.
-	firstDirect = 250 * time.Millisecond
-	maxDirect   = 2 * time.Second
-	// maxIdle is how many idle connections are kept to one agent; calls to it follow each other.
+	// initialBackoff is the time that a rank is reached directly after its agent could not be reached once. It doubles
+	// with each further consecutive failure, up to maxBackoff. An agent takes some tenths of a second to start.
+	initialBackoff = 250 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	// maxIdle is the maximum number of idle connections to one agent; calls to one agent are mostly sequential.
 	maxIdle = 2
 )
 
-// Client reaches ranks through their agents, and directly where there is none. It implements lockstep.RankClient.
+// Client reaches ranks through their agents, and directly if the agent is unavailable. It implements
+// lockstep.RankClient.
 type Client struct {
 	direct lockstep.RankClient
 	port   string
 	http   *http.Client
 
-	maps *mapMemory
+	maps *mapCache
 
-	mu     sync.Mutex
-	agents map[string]cardamomyokev1connect.AgentServiceClient // by host
-	avoid  map[string]detour                                   // hosts whose agents could not be reached
+	mu       sync.Mutex
+	agents   map[string]cardamomyokev1connect.AgentServiceClient // by host
+	backoffs map[string]backoff                                  // by host; only for agents that could not be reached
 }
 
 var _ lockstep.RankClient = (*Client)(nil)
 
-// detour is for how long a host's rank is reached directly.
-type detour struct {
+// backoff is the period in which the rank of a host is reached directly because its agent failed.
+type backoff struct {
 	until  time.Time
 	length time.Duration
 }
 
-// longer is the detour after one more failure.
+// next returns the backoff after one more failure.
 //
-// Agents listen some tenths of a second after their hosts start. Until they are asked again the ranks are reached directly,
-// by reports that lag, and the first map after an outage is late.
-func (d detour) longer(now time.Time) detour {
-	length := min(maxDirect, max(firstDirect, 2*d.length))
-	return detour{now.Add(length), length}
+// The backoff is short because agents listen some tenths of a second after their hosts start. During the backoff the
+// ranks are reached directly. Their reports then lag, which delays the first map after an outage.
+func (b backoff) next(now time.Time) backoff {
+	length := min(maxBackoff, max(initialBackoff, 2*b.length))
+	return backoff{now.Add(length), length}
 }
 
-// NewClient returns a client of the agents at the given port of the ranks' hosts; without a port all are reached
-// directly.
+// NewClient returns a client of the agents at the given port of the ranks' hosts. If port is empty, all ranks are
+// reached directly.
 func NewClient(direct lockstep.RankClient, port string) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{
 		direct: direct,
 		port:   port,
-		maps:   newMapMemory(),
+		maps:   newMapCache(),
 		http: &http.Client{Transport: &http.Transport{
 			DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdle, DisableCompression: true,
 		}},
-		agents: map[string]cardamomyokev1connect.AgentServiceClient{},
-		avoid:  map[string]detour{},
+		agents:   map[string]cardamomyokev1connect.AgentServiceClient{},
+		backoffs: map[string]backoff{},
 	}
 }
 
@@ -81,7 +82,8 @@
 	return ok
 }
 
-// agent returns the client of the rank's agent, unless it must be reached directly.
+// agent returns the client of the rank's agent and the rank's host. It returns false if the rank must be reached
+// directly.
 func (c *Client) agent(u *catalog.Upstream) (cardamomyokev1connect.AgentServiceClient, string, bool) {
 	host, _, err := net.SplitHostPort(u.Address)
 	if err != nil || c.port == "" {
@@ -89,7 +91,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().Before(c.avoid[host].until) {
+	if time.Now().Before(c.backoffs[host].until) {
 		return nil, "", false
 	}
 	a := c.agents[host]
@@ -100,23 +102,24 @@
 	return a, host, true
 }
 
-// failed notes that an agent did not answer. An agent that answers for a rank that does not is not at fault.
-func (c *Client) failed(host string, err error) {
-	var answer *connect.Error
-	if errors.As(err, &answer) && connect.IsWireError(err) {
+// recordFailure starts the agent's backoff unless err is a response of the agent itself, for example because its rank
+// is unavailable.
+func (c *Client) recordFailure(host string, err error) {
+	var connectErr *connect.Error
+	if errors.As(err, &connectErr) && connect.IsWireError(err) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.avoid[host] = c.avoid[host].longer(time.Now())
+	c.backoffs[host] = c.backoffs[host].next(time.Now())
 	delete(c.agents, host)
 }
 
-// reached notes that an agent answered.
-func (c *Client) reached(host string) {
+// recordSuccess ends the agent's backoff.
+func (c *Client) recordSuccess(host string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.avoid, host)
+	delete(c.backoffs, host)
 }
 
 // Report implements lockstep.RankClient.
@@ -129,10 +132,10 @@
 	defer cancel()
 	res, err := a.RankReport(ctx, &cardamomyokev1.RankReportRequest{})
 	if err != nil {
-		c.failed(host, err)
+		c.recordFailure(host, err)
 		return lockstep.Report{}, err
 	}
-	c.reached(host)
+	c.recordSuccess(host)
 	r := decodeReport(res)
 	r.Fresh = true
 	return r, nil
@@ -148,7 +151,7 @@
 	defer cancel()
 	res, err := a.RankCounts(ctx, &cardamomyokev1.RankCountsRequest{Sets: uint32(sets)})
 	if err != nil {
-		c.failed(host, err)
+		c.recordFailure(host, err)
 		return lockstep.Since{}, nil, err
 	}
 	counts := make(lockstep.Counts, sets)
@@ -172,33 +175,33 @@
 	defer cancel()
 	res, err := a.RankHeld(ctx, &cardamomyokev1.RankHeldRequest{})
 	if err != nil {
-		c.failed(host, err)
+		c.recordFailure(host, err)
 		return lockstep.Held{}, err
 	}
 	return lockstep.Held{Epoch: res.GetEpoch(), Version: res.GetVersion(), Experts: decodeLists(res.GetSets())}, nil
 }
 
-// ReplyError is what a rank said to an order, as its agent tells it.
+// ReplyError is the error of a rank's reply to an order, forwarded by its agent.
 type ReplyError struct{ Reason string }
 
 // Error implements error.
 func (e *ReplyError) Error() string { return e.Reason }
 
-// direct reports whether an order goes straight to the rank. Holding a group does: if the agent's host freezes right
-// after it, its rank could not be told to release the group before it wakes.
-func direct(op lockstep.Op) bool { return op == lockstep.OpHold || op == lockstep.OpRelease }
+// bypassesAgent reports whether an order is sent directly to the rank. Holds and releases are: if the agent's host
+// paused right after a hold, the agent could not forward the release of the group until the host resumes.
+func bypassesAgent(op lockstep.Op) bool { return op == lockstep.OpHold || op == lockstep.OpRelease }
 
 // Order implements lockstep.RankClient.
 func (c *Client) Order(ctx context.Context, u *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
 	a, host, ok := c.agent(u)
-	if !ok || direct(o.Op) {
+	if !ok || bypassesAgent(o.Op) {
 		return c.direct.Order(ctx, u, o)
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+o.Wait)
 	defer cancel()
-	res, err := c.order(ctx, a, host, o)
+	res, err := c.sendOrder(ctx, a, host, o)
 	if err != nil {
-		c.failed(host, err)
+		c.recordFailure(host, err)
 		return lockstep.ReplyLost, err
 	}
 	if res.GetReason() != "" {
@@ -207,13 +210,14 @@
 	return decodeReply(res.GetReply()), nil
 }
 
-// order sends an order; a map is sent as what differs from the last one that the agent was told, if it still has that.
-func (c *Client) order(ctx context.Context, a cardamomyokev1connect.AgentServiceClient, host string, o lockstep.Order) (*cardamomyokev1.RankOrderResponse, error) {
+// sendOrder sends an order to an agent. A map is sent as the difference from the last one sent to the agent, or in full
+// if the agent does not have that one any more.
+func (c *Client) sendOrder(ctx context.Context, a cardamomyokev1connect.AgentServiceClient, host string, o lockstep.Order) (*cardamomyokev1.RankOrderResponse, error) {
 	req := encodeOrder(o)
 	if o.Op != lockstep.OpPrepare {
 		return a.RankOrder(ctx, req)
 	}
-	defer c.maps.told(host, o.Version, o.Placement)
+	defer c.maps.recordSent(host, o.Version, o.Placement)
 	base, cells, ok := c.maps.difference(host, o.Version, o.Placement)
 	if ok {
 		req.BaseVersion, req.Cells = base, cells
--- a/internal/node/agent/codec.go
+++ b/internal/node/agent/codec.go
@@ -8,8 +8,8 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// replies are the answers of ranks as they are sent; one that was lost is unspecified.
-var replies = map[lockstep.Reply]cardamomyokev1.OrderReply{
+// replyCodes maps the replies of ranks to their wire values. A lost reply is sent as unspecified.
+var replyCodes = map[lockstep.Reply]cardamomyokev1.OrderReply{
 	lockstep.ReplyLost:     cardamomyokev1.OrderReply_ORDER_REPLY_UNSPECIFIED,
 	lockstep.ReplyBegun:    cardamomyokev1.OrderReply_ORDER_REPLY_BEGUN,
 	lockstep.ReplyHolds:    cardamomyokev1.OrderReply_ORDER_REPLY_HOLDS,
@@ -17,9 +17,9 @@
 	lockstep.ReplyPrepared: cardamomyokev1.OrderReply_ORDER_REPLY_PREPARED,
 }
 
-func decodeReply(sent cardamomyokev1.OrderReply) lockstep.Reply {
-	for reply, code := range replies {
-		if code == sent {
+func decodeReply(wire cardamomyokev1.OrderReply) lockstep.Reply {
+	for reply, code := range replyCodes {
+		if code == wire {
 			return reply
 		}
 	}
@@ -109,22 +109,22 @@
 	return lists
 }
 
-// encodeCells returns what differs between two placements, and whether they are of one shape.
-func encodeCells(from, to lockstep.Placement) ([]*cardamomyokev1.MapCell, bool) {
-	if len(from) != len(to) {
+// encodeCells returns the cells in which next differs from prev, and false if the two have different shapes.
+func encodeCells(prev, next lockstep.Placement) ([]*cardamomyokev1.MapCell, bool) {
+	if len(prev) != len(next) {
 		return nil, false
 	}
 	var cells []*cardamomyokev1.MapCell
-	for s := range to {
-		if len(from[s]) != len(to[s]) {
+	for s := range next {
+		if len(prev[s]) != len(next[s]) {
 			return nil, false
 		}
-		for r := range to[s] {
-			if slices.Equal(from[s][r], to[s][r]) {
+		for r := range next[s] {
+			if slices.Equal(prev[s][r], next[s][r]) {
 				continue
 			}
 			cell := &cardamomyokev1.MapCell{Set: uint32(s), Rank: uint32(r)}
-			for _, e := range to[s][r] {
+			for _, e := range next[s][r] {
 				cell.Experts = append(cell.Experts, uint32(e))
 			}
 			cells = append(cells, cell)
@@ -133,7 +133,7 @@
 	return cells, true
 }
 
-// applyCells returns the placement that differs from base in the cells; false if a cell lies outside of it.
+// applyCells returns a copy of base with the cells replaced, and false if a cell is outside of base.
 func applyCells(base lockstep.Placement, cells []*cardamomyokev1.MapCell) (lockstep.Placement, bool) {
 	next := base.Clone()
 	for _, c := range cells {
--- a/internal/node/agent/detour_test.go
+++ b/internal/node/agent/detour_test.go
@@ -7,22 +7,22 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// All hosts start again together, and a gateway asks for an agent before it listens. As long as the rank is reached directly
-// its reports lag, and callers wait longer for the first map. The agent is tried again soon, and less and less often if it
-// does not come; one that answers is taken for sound.
-func TestAnAgentThatStartsIsFoundSoon(t *testing.T) {
+// All hosts restart at the same time, and a gateway calls an agent before it listens. While the rank is reached
+// directly its reports lag, which delays the first map. So the backoff must start short and double, and a response must
+// end it.
+func TestBackoffForStartingAgent(t *testing.T) {
 	now := time.Unix(0, 0)
-	d := detour{}
+	b := backoff{}
 	for i, want := range []time.Duration{250, 500, 1000, 2000, 2000} {
-		d = d.longer(now)
-		if got := d.until.Sub(now); got != want*time.Millisecond {
+		b = b.next(now)
+		if got := b.until.Sub(now); got != want*time.Millisecond {
 			t.Errorf("after %d failures the rank is reached directly for %s, want %d ms", i+1, got, want)
 		}
 	}
 	c := NewClient(nil, "1")
-	c.avoid["h"] = d
-	c.reached("h")
-	if _, _, ok := c.agent(&catalog.Upstream{Address: "h:2"}); !ok || c.avoid["h"].longer(now).length != firstDirect {
-		t.Error("an agent that answered is still avoided")
+	c.backoffs["h"] = b
+	c.recordSuccess("h")
+	if _, _, ok := c.agent(&catalog.Upstream{Address: "h:2"}); !ok || c.backoffs["h"].next(now).length != initialBackoff {
+		t.Error("the backoff continues after a response")
 	}
 }
--- a/internal/node/agent/doc.go
+++ b/internal/node/agent/doc.go
@@ -1,6 +1,7 @@
-// Package agent is the small process beside a rank of a model group, and the client of it.
+// Package agent contains the agent, a small process on the same host as a rank of a model group, and its client for
+// gateways.
 //
-// Reading a rank from its own host costs nothing and is fresh, and its orders are free there; from another host each
-// count read makes the whole group pause. The agent keeps no state, so it can die and come back at any time: the client
-// then reaches the rank directly.
+// A local read of a rank costs nothing and returns fresh data, and local orders cost nothing either. A read of the
+// counts from another host makes the whole group pause. The agent has only caches, so it can crash and restart at any
+// time; the client reaches the rank directly meanwhile.
 package agent
--- a/internal/node/agent/memory.go
+++ b/internal/node/agent/memory.go
@@ -7,18 +7,18 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// keptMaps is how many maps are remembered: the one in use, the one being prepared, and one that was given up.
-const keptMaps = 3
+// maxMaps is the number of maps retained: the one in use, the one being prepared, and one whose switch was aborted.
+const maxMaps = 3
 
-// placements are the last maps by version. They are not safe for concurrent use.
-type placements struct {
+// placementCache holds the newest maps by version. It is not safe for concurrent use.
+type placementCache struct {
 	versions []uint64
 	maps     map[uint64]lockstep.Placement
 }
 
-func (p *placements) get(version uint64) lockstep.Placement { return p.maps[version] }
+func (p *placementCache) get(version uint64) lockstep.Placement { return p.maps[version] }
 
-func (p *placements) put(version uint64, m lockstep.Placement) {
+func (p *placementCache) put(version uint64, m lockstep.Placement) {
 	if p.maps == nil {
 		p.maps = map[uint64]lockstep.Placement{}
 	}
@@ -26,71 +26,74 @@
 		p.versions = append(p.versions, version)
 	}
 	p.maps[version] = m
-	if len(p.versions) > keptMaps {
+	if len(p.versions) > maxMaps {
 		delete(p.maps, p.versions[0])
 		p.versions = p.versions[1:]
 	}
 }
 
-// mapMemory knows which map each agent was told last. It is safe for concurrent use.
+// mapCache holds the last map sent to each agent. It is safe for concurrent use.
 //
-// A map grows with ranks and sets and goes to each rank, so that a leader's link would bound how fast it can switch. What a
-// switch changes is much smaller.
-type mapMemory struct {
-	mu    sync.Mutex
-	known placements
-	last  map[string]uint64 // by host
-	// cells and whole are what was worked out last: a map goes to all ranks, and nearly all were told the same one before.
-	cells difference
-	whole encodedMap
+// It allows sending only the difference between two maps, which is much smaller than a map. The size of a map grows
+// with the number of ranks and sets, and each rank gets the map. With full maps the bandwidth of the leader's network
+// link would limit how fast it can switch.
+type mapCache struct {
+	mu         sync.Mutex
+	placements placementCache
+	lastSent   map[string]uint64 // by host
+	// lastDifference and lastEncoded are the last results of difference and encoded. They are reused because a map is
+	// sent to all ranks, and nearly all of them got the same map before.
+	lastDifference difference
+	lastEncoded    encodedMap
 }
 
-// difference is what differs between two maps.
+// difference is the difference between two maps; ok is false if they have different shapes.
 type difference struct {
 	base, version uint64
 	cells         []*cardamomyokev1.MapCell
 	ok            bool
 }
 
-// encodedMap is a whole map as it is sent.
+// encodedMap is a full map in its wire form.
 type encodedMap struct {
 	version uint64
 	lists   []*cardamomyokev1.ExpertList
 }
 
-func newMapMemory() *mapMemory { return &mapMemory{last: map[string]uint64{}} }
+func newMapCache() *mapCache { return &mapCache{lastSent: map[string]uint64{}} }
 
-// told notes that a host's agent was told a map, whether its answer came or not: one that does not have it says so.
-func (m *mapMemory) told(host string, version uint64, p lockstep.Placement) {
+// recordSent records that a map was sent to the agent of a host. It is called whether or not the agent responded: an
+// agent that does not have the map refuses a difference from it.
+func (m *mapCache) recordSent(host string, version uint64, p lockstep.Placement) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.known.put(version, p)
-	m.last[host] = version
+	m.placements.put(version, p)
+	m.lastSent[host] = version
 }
 
-// difference returns what differs between the map that a host's agent was told last and the next one. The cells must not be
-// changed.
-func (m *mapMemory) difference(host string, version uint64, next lockstep.Placement) (base uint64, cells []*cardamomyokev1.MapCell, ok bool) {
+// difference returns the version of the map last sent to the agent of a host, and the cells in which next differs from
+// it. It returns false if that map is not in the cache or has another shape. The caller must not modify the cells.
+func (m *mapCache) difference(host string, version uint64, next lockstep.Placement) (base uint64, cells []*cardamomyokev1.MapCell, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	base = m.last[host]
-	from := m.known.get(base)
+	base = m.lastSent[host]
+	from := m.placements.get(base)
 	if from == nil {
 		return 0, nil, false
 	}
-	if m.cells.base != base || m.cells.version != version {
+	if m.lastDifference.base != base || m.lastDifference.version != version {
 		cells, ok := encodeCells(from, next)
-		m.cells = difference{base, version, cells, ok}
+		m.lastDifference = difference{base, version, cells, ok}
 	}
-	return base, m.cells.cells, m.cells.ok
+	return base, m.lastDifference.cells, m.lastDifference.ok
 }
 
-// encoded returns the lists of a whole map, by set and then by rank, which must not be changed.
-func (m *mapMemory) encoded(version uint64, p lockstep.Placement) []*cardamomyokev1.ExpertList {
+// encoded returns the lists of a full map, by set and then by rank. The caller must not modify them.
+func (m *mapCache) encoded(version uint64, p lockstep.Placement) []*cardamomyokev1.ExpertList {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.whole.version != version || m.whole.lists == nil {
-		m.whole = encodedMap{version, encodePlacement(p)}
+	if m.lastEncoded.version != version || m.lastEncoded.lists == nil {
+		m.lastEncoded = encodedMap{version, encodePlacement(p)}
 	}
-	return m.whole.lists
+	return m.lastEncoded.lists
 }
--- a/internal/node/agent/server.go
+++ b/internal/node/agent/server.go
@@ -15,15 +15,15 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// Server passes calls on to the rank beside it. It implements the AgentService.
+// Server forwards calls to the rank on the same host. It implements the AgentService.
 type Server struct {
 	ranks lockstep.RankClient
 	rank  *catalog.Upstream
 	mu    sync.Mutex
-	told  placements
-	// newest is the order that came last; followed is closed once another one has come.
-	newest   orderKey
-	followed chan struct{}
+	maps  placementCache
+	// newestOrder identifies the last order received. superseded is closed once a different order is received.
+	newestOrder orderKey
+	superseded  chan struct{}
 }
 
 var _ cardamomyokev1connect.AgentServiceHandler = (*Server)(nil)
@@ -72,21 +72,21 @@
 	if err != nil {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, err)
 	}
-	reply, err := s.carryOut(ctx, o)
-	res := &cardamomyokev1.RankOrderResponse{Reply: replies[reply]}
+	reply, err := s.execute(ctx, o)
+	res := &cardamomyokev1.RankOrderResponse{Reply: replyCodes[reply]}
 	if err != nil {
 		res.Reason = err.Error()
 	}
 	return res, nil
 }
 
-// BaseError says that the agent does not have the map that a new one is told by its difference from.
+// BaseError reports that the agent does not have the base map of a map that was sent as a difference.
 type BaseError struct{ Version uint64 }
 
 // Error implements error.
-func (e *BaseError) Error() string { return fmt.Sprintf("map %d is not known here", e.Version) }
+func (e *BaseError) Error() string { return fmt.Sprintf("agent does not have base map %d", e.Version) }
 
-// decode reads an order and completes its map. Errors: *BaseError.
+// decode decodes an order. For a map sent as a difference it returns the full map. Errors: *BaseError.
 func (s *Server) decode(req *cardamomyokev1.RankOrderRequest) (lockstep.Order, error) {
 	o := decodeOrder(req)
 	if o.Op != lockstep.OpPrepare {
@@ -95,62 +95,64 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if base := req.GetBaseVersion(); base != 0 {
-		next, ok := applyCells(s.told.get(base), req.GetCells())
+		next, ok := applyCells(s.maps.get(base), req.GetCells())
 		if !ok || len(next) == 0 {
 			return o, &BaseError{base}
 		}
 		o.Placement = next
 	}
-	s.told.put(o.Version, o.Placement)
+	s.maps.put(o.Version, o.Placement)
 	return o, nil
 }
 
-// preparedPoll is how often the rank is asked whether it has prepared a map; its answer takes next to no time.
-const preparedPoll = 20 * time.Millisecond
+// preparedPollInterval is the interval at which the rank is polled until it has prepared a map. A local poll takes
+// almost no time.
+const preparedPollInterval = 20 * time.Millisecond
 
-// carryOut gives the rank an order. For one that prepares a map it waits until that is done: the gateway would have to
-// ask each rank again and again.
-func (s *Server) carryOut(ctx context.Context, o lockstep.Order) (lockstep.Reply, error) {
+// execute sends an order to the rank. If the order prepares a map, it polls the rank until the map is prepared or
+// o.Wait is over, so that the gateway does not have to poll each rank.
+func (s *Server) execute(ctx context.Context, o lockstep.Order) (lockstep.Reply, error) {
 	until := time.Now().Add(o.Wait)
-	reply, err := s.give(ctx, o, until)
+	reply, err := s.orderUntilReply(ctx, o, until)
 	if o.Op != lockstep.OpPrepare {
 		return reply, err
 	}
 	for (reply == lockstep.ReplyBegun || reply == lockstep.ReplyHolds) && time.Now().Before(until) && ctx.Err() == nil {
-		if r, rerr := s.ranks.Report(ctx, s.rank); rerr == nil && r.Prepared == o.Version {
+		if r, reportErr := s.ranks.Report(ctx, s.rank); reportErr == nil && r.Prepared == o.Version {
 			return lockstep.ReplyPrepared, nil
 		}
-		monotonic.Sleep(ctx, preparedPoll)
+		monotonic.Sleep(ctx, preparedPollInterval)
 	}
 	return reply, err
 }
 
 const (
-	// firstTry is how long the rank's first answer is waited for; it runs beside the agent. Each further try is given twice as
-	// long as the one before, up to maxTry, so that a rank that is slow to answer is heard in the end.
-	firstTry = 5 * time.Millisecond
-	maxTry   = 80 * time.Millisecond
+	// initialTryTimeout is the timeout of the first attempt to send an order to the rank, which runs on the same host. It
+	// doubles with each further attempt, up to maxTimeout, so that the reply of a slow rank is received in the end.
+	initialTryTimeout = 5 * time.Millisecond
+	maxTryTimeout     = 80 * time.Millisecond
 )
 
-// give gives the rank an order until it answers, the time is over, or another order follows.
+// orderUntilReply sends an order to the rank repeatedly until the rank replies, the time until is reached, or another
+// order is received.
 //
-// An engine may leave an order unanswered. While one rank of a group is not known to be armed, all of them stand still; tries
-// from beside the rank cost no way through the network. A second order is harmless: it finds the first one carried out, or is
-// the only one.
-func (s *Server) give(ctx context.Context, o lockstep.Order, until time.Time) (lockstep.Reply, error) {
-	followed := s.follow(o)
-	for wait := firstTry; ; wait = min(2*wait, maxTry) {
-		next := time.After(wait)
-		reply, err := s.try(ctx, o, wait, until)
+// An engine may leave an order without a reply. All ranks of a group are paused while one of them is not confirmed to
+// be armed, and retries on the rank's own host avoid the network delay. A repeated order is harmless: either the first
+// one was executed and the repetition has no effect, or the repetition is the only one that the rank receives.
+func (s *Server) orderUntilReply(ctx context.Context, o lockstep.Order, until time.Time) (lockstep.Reply, error) {
+	superseded := s.supersede(o)
+	for timeout := initialTryTimeout; ; timeout = min(2*timeout, maxTryTimeout) {
+		next := time.After(timeout)
+		reply, err := s.orderOnce(ctx, o, timeout, until)
 		if reply != lockstep.ReplyLost || !time.Now().Before(until) {
 			return reply, err
 		}
 		select {
 		case <-next:
-		case <-followed:
+		case <-superseded:
 		case <-ctx.Done():
 		}
-		if isClosed(followed) || ctx.Err() != nil {
+		if isClosed(superseded) || ctx.Err() != nil {
 			return reply, err
 		}
 	}
@@ -165,35 +167,37 @@
 	}
 }
 
-// try gives the rank an order once. The answer to the last try is waited for as long as the caller allows.
-func (s *Server) try(ctx context.Context, o lockstep.Order, wait time.Duration, until time.Time) (lockstep.Reply, error) {
-	if time.Until(until) > wait {
+// orderOnce sends an order to the rank once. Its timeout is timeout; the last attempt may use all of the remaining time
+// of the caller.
+func (s *Server) orderOnce(ctx context.Context, o lockstep.Order, timeout time.Duration, until time.Time) (lockstep.Reply, error) {
+	if time.Until(until) > timeout {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, wait)
+		ctx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
 	}
 	return s.ranks.Order(ctx, s.rank, o)
 }
 
-// orderKey tells orders apart that are not the same one sent again.
+// orderKey identifies an order. Repetitions of an order have the same key.
 type orderKey struct {
 	op                   lockstep.Op
 	epoch, version, pass uint64
 }
 
-// follow returns a channel that is closed once another order has come.
+// supersede makes o the newest order and ends the retries of the previous one, unless o repeats it. It returns a
+// channel that is closed once a different order is received.
 //
-// Tries of an order that the leader takes back would undo what the next one does.
-func (s *Server) follow(o lockstep.Order) <-chan struct{} {
+// If the leader revokes an order, further retries of it would undo the effect of the next order.
+func (s *Server) supersede(o lockstep.Order) <-chan struct{} {
 	key := orderKey{o.Op, o.Epoch, o.Version, o.Pass}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.followed != nil && s.newest == key {
-		return s.followed
+	if s.superseded != nil && s.newestOrder == key {
+		return s.superseded
 	}
-	if s.followed != nil {
-		close(s.followed)
+	if s.superseded != nil {
+		close(s.superseded)
 	}
-	s.newest, s.followed = key, make(chan struct{})
-	return s.followed
+	s.newestOrder, s.superseded = key, make(chan struct{})
+	return s.superseded
 }
--- a/internal/node/host/settings.go
+++ b/internal/node/host/settings.go
@@ -1,5 +1,5 @@
-// Package host holds the static settings that entries and slots have in common: what a host's process needs to know of the
-// host, its ports and its surroundings.
+// Package host defines the static settings that entries and slots share: the host's name and data centre, its
+// addresses, and the addresses of the platform and of other nodes.
 package host
 
 import (
@@ -13,43 +13,45 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/tracing"
 )
 
-// Settings are embedded in those of each process.
+// Settings is embedded in the settings of each process.
 type Settings struct {
-	// Name of the host; it must be unique.
+	// Name is the name of the host. It must be unique.
 	Name string `yaml:"name"`
-	// DataCentre that the host stands in.
+	// DataCentre is the data centre of the host.
 	DataCentre ids.DataCentre `yaml:"data_centre"`
-	// HTTP is where requests come in.
+	// HTTP configures the port for requests.
 	HTTP struct {
-		// Address to listen on, IP:PORT.
+		// Address is the address to listen on, IP:PORT.
 		Address string `yaml:"address"`
-		// Loops is the number of event loops; default 2 for an entry, 1 for a slot.
+		// Loops is the number of event loops. The default is 2 for an entry and 1 for a slot.
 		Loops  int               `yaml:"loops"`
 		Limits httpserver.Limits `yaml:"limits"`
 	} `yaml:"http"`
-	// Control is where RPC, metrics and health are served.
+	// Control configures the port for RPC, metrics and health checks.
 	Control struct {
-		// Address to listen on, IP:PORT.
+		// Address is the address to listen on, IP:PORT.
 		Address string `yaml:"address"`
-		// Seeds are control addresses of other nodes, IP:PORT, to ask for the configuration while the platform is down.
+		// Seeds lists control addresses of other nodes, IP:PORT, from which the configuration is read while the
+		// platform is unavailable.
 		Seeds []string `yaml:"seeds"`
 	} `yaml:"control"`
-	// Digests says where the process hears of others, and whom it tells of itself first.
+	// Digests configures the exchange of digests with other nodes.
 	Digests struct {
-		// Address to listen on, IP:PORT (UDP).
+		// Address is the UDP address to listen on, IP:PORT.
 		Address string `yaml:"address"`
-		// Seeds are digest addresses of entries, IP:PORT; others are learned from them.
+		// Seeds lists digest addresses of entries, IP:PORT. The addresses of other nodes are learned from them.
 		Seeds []string `yaml:"seeds"`
 	} `yaml:"digests"`
-	// TLS names the keys of the control port and of RPC to other nodes; empty: both are plain.
+	// TLS configures the keys for the control port and for RPC to other nodes. If it is empty, both use plain text.
 	TLS keys.Settings `yaml:"tls"`
-	// Platform is the address of the platform's service, IP:PORT.
+	// Platform is the address of the platform service, IP:PORT.
 	Platform string          `yaml:"platform"`
 	Log      logging.Options `yaml:"log"`
 	Tracing  tracing.Options `yaml:"tracing"`
 }
 
-// Check returns the first fault, as *settings.KeyError or wrapped; kind names the host in it, as in "entry".
+// Check returns the first invalid setting as a *settings.KeyError or as a wrapped error. The error calls the host by
+// its kind, for example "entry".
 func (s *Settings) Check(kind string) error {
 	if err := settings.CheckName("$.name", s.Name, "the "+kind+" host's name"); err != nil {
 		return err
--- a/internal/node/order/order.go
+++ b/internal/node/order/order.go
@@ -1,9 +1,9 @@
-// Package order keeps the orders that operators give to engines, with fencing numbers, in the platform's table.
+// Package order stores the orders that operators give to engines, with fencing tokens, in the platform's table.
 //
-// One row an upstream, `orders/UPSTREAM`, holds its newest order; the row's version is the fencing number. An order
-// reaches an engine only through the slot beside it: the slot reads the row (at its start, and when it hears of an
-// order) and carries the order out unless its number is lower than one it has seen, so engines that ignore fencing
-// numbers are safe as well as those that check them.
+// The row orders/UPSTREAM holds the newest order for an upstream. The version of the row is the fencing token. An order
+// reaches an engine only through the slot on its host: the slot reads the row when it starts and when it is notified of
+// an order, and executes the order unless the token is lower than one that the slot has seen. So it does not matter for
+// safety whether an engine checks fencing tokens.
 package order
 
 import (
@@ -20,19 +20,20 @@
 )
 
 const (
-	prefix = "orders/"
-	tries  = 10
+	rowPrefix   = "orders/"
+	maxAttempts = 10
 )
 
-// Put gives an order and returns its fencing number. An order sent again with the operation id of the newest one is
-// given once. Errors: *config.FieldError, *platform.UnavailableError, *platform.UnknownOutcomeError.
+// Put stores an order and returns its fencing token. If the newest order for the upstream has the same operation id,
+// Put stores nothing and returns the token of that order. Errors: *config.FieldError, *platform.UnavailableError,
+// *platform.UnknownOutcomeError; *platform.ConflictError if other orders were stored during each of the attempts.
 func Put(ctx context.Context, table platform.Table, meta *cardamomyokev1.ChangeMeta, o *cardamomyokev1.EngineOrder) (ids.Fence, error) {
 	if err := check(meta, o); err != nil {
 		return 0, err
 	}
-	key := prefix + o.GetUpstream()
+	key := rowPrefix + o.GetUpstream()
 	var last error
-	for range tries {
+	for range maxAttempts {
 		old, version, err := read(ctx, table, key)
 		if err != nil {
 			return 0, err
@@ -58,7 +59,7 @@
 	next.OperationId, next.Operator, next.Reason = meta.GetOperationId(), meta.GetOperator(), meta.GetReason()
 	value, err := proto.Marshal(next)
 	if err != nil {
-		return fmt.Errorf("order for %s: %w", o.GetUpstream(), err)
+		return fmt.Errorf("encode order for %s: %w", o.GetUpstream(), err)
 	}
 	_, err = table.Commit(ctx, platform.Txn{
 		Operation: ids.Operation("order-" + meta.GetOperationId()),
@@ -68,9 +69,10 @@
 	return err
 }
 
-// Latest returns the newest order of an upstream, or nil if there is none. Errors: *platform.UnavailableError.
+// Latest returns the newest order for an upstream, or nil if there is none. Errors: *platform.UnavailableError, or an
+// error if the row cannot be decoded.
 func Latest(ctx context.Context, table platform.Table, u ids.Upstream) (*cardamomyokev1.EngineOrder, error) {
-	o, version, err := read(ctx, table, prefix+string(u))
+	o, version, err := read(ctx, table, rowPrefix+string(u))
 	if err != nil || version == 0 {
 		return nil, err
 	}
@@ -84,7 +86,7 @@
 	}
 	o := &cardamomyokev1.EngineOrder{}
 	if err := proto.Unmarshal(rows[0].Value, o); err != nil {
-		return nil, 0, fmt.Errorf("%s: %w", key, err)
+		return nil, 0, fmt.Errorf("decode order row %s: %w", key, err)
 	}
 	return o, rows[0].Version, nil
 }
--- a/internal/node/rank/rank.go
+++ b/internal/node/rank/rank.go
@@ -1,8 +1,9 @@
-// Package rank is the slot's side of a model group: the engine's rank over HTTP, and the report that the holder of the
-// group's lease asks for.
+// Package rank is the slot's client of its engine's rank in a model group. It also serves the rank's report to the
+// holder of the group's lease.
 //
-// The engine's protocol is GET PathRank for its state and POST PathOrders for an order, both JSON. Engines that ignore
-// fencing numbers are safe: each order names the map and the step that it is meant for, and only this slot gives any.
+// The client reads the rank's state with GET PathRank and sends an order with POST PathOrders, both as JSON. The
+// protocol is safe for engines that ignore fencing tokens: each order names the map and the step to which it applies,
+// and only this slot sends orders to the engine.
 package rank
 
 import (
@@ -26,10 +27,10 @@
 	PathOrders = "/v1/rank/orders"
 )
 
-// maxAnswerBytes bounds a rank's answer: 128 experts in 60 layers are 7,680 counts.
-const maxAnswerBytes = 1 << 20
+// maxResponseBytes bounds the size of a rank's response. A state with 128 experts in 60 layers holds 7,680 counts.
+const maxResponseBytes = 1 << 20
 
-// Window is what a rank did in its last whole window of time.
+// Window holds the statistics of a rank for its last complete time window.
 type Window struct {
 	Number    uint64   `json:"number"`
 	Tokens    []uint32 `json:"tokens"`
@@ -38,21 +39,21 @@
 	Waiting   bool     `json:"waiting"`
 }
 
-// State is an engine's answer to GET PathRank.
+// State is an engine's response to GET PathRank.
 type State struct {
 	Engine expertmap.EngineReport `json:"engine"`
 	Window Window                 `json:"window"`
 }
 
-// StatusError says that the engine refused a call.
+// StatusError reports that the engine responded to a call with an HTTP status other than 200.
 type StatusError struct{ Status int }
 
 // Error implements error.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("engine's rank answered with status %d", e.Status)
+	return fmt.Sprintf("engine's rank responded with status %d", e.Status)
 }
 
-// Engine speaks to the rank of one engine; it implements node.Engine and the RankService.
+// Engine is a client of one engine's rank. It implements node.Engine of package expertmap/node and the RankService.
 type Engine struct {
 	client  *httpclient.Client
 	address string
@@ -60,7 +61,7 @@
 	rank    expertmap.Rank
 }
 
-// NewEngine returns the rank of the engine at address (IP:PORT).
+// NewEngine returns a client of the rank of the engine at address (IP:PORT).
 func NewEngine(address string, group ids.Group, rank expertmap.Rank) *Engine {
 	return &Engine{client: httpclient.New(httpclient.Options{}), address: address, group: group, rank: rank}
 }
@@ -88,7 +89,7 @@
 		return s, err
 	}
 	if err := json.NewDecoder(bytes.NewReader(body)).Decode(&s); err != nil {
-		return s, fmt.Errorf("engine's rank: %w", err)
+		return s, fmt.Errorf("decode state of engine's rank: %w", err)
 	}
 	return s, nil
 }
@@ -103,11 +104,11 @@
 	if err != nil {
 		return nil, err
 	}
-	out, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
+	out, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	status := res.Header.StatusCode()
 	res.Release(err == nil)
 	if err != nil {
-		return nil, fmt.Errorf("engine's rank: %w", err)
+		return nil, fmt.Errorf("read response of engine's rank: %w", err)
 	}
 	if status != fasthttp.StatusOK {
 		return nil, &StatusError{status}
