--- a/internal/state/audit/row.go
+++ b/internal/state/audit/row.go
@@ -19,7 +19,7 @@
 	KindChange = "change"
 	// KindRoster: nodes joined or left.
 	KindRoster = "roster"
-	// KindInForce: the actor put a revision in force; the row proves this for that node and its time.
+	// KindInForce: the actor put a revision in force; the row proves that this node did so, and when.
 	KindInForce = "in-force"
 	// KindLeaseAcquired: the actor acquired the lease of a duty; after holds the fencing token.
 	KindLeaseAcquired = "lease-taken"
@@ -91,7 +91,7 @@
 	return Chain(chain), seq, nil
 }
 
-// hashedFields is the input of a row's hash: every field of the row, in this sequence. It is encoded as JSON, so that
+// hashedFields is the input of a row's hash: every field of the row, in this order. It is encoded as JSON, so that
 // third parties can compute the hash from an export.
 type hashedFields struct {
 	Key         string `json:"key"`
--- a/internal/state/audit/writer/changes.go
+++ b/internal/state/audit/writer/changes.go
@@ -19,9 +19,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision/store"
 )
 
-// Changes copies the configuration log to ChangesChain, one row for each record of the log. Each change is committed
-// together with its log record, so no audit row is lost if the entry that committed the change crashes: the next
-// CatchUp of any other entry writes it.
+// Changes copies the configuration log to ChangesChain, one row for each record (revision.Entry) of the log. Each
+// change is committed together with its log record, so no audit row is lost if the entry that committed the change
+// crashes: the next CatchUp of any other entry writes it.
 type Changes struct {
 	table platform.Table
 	log   *store.Store
--- a/internal/state/audit/writer/writer.go
+++ b/internal/state/audit/writer/writer.go
@@ -57,7 +57,7 @@
 	// buffer holds the rows that are not confirmed to be in the table.
 	buffer audit.Buffer
 
-	flushing   sync.Mutex // guards all below
+	flushing   sync.Mutex // guards the fields below
 	end        chainEnd
 	registered bool
 	// pending is a transaction whose outcome is unknown. It is sent again, unchanged, until the outcome is known.
@@ -111,7 +111,8 @@
 	w.buffer.Add(now, r)
 }
 
-// Run flushes at random intervals with a mean of Options.Period until ctx is done. It archives only full objects.
+// Run flushes at random intervals with a mean of Options.Period until ctx is done. It archives rows
+// only when at least rowsPerObject of them are unarchived or an earlier put failed.
 func (w *Writer) Run(ctx context.Context) {
 	for {
 		// The delay is between half and one and a half periods, so that nodes do not write at the same time.
@@ -168,7 +169,7 @@
 	}
 	var last error
 	for range registerTries {
-		// The chain's head exists exactly if an earlier attempt was applied, because both are one transaction.
+		// The chain's head exists if and only if an earlier attempt was applied, because both are one transaction.
 		own, err := readEnd(ctx, w.o.Table, w.end.Chain)
 		if err != nil {
 			return err
--- a/internal/state/claims/batch.go
+++ b/internal/state/claims/batch.go
@@ -283,7 +283,8 @@
 	}
 }
 
-// onConflict handles a transaction that was refused because rows of its claims exist already.
+// onConflict handles a transaction that was refused because rows of its claims exist already or
+// have changed.
 func (l *Ledger) onConflict(now time.Time, b *batch, rows []platform.Row) {
 	// After a lost response the original may still arrive, and be applied if the conflicting rows are deleted by then.
 	// Its claims would then be held by attempts that never start. So the operation is fenced before its claims are
--- a/internal/state/claims/row.go
+++ b/internal/state/claims/row.go
@@ -63,8 +63,8 @@
 	return c, nil
 }
 
-// verdictFromRow returns the verdict on r from a row that another attempt holds. Margin is the tolerated clock
-// difference between the hosts.
+// verdictFromRow returns the verdict on r from the existing row of its key. Margin is the tolerated clock difference
+// between the hosts.
 func verdictFromRow(now time.Time, r Request, row platform.Row, margin time.Duration) Verdict {
 	c, err := decodeRow(row)
 	if err != nil {
--- a/internal/state/claims/store_test.go
+++ b/internal/state/claims/store_test.go
@@ -94,8 +94,8 @@
 	})
 }
 
-// Expired claims must be deleted. A key that was released and claimed again is in two lists; its claim must stay when the
-// first list expires.
+// Expired claims must be deleted. A key that was released and claimed again is in two lists; its claim must stay when
+// the first list expires.
 func TestSweeperRemovesExpiredClaims(t *testing.T) {
 	withStore(t, nil, func(t *testing.T, s *Store, table *memtable.Table) {
 		claim := func(seq uint64, key string, keep time.Duration) {
