--- a/internal/state/claims/store_test.go
+++ b/internal/state/claims/store_test.go
@@ -98,9 +98,9 @@
 // the first list expires.
 func TestSweeperRemovesExpiredClaims(t *testing.T) {
 	withStore(t, nil, func(t *testing.T, s *Store, table *memtable.Table) {
-		claim := func(seq uint64, key string, keep time.Duration) {
+		claim := func(seq uint64, key string, retention time.Duration) {
 			r := requestWithTimeout(seq, key, time.Second)
-			r.Keep = keep
+			r.Keep = retention
 			if v := s.Claim(t.Context(), r); !v.Start {
 				t.Errorf("claim %d: %+v", seq, v)
 			}
