--- a/internal/node/entry/addresses.go
+++ b/internal/node/entry/addresses.go
@@ -12,25 +12,26 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/httpserver"
 )
 
-// AddressAnswer is the JSON body of GET /v1/addresses.
+// AddressResponse is the JSON body of the response to GET /v1/addresses.
 type AddressAnswer struct {
-	// Addresses are IP:PORT; a caller uses the first that takes its connection.
+	// Addresses are IP:PORT; a caller uses the first one that accepts its connection.
 	Addresses []string `json:"addresses"`
-	// KeepMS is for how long the answer holds, in milliseconds.
+	// KeepMS is how long callers may cache the response, in milliseconds.
 	KeepMS uint32 `json:"keep_ms"`
 }
 
-// addresses lists the other entries that callers may use: those of this data centre, and if there is none, others.
+// addresses returns the other entries that callers may use: those in this data centre, or, if there are none, those in
+// other data centres.
 func (s *state) addresses() []string {
-	near, far := s.members.Addresses("")
-	if len(near) == 0 {
-		return far
+	local, remote := s.members.Addresses("")
+	if len(local) == 0 {
+		return remote
 	}
-	return near
+	return local
 }
 
-// serveAddresses answers which addresses to use. They are shuffled for each answer: callers use the first one, and
-// without the shuffle a burst of callers that all asked the same entry would meet again at the same address.
+// serveAddresses responds with the addresses that callers may use. Each response is shuffled: callers use the first
+// address, so without the shuffle a burst of callers that ask the same entry would all connect to the same address.
 func (e *Entry) serveAddresses(x *httpserver.Exchange) {
 	v := e.view.Load()
 	if v.config == nil {
--- a/internal/node/entry/audit.go
+++ b/internal/node/entry/audit.go
@@ -7,20 +7,20 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/audit"
 )
 
-// hearSuspects takes in what a digest says of requests that crash their upstreams, and records which are refused here
-// from now on. Refusals that are read from the table were recorded where they were decided.
-func (e *Entry) hearSuspects(now time.Time, news []quarantine.Suspect) {
+// mergeSuspects merges the suspects of a digest: requests that may crash their upstreams. It records those that this
+// entry refuses from now on. Refusals that are read from the table were recorded by the process that decided them.
+func (e *Entry) mergeSuspects(now time.Time, updates []quarantine.Suspect) {
 	before := e.quarantine.Snapshot()
-	e.quarantine.Merge(now, news...)
-	for _, r := range refusals(now, before, e.quarantine.Snapshot(), news) {
+	e.quarantine.Merge(now, updates...)
+	for _, r := range refusals(now, before, e.quarantine.Snapshot(), updates) {
 		e.state.record(now, r)
 	}
 }
 
-// refusals returns a row for each request that is refused after the news and was not before.
-func refusals(now time.Time, before, after *quarantine.Snapshot, news []quarantine.Suspect) []*audit.Row {
+// refusals returns an audit row for each request that is refused after the update and was not before.
+func refusals(now time.Time, before, after *quarantine.Snapshot, updates []quarantine.Suspect) []*audit.Row {
 	var out []*audit.Row
-	for _, s := range news {
+	for _, s := range updates {
 		was, _ := before.Judge(now, s.Fingerprint)
 		is, until := after.Judge(now, s.Fingerprint)
 		if is != quarantine.Refused || was == quarantine.Refused {
--- a/internal/node/entry/audit_test.go
+++ b/internal/node/entry/audit_test.go
@@ -10,8 +10,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/audit"
 )
 
-// A request crashes an upstream among others, then one that it ran on alone for a probe; the news come twice. Only the
-// step to a refusal is recorded, once, with its end and the client.
+// A request crashes an upstream together with another request, then crashes one alone, as a probe; the second crash is
+// reported twice. Only the change to refused must be recorded, once, with the end of the refusal and the client.
 func TestRefusalsAreRecordedOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := quarantine.NewPersistentTracker(nil, quarantine.Rules{Period: time.Minute}, quarantine.DefaultPersistentTrackerOptions())
--- a/internal/node/entry/chat.go
+++ b/internal/node/entry/chat.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 )
 
-// The shapes of an OpenAI-style answer.
+// The JSON objects of an OpenAI-style response.
 type (
 	chatChunk struct {
 		ID      string        `json:"id"`
@@ -22,15 +22,15 @@
 	chatDelta struct {
 		Content string `json:"content,omitempty"`
 	}
-	chatDocument struct {
-		ID      string           `json:"id"`
-		Object  string           `json:"object"`
-		Created int64            `json:"created"`
-		Model   string           `json:"model"`
-		Choices []documentChoice `json:"choices"`
-		Usage   chatUsage        `json:"usage"`
+	chatCompletion struct {
+		ID      string             `json:"id"`
+		Object  string             `json:"object"`
+		Created int64              `json:"created"`
+		Model   string             `json:"model"`
+		Choices []completionChoice `json:"choices"`
+		Usage   chatUsage          `json:"usage"`
 	}
-	documentChoice struct {
+	completionChoice struct {
 		Index   int         `json:"index"`
 		Message chatMessage `json:"message"`
 		Finish  string      `json:"finish_reason"`
@@ -44,38 +44,38 @@
 	}
 )
 
-// contentMark stands for a token's text in the pattern of a chunk; no JSON text of the pattern contains it.
-const contentMark = `"\u0000"`
+// contentPlaceholder is the encoded text in the template of a chunk. No other JSON string of the template contains it.
+const contentPlaceholder = `"\u0000"`
 
-// chunkPattern is a chunk of this answer, cut at the place of the token's text. Only the text differs from token to
-// token, so the rest is encoded once.
-func (m *modelAnswer) chunkPattern() (before, after []byte) {
-	if m.before == nil {
+// chunkTemplate returns the bytes of a chunk before and after the token's text. Chunks of a response differ only in this
+// text, so the rest is encoded once.
+func (m *modelResponse) chunkTemplate() (before, after []byte) {
+	if m.chunkPrefix == nil {
 		pattern := m.encodeChunk(chunkChoice{Delta: chatDelta{"\x00"}})
-		m.before, m.after, _ = bytes.Cut(pattern, []byte(contentMark))
+		m.chunkPrefix, m.chunkSuffix, _ = bytes.Cut(pattern, []byte(contentPlaceholder))
 	}
-	return m.before, m.after
+	return m.chunkPrefix, m.chunkSuffix
 }
 
-// chunk is the event of one token, with its framing; it is valid until the next call.
-func (m *modelAnswer) chunk(text string) []byte {
-	before, after := m.chunkPattern()
+// chunk returns the framed event of one token. The result is valid until the next call.
+func (m *modelResponse) chunk(text string) []byte {
+	before, after := m.chunkTemplate()
 	content, err := json.Marshal(text)
 	if err != nil {
 		return nil
 	}
-	m.out = append(m.out[:0], before...)
-	m.out = append(m.out, content...)
-	m.out = append(m.out, after...)
-	return m.out
+	m.chunkBuf = append(m.chunkBuf[:0], before...)
+	m.chunkBuf = append(m.chunkBuf, content...)
+	m.chunkBuf = append(m.chunkBuf, after...)
+	return m.chunkBuf
 }
 
-// lastChunk is the event that says why the answer ended, with its framing.
-func (m *modelAnswer) lastChunk() []byte { return m.encodeChunk(chunkChoice{Finish: &m.finish}) }
+// lastChunk returns the framed event with the finish reason.
+func (m *modelResponse) lastChunk() []byte { return m.encodeChunk(chunkChoice{Finish: &m.finish}) }
 
-func (m *modelAnswer) encodeChunk(choice chunkChoice) []byte {
+func (m *modelResponse) encodeChunk(choice chunkChoice) []byte {
 	body, err := json.Marshal(chatChunk{
-		ID: m.r.id, Object: "chat.completion.chunk", Created: m.started.Unix(), Model: m.r.service.GetName(),
+		ID: m.r.id, Object: "chat.completion.chunk", Created: m.startedAt.Unix(), Model: m.r.service.GetName(),
 		Choices: []chunkChoice{choice},
 	})
 	if err != nil {
@@ -84,7 +84,7 @@
 	return sseFrame(body)
 }
 
-// sseFrame returns data as a server-sent event; data must hold no line break.
+// sseFrame returns data as a server-sent event. data must not contain a line break.
 func sseFrame(data []byte) []byte {
 	out := make([]byte, 0, len(data)+len("data: \n\n"))
 	out = append(out, "data: "...)
@@ -92,11 +92,11 @@
 	return append(out, '\n', '\n')
 }
 
-// document is an answer that is not streamed.
-func (m *modelAnswer) document() []byte {
-	body, err := json.Marshal(chatDocument{
-		ID: m.r.id, Object: "chat.completion", Created: m.started.Unix(), Model: m.r.service.GetName(),
-		Choices: []documentChoice{{Message: chatMessage{"assistant", m.text.String()}, Finish: m.finish}},
+// document returns the JSON body of a response that is not streamed.
+func (m *modelResponse) document() []byte {
+	body, err := json.Marshal(chatCompletion{
+		ID: m.r.id, Object: "chat.completion", Created: m.startedAt.Unix(), Model: m.r.service.GetName(),
+		Choices: []completionChoice{{Message: chatMessage{"assistant", m.text.String()}, Finish: m.finish}},
 		Usage:   chatUsage{m.tokens},
 	})
 	if err != nil {
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -24,18 +24,18 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision"
 )
 
-// Deps are the parts that an entry uses.
+// Deps are the dependencies of an entry.
 type Deps struct {
 	Config config.Source
-	// Loop is the process's control loop, on which Tick must be called; nil lets the entry run one of its own.
+	// Loop is the control loop of the process; its owner must call Tick on it. If nil, the entry runs its own loop.
 	Loop *control.Loop
-	// Incarnation is this life of the process; empty lets the entry draw one.
+	// Incarnation identifies this run of the process. If empty, the entry generates one.
 	Incarnation ids.Incarnation
-	// Table keeps what is known of requests that crash their upstreams; nil keeps it in memory only.
+	// Table stores the requests that are suspected of crashing upstreams. If nil, they are held in memory only.
 	Table platform.Table
-	// Roster returns the members that the configuration log names; nil if there is no log.
+	// Roster returns the members listed in the configuration log. It is nil if there is no log.
 	Roster func() *revision.Roster
-	// Audit takes in what this entry decides about upstreams; nil: it is only logged. It must not wait.
+	// Audit records this entry's decisions about upstreams and requests. It must not block. If nil, they are not recorded.
 	Audit  func(now time.Time, r *cardamomyokev1.AuditRow)
 	Logger log.Logger
 	Tracer *tracing.Tracer
@@ -55,35 +55,35 @@
 	quarantine  *quarantine.PersistentTracker
 	sequence    atomic.Uint64
 	view        atomic.Pointer[view]
-	// withdrawn is set once callers are no longer sent here.
+	// withdrawn is set once this entry's address is no longer given to callers.
 	withdrawn atomic.Bool
 	server    *httpserver.Server
 	loop      *control.Loop
 	state     *state
-	life      charts.Machine
-	// viewAt and viewLife are when the view was built and in which state of life.
-	viewAt   time.Time
-	viewLife charts.State
-	receiver *digest.Receiver
-	sender   *digest.Sender
-	digests  uint64
-	usageAt  time.Time
-	// clientNames finds accounts by their hashes in usage reports; the control loop owns it.
-	clientNames limits.Names
-	cancel      context.CancelFunc
+	lifecycle charts.Machine
+	// viewBuiltAt is when the view was built and viewState the state of lifecycle at that time.
+	viewBuiltAt    time.Time
+	viewState      charts.State
+	receiver       *digest.Receiver
+	sender         *digest.Sender
+	digestSequence uint64
+	usageSentAt    time.Time
+	// clientsByHash resolves the client hashes in usage reports. The control loop owns it.
+	clientsByHash limits.Names
+	cancel        context.CancelFunc
 }
 
 const (
-	// defaultLoops is the number of event loops of the callers' listener.
+	// defaultLoops is the number of event loops of the listener for callers.
 	defaultLoops = 2
-	// defaultQuarantine holds until the configuration is known.
+	// defaultQuarantine is the quarantine period until a configuration is loaded.
 	defaultQuarantine = 10 * time.Minute
-	// digestSuspects is how many suspects one digest carries; more would not fit its datagram.
-	digestSuspects = 4
-	// tickInterval is how often the control loop judges health.
+	// maxDigestSuspects is the maximum number of suspects per digest; more would not fit into its datagram.
+	maxDigestSuspects = 4
+	// tickInterval is the interval at which the control loop evaluates health.
 	tickInterval = 25 * time.Millisecond
-	// viewInterval is how often it builds a view without a change that cannot wait. Digests come every 250 ms or more, and
-	// building a view at each tick would take most of the processor time that control may have.
+	// viewInterval is the interval at which the view is rebuilt if no urgent change requires it earlier. Digests arrive at
+	// intervals of 250 ms or more, and building a view at each tick would use most of the processor time allotted to control.
 	viewInterval = 100 * time.Millisecond
 )
 
@@ -102,7 +102,7 @@
 	stateLeaving charts.State = "leaving"
 )
 
-// Start opens the entry's listeners. It serves once the configuration is known.
+// Start opens the entry's listeners. The entry serves requests once it has a configuration.
 func Start(set *Settings, d Deps) (*Entry, error) {
 	now := time.Now()
 	e := &Entry{
@@ -116,7 +116,7 @@
 		client:      httpclient.New(httpclient.Options{}),
 		limits:      limits.New(limits.Defaults(), 1),
 		loop:        d.Loop,
-		life:        charts.MustLoad("entry").Start(),
+		lifecycle:   charts.MustLoad("entry").Start(),
 	}
 	if e.incarnation == "" {
 		e.incarnation = ids.NewIncarnation()
@@ -141,7 +141,7 @@
 	if d.Loop == nil {
 		go e.loop.Run(ctx, tickInterval, e.Tick)
 	}
-	_ = level.Info(e.logger).Log("msg", "entry listens", "http", set.HTTP.Address, "incarnation", e.incarnation)
+	_ = level.Info(e.logger).Log("msg", "entry listening", "http", set.HTTP.Address, "incarnation", e.incarnation)
 	return e, nil
 }
 
@@ -152,7 +152,7 @@
 		return err
 	}
 	e.receiver, err = digest.Receive(e.settings.Digests.Address, func(d *cardamomyokev1.Digest) {
-		e.loop.Post(func(now time.Time) { e.hear(d, now) })
+		e.loop.Post(func(now time.Time) { e.receiveDigest(d, now) })
 	})
 	if err != nil {
 		_ = e.sender.Close()
@@ -170,19 +170,19 @@
 	return err
 }
 
-// hear takes in a digest; it runs on the control loop.
-func (e *Entry) hear(d *cardamomyokev1.Digest, now time.Time) {
-	if e.state.hear(d, now) {
-		e.hearSuspects(now, quarantine.FromDigest(d))
-		e.hearUsage(d, now)
+// receiveDigest processes a digest. It runs on the control loop.
+func (e *Entry) receiveDigest(d *cardamomyokev1.Digest, now time.Time) {
+	if e.state.receiveDigest(d, now) {
+		e.mergeSuspects(now, quarantine.FromDigest(d))
+		e.receiveUsage(d, now)
 	}
 }
 
-// Tick lets time pass; it runs on the control loop.
+// Tick advances the entry to now. It runs on the control loop.
 func (e *Entry) Tick(now time.Time) {
-	e.adoptConfig(now)
+	e.applyConfig(now)
 	if e.roster != nil {
-		e.state.adoptRoster(e.roster(), now)
+		e.state.applyRoster(e.roster(), now)
 	}
 	e.state.tick(now)
 	if e.viewDue(now) {
@@ -192,19 +192,19 @@
 		p.gate.Tick(now)
 	}
 	e.sendDigests(now, false)
-	e.tellUsage(now)
+	e.reportUsage(now)
 }
 
-// adoptConfig follows the configuration in force and whether this entry can know it.
-func (e *Entry) adoptConfig(now time.Time) {
+// applyConfig applies the configuration in force, and updates the lifecycle by whether that configuration is fresh.
+func (e *Entry) applyConfig(now time.Time) {
 	snap := e.config.Current()
 	if snap == nil {
 		return
 	}
 	if snap != e.state.snapshot {
-		e.state.adopt(snap)
+		e.state.applySnapshot(snap)
 		e.limits.SetLimits(limitsOf(snap))
-		e.clientNames = namesOf(snap)
+		e.clientsByHash = clientsByHashOf(snap)
 		e.quarantine.SetPeriod(time.Duration(snap.Proto.GetPolicies().GetQuarantineS()) * time.Second)
 		_ = level.Info(e.logger).Log("msg", "configuration in force", "revision", snap.Revision())
 	}
@@ -217,7 +217,7 @@
 	}
 }
 
-func namesOf(snap *config.Snapshot) limits.Names {
+func clientsByHashOf(snap *config.Snapshot) limits.Names {
 	var clients []ids.Client
 	for _, c := range snap.Proto.GetClients() {
 		clients = append(clients, ids.Client(c.GetName()))
@@ -236,12 +236,12 @@
 	return out
 }
 
-// fire applies an event to the entry's life; it runs on the control loop.
+// fire applies an event to the entry's lifecycle. It runs on the control loop.
 func (e *Entry) fire(ev charts.Event) {
-	before := e.life.State()
-	actions, err := e.life.Fire(ev)
+	before := e.lifecycle.State()
+	actions, err := e.lifecycle.Fire(ev)
 	if err != nil {
-		_ = level.Error(e.logger).Log("msg", "entry chart", "err", err)
+		_ = level.Error(e.logger).Log("msg", "invalid entry state transition", "err", err)
 		return
 	}
 	for _, a := range actions {
@@ -249,30 +249,32 @@
 			e.withdrawn.Store(true)
 		}
 	}
-	if after := e.life.State(); after != before {
+	if after := e.lifecycle.State(); after != before {
 		_ = level.Info(e.logger).Log("msg", "entry changed", "from", before, "to", after)
 	}
 }
 
-// viewDue reports whether the view must be built anew: for a change that requests must see at once, else each viewInterval.
+// viewDue reports whether the view must be rebuilt: immediately if the configuration or the lifecycle state changed,
+// otherwise once per viewInterval.
 func (e *Entry) viewDue(now time.Time) bool {
-	changed := e.view.Load().config != e.state.snapshot || e.life.State() != e.viewLife
-	return changed || now.Sub(e.viewAt) >= viewInterval
+	changed := e.view.Load().config != e.state.snapshot || e.lifecycle.State() != e.viewState
+	return changed || now.Sub(e.viewBuiltAt) >= viewInterval
 }
 
 func (e *Entry) publish(now time.Time) {
-	life := e.life.State()
-	e.viewAt, e.viewLife = now, life
-	e.view.Store(e.state.build(life == stateServing || life == stateLeaving, now))
+	current := e.lifecycle.State()
+	e.viewBuiltAt, e.viewState = now, current
+	e.view.Store(e.state.build(current == stateServing || current == stateLeaving, now))
 }
 
-// sendDigests tells those who are due, or everybody at once if there is news that cannot wait.
+// sendDigests sends this entry's digest to the members that are due, or to all members if all is set, for an urgent
+// change.
 func (e *Entry) sendDigests(now time.Time, all bool) {
 	due := e.state.members.DueTargets(e.settings.Digests.Seeds, now, all)
 	if len(due) == 0 {
 		return
 	}
-	e.digests++
+	e.digestSequence++
 	d := e.ownDigest(now)
 	for _, to := range due {
 		n, err := e.sender.Send(to.Address, d)
@@ -285,13 +287,13 @@
 
 func (e *Entry) ownDigest(now time.Time) *cardamomyokev1.Digest {
 	state := cardamomyokev1.NodeState_NODE_STATE_LIVE
-	if e.withdrawn.Load() || e.life.State() != stateServing {
+	if e.withdrawn.Load() || e.lifecycle.State() != stateServing {
 		state = cardamomyokev1.NodeState_NODE_STATE_LEAVING
 	}
 	d := &cardamomyokev1.Digest{
 		Node:           e.settings.Name,
 		Incarnation:    string(e.incarnation),
-		Sequence:       e.digests,
+		Sequence:       e.digestSequence,
 		Role:           cardamomyokev1.NodeRole_NODE_ROLE_ENTRY,
 		State:          state,
 		DataCentre:     string(e.settings.DataCentre),
@@ -299,7 +301,7 @@
 		ControlAddress: e.settings.Control.Address,
 		DigestAddress:  e.settings.Digests.Address,
 	}
-	d.Suspects = quarantine.ToDigest(e.quarantine.Digest(now, digestSuspects))
+	d.Suspects = quarantine.ToDigest(e.quarantine.Digest(now, maxDigestSuspects))
 	if e.state.snapshot != nil {
 		d.Revision = uint64(e.state.snapshot.Revision())
 	}
--- a/internal/node/entry/forward.go
+++ b/internal/node/entry/forward.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// fenceTimeout bounds the question whether an attempt started.
+	// fenceTimeout bounds a fence request, which asks a slot never to start an attempt.
 	fenceTimeout = 500 * time.Millisecond
-	// maxFailureBytes is the largest body of a typed failure that is read.
+	// maxFailureBytes is the maximum number of bytes read of the body of a typed failure.
 	maxFailureBytes = 16 << 10
 )
 
@@ -34,7 +34,7 @@
 	flight *routing.Flight
 }
 
-// newTry prepares an attempt at the upstream that was picked.
+// newTry prepares an attempt on the upstream of the routing choice.
 func (e *Entry) newTry(r *request, v *view, c routing.Choice, body []byte, resume int, trace string) *try {
 	id := ids.Attempt{Entry: e.incarnation, Seq: e.sequence.Add(1)}
 	return &try{
@@ -75,18 +75,18 @@
 	return req
 }
 
-// send sends the attempt and returns the slot's answer, which is neither a refusal nor another attempt's. The caller
-// must release it. Errors: *failure.Error.
+// send sends the attempt and returns the slot's response. A refusal and a response to another attempt are returned as
+// errors. The caller must release the response. Errors: *failure.Error.
 func (e *Entry) send(ctx context.Context, t *try) (*httpclient.Response, error) {
 	req := t.request()
 	res, err := e.client.Do(ctx, t.to.Address, req)
-	fasthttp.ReleaseRequest(req) // it is written in full, or given up
+	fasthttp.ReleaseRequest(req) // by now it is written in full or abandoned
 	if err != nil {
-		return nil, e.lost(ctx, t, err)
+		return nil, e.resolveLost(ctx, t, err)
 	}
 	if got := string(res.Header.Peek(attempt.HeaderAttempt)); got != t.id.String() {
 		defer res.Release(false)
-		return nil, e.foreign(res, t, got)
+		return nil, e.mismatched(res, t, got)
 	}
 	if code := res.Header.Peek(httpserver.HeaderFailure); len(code) > 0 {
 		f := readFailure(res)
@@ -96,9 +96,10 @@
 	return res, nil
 }
 
-// foreign judges an answer without the attempt's id: either the slot could not read the attempt, or the answer is
-// another's. The latter is dropped with its connection; what became of the attempt is then not known.
-func (e *Entry) foreign(res *httpclient.Response, t *try, got string) error {
+// mismatched returns the failure for a response without the attempt's id. Either the slot could not parse the attempt,
+// or the response belongs to another attempt. In the latter case the outcome of this attempt is unknown. The caller
+// closes the connection in both cases.
+func (e *Entry) mismatched(res *httpclient.Response, t *try, got string) error {
 	if got == "" && res.Header.StatusCode() >= fasthttp.StatusBadRequest {
 		return readFailure(res)
 	}
@@ -106,8 +107,8 @@
 	return failure.New(failure.CodeUpstreamFailed, &attempt.MismatchError{Attempt: t.id, Want: "its own id", Got: got})
 }
 
-// readFailure reads a slot's typed refusal. Only what the slot says in full is believed: an unknown code or a refusal
-// without its proof counts as a failure after the start.
+// readFailure parses a slot's typed refusal. An incomplete refusal is not trusted: an unknown code, or a "not run" code
+// without proof, counts as a failure after the start.
 func readFailure(res *httpclient.Response) *failure.Error {
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxFailureBytes))
 	if err != nil {
@@ -129,8 +130,8 @@
 	return f
 }
 
-// lost finds out what became of an attempt whose connection failed.
-func (e *Entry) lost(ctx context.Context, t *try, err error) error {
+// resolveLost determines the outcome of an attempt whose connection failed, and returns it as a failure.
+func (e *Entry) resolveLost(ctx context.Context, t *try, err error) error {
 	var dial *httpclient.DialError
 	if errors.As(err, &dial) {
 		return failure.New(failure.CodeNoUpstream, err)
@@ -138,11 +139,11 @@
 	if e.fence(t) {
 		return failure.New(failure.CodeNoUpstream, err).WithProof(failure.ProofFenced)
 	}
-	return failure.New(afterEnd(ctx), err)
+	return failure.New(interruptedCode(ctx), err)
 }
 
-// afterEnd is the code of an attempt that may have run and whose context may have ended.
-func afterEnd(ctx context.Context) failure.Code {
+// interruptedCode returns the failure code of an attempt that may have run, by whether its context has ended and why.
+func interruptedCode(ctx context.Context) failure.Code {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return failure.CodeDeadlinePassed
@@ -152,7 +153,8 @@
 	return failure.CodeUpstreamFailed
 }
 
-// fence asks the slot to promise never to start the attempt; only that promise is proof that it did not run.
+// fence asks the slot to guarantee that it never starts the attempt, and reports whether it did. Only that guarantee
+// proves that the attempt did not run.
 func (e *Entry) fence(t *try) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), fenceTimeout)
 	defer cancel()
@@ -166,9 +168,9 @@
 	if err != nil {
 		return false
 	}
-	own := string(res.Header.Peek(attempt.HeaderAttempt)) == t.id.String()
-	promised := own && res.Header.StatusCode() == fasthttp.StatusOK
+	matches := string(res.Header.Peek(attempt.HeaderAttempt)) == t.id.String()
+	promised := matches && res.Header.StatusCode() == fasthttp.StatusOK
 	_, err = io.Copy(io.Discard, res.Body)
-	res.Release(own && err == nil)
+	res.Release(matches && err == nil)
 	return promised
 }
--- a/internal/node/entry/handler.go
+++ b/internal/node/entry/handler.go
@@ -21,11 +21,11 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/routing"
 )
 
-// headerRequest names a request towards its caller, over all attempts.
+// headerRequest is the response header field with the id of the request, which is the same for all its attempts.
 const headerRequest = "Cardamomyoke-Request"
 
-// retryLater is what a caller is told whose entry is stopping or cannot know its configuration.
-const retryLater = time.Second
+// retryAfter is the delay proposed to a caller if the entry is stopping or its configuration is stale.
+const retryAfter = time.Second
 
 func (e *Entry) serve(ctx context.Context, x *httpserver.Exchange) {
 	path := string(x.Req.URI().PathOriginal())
@@ -55,17 +55,17 @@
 	_ = x.Respond(fasthttp.StatusOK, nil, []byte("ok\n"))
 }
 
-// serveRequest answers a request to a service once: with the whole answer, or with one typed failure.
+// serveRequest responds exactly once to a request to a service: with the complete response or with one typed failure.
 func (e *Entry) serveRequest(ctx context.Context, x *httpserver.Exchange) {
 	v := e.view.Load()
 	if f := e.refusal(v, time.Now()); f != nil {
-		e.metrics.answered("", f)
+		e.metrics.countResponse("", f)
 		x.Fail(f)
 		return
 	}
 	r, err := readRequest(v.config, x.Req, time.Now())
 	if err != nil {
-		e.metrics.answered("", err)
+		e.metrics.countResponse("", err)
 		x.Fail(failure.From(err))
 		return
 	}
@@ -77,24 +77,24 @@
 	defer cancel()
 	err = e.admitAndRun(ctx, x, r)
 	span.End(err)
-	e.metrics.answered(r.service.GetName(), err)
+	e.metrics.countResponse(r.service.GetName(), err)
 	if err != nil && !x.Responded() {
 		x.Fail(failure.From(err), httpserver.Header{Name: headerRequest, Value: r.id})
 	}
 }
 
-// refusal says why this entry takes no new work now, or nil.
+// refusal returns why this entry accepts no new work now, or nil if it does.
 func (e *Entry) refusal(v *view, now time.Time) *failure.Error {
 	if v.config == nil || !e.config.Fresh(now) {
-		return failure.New(failure.CodeStaleRevision, nil).WithRetryAfter(retryLater)
+		return failure.New(failure.CodeStaleRevision, nil).WithRetryAfter(retryAfter)
 	}
 	if !v.serving {
-		return failure.New(failure.CodeStopping, nil).WithRetryAfter(retryLater)
+		return failure.New(failure.CodeStopping, nil).WithRetryAfter(retryAfter)
 	}
 	return nil
 }
 
-// admitAndRun waits for the request's place and runs it.
+// admitAndRun waits until the request is admitted, then runs it.
 func (e *Entry) admitAndRun(ctx context.Context, x *httpserver.Exchange, r *request) error {
 	tokens := float64(r.promptTokens + r.outputTokens)
 	if err := e.limits.Consume(r.client, tokens, time.Now()); err != nil {
@@ -119,47 +119,47 @@
 		e.limits.Adjust(r.client, -tokens)
 		return err
 	}
-	return e.attempts(ctx, x, r, p)
+	return e.runWithRetries(ctx, x, r, p)
 }
 
-// attempts tries until the answer is whole or the retry session gives up.
-func (e *Entry) attempts(ctx context.Context, x *httpserver.Exchange, r *request, p *pool) error {
-	m := &modelAnswer{x: x, r: r, started: time.Now(), metrics: e.metrics}
+// runWithRetries runs attempts until the response is complete or the retry session ends.
+func (e *Entry) runWithRetries(ctx context.Context, x *httpserver.Exchange, r *request, p *pool) error {
+	m := &modelResponse{x: x, r: r, startedAt: time.Now(), metrics: e.metrics}
 	session := retry.NewSession(retry.DefaultRules(r.service.GetRepeatable(), r.chat != nil), p.budget, r.deadline)
 	var exclude []ids.Upstream
 	for {
-		to, err := e.attempt(ctx, m, exclude)
+		to, err := e.attemptOnce(ctx, m, exclude)
 		if err == nil {
 			return nil
 		}
-		var gone *httpserver.ConnectionClosedError
-		if errors.As(err, &gone) {
+		var closed *httpserver.ConnectionClosedError
+		if errors.As(err, &closed) {
 			return failure.New(failure.CodeCancelled, err)
 		}
-		if m.full() {
-			m.finish = finishLength
+		if m.atTokenLimit() {
+			m.finish = finishReasonLength
 			return m.complete(ctx)
 		}
 		d := session.Failed(retry.Attempt{Upstream: to, Err: err}, m.tokens, time.Now())
 		if d.Action == retry.ActionGiveUp {
-			return e.giveUp(ctx, m, d.Err)
+			return e.abort(ctx, m, d.Err)
 		}
 		e.metrics.retries.Inc()
 		exclude = d.Exclude
-		if err := pause(ctx, d.After); err != nil {
-			return e.giveUp(ctx, m, failure.New(afterEnd(ctx), err))
+		if err := sleep(ctx, d.After); err != nil {
+			return e.abort(ctx, m, failure.New(interruptedCode(ctx), err))
 		}
 	}
 }
 
-func (e *Entry) giveUp(ctx context.Context, m *modelAnswer, f *failure.Error) error {
-	if m.begun {
+func (e *Entry) abort(ctx context.Context, m *modelResponse, f *failure.Error) error {
+	if m.streamStarted {
 		m.fail(ctx, f)
 	}
 	return f
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -168,25 +168,25 @@
 	}
 }
 
-// attempt picks an upstream and runs one attempt there; it returns where.
-func (e *Entry) attempt(ctx context.Context, m *modelAnswer, exclude []ids.Upstream) (ids.Upstream, error) {
+// attemptOnce picks an upstream, runs one attempt on it and returns the upstream.
+func (e *Entry) attemptOnce(ctx context.Context, m *modelResponse, exclude []ids.Upstream) (ids.Upstream, error) {
 	r := m.r
 	v := e.view.Load()
 	p := v.pools[ids.Service(r.service.GetName())]
 	if p == nil {
 		return "", failure.New(failure.CodeUnknownService, nil)
 	}
-	level, until := e.quarantine.Snapshot().Judge(time.Now(), r.print)
+	level, until := e.quarantine.Snapshot().Judge(time.Now(), r.fingerprint)
 	if level == quarantine.Refused {
 		return "", quarantine.Refusal(time.Now(), until)
 	}
-	// An attempt that broke off may have taken its upstream down; until that is known, its repetition must not run beside
-	// another suspect, or one request could take down as many upstreams as it has attempts.
-	if m.broken {
+	// An interrupted attempt may have crashed its upstream. Until the cause is determined, the retry must not run together
+	// with another suspect, or one request could crash as many upstreams as it has attempts.
+	if m.interrupted {
 		level = max(level, quarantine.Suspected)
 	}
 	if level > quarantine.Clear {
-		exclude = p.allBut(quarantine.AssignedUpstream(r.print, p.usable(exclude)))
+		exclude = p.allBut(quarantine.AssignedUpstream(r.fingerprint, p.usable(exclude)))
 	}
 	r.suspicion = int(level)
 	choice, err := p.picker.Pick(&routing.Request{
@@ -200,21 +200,21 @@
 	spanCtx, span := e.tracer.Start(ctx, "entry attempt", r.trace, attribute.String("upstream", string(id)))
 	err = e.runAttempt(spanCtx, v, choice, m, span.Header())
 	span.End(err)
-	e.report(v, id, err)
+	e.reportOutcome(v, id, err)
 	if err == nil {
-		e.quarantine.Completed(time.Now(), r.print)
+		e.quarantine.Completed(time.Now(), r.fingerprint)
 	}
-	m.broken = m.broken || failure.CodeOf(err) == failure.CodeUpstreamFailed
+	m.interrupted = m.interrupted || failure.CodeOf(err) == failure.CodeUpstreamFailed
 	return id, err
 }
 
-func (e *Entry) runAttempt(ctx context.Context, v *view, c routing.Choice, m *modelAnswer, trace string) error {
+func (e *Entry) runAttempt(ctx context.Context, v *view, c routing.Choice, m *modelResponse, trace string) error {
 	if m.r.chat == nil {
-		answer, err := e.tryPlain(ctx, v, c, m.r, trace)
+		res, err := e.tryPlain(ctx, v, c, m.r, trace)
 		if err != nil {
 			return err
 		}
-		return answer.respond(m.x, m.r)
+		return res.respond(m.x, m.r)
 	}
 	if err := e.tryModel(ctx, v, c, m, trace); err != nil {
 		return err
@@ -222,15 +222,15 @@
 	return m.complete(ctx)
 }
 
-// report tells the control loop how an attempt ended, as evidence of the upstream's health.
-func (e *Entry) report(v *view, id ids.Upstream, err error) {
-	ev := evidence(v, id, err)
+// reportOutcome posts the outcome of an attempt to the control loop, as evidence of the upstream's health.
+func (e *Entry) reportOutcome(v *view, id ids.Upstream, err error) {
+	ev := healthEvent(v, id, err)
 	if ev != nil {
 		e.loop.Post(func(now time.Time) { e.state.tracker.Apply(ev, now) })
 	}
 }
 
-func evidence(v *view, id ids.Upstream, err error) health.Event {
+func healthEvent(v *view, id ids.Upstream, err error) health.Event {
 	if err == nil {
 		return health.Answered{Upstream: id}
 	}
--- a/internal/node/entry/metrics.go
+++ b/internal/node/entry/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/failure"
 )
 
-// entryMetrics are the counters of one entry; docs/OPERATIONS.md explains them.
+// entryMetrics holds the metrics of one entry; see docs/OPERATIONS.md.
 type entryMetrics struct {
 	set           *metrics.Set
 	retries       *metrics.Counter
@@ -30,7 +30,7 @@
 	}
 }
 
-func (m *entryMetrics) answered(service string, err error) {
+func (m *entryMetrics) countResponse(service string, err error) {
 	code := "ok"
 	if err != nil {
 		code = string(failure.CodeOf(err))
@@ -38,5 +38,5 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("cardamomyoke_entry_requests_total{service=%q,code=%q}", service, code)).Inc()
 }
 
-// Metrics returns the entry's counters.
+// Metrics returns the entry's metrics.
 func (e *Entry) Metrics() *metrics.Set { return e.metrics.set }
--- a/internal/node/entry/model.go
+++ b/internal/node/entry/model.go
@@ -16,25 +16,25 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/routing"
 )
 
-// modelAnswer follows one caller's answer over all attempts.
-type modelAnswer struct {
-	x      *httpserver.Exchange
-	r      *request
-	text   strings.Builder
-	tokens int
-	finish string
-	begun  bool
-	// broken says that an attempt broke off after its start.
-	broken  bool
-	started time.Time
-	last    time.Time
-	metrics *entryMetrics
-	// before and after are the parts of a chunk around its text; out is the chunk being written.
-	before, after, out []byte
+// modelResponse is the response to one request to a model service, assembled over all its attempts.
+type modelResponse struct {
+	x             *httpserver.Exchange
+	r             *request
+	text          strings.Builder
+	tokens        int
+	finish        string
+	streamStarted bool
+	// interrupted is set if an attempt failed after its start.
+	interrupted bool
+	startedAt   time.Time
+	lastTokenAt time.Time
+	metrics     *entryMetrics
+	// chunkPrefix and chunkSuffix enclose the text of each chunk; chunkBuf holds the chunk being written.
+	chunkPrefix, chunkSuffix, chunkBuf []byte
 }
 
-// tryModel runs one attempt and delivers its tokens. It returns nil once the answer is whole.
-func (e *Entry) tryModel(ctx context.Context, v *view, c routing.Choice, m *modelAnswer, trace string) error {
+// tryModel runs one attempt and delivers its tokens. It returns nil once the response is complete.
+func (e *Entry) tryModel(ctx context.Context, v *view, c routing.Choice, m *modelResponse, trace string) error {
 	body, err := m.body()
 	if err != nil {
 		return err
@@ -46,18 +46,19 @@
 		return err
 	}
 	f := attempt.NewFollower(t.id, m.tokens, res.Body)
-	if err := e.follow(ctx, t, m, f); err != nil {
+	if err := e.deliverEvents(ctx, t, m, f); err != nil {
 		res.Release(false)
 		return err
 	}
-	// The last event makes the answer whole, whatever becomes of the connection after it.
-	res.Release(ended(f))
+	// The response is complete with its last event, even if the connection fails afterwards.
+	res.Release(atEOF(f))
 	c.Upstream.Cached.Add(m.r.blocks...)
 	return nil
 }
 
-// body is the caller's body, and after a broken attempt also what was delivered, so that the engine can go on from it.
-func (m *modelAnswer) body() ([]byte, error) {
+// body returns the caller's body. If tokens were already delivered, it adds their text, so that the engine can resume
+// after them.
+func (m *modelResponse) body() ([]byte, error) {
 	if m.tokens == 0 {
 		return m.r.body, nil
 	}
@@ -77,12 +78,13 @@
 	return body, nil
 }
 
-// follow delivers the tokens of one attempt. Errors: *failure.Error, *httpserver.ConnectionClosedError.
-func (e *Entry) follow(ctx context.Context, t *try, m *modelAnswer, f *attempt.Follower) error {
+// deliverEvents delivers the tokens of one attempt to the caller until its last event. Errors: *failure.Error,
+// *httpserver.ConnectionClosedError.
+func (e *Entry) deliverEvents(ctx context.Context, t *try, m *modelResponse, f *attempt.Follower) error {
 	for {
 		event, err := f.Next()
 		if err != nil {
-			return e.broken(ctx, err)
+			return e.streamFailure(ctx, err)
 		}
 		if event.GetFailure() != "" {
 			return failure.New(failure.CodeUpstreamFailed, nil)
@@ -98,61 +100,63 @@
 	}
 }
 
-// broken is the failure of a stream that does not go on; a foreign event is counted, since it should never happen.
-func (e *Entry) broken(ctx context.Context, err error) error {
-	var foreign *attempt.MismatchError
-	if errors.As(err, &foreign) {
+// streamFailure returns the failure for a stream that ended before its last event. An event of another attempt should
+// never occur and is counted.
+func (e *Entry) streamFailure(ctx context.Context, err error) error {
+	var mismatch *attempt.MismatchError
+	if errors.As(err, &mismatch) {
 		e.metrics.mismatches.Inc()
 		return failure.New(failure.CodeUpstreamFailed, err)
 	}
-	return failure.New(afterEnd(ctx), err)
+	return failure.New(interruptedCode(ctx), err)
 }
 
-// ended reads the end of a stream whose last event was taken; without it its connection must not be reused.
-func ended(f *attempt.Follower) bool {
+// atEOF reads the end of a stream after its last event and reports whether it was found. Without it the connection must
+// not be reused.
+func atEOF(f *attempt.Follower) bool {
 	_, err := f.Next()
 	return err == io.EOF
 }
 
-// finishLength is why an answer ends that has all tokens that its caller asked for.
-const finishLength = "length"
+// finishReasonLength is the finish reason of a response that has reached the caller's token limit.
+const finishReasonLength = "length"
 
-// full reports whether all tokens are delivered that the caller asked for.
+// atTokenLimit reports whether as many tokens are delivered as the caller's limit allows.
 //
-// An upstream may die between the last token and the event that says so. Nothing is left to ask another one for, and asking
-// would make one token more.
-func (m *modelAnswer) full() bool {
+// An upstream may crash between the last token and the event that ends the stream. There is nothing to retry then, and a
+// retry would generate one token too many.
+func (m *modelResponse) atTokenLimit() bool {
 	return m.r.chat != nil && m.r.tokenLimit > 0 && m.tokens >= m.r.tokenLimit
 }
 
-// deliver gives one token to the caller.
-func (m *modelAnswer) deliver(ctx context.Context, text string) error {
-	m.note(time.Now())
+// deliver adds one token to the response, and writes it to the caller if the response is streamed.
+func (m *modelResponse) deliver(ctx context.Context, text string) error {
+	m.recordTokenTime(time.Now())
 	m.text.WriteString(text)
 	m.tokens++
 	if !m.r.chat.Stream {
 		return nil
 	}
-	if err := m.begin(); err != nil {
+	if err := m.startStream(); err != nil {
 		return err
 	}
 	return m.x.Write(ctx, m.chunk(text))
 }
 
-func (m *modelAnswer) note(now time.Time) {
+func (m *modelResponse) recordTokenTime(now time.Time) {
 	if m.tokens == 0 {
-		m.metrics.firstToken.Update(now.Sub(m.started).Seconds())
+		m.metrics.firstToken.Update(now.Sub(m.startedAt).Seconds())
 	} else {
-		m.metrics.betweenTokens.Update(now.Sub(m.last).Seconds())
+		m.metrics.betweenTokens.Update(now.Sub(m.lastTokenAt).Seconds())
 	}
-	m.last = now
+	m.lastTokenAt = now
 }
 
-func (m *modelAnswer) begin() error {
-	if m.begun {
+func (m *modelResponse) startStream() error {
+	if m.streamStarted {
 		return nil
 	}
-	m.begun = true
+	m.streamStarted = true
 	return m.x.Stream(fasthttp.StatusOK, []httpserver.Header{
 		{Name: "Content-Type", Value: "text/event-stream"},
 		{Name: "Cache-Control", Value: "no-store"},
@@ -160,15 +164,15 @@
 	})
 }
 
-// complete ends a whole answer.
-func (m *modelAnswer) complete(ctx context.Context) error {
+// complete finishes the response: it writes the end of a stream, or the complete JSON document.
+func (m *modelResponse) complete(ctx context.Context) error {
 	if !m.r.chat.Stream {
 		return m.x.Respond(fasthttp.StatusOK, []httpserver.Header{
 			{Name: "Content-Type", Value: "application/json"},
 			{Name: headerRequest, Value: m.r.id},
 		}, m.document())
 	}
-	if err := m.begin(); err != nil {
+	if err := m.startStream(); err != nil {
 		return err
 	}
 	last := append(m.lastChunk(), sseFrame([]byte("[DONE]"))...)
@@ -178,9 +182,9 @@
 	return m.x.End()
 }
 
-// fail ends a stream that was begun with a typed error in place of the end marker, so that nobody takes the part for
-// the whole.
-func (m *modelAnswer) fail(ctx context.Context, f *failure.Error) {
+// fail ends a started stream with a typed error in place of the end marker, so that the caller does not mistake the
+// truncated response for a complete one.
+func (m *modelResponse) fail(ctx context.Context, f *failure.Error) {
 	body, err := json.Marshal(httpserver.FailureBody{Error: httpserver.DetailOf(f)})
 	if err != nil {
 		return
--- a/internal/node/entry/plain.go
+++ b/internal/node/entry/plain.go
@@ -9,15 +9,15 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/routing"
 )
 
-// plainAnswer is a plain service's whole answer.
-type plainAnswer struct {
+// plainResponse is the complete response of a plain service.
+type plainResponse struct {
 	status int
 	mime   string
 	body   []byte
 }
 
-// tryPlain runs one attempt at a plain service and returns its answer once it is whole.
-func (e *Entry) tryPlain(ctx context.Context, v *view, c routing.Choice, r *request, trace string) (*plainAnswer, error) {
+// tryPlain runs one attempt at a plain service and returns the complete response.
+func (e *Entry) tryPlain(ctx context.Context, v *view, c routing.Choice, r *request, trace string) (*plainResponse, error) {
 	t := e.newTry(r, v, c, r.body, 0, trace)
 	defer t.flight.End()
 	res, err := e.send(ctx, t)
@@ -27,14 +27,14 @@
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
 		res.Release(false)
-		return nil, failure.New(afterEnd(ctx), err)
+		return nil, failure.New(interruptedCode(ctx), err)
 	}
-	out := &plainAnswer{res.Header.StatusCode(), string(res.Header.ContentType()), body}
+	out := &plainResponse{res.Header.StatusCode(), string(res.Header.ContentType()), body}
 	res.Release(true)
 	return out, nil
 }
 
-func (a *plainAnswer) respond(x *httpserver.Exchange, r *request) error {
+func (a *plainResponse) respond(x *httpserver.Exchange, r *request) error {
 	return x.Respond(a.status, []httpserver.Header{
 		{Name: "Content-Type", Value: a.mime},
 		{Name: headerRequest, Value: r.id},
--- a/internal/node/entry/request.go
+++ b/internal/node/entry/request.go
@@ -22,22 +22,22 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/config"
 )
 
-// Paths and header fields of callers.
+// Paths, header fields and limits of the API for callers.
 const (
-	pathAddresses  = "/v1/addresses"
-	pathChat       = "/v1/chat/completions"
-	pathServices   = "/v1/services/"
-	pathHealth     = "/healthz"
-	headerTimeout  = "Cardamomyoke-Timeout-Ms"
-	bearer         = "Bearer "
-	maxKeyBytes    = 128
-	maxTokensAsked = 32_768
-	defaultTokens  = 256
-	bytesPerToken  = 4
-	blockBytes     = 256
+	pathAddresses      = "/v1/addresses"
+	pathChat           = "/v1/chat/completions"
+	pathServices       = "/v1/services/"
+	pathHealth         = "/healthz"
+	headerTimeout      = "Cardamomyoke-Timeout-Ms"
+	bearer             = "Bearer "
+	maxKeyBytes        = 128
+	maxRequestedTokens = 32_768
+	defaultMaxTokens   = 256
+	bytesPerToken      = 4
+	blockBytes         = 256
 )
 
-// request is a caller's request after all checks that need no upstream.
+// request is a caller's request that passed all checks that need no upstream.
 type request struct {
 	id       string
 	client   ids.Client
@@ -51,20 +51,20 @@
 	mime     string
 	body     []byte
 	trace    string
-	// chat is set for model services.
+	// chat is non-nil for model services only.
 	chat *chatRequest
 	// promptTokens and outputTokens are estimates; blocks are the hashes of the prompt's leading blocks.
 	promptTokens, outputTokens int
-	// tokenLimit is the most tokens that the caller asked for; 0 if it did not say.
+	// tokenLimit is the maximum number of output tokens that the caller set, or 0 if it set none.
 	tokenLimit int
 	blocks     []uint64
-	// print identifies the request, whoever sends it again.
-	print quarantine.Fingerprint
-	// suspicion is the level at which the present attempt is sent.
+	// fingerprint identifies the request by its client and body, so that a repetition has the same one.
+	fingerprint quarantine.Fingerprint
+	// suspicion is the quarantine level of the current attempt.
 	suspicion int
 }
 
-// chatRequest is the part of an OpenAI-style body that matters here; the rest goes to the engine as it is.
+// chatRequest holds the fields of an OpenAI-style body that the entry reads; the engine receives the body unchanged.
 type chatRequest struct {
 	Model     string          `json:"model"`
 	Messages  json.RawMessage `json:"messages"`
@@ -72,14 +72,14 @@
 	MaxTokens int             `json:"max_tokens"`
 }
 
-// fieldFailure is a refusal that names the part of the request at fault.
+// fieldFailure returns a refusal that names the invalid field of the request.
 func fieldFailure(code failure.Code, field string, cause error) *failure.Error {
 	e := failure.New(code, cause)
 	e.Field = field
 	return e
 }
 
-// readRequest checks a request to a service. Errors: *failure.Error with a code that promises "not run".
+// readRequest parses and validates a request to a service. Errors: *failure.Error with a code that guarantees "not run".
 func readRequest(snap *config.Snapshot, in *fasthttp.Request, now time.Time) (*request, error) {
 	r := &request{
 		revision: snap.Revision(),
@@ -98,7 +98,7 @@
 	if err := r.readDeadline(in, now); err != nil {
 		return nil, err
 	}
-	r.print = quarantine.FingerprintOf(r.client, sha256.Sum256(r.body))
+	r.fingerprint = quarantine.FingerprintOf(r.client, sha256.Sum256(r.body))
 	return r, r.readKey()
 }
 
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// readChat reads the body of a request to a model.
+// readChat parses the body of a request to a model service.
 func (r *request) readChat() error {
 	if r.method != fasthttp.MethodPost {
 		return failure.New(failure.CodeMethodNotAllowed, nil)
@@ -154,12 +154,12 @@
 	if len(chat.Messages) == 0 || chat.Messages[0] != '[' {
 		return fieldFailure(failure.CodeMalformed, "messages: want a list", nil)
 	}
-	if chat.MaxTokens < 0 || chat.MaxTokens > maxTokensAsked {
-		return fieldFailure(failure.CodeMalformed, fmt.Sprintf("max_tokens: want 0 to %d", maxTokensAsked), nil)
+	if chat.MaxTokens < 0 || chat.MaxTokens > maxRequestedTokens {
+		return fieldFailure(failure.CodeMalformed, fmt.Sprintf("max_tokens: want 0 to %d", maxRequestedTokens), nil)
 	}
 	r.tokenLimit = chat.MaxTokens
 	if chat.MaxTokens == 0 {
-		chat.MaxTokens = defaultTokens
+		chat.MaxTokens = defaultMaxTokens
 	}
 	r.chat = chat
 	r.promptTokens = len(chat.Messages) / bytesPerToken
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// readClient finds the client account. The bearer token is NAME, or NAME:SECRET if the account has a secret.
+// readClient authenticates the client. The bearer token is NAME, or NAME:SECRET if the account has a secret.
 func (r *request) readClient(snap *config.Snapshot, in *fasthttp.Request) error {
 	token, ok := strings.CutPrefix(string(in.Header.Peek("Authorization")), bearer)
 	if !ok {
@@ -197,15 +197,15 @@
 }
 
 func (r *request) readDeadline(in *fasthttp.Request, now time.Time) error {
-	asked := time.Duration(0)
+	requested := time.Duration(0)
 	if text := string(in.Header.Peek(headerTimeout)); text != "" {
 		ms, err := strconv.ParseUint(text, 10, 31)
 		if err != nil || ms == 0 {
 			return fieldFailure(failure.CodeMalformed, headerTimeout+": want milliseconds", nil)
 		}
-		asked = time.Duration(ms) * time.Millisecond
+		requested = time.Duration(ms) * time.Millisecond
 	}
-	r.deadline = now.Add(config.Deadline(r.service, asked))
+	r.deadline = now.Add(config.Deadline(r.service, requested))
 	return nil
 }
 
--- a/internal/node/entry/request_test.go
+++ b/internal/node/entry/request_test.go
@@ -62,7 +62,7 @@
 
 const goodChat = `{"model":"desk-model","messages":[{"role":"user","content":"hi"}],"max_tokens":7}`
 
-func TestReadRequestRefusesWithATypedFailure(t *testing.T) {
+func TestReadRequestReturnsTypedFailures(t *testing.T) {
 	tests := map[string]struct {
 		text  string
 		code  failure.Code
@@ -72,17 +72,17 @@
 		"no messages":     {chat("open", `{"model":"desk-model"}`), failure.CodeMalformed, "messages"},
 		"too many tokens": {chat("open", `{"model":"desk-model","messages":[],"max_tokens":99999999}`), failure.CodeMalformed, "max_tokens"},
 		"unknown model":   {chat("open", `{"model":"other","messages":[]}`), failure.CodeUnknownService, "other"},
-		"plain as model":  {chat("open", `{"model":"slips","messages":[]}`), failure.CodeUnknownService, "model"},
-		"large for it":    {chat("open", `{"model":"desk-model","messages":["`+strings.Repeat("a", 200)+`"]}`), failure.CodeTooLarge, "200"},
+		"plain service":   {chat("open", `{"model":"slips","messages":[]}`), failure.CodeUnknownService, "model"},
+		"over body limit": {chat("open", `{"model":"desk-model","messages":["`+strings.Repeat("a", 200)+`"]}`), failure.CodeTooLarge, "200"},
 		"unknown client":  {chat("nobody", goodChat), failure.CodeUnknownClient, "Authorization"},
 		"no secret":       {chat("closed", goodChat), failure.CodeUnknownClient, "Authorization"},
 		"wrong secret":    {chat("closed:x", goodChat), failure.CodeUnknownClient, "Authorization"},
-		"no right":        {chat("narrow", goodChat), failure.CodeUnknownClient, "desk-model"},
+		"not allowed":     {chat("narrow", goodChat), failure.CodeUnknownClient, "desk-model"},
 		"no token":        {"POST /v1/services/slips/a HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", failure.CodeUnknownClient, "Authorization"},
 		"no key":          {slip(""), failure.CodeKeyRequired, ""},
 		"long key":        {slip("Idempotency-Key: " + strings.Repeat("k", 129) + "\r\n"), failure.CodeMalformed, "Idempotency-Key"},
 		"bad timeout":     {slip("Idempotency-Key: k\r\nCardamomyoke-Timeout-Ms: -1\r\n"), failure.CodeMalformed, "Timeout"},
-		"get a model":     {"GET /v1/services/desk-model/ HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer open\r\n\r\n", failure.CodeMethodNotAllowed, ""},
+		"GET of a model":  {"GET /v1/services/desk-model/ HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer open\r\n\r\n", failure.CodeMethodNotAllowed, ""},
 	}
 	snap := testSnapshot(t)
 	for name, tc := range tests {
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestReadRequestTakesWhatIsGood(t *testing.T) {
+func TestReadRequestAcceptsValidRequests(t *testing.T) {
 	now := time.Now()
 	snap := testSnapshot(t)
 	r, err := readRequest(snap, parse(t, chat("closed:hunter", goodChat)), now)
@@ -133,10 +133,10 @@
 		r, err := readRequest(snap, req, time.Now())
 		var typed *failure.Error
 		if err != nil && (!errors.As(err, &typed) || !typed.Code.Meaning().NotRun) {
-			t.Fatalf("untyped or unproved refusal: %v", err)
+			t.Fatalf("refusal without a type or without proof: %v", err)
 		}
 		if err == nil && (r.service == nil || r.client == "" || r.class == nil) {
-			t.Fatalf("took an incomplete request: %+v", r)
+			t.Fatalf("accepted an incomplete request: %+v", r)
 		}
 	})
 }
--- a/internal/node/entry/shutdown.go
+++ b/internal/node/entry/shutdown.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Shutdown leaves in the order that cuts nothing off. Callers keep an address for a while, so first the address is
-// withdrawn and the entry serves on for that time; then new work is refused as "not run"; then what is in flight is
-// finished. ctx bounds the whole.
+// Shutdown stops the entry without interrupting requests. Callers cache an address for some time, so the entry first
+// withdraws its address and keeps serving for that time. Then it refuses new work as "not run" and finishes the requests
+// in flight. ctx bounds the whole shutdown.
 func (e *Entry) Shutdown(ctx context.Context) error {
 	e.withdraw()
-	wait := e.addressKeep()
+	wait := e.addressTTL()
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
@@ -25,7 +25,7 @@
 	return err
 }
 
-// withdraw takes the entry out of the addresses and tells the others.
+// withdraw removes the entry from the addresses given to callers and notifies all members.
 func (e *Entry) withdraw() {
 	e.post(func(now time.Time) {
 		e.fire(eventLeave)
@@ -44,8 +44,8 @@
 	<-done
 }
 
-// addressKeep is for how long callers may keep an answer that names this entry.
-func (e *Entry) addressKeep() time.Duration {
+// addressTTL returns how long callers may cache an address response that contains this entry.
+func (e *Entry) addressTTL() time.Duration {
 	v := e.view.Load()
 	if v.config == nil {
 		return 0
@@ -53,7 +53,7 @@
 	return time.Duration(v.config.Proto.GetPolicies().GetAddressKeepMs()) * time.Millisecond
 }
 
-// Kill ends the entry at once, as a crash would; for tests.
+// Kill stops the entry immediately, as a crash would. It is for tests.
 func (e *Entry) Kill() { e.stop() }
 
 func (e *Entry) stop() {
--- a/internal/node/entry/state.go
+++ b/internal/node/entry/state.go
@@ -24,7 +24,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision"
 )
 
-// state is what the control loop owns. Nothing else touches it.
+// state is owned by the control loop; no other goroutine accesses it.
 type state struct {
 	settings  *Settings
 	config    config.Source
@@ -39,19 +39,19 @@
 	snapshot  *config.Snapshot
 }
 
-// upstream is the newest digest of a slot with what outlives it.
+// upstream holds the newest digest of a slot, and the state that is retained from digest to digest.
 type upstream struct {
-	digest  *cardamomyokev1.Digest
-	heardAt time.Time
-	work    *routing.Work
-	cached  *prefix.Table
+	digest     *cardamomyokev1.Digest
+	receivedAt time.Time
+	work       *routing.Work
+	cached     *prefix.Table
 }
 
 const (
-	// cachedBlocks is how many prompt blocks are remembered for one upstream.
+	// cachedBlocks is the maximum number of prompt blocks remembered per upstream.
 	cachedBlocks = 8192
-	// farAway stands for the distance to a data centre that the settings do not name.
-	farAway = 40 * time.Millisecond
+	// defaultDistance is the one-way latency to a data centre that the settings do not list.
+	defaultDistance = 40 * time.Millisecond
 )
 
 func newState(set *Settings, source config.Source, l *limits.Limiter, logger log.Logger, now time.Time) *state {
@@ -77,16 +77,16 @@
 	}
 }
 
-// hear takes in a digest and reports whether it is news: a late or doubled one is dropped.
-func (s *state) hear(d *cardamomyokev1.Digest, now time.Time) bool {
-	news := s.members.Receive(d, now)
-	if news && d.GetRole() == cardamomyokev1.NodeRole_NODE_ROLE_SLOT {
-		s.hearSlot(d, now)
+// receiveDigest processes a digest and reports whether it was new; a late or duplicate digest is dropped.
+func (s *state) receiveDigest(d *cardamomyokev1.Digest, now time.Time) bool {
+	isNew := s.members.Receive(d, now)
+	if isNew && d.GetRole() == cardamomyokev1.NodeRole_NODE_ROLE_SLOT {
+		s.receiveSlotDigest(d, now)
 	}
-	return news
+	return isNew
 }
 
-func (s *state) hearSlot(d *cardamomyokev1.Digest, now time.Time) {
+func (s *state) receiveSlotDigest(d *cardamomyokev1.Digest, now time.Time) {
 	id := ids.Upstream(d.GetNode())
 	u, ok := s.upstreams[id]
 	if !ok {
@@ -97,11 +97,11 @@
 		u.cached.Clear()
 	}
 	u.digest = d
-	u.heardAt = now
-	s.tracker.Apply(heardOf(d), now)
+	u.receivedAt = now
+	s.tracker.Apply(slotReportOf(d), now)
 }
 
-func heardOf(d *cardamomyokev1.Digest) health.Heard {
+func slotReportOf(d *cardamomyokev1.Digest) health.Heard {
 	return health.Heard{
 		Upstream:    ids.Upstream(d.GetNode()),
 		Service:     ids.Service(d.GetSlot().GetService()),
@@ -113,9 +113,9 @@
 	}
 }
 
-// adopt takes over a configuration. Pools live on with their queues, unless the classes changed; what waits in an old
-// queue is still answered from there.
-func (s *state) adopt(snap *config.Snapshot) {
+// applySnapshot switches to a configuration. Pools and their queues are retained unless the priority classes changed;
+// requests that wait in a dropped queue are still served from it.
+func (s *state) applySnapshot(snap *config.Snapshot) {
 	old := s.snapshot
 	s.snapshot = snap
 	s.tracker.SetEjectionPercent(int(snap.Proto.GetPolicies().GetEjectionPercent()))
@@ -130,8 +130,8 @@
 	})
 }
 
-// adoptRoster follows the members that the configuration log names.
-func (s *state) adoptRoster(r *revision.Roster, now time.Time) {
+// applyRoster updates the member list to the members listed in the configuration log.
+func (s *state) applyRoster(r *revision.Roster, now time.Time) {
 	if r == nil || r == s.roster {
 		return
 	}
@@ -139,14 +139,15 @@
 	s.members.SetRoster(membership.FromRevision(r.Members()), now)
 }
 
-// missingReports is how many reports of a slot in a row may be missing before it counts as silent.
+// missingReports is the number of consecutive slot reports that may be missing before the slot counts as silent.
 const missingReports = 3.5
 
-// tick judges health and forgets who is long silent. With more entries to tell, slots report more rarely, so the time
-// after which one is silent follows; a fixed one would eject healthy upstreams of a large deployment.
+// tick evaluates health and removes upstreams that have long been silent. The more entries there are, the less often a
+// slot reports to each, so the silence timeout follows the report interval; a fixed timeout would eject healthy
+// upstreams in a large deployment.
 func (s *state) tick(now time.Time) {
-	every := s.members.SlotInterval()
-	s.tracker.SetSilentAfter(max(health.Defaults().SilentAfter, time.Duration(missingReports*float64(every))))
+	interval := s.members.SlotInterval()
+	s.tracker.SetSilentAfter(max(health.Defaults().SilentAfter, time.Duration(missingReports*float64(interval))))
 	for _, c := range s.tracker.Evaluate(now) {
 		_ = level.Info(s.logger).Log("msg", "upstream changed", "upstream", c.Upstream, "from", c.From, "to", c.To, "reason", c.Reason)
 		s.record(now, &audit.Row{
@@ -163,7 +164,7 @@
 	}
 }
 
-// build makes the view from the present state.
+// build returns a view of the current state.
 func (s *state) build(serving bool, now time.Time) *view {
 	v := &view{
 		config:       s.snapshot,
@@ -184,7 +185,7 @@
 	return v
 }
 
-// pool returns the service's pool with a new picker and capacity; gate and budget live on from view to view.
+// pool returns the service's pool with a new picker and capacity. The gate and the budget are reused from view to view.
 func (s *state) pool(service *cardamomyokev1.Service, now time.Time) *pool {
 	name := ids.Service(service.GetName())
 	list := s.routes(name, now)
@@ -250,7 +251,7 @@
 		Batch:      int(load.GetBatch()),
 		Distance:   s.distance(ids.DataCentre(u.digest.GetDataCentre())),
 		Load: routing.Load{
-			TakenAt:         u.heardAt,
+			TakenAt:         u.receivedAt,
 			Total:           countsOf(load.GetTotal()),
 			Yours:           countsOf(load.GetYours()),
 			StepTime:        time.Duration(load.GetStepTimeUs()) * time.Microsecond,
@@ -281,7 +282,7 @@
 	}
 	d, ok := s.settings.DataCentres[dc]
 	if !ok {
-		return farAway
+		return defaultDistance
 	}
 	return d.Std()
 }
@@ -301,22 +302,23 @@
 	return sum / float64(n)
 }
 
-// minPart keeps the weight of a client above 0 where next to none of its demand was seen.
-const minPart = 0.01
+// minLocalShare keeps the weight of a client above 0 where almost none of its demand was seen.
+const minLocalShare = 0.01
 
-// weight is a client's share times the part of its demand that comes to this entry, so that it gets its share over all
-// entries and not at each.
+// weight returns a client's configured share times the fraction of its demand that arrives at this entry, so that the
+// client gets its share across all entries rather than at each of them.
 func (s *state) weight(c ids.Client) float64 {
-	return s.share(c) * max(minPart, s.limits.Part(c, time.Now()))
+	return s.share(c) * max(minLocalShare, s.limits.Part(c, time.Now()))
 }
 
-// share is a client's share by the configuration in force.
+// share returns a client's share in the configuration in force, at least 1.
 func (s *state) share(c ids.Client) float64 {
 	return float64(max(1, s.config.Current().Client(c).GetShare()))
 }
 
-// capacity is what this entry may have started at once: the part of all places that the clients' fair work at this
-// entry needs; an even part as long as there is no demand, or there are too many entries to exchange it in full.
+// capacity returns how much work this entry may run concurrently: the fraction of all batch slots that the clients'
+// fair shares of work at this entry need. It is an even split while there is no demand, or if there are too many
+// entries to exchange demand in full.
 func (s *state) capacity(list []*routing.Upstream, stepTime float64, now time.Time) admission.Capacity {
 	total := 0.0
 	for _, u := range list {
@@ -326,6 +328,6 @@
 	if stepTime > 0 {
 		rate = total / stepTime
 	}
-	part := s.limits.Quota(rate, s.share, now)
-	return admission.Capacity{Places: max(1, int(part*total)), TokensPerSecond: part * rate}
+	fraction := s.limits.Quota(rate, s.share, now)
+	return admission.Capacity{Places: max(1, int(fraction*total)), TokensPerSecond: fraction * rate}
 }
--- a/internal/node/entry/status.go
+++ b/internal/node/entry/status.go
@@ -6,10 +6,10 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// drainedByOperator is added to a state: the upstream is as healthy as the state says, and gets no new work.
+// drainedByOperator is appended to the health state of an upstream that gets no new work because an operator drained it.
 const drainedByOperator = ", drained by an operator"
 
-// UpstreamStatuses returns the upstreams that this entry routes to, for operators.
+// UpstreamStatuses returns the status of the upstreams that this entry routes to, for operators.
 func (e *Entry) UpstreamStatuses() []*cardamomyokev1.UpstreamStatus {
 	var out []*cardamomyokev1.UpstreamStatus
 	e.post(func(now time.Time) { out = e.state.upstreamStatuses(now) })
--- a/internal/node/entry/status_test.go
+++ b/internal/node/entry/status_test.go
@@ -13,12 +13,12 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/config"
 )
 
-// An operator drains a healthy upstream and looks at the status: it must not look as if it still took work.
-func TestStatusShowsWhatAnOperatorDrained(t *testing.T) {
+// Guards against a status in which a healthy upstream that an operator drained looks as if it still accepted work.
+func TestStatusShowsDrainedUpstreams(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newState(&Settings{Settings: host.Settings{Name: "e1", DataCentre: "vallejo"}}, nil, limits.New(limits.Defaults(), 1), log.NewNopLogger(), now)
 	for _, name := range []string{"u1", "u2"} {
-		s.hearSlot(&cardamomyokev1.Digest{
+		s.receiveSlotDigest(&cardamomyokev1.Digest{
 			Node: name, Incarnation: "a", Role: cardamomyokev1.NodeRole_NODE_ROLE_SLOT,
 			Slot: &cardamomyokev1.SlotLoad{Service: "desk-model"},
 		}, now)
@@ -32,7 +32,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.adopt(snap)
+		s.applySnapshot(snap)
 		list := s.upstreamStatuses(now)
 		if len(list) != 2 {
 			t.Fatalf("status %v", list)
--- a/internal/node/entry/usage.go
+++ b/internal/node/entry/usage.go
@@ -12,42 +12,43 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/admission/limits"
 )
 
-// usageInterval is the time between two reports of what clients ask for.
+// usageInterval is the interval between two reports of client demand.
 const usageInterval = time.Second
 
-// tellUsage reports the clients' demand here to the entries that add it up. It runs on the control loop.
-func (e *Entry) tellUsage(now time.Time) {
-	if now.Sub(e.usageAt) < usageInterval {
+// reportUsage sends the client demand at this entry to the entries that sum it. It runs on the control loop.
+func (e *Entry) reportUsage(now time.Time) {
+	if now.Sub(e.usageSentAt) < usageInterval {
 		return
 	}
-	e.usageAt = now
+	e.usageSentAt = now
 	peers := e.state.members.OtherEntries()
 	self := ids.Node(e.settings.Name)
 	ring := limits.NewRing(append(slices.Collect(maps.Keys(peers)), self))
 	for node, records := range ring.Address(self, e.limits.Report(now)) {
-		// What this entry adds up itself it reads directly; told to itself it would count twice.
+		// This entry includes its own demand directly when it sums; sending it to itself would count it twice.
 		if node != self {
 			e.sendUsage(peers[node].Digests, limits.Encode(records), nil, now)
 		}
 	}
 }
 
-// hearUsage takes in another entry's demand and answers with the sums, or takes in such an answer.
-func (e *Entry) hearUsage(d *cardamomyokev1.Digest, now time.Time) {
+// receiveUsage merges another entry's demand and replies with the sums, or merges such a reply. With few entries, all
+// exchange their demand in full, and no reply is needed.
+func (e *Entry) receiveUsage(d *cardamomyokev1.Digest, now time.Time) {
 	if d.GetSums() != nil {
-		e.limits.MergeSums(e.clientNames.Decode(d.GetSums()), now)
+		e.limits.MergeSums(e.clientsByHash.Decode(d.GetSums()), now)
 	}
 	if d.GetUsage() == nil {
 		return
 	}
-	sums := e.limits.MergeReport(ids.Node(d.GetNode()), e.clientNames.Decode(d.GetUsage()), now)
+	sums := e.limits.MergeReport(ids.Node(d.GetNode()), e.clientsByHash.Decode(d.GetUsage()), now)
 	if len(e.state.members.OtherEntries())+1 > limits.FullExchangeUpTo {
 		e.sendUsage(d.GetDigestAddress(), nil, limits.Encode(sums), now)
 	}
 }
 
 func (e *Entry) sendUsage(address string, usage, sums *cardamomyokev1.UsageReport, now time.Time) {
-	e.digests++
+	e.digestSequence++
 	d := e.ownDigest(now)
 	d.Suspects = nil
 	d.Usage = usage
--- a/internal/node/entry/view.go
+++ b/internal/node/entry/view.go
@@ -10,31 +10,31 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/config"
 )
 
-// view is what requests see of the entry's control state. It is immutable, but for the gates and budgets that its
-// pools point to, which have locks of their own.
+// view is the snapshot of the control state that requests use. It is immutable except for the gates and budgets of its
+// pools, which are safe for concurrent use.
 type view struct {
 	config *config.Snapshot
-	// serving says that new work is taken.
+	// serving is set if the entry accepts new work.
 	serving bool
 	pools   map[ids.Service]*pool
-	// addresses are those that callers may use, best first; see addresses.go.
+	// addresses are those of the other entries that callers may use; see addresses.go.
 	addresses []string
-	// incarnations name the life of each slot that the view was built from.
+	// incarnations holds the incarnation of each slot whose digest the view was built from.
 	incarnations map[ids.Upstream]ids.Incarnation
 }
 
-// pool is what one service's requests go through.
+// pool holds the picker, the admission gate and the retry budget for the requests of one service.
 type pool struct {
 	picker routing.Picker
 	gate   *admission.Gate
 	budget *retry.Budget
-	// upstreams are those of the picker.
+	// upstreams are the ones that picker chooses from.
 	upstreams []*routing.Upstream
-	// stepTime is the mean time of a step in the pool, in seconds; 0 if it is not known.
+	// stepTime is the mean time of a step in the pool, in seconds, or 0 if it is unknown.
 	stepTime float64
 }
 
-// usable names the upstreams that take new work and are not excluded.
+// usable returns the upstreams that accept new work and are not excluded.
 func (p *pool) usable(exclude []ids.Upstream) []ids.Upstream {
 	var out []ids.Upstream
 	for _, u := range p.upstreams {
@@ -45,7 +45,7 @@
 	return out
 }
 
-// allBut names all upstreams but one, to be excluded.
+// allBut returns all upstreams except one, as a list of upstreams to exclude.
 func (p *pool) allBut(one ids.Upstream) []ids.Upstream {
 	var out []ids.Upstream
 	for _, u := range p.upstreams {
