--- a/internal/node/slot/digests.go
+++ b/internal/node/slot/digests.go
@@ -15,10 +15,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision"
 )
 
-// digestTick is how often the slot looks who is due for a digest.
+// digestTick is the interval at which the slot checks which entries are due for a digest.
 const digestTick = 50 * time.Millisecond
 
-// digests tells entries of the slot, and learns of entries from theirs and from the roster.
+// digests sends the slot's digests to the entries, and maintains the list of entries from their digests and the roster.
 type digests struct {
 	slot     *Slot
 	sender   *digest.Sender
@@ -42,7 +42,7 @@
 		Digests:    s.settings.Digests.Address,
 	}
 	d := &digests{slot: s, sender: sender, members: membership.New(self, membership.Defaults(), time.Now())}
-	d.receiver, err = digest.Receive(s.settings.Digests.Address, d.take)
+	d.receiver, err = digest.Receive(s.settings.Digests.Address, d.receive)
 	if err != nil {
 		_ = sender.Close()
 		return nil, err
@@ -66,23 +66,24 @@
 	}
 }
 
-// take learns of an entry, and its incarnation, so that the slot can tell the entry its own part of the load.
-func (d *digests) take(in *cardamomyokev1.Digest) {
+// receive processes an entry's digest. It records the entry's incarnation, so that the slot can report to the entry its
+// own share of the load, and merges the suspects.
+func (d *digests) receive(in *cardamomyokev1.Digest) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.members.Receive(in, time.Now()) {
 		return
 	}
-	d.slot.guard.Merge(quarantine.FromDigest(in)...)
+	d.slot.quarantineGate.Merge(quarantine.FromDigest(in)...)
 }
 
-// send tells the entries that are due, or all of them if there is news that cannot wait.
+// send sends a digest to the entries that are due, or to all entries if all is set, for an urgent change.
 func (d *digests) send(all bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	d.slot.guard.SetPeriod(quarantinePeriod(d.slot.config))
-	d.adoptRoster(now)
+	d.slot.quarantineGate.SetPeriod(quarantinePeriod(d.slot.config))
+	d.applyRoster(now)
 	d.members.Tick(now)
 	for _, to := range d.members.DueTargets(d.slot.settings.Digests.Seeds, now, all) {
 		d.sequence++
@@ -94,7 +95,7 @@
 	}
 }
 
-func (d *digests) adoptRoster(now time.Time) {
+func (d *digests) applyRoster(now time.Time) {
 	if d.slot.roster == nil {
 		return
 	}
@@ -112,10 +113,10 @@
 	_ = d.sender.Close()
 }
 
-// digestFor is what the slot tells the given entry.
+// digestFor returns the slot's digest for the given entry.
 func (s *Slot) digestFor(entry ids.Incarnation, sequence uint64, now time.Time) *cardamomyokev1.Digest {
 	state := cardamomyokev1.NodeState_NODE_STATE_LIVE
-	if s.leaving.Load() {
+	if s.draining.Load() {
 		state = cardamomyokev1.NodeState_NODE_STATE_LEAVING
 	}
 	total, yours := s.work.counts(entry, now)
@@ -140,7 +141,7 @@
 			UpstreamDown: s.upstream.down.Load(),
 		},
 	}
-	out.Suspects = quarantine.ToDigest(s.guard.Digest(now, digestSuspects))
+	out.Suspects = quarantine.ToDigest(s.quarantineGate.Digest(now, maxDigestSuspects))
 	if snap := s.config.Current(); snap != nil {
 		out.Revision = uint64(snap.Revision())
 	}
--- a/internal/node/slot/handler.go
+++ b/internal/node/slot/handler.go
@@ -17,7 +17,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/config"
 )
 
-// job is one attempt on its way through the slot.
+// job is an attempt that the slot processes.
 type job struct {
 	attempt.Header
 	service *cardamomyokev1.Service
@@ -42,11 +42,11 @@
 		x.Fail(failure.New(failure.CodeMalformed, err))
 		return
 	}
-	// An earlier life of this slot may have started the attempt and forgotten it, so only this life's attempts can be
-	// promised. Otherwise the caller would be told "not run" of a request that ran before the restart.
-	mine := string(x.Req.Header.Peek(attempt.HeaderIncarnation)) == string(s.incarnation)
+	// An earlier incarnation of this slot may have started the attempt, and its record is lost. Only attempts meant for
+	// this incarnation can be fenced; otherwise the caller would receive "not run" for a request that ran before the restart.
+	current := string(x.Req.Header.Peek(attempt.HeaderIncarnation)) == string(s.incarnation)
 	code := fasthttp.StatusConflict
-	if mine && s.table.Fence(id, time.Now()) {
+	if current && s.attempts.Fence(id, time.Now()) {
 		code = fasthttp.StatusOK
 	}
 	s.metrics.fences.Inc()
@@ -66,18 +66,18 @@
 	j := &job{Header: h, body: x.Req.Body(), mime: string(x.Req.Header.ContentType())}
 	err = s.run(ctx, x, j)
 	span.End(err)
-	s.metrics.answered(err)
+	s.metrics.countAttempt(err)
 	if err != nil && !x.Responded() {
-		x.Fail(failure.From(err), own(h.Attempt))
+		x.Fail(failure.From(err), attemptHeader(h.Attempt))
 	}
 }
 
-// own is the header field that marks an answer as the one to its attempt.
-func own(a ids.Attempt) httpserver.Header {
+// attemptHeader returns the header field that identifies the attempt to which a response belongs.
+func attemptHeader(a ids.Attempt) httpserver.Header {
 	return httpserver.Header{Name: attempt.HeaderAttempt, Value: a.String()}
 }
 
-// run refuses before the start or runs; everything before table.Begin is a refusal with proof.
+// run runs an attempt or refuses it. All refusals before the start of the attempt carry proof that it did not run.
 func (s *Slot) run(ctx context.Context, x *httpserver.Exchange, j *job) error {
 	if err := s.admit(j, time.Now()); err != nil {
 		return err
@@ -85,7 +85,7 @@
 	if !j.service.GetRepeatable() {
 		return s.runOnce(ctx, x, j)
 	}
-	permit, err := s.enter(ctx, j)
+	permit, err := s.acquirePermit(ctx, j)
 	if err != nil {
 		return err
 	}
@@ -93,15 +93,15 @@
 	if err := s.begin(j); err != nil {
 		return err
 	}
-	defer func() { s.table.Finish(j.Attempt, time.Now()) }()
+	defer func() { s.attempts.Finish(j.Attempt, time.Now()) }()
 	err = s.forward(ctx, x, j)
-	s.leave(ctx, permit, err)
+	s.releasePermit(ctx, permit, err)
 	return err
 }
 
-// begin marks the attempt as started; a fenced or doubled one is refused.
+// begin marks the attempt as started. It refuses a fenced attempt and a duplicate.
 func (s *Slot) begin(j *job) error {
-	err := s.table.Begin(j.Attempt, time.Now())
+	err := s.attempts.Begin(j.Attempt, time.Now())
 	if err == nil {
 		return nil
 	}
@@ -115,33 +115,33 @@
 	return s.forwardPlain(ctx, x, j)
 }
 
-// refuse is a refusal of an attempt that this slot has not handed to its upstream.
+// refuse returns the refusal of an attempt that this slot has not sent to its upstream.
 func refuse(code failure.Code, cause error) *failure.Error {
 	return failure.New(code, cause).WithProof(failure.ProofRefusedBeforeStart)
 }
 
-// IncarnationError says that an attempt was meant for an earlier life of this slot.
+// IncarnationError reports that an attempt was meant for another incarnation of this slot.
 type IncarnationError struct{ Got, Want ids.Incarnation }
 
 // Error implements error.
 func (e *IncarnationError) Error() string {
-	return fmt.Sprintf("meant for incarnation %s, this is %s", e.Got, e.Want)
+	return fmt.Sprintf("attempt is for incarnation %s, this is %s", e.Got, e.Want)
 }
 
-// RevisionError says that an entry acted on another configuration than the one in force here.
+// RevisionError reports that an entry decided on a configuration that this slot does not admit.
 type RevisionError struct{ Got, InForce ids.Revision }
 
 // Error implements error.
 func (e *RevisionError) Error() string {
-	return fmt.Sprintf("decided on revision %d, in force is %d", e.Got, e.InForce)
+	return fmt.Sprintf("attempt was decided on revision %d, but revision %d is in force", e.Got, e.InForce)
 }
 
-// admit checks all that must hold before an attempt may start.
+// admit checks the preconditions of an attempt, and sets its service.
 func (s *Slot) admit(j *job, now time.Time) error {
-	if s.leaving.Load() {
+	if s.draining.Load() {
 		return refuse(failure.CodeStopping, nil)
 	}
-	// A slot that restarted has forgotten which attempts it fenced; one meant for its earlier life may be among them.
+	// A restart loses the record of fenced attempts, and an attempt meant for an earlier incarnation may be one of them.
 	if j.Incarnation != s.incarnation {
 		return refuse(failure.CodeNoUpstream, &IncarnationError{j.Incarnation, s.incarnation})
 	}
@@ -159,8 +159,9 @@
 	return nil
 }
 
-// configFor returns the configuration in force. Work decided on an older one is refused: a paused entry that wakes up
-// may still act on what an operator has already replaced, and the caller would get an answer under the old decision.
+// configFor returns the configuration in force. It refuses work decided on a superseded revision: an entry that resumes
+// after a pause may still act on a configuration that an operator has replaced, and the caller would get a response based
+// on the old one.
 func (s *Slot) configFor(r ids.Revision, now time.Time) (*config.Snapshot, error) {
 	snap := s.config.Current()
 	if snap == nil || !s.config.Fresh(now) {
--- a/internal/node/slot/metrics.go
+++ b/internal/node/slot/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/failure"
 )
 
-// slotMetrics are the counters of one slot; docs/OPERATIONS.md explains them.
+// slotMetrics holds the metrics of one slot; see docs/OPERATIONS.md.
 type slotMetrics struct {
 	set         *metrics.Set
 	fences      *metrics.Counter
@@ -26,7 +26,7 @@
 	}
 }
 
-func (m *slotMetrics) answered(err error) {
+func (m *slotMetrics) countAttempt(err error) {
 	code := "ok"
 	if err != nil {
 		code = string(failure.CodeOf(err))
@@ -34,5 +34,5 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("cardamomyoke_slot_attempts_total{code=%q}", code)).Inc()
 }
 
-// Metrics returns the slot's counters.
+// Metrics returns the slot's metrics.
 func (s *Slot) Metrics() *metrics.Set { return s.metrics.set }
--- a/internal/node/slot/model.go
+++ b/internal/node/slot/model.go
@@ -20,18 +20,18 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/routing"
 )
 
-// The engine's protocol: an OpenAI-style completion with these header fields besides.
+// The engine's protocol: an OpenAI-style completion with additional header fields.
 const (
-	enginePath         = "/v1/chat/completions"
-	engineHeaderID     = "X-Request-Id"
-	engineHeaderRank   = "X-Priority"
-	engineHeaderResume = "X-Resume-Tokens"
-	engineDone         = "[DONE]"
-	bytesPerToken      = 4
-	defaultStopAfter   = 2 * time.Second
+	enginePath          = "/v1/chat/completions"
+	engineHeaderID      = "X-Request-Id"
+	engineHeaderRank    = "X-Priority"
+	engineHeaderResume  = "X-Resume-Tokens"
+	engineDone          = "[DONE]"
+	bytesPerToken       = 4
+	defaultStallTimeout = 2 * time.Second
 )
 
-// engineChunk is one event of an engine's answer.
+// engineChunk is one event of an engine's response.
 type engineChunk struct {
 	ID      string `json:"id"`
 	Index   int    `json:"token_index"`
@@ -43,14 +43,14 @@
 	} `json:"choices"`
 }
 
-// StalledError says that the engine sent nothing for too long.
+// StalledError reports that the engine sent nothing for the stall timeout, After.
 type StalledError struct{ After time.Duration }
 
 // Error implements error.
 func (e *StalledError) Error() string { return fmt.Sprintf("engine sent nothing for %v", e.After) }
 
-// forwardModel runs an attempt on the engine and passes its tokens on. The context of the engine's request ends when
-// the entry goes away, which closes the connection, which cancels the request in the engine.
+// forwardModel runs an attempt on the engine and relays its tokens to the entry. If the entry disconnects, ctx ends,
+// which closes the connection to the engine and thereby cancels the request there.
 func (s *Slot) forwardModel(ctx context.Context, x *httpserver.Exchange, j *job) error {
 	flight := s.work.start(j.Attempt.Entry, estimateOf(j), time.Now())
 	defer flight.End()
@@ -59,30 +59,30 @@
 	sent := time.Now()
 	req := engineRequest(j)
 	res, err := s.client.Do(ctx, s.settings.Upstream.Address, req)
-	fasthttp.ReleaseRequest(req) // it is written in full, or given up
+	fasthttp.ReleaseRequest(req) // by now it is written in full or abandoned
 	if err != nil {
 		return s.upstreamError(ctx, err)
 	}
-	trusted := false
-	defer func() { res.Release(trusted) }()
+	reusable := false
+	defer func() { res.Release(reusable) }()
 	if code := res.Header.StatusCode(); code != fasthttp.StatusOK {
 		return engineStatus(code)
 	}
-	relay := &modelRelay{x: x, job: j, id: j.Attempt.String(), flight: flight, speed: &s.speed, steps: &s.steps, last: sent, after: s.settings.Upstream.StopAfter.Or(defaultStopAfter)}
-	relay.watch = relay.stallTimer(cancel)
-	defer relay.watch.Stop()
-	err = relay.all(ctx, res)
-	trusted = err == nil
+	relay := &modelRelay{x: x, job: j, id: j.Attempt.String(), flight: flight, speed: &s.speed, steps: &s.steps, lastTokenAt: sent, stallTimeout: s.settings.Upstream.StopAfter.Or(defaultStallTimeout)}
+	relay.stallTimer = relay.newStallTimer(cancel)
+	defer relay.stallTimer.Stop()
+	err = relay.relayEvents(ctx, res)
+	reusable = err == nil
 	if err != nil {
 		err = errors.Join(err, context.Cause(ctx))
 	}
 	return err
 }
 
-// stallTimer ends an answer whose engine sends nothing for too long; it starts with the first token, since before it
-// the request may be waiting for its place.
-func (r *modelRelay) stallTimer(cancel context.CancelCauseFunc) *time.Timer {
-	t := time.AfterFunc(r.after, func() { cancel(&StalledError{r.after}) })
+// newStallTimer returns a timer that cancels the request if the engine sends nothing for the stall timeout. It is
+// started by the first token, since the request may be queued in the engine before that.
+func (r *modelRelay) newStallTimer(cancel context.CancelCauseFunc) *time.Timer {
+	t := time.AfterFunc(r.stallTimeout, func() { cancel(&StalledError{r.stallTimeout}) })
 	t.Stop()
 	return t
 }
@@ -107,8 +107,8 @@
 	return req
 }
 
-// engineStatus is the failure for an engine's answer that is no stream. A 4xx is the engine's word that the request is
-// wrong; it did not run.
+// engineStatus returns the failure for an engine's response with a status other than 200. With a 4xx status the engine
+// rejects the request as invalid without running it; 429 and 503 mean that it is overloaded.
 func engineStatus(code int) error {
 	cause := &StatusError{code}
 	if code == fasthttp.StatusServiceUnavailable || code == fasthttp.StatusTooManyRequests {
@@ -120,15 +120,15 @@
 	return failure.New(failure.CodeUpstreamFailed, cause)
 }
 
-// StatusError is an upstream's answer with a status that is no success.
+// StatusError reports that an upstream responded with an unsuccessful status.
 type StatusError struct{ Status int }
 
 // Error implements error.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("upstream answered with status %d", e.Status)
+	return fmt.Sprintf("upstream responded with status %d", e.Status)
 }
 
-// upstreamError tells whether the upstream can have begun to run the request.
+// upstreamError returns the failure for a failed call, by whether the upstream may have started to run the request.
 func (s *Slot) upstreamError(ctx context.Context, err error) error {
 	var dial *httpclient.DialError
 	if errors.As(err, &dial) {
@@ -140,128 +140,131 @@
 	return failure.New(failure.CodeUpstreamFailed, err)
 }
 
-// modelRelay passes the events of one engine answer on to the entry.
+// modelRelay relays the events of one engine response to the entry.
 type modelRelay struct {
-	x      *httpserver.Exchange
-	job    *job
-	flight *routing.Flight
-	speed  *speed
-	steps  *atomic.Uint64
-	last   time.Time
-	watch  *time.Timer
-	after  time.Duration
-	next   int
-	begun  bool
-	id     string
-	// in, out and wire are used for one event after the other.
-	in   engineChunk
-	out  attempt.Event
-	wire bytes.Buffer
+	x             *httpserver.Exchange
+	job           *job
+	flight        *routing.Flight
+	speed         *speed
+	steps         *atomic.Uint64
+	lastTokenAt   time.Time
+	stallTimer    *time.Timer
+	stallTimeout  time.Duration
+	nextIndex     int
+	streamStarted bool
+	id            string
+	// chunk, event and buf are reused from event to event.
+	chunk engineChunk
+	event attempt.Event
+	buf   bytes.Buffer
 }
 
-func (r *modelRelay) all(ctx context.Context, res *httpclient.Response) error {
-	r.next = r.job.Resume
+func (r *modelRelay) relayEvents(ctx context.Context, res *httpclient.Response) error {
+	r.nextIndex = r.job.Resume
 	for ev, err := range sse.Read(res.Body, nil) {
 		if err != nil {
-			return r.broken(r.cut(err))
+			return r.fail(r.truncated(err))
 		}
 		if ev.Data == engineDone {
-			return r.broken(nil)
+			return r.fail(nil)
 		}
-		last, err := r.one(ctx, []byte(ev.Data))
+		last, err := r.relayEvent(ctx, []byte(ev.Data))
 		if err != nil {
-			return r.broken(err)
+			return r.fail(err)
 		}
 		if last {
 			return r.finish(res)
 		}
 	}
-	return r.broken(r.cut(nil))
+	return r.fail(r.truncated(nil))
 }
 
-// cut says that the engine's answer ended before its last token.
-func (r *modelRelay) cut(cause error) error {
-	return &attempt.CutError{Attempt: r.job.Attempt, Tokens: r.next, Cause: cause}
+// truncated returns the error for an engine response that ended before its last event.
+func (r *modelRelay) truncated(cause error) error {
+	return &attempt.CutError{Attempt: r.job.Attempt, Tokens: r.nextIndex, Cause: cause}
 }
 
-// one passes one token on; it reports whether that was the end.
-func (r *modelRelay) one(ctx context.Context, data []byte) (bool, error) {
-	r.in = engineChunk{Choices: r.in.Choices[:0]}
-	if err := json.Unmarshal(data, &r.in); err != nil {
+// relayEvent relays one event and reports whether it was the last.
+func (r *modelRelay) relayEvent(ctx context.Context, data []byte) (bool, error) {
+	r.chunk = engineChunk{Choices: r.chunk.Choices[:0]}
+	if err := json.Unmarshal(data, &r.chunk); err != nil {
 		return false, fmt.Errorf("engine event: %w", err)
 	}
-	if err := r.check(&r.in); err != nil {
+	if err := r.checkChunk(&r.chunk); err != nil {
 		return false, err
 	}
-	choice := r.in.Choices[0]
-	r.out = attempt.Event{
-		Attempt: r.job.Attempt.Seq, Index: uint32(r.in.Index), Text: choice.Delta.Content, Finish: choice.FinishReason,
+	choice := r.chunk.Choices[0]
+	r.event = attempt.Event{
+		Attempt: r.job.Attempt.Seq, Index: uint32(r.chunk.Index), Text: choice.Delta.Content, Finish: choice.FinishReason,
 	}
-	last := attempt.Last(&r.out)
+	last := attempt.Last(&r.event)
 	if !last {
-		r.count()
-		r.next++
+		r.recordToken()
+		r.nextIndex++
 	}
 	return last, r.send(ctx)
 }
 
-// check matches an engine's event against the attempt: a late or crossed answer carries another id or index.
-func (r *modelRelay) check(c *engineChunk) error {
+// checkChunk verifies that an engine's event belongs to the attempt and is the next one: a late or misrouted event has
+// another id or index.
+func (r *modelRelay) checkChunk(c *engineChunk) error {
 	if c.ID != r.id {
 		return &attempt.MismatchError{Attempt: r.job.Attempt, Want: "its own id", Got: c.ID}
 	}
-	if c.Index != r.next || len(c.Choices) != 1 {
+	if c.Index != r.nextIndex || len(c.Choices) != 1 {
 		return &attempt.MismatchError{
 			Attempt: r.job.Attempt,
-			Want:    fmt.Sprintf("token %d", r.next),
+			Want:    fmt.Sprintf("token %d", r.nextIndex),
 			Got:     fmt.Sprintf("token %d in %d choices", c.Index, len(c.Choices)),
 		}
 	}
 	return nil
 }
 
-func (r *modelRelay) count() {
+func (r *modelRelay) recordToken() {
 	now := time.Now()
-	if r.next > r.job.Resume {
-		r.speed.step.add(now.Sub(r.last))
+	if r.nextIndex > r.job.Resume {
+		r.speed.step.add(now.Sub(r.lastTokenAt))
 	}
-	r.last = now
+	r.lastTokenAt = now
 	r.flight.Token(1)
-	r.watch.Reset(r.after)
+	r.stallTimer.Reset(r.stallTimeout)
 	r.steps.Add(1)
 }
 
-// send passes r.out on.
+// send writes r.event to the entry.
 func (r *modelRelay) send(ctx context.Context) error {
-	if !r.begun {
-		r.begun = true
-		headers := []httpserver.Header{own(r.job.Attempt), {Name: "Content-Type", Value: attempt.ContentType}}
+	if !r.streamStarted {
+		r.streamStarted = true
+		headers := []httpserver.Header{attemptHeader(r.job.Attempt), {Name: "Content-Type", Value: attempt.ContentType}}
 		if err := r.x.Stream(fasthttp.StatusOK, headers); err != nil {
 			return err
 		}
 	}
-	r.wire.Reset()
-	if err := attempt.Write(&r.wire, &r.out); err != nil {
+	r.buf.Reset()
+	if err := attempt.Write(&r.buf, &r.event); err != nil {
 		return err
 	}
-	return r.x.Write(ctx, r.wire.Bytes())
+	return r.x.Write(ctx, r.buf.Bytes())
 }
 
-// finish reads the engine's end marker, without which the connection may not be used again.
+// finish ends the stream to the entry and reads the engine's end marker. Until that is read, the connection must not be
+// reused.
 func (r *modelRelay) finish(res *httpclient.Response) error {
 	if err := r.x.End(); err != nil {
 		return err
 	}
-	return drain(res)
+	return readEnd(res)
 }
 
-// broken tells the entry that the answer breaks off, so that it can resume elsewhere at once.
-func (r *modelRelay) broken(cause error) error {
+// fail returns the failure for an incomplete response. If the stream has started, it also ends it with a failure event,
+// so that the entry can immediately resume on another upstream.
+func (r *modelRelay) fail(cause error) error {
 	e := failure.New(failure.CodeUpstreamFailed, cause)
-	if !r.begun {
+	if !r.streamStarted {
 		return e
 	}
-	r.out = attempt.Event{Attempt: r.job.Attempt.Seq, Index: uint32(r.next), Failure: string(e.Code)}
+	r.event = attempt.Event{Attempt: r.job.Attempt.Seq, Index: uint32(r.nextIndex), Failure: string(e.Code)}
 	if err := r.send(context.Background()); err == nil {
 		_ = r.x.End()
 	}
--- a/internal/node/slot/once.go
+++ b/internal/node/slot/once.go
@@ -13,7 +13,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/claims"
 )
 
-// runOnce runs a request that may not be repeated: it starts only while this attempt holds the claim on its key.
+// runOnce runs a request that must not be repeated. It starts only if this attempt holds the claim on the request's key.
 func (s *Slot) runOnce(ctx context.Context, x *httpserver.Exchange, j *job) error {
 	if j.Key == "" {
 		return refuse(failure.CodeKeyRequired, nil)
@@ -23,32 +23,32 @@
 	case verdict.Refusal != nil:
 		return verdict.Refusal
 	case verdict.Outcome != nil:
-		return respondPlain(x, j, &plainAnswer{verdict.Outcome.Status, verdict.Outcome.ContentType, verdict.Outcome.Body})
+		return respondPlain(x, j, &plainResponse{verdict.Outcome.Status, verdict.Outcome.ContentType, verdict.Outcome.Body})
 	}
-	permit, err := s.enter(ctx, j)
+	permit, err := s.acquirePermit(ctx, j)
 	if err != nil {
 		s.claims.NotStarted(j.Attempt)
 		return err
 	}
 	defer permit.Release(quarantine.Stopped)
-	// The fence is asked after the claim and directly before the start: an entry that gave up while the claim was
-	// being written gets its promise, and the claim is given back.
+	// The fence is checked after the claim and directly before the start. If the entry fenced the attempt while the claim
+	// was being written, the attempt does not start and its claim is released.
 	if err := s.begin(j); err != nil {
 		s.claims.NotStarted(j.Attempt)
 		return err
 	}
-	defer func() { s.table.Finish(j.Attempt, time.Now()) }()
-	answer, err := s.callPlain(ctx, j)
-	s.leave(ctx, permit, err)
+	defer func() { s.attempts.Finish(j.Attempt, time.Now()) }()
+	res, err := s.callPlain(ctx, j)
+	s.releasePermit(ctx, permit, err)
 	if err != nil {
-		return s.settleClaim(j.Attempt, err)
+		return s.resolveClaim(j.Attempt, err)
 	}
-	s.claims.Finished(j.Attempt, claims.Outcome{Status: answer.status, ContentType: answer.mime, Body: answer.body})
-	return respondPlain(x, j, answer)
+	s.claims.Finished(j.Attempt, claims.Outcome{Status: res.status, ContentType: res.mime, Body: res.body})
+	return respondPlain(x, j, res)
 }
 
-// settleClaim gives a claim back if the request provably never reached the service, and else marks it as lost.
-func (s *Slot) settleClaim(a ids.Attempt, err error) error {
+// resolveClaim releases a claim if the request provably did not run. Otherwise it marks the outcome as lost.
+func (s *Slot) resolveClaim(a ids.Attempt, err error) error {
 	var f *failure.Error
 	if errors.As(err, &f) && f.Code.Meaning().NotRun {
 		s.claims.NotStarted(a)
--- a/internal/node/slot/orders.go
+++ b/internal/node/slot/orders.go
@@ -18,30 +18,32 @@
 )
 
 const (
-	// ordersInterval is the time between two looks at the upstream's row of orders: 780 slots read 156 rows a second.
+	// ordersInterval is the interval at which the slot reads the row with its upstream's order. 780 slots together read
+	// 156 rows per second.
 	ordersInterval = 5 * time.Second
-	// orderTimeout bounds one order; loading goes on in the engine after it answered.
+	// orderTimeout bounds the delivery of one order. The engine responds first and loads in the background.
 	orderTimeout = 2 * time.Second
-	// ordersPath is where an engine takes orders, as the JSON form of EngineOrder.
+	// ordersPath is the engine's path for orders, which are sent as JSON of EngineOrder.
 	ordersPath = "/v1/orders"
 )
 
-// orders hands operators' orders to the engine. Only this slot does, and only orders that are not older than any before:
-// an engine that ignores fencing numbers would else obey a late copy of an order that was replaced since.
+// orders delivers operators' orders to the engine. No other process sends the engine orders, and the slot never sends an
+// order that is older than a previous one: an engine that ignores fencing tokens would otherwise execute a late copy of
+// an order that has since been replaced.
 type orders struct {
-	slot  *Slot
-	table platform.Table
-	gate  lease.FenceFilter
-	// done is the fencing number of the newest order that the engine took.
-	done ids.Fence
+	slot        *Slot
+	table       platform.Table
+	fenceFilter lease.FenceFilter
+	// lastDelivered is the fencing token of the newest order that the engine accepted.
+	lastDelivered ids.Fence
 }
 
-// run looks for orders until ctx ends.
+// run polls for orders until ctx ends.
 func (o *orders) run(ctx context.Context) {
 	tick := time.NewTicker(ordersInterval)
 	defer tick.Stop()
 	for {
-		if err := o.turn(ctx); err != nil {
+		if err := o.deliverNewest(ctx); err != nil {
 			_ = level.Warn(o.slot.logger).Log("msg", "order not carried out", "err", err)
 		}
 		select {
@@ -52,8 +54,9 @@
 	}
 }
 
-// turn carries out the newest order, if the engine has not taken it yet; one that failed is given again.
-func (o *orders) turn(ctx context.Context) error {
+// deliverNewest delivers the newest order unless the engine has already accepted it. After an error, the next call
+// retries the order.
+func (o *orders) deliverNewest(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	newest, err := order.Latest(ctx, o.table, ids.Upstream(o.slot.settings.Name))
@@ -61,21 +64,21 @@
 		return fmt.Errorf("read orders: %w", err)
 	}
 	fence := ids.Fence(newest.GetFence())
-	if newest == nil || fence == o.done {
+	if newest == nil || fence == o.lastDelivered {
 		return nil
 	}
-	if err := o.gate.Admit(fence); err != nil {
+	if err := o.fenceFilter.Admit(fence); err != nil {
 		return fmt.Errorf("order of operator %s: %w", newest.GetOperator(), err)
 	}
-	if err := o.give(ctx, newest); err != nil {
+	if err := o.send(ctx, newest); err != nil {
 		return err
 	}
-	o.done = fence
+	o.lastDelivered = fence
 	_ = level.Info(o.slot.logger).Log("msg", "order carried out", "fence", fence, "operator", newest.GetOperator(), "operation", newest.GetOperationId())
 	return nil
 }
 
-func (o *orders) give(ctx context.Context, newest *cardamomyokev1.EngineOrder) error {
+func (o *orders) send(ctx context.Context, newest *cardamomyokev1.EngineOrder) error {
 	body, err := protojson.Marshal(newest)
 	if err != nil {
 		return fmt.Errorf("encode order: %w", err)
@@ -89,13 +92,13 @@
 	req.SetBodyRaw(body)
 	res, err := o.slot.client.Do(ctx, o.slot.settings.Upstream.Address, req)
 	if err != nil {
-		return fmt.Errorf("give order: %w", err)
+		return fmt.Errorf("send order: %w", err)
 	}
 	_, err = io.Copy(io.Discard, res.Body)
 	status := res.Header.StatusCode()
 	res.Release(err == nil)
 	if status != fasthttp.StatusOK {
-		return fmt.Errorf("give order: %w", &StatusError{status})
+		return fmt.Errorf("send order: %w", &StatusError{status})
 	}
 	return nil
 }
--- a/internal/node/slot/orders_test.go
+++ b/internal/node/slot/orders_test.go
@@ -19,7 +19,7 @@
 	standin "github.com/cardamomyoke/cardamomyoke/internal/testing/standin/platform"
 )
 
-// startOrders returns the orders of a slot beside an engine that ignores or honours fencing numbers.
+// startOrders returns the orders of a slot whose engine ignores or honours fencing tokens.
 func startOrders(t *testing.T, table platform.Table, honour bool) (*orders, *engine.Engine) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,7 +39,7 @@
 	return &orders{slot: s, table: table}, e
 }
 
-func put(t *testing.T, table platform.Table, id, version string) {
+func putOrder(t *testing.T, table platform.Table, id, version string) {
 	t.Helper()
 	meta := &cardamomyokev1.ChangeMeta{Operator: "o", Reason: "r", OperationId: id}
 	_, err := order.Put(context.Background(), table, meta, &cardamomyokev1.EngineOrder{
@@ -53,20 +53,19 @@
 	}
 }
 
-// An operator sees its order carried out once by either kind of engine, and again only after the engine failed to take
-// it.
-func TestOrdersReachTheEngineOnce(t *testing.T) {
+// Guards against delivering an order twice, to an engine that honours fencing tokens and to one that ignores them.
+func TestOrdersAreDeliveredOnce(t *testing.T) {
 	for _, honour := range []bool{false, true} {
 		store := standin.NewStore(standin.Limits{})
 		o, e := startOrders(t, store, honour)
-		put(t, store, "op-1", "v1")
+		putOrder(t, store, "op-1", "v1")
 		for range 3 {
-			if err := o.turn(t.Context()); err != nil {
+			if err := o.deliverNewest(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		put(t, store, "op-2", "v2")
-		if err := o.turn(t.Context()); err != nil {
+		putOrder(t, store, "op-2", "v2")
+		if err := o.deliverNewest(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff([]string{"m:v1", "m:v2"}, e.Orders()); diff != "" {
@@ -75,55 +74,56 @@
 	}
 }
 
-// lagging answers reads with the row as it was, as a replica of a table that lags may.
-type lagging struct {
+// staleTable returns old rows to reads, as a lagging replica of a table may.
+type staleTable struct {
 	platform.Table
 	old []platform.Row
 }
 
-func (l *lagging) Get(ctx context.Context, keys ...string) ([]platform.Row, error) {
+func (l *staleTable) Get(ctx context.Context, keys ...string) ([]platform.Row, error) {
 	if l.old != nil {
 		return l.old, nil
 	}
 	return l.Table.Get(ctx, keys...)
 }
 
-// An operator replaced an order, and a late read shows the slot the old one again. An engine that ignores fencing
-// numbers would go back to the old version; the slot's gate refuses instead.
-func TestAnOlderOrderIsNotGivenAgain(t *testing.T) {
+// An operator replaced an order, and a stale read returns the old one to the slot again. An engine that ignores fencing
+// tokens would go back to the old version, so the slot must refuse to send it.
+func TestStaleOrderIsNotDelivered(t *testing.T) {
 	store := standin.NewStore(standin.Limits{})
-	table := &lagging{Table: store}
+	table := &staleTable{Table: store}
 	o, e := startOrders(t, table, false)
-	put(t, store, "op-1", "v1")
+	putOrder(t, store, "op-1", "v1")
 	first, err := store.Get(t.Context(), "orders/u1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	put(t, store, "op-2", "v2")
-	if err := o.turn(t.Context()); err != nil {
+	putOrder(t, store, "op-2", "v2")
+	if err := o.deliverNewest(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	table.old = first
-	if err := o.turn(t.Context()); err == nil {
-		t.Fatal("an order that was replaced was given")
+	if err := o.deliverNewest(t.Context()); err == nil {
+		t.Fatal("a replaced order was delivered")
 	}
 	if diff := cmp.Diff([]string{"m:v2"}, e.Orders()); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// The order is given again after the engine was away: nothing is lost because the engine restarted at the wrong moment.
-func TestAnOrderThatFailedIsGivenAgain(t *testing.T) {
+// Guards against losing an order because the engine was down: an order that could not be delivered must not count as
+// delivered, so that the next turn retries it.
+func TestFailedOrderIsRetried(t *testing.T) {
 	store := standin.NewStore(standin.Limits{})
 	o, e := startOrders(t, store, true)
-	put(t, store, "op-1", "v1")
+	putOrder(t, store, "op-1", "v1")
 	e.Stop()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	if err := o.turn(ctx); err == nil {
-		t.Fatal("an engine that is gone took an order")
+	if err := o.deliverNewest(ctx); err == nil {
+		t.Fatal("a stopped engine accepted an order")
 	}
-	if o.done != 0 {
-		t.Fatal("the order counts as carried out")
+	if o.lastDelivered != 0 {
+		t.Fatal("the failed order counts as delivered")
 	}
 }
--- a/internal/node/slot/plain.go
+++ b/internal/node/slot/plain.go
@@ -15,18 +15,18 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/attempt"
 )
 
-// maxAnswerBytes is the largest answer of a plain service that is passed on.
-const maxAnswerBytes = 4 << 20
+// maxResponseBytes is the maximum size of the body of a plain service's response that is forwarded.
+const maxResponseBytes = 4 << 20
 
-// plainAnswer is a plain service's whole answer.
-type plainAnswer struct {
+// plainResponse is the complete response of a plain service.
+type plainResponse struct {
 	status int
 	mime   string
 	body   []byte
 }
 
-// forwardPlain runs an attempt on the plain service and passes the answer on once it is whole: a half answer would
-// leave the caller with a document that looks complete.
+// forwardPlain runs an attempt on the plain service and forwards the response once it is complete: a truncated response
+// would look like a complete document to the caller.
 func (s *Slot) forwardPlain(ctx context.Context, x *httpserver.Exchange, j *job) error {
 	a, err := s.callPlain(ctx, j)
 	if err != nil {
@@ -35,27 +35,27 @@
 	return respondPlain(x, j, a)
 }
 
-func respondPlain(x *httpserver.Exchange, j *job, a *plainAnswer) error {
-	return x.Respond(a.status, []httpserver.Header{own(j.Attempt), {Name: "Content-Type", Value: a.mime}}, a.body)
+func respondPlain(x *httpserver.Exchange, j *job, a *plainResponse) error {
+	return x.Respond(a.status, []httpserver.Header{attemptHeader(j.Attempt), {Name: "Content-Type", Value: a.mime}}, a.body)
 }
 
-func (s *Slot) callPlain(ctx context.Context, j *job) (*plainAnswer, error) {
+func (s *Slot) callPlain(ctx context.Context, j *job) (*plainResponse, error) {
 	flight := s.work.start(j.Attempt.Entry, estimateOf(j), time.Now())
 	defer flight.End()
 	sent := time.Now()
 	req := plainRequest(j)
 	res, err := s.client.Do(ctx, s.settings.Upstream.Address, req)
-	fasthttp.ReleaseRequest(req) // it is written in full, or given up
+	fasthttp.ReleaseRequest(req) // by now it is written in full or abandoned
 	if err != nil {
 		return nil, s.upstreamError(ctx, err)
 	}
-	trusted := false
-	defer func() { res.Release(trusted) }()
+	reusable := false
+	defer func() { res.Release(reusable) }()
 	a, err := readPlain(j, res)
 	if err != nil {
 		return nil, failure.New(failure.CodeUpstreamFailed, err)
 	}
-	trusted = true
+	reusable = true
 	s.speed.step.add(time.Since(sent))
 	s.steps.Add(1)
 	return a, nil
@@ -80,33 +80,33 @@
 	return req
 }
 
-func readPlain(j *job, res *httpclient.Response) (*plainAnswer, error) {
-	// A service that echoes the request's id lets a crossed answer be seen; one that does not is trusted to keep the
-	// order of its connection, which httpclient never shares.
+func readPlain(j *job, res *httpclient.Response) (*plainResponse, error) {
+	// If the service echoes the request id, a response to another request is detected here. If it does not, the response
+	// is reusable to be the one to this request, since httpclient never shares a connection between concurrent requests.
 	if id := string(res.Header.Peek(engineHeaderID)); id != "" && id != j.Attempt.String() {
 		return nil, &attempt.MismatchError{Attempt: j.Attempt, Want: "its own id", Got: id}
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes+1))
 	if err != nil {
 		return nil, &attempt.CutError{Attempt: j.Attempt, Cause: err}
 	}
-	if len(body) > maxAnswerBytes {
-		return nil, &AnswerSizeError{maxAnswerBytes}
+	if len(body) > maxResponseBytes {
+		return nil, &ResponseSizeError{maxResponseBytes}
 	}
-	return &plainAnswer{res.Header.StatusCode(), string(res.Header.ContentType()), body}, nil
+	return &plainResponse{res.Header.StatusCode(), string(res.Header.ContentType()), body}, nil
 }
 
-// AnswerSizeError says that an answer is larger than is passed on.
-type AnswerSizeError struct{ Limit int }
+// ResponseSizeError reports that a response is too large to be forwarded.
+type ResponseSizeError struct{ Limit int }
 
 // Error implements error.
-func (e *AnswerSizeError) Error() string { return fmt.Sprintf("answer is over %d bytes", e.Limit) }
+func (e *ResponseSizeError) Error() string { return fmt.Sprintf("response is over %d bytes", e.Limit) }
 
-// drain reads what follows an answer's last event; more than the end marker is not expected.
-func drain(res *httpclient.Response) error {
+// readEnd reads the rest of a response after its last event, which should be only the end marker.
+func readEnd(res *httpclient.Response) error {
 	_, err := io.Copy(io.Discard, io.LimitReader(res.Body, 1<<10))
 	if err != nil && !errors.Is(err, io.EOF) {
-		return fmt.Errorf("end of answer: %w", err)
+		return fmt.Errorf("end of response: %w", err)
 	}
 	return nil
 }
--- a/internal/node/slot/settings.go
+++ b/internal/node/slot/settings.go
@@ -8,7 +8,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/node/host"
 )
 
-// Kind says what stands beside a slot.
+// Kind is the kind of a slot's upstream.
 type Kind string
 
 // The kinds of upstream.
@@ -20,26 +20,26 @@
 // Settings are the static settings of a slot.
 type Settings struct {
 	host.Settings `yaml:",inline"`
-	// Service that the upstream answers for.
+	// Service is the name of the service that the upstream provides.
 	Service ids.Service `yaml:"service"`
-	// Upstream is the engine or plain service beside the slot.
+	// Upstream is the engine or plain service on the slot's host.
 	Upstream struct {
 		// Kind is model or plain.
 		Kind Kind `yaml:"kind"`
-		// Address of the upstream, IP:PORT.
+		// Address is the upstream's IP:PORT.
 		Address string `yaml:"address"`
-		// Batch is how many requests the upstream runs at once.
+		// Batch is the number of requests that the upstream runs concurrently.
 		Batch int `yaml:"batch"`
-		// StopAfter is how long an engine may send nothing in mid-answer before it counts as stalled; default 2s.
+		// StopAfter is the time without a token, after the first one, after which an engine counts as stalled; default 2s.
 		StopAfter settings.Duration `yaml:"stop_after"`
 	} `yaml:"upstream"`
 	// Group is set if the engine is a rank of a model group.
 	Group struct {
-		// Name of the model group in the configuration.
+		// Name is the name of the model group in the configuration.
 		Name ids.Group `yaml:"name"`
-		// Rank of the engine, from 0.
+		// Rank is the rank of the engine, from 0.
 		Rank uint32 `yaml:"rank"`
-		// Ranks of the whole group.
+		// Ranks is the number of ranks in the group.
 		Ranks int `yaml:"ranks"`
 	} `yaml:"group"`
 }
@@ -49,7 +49,7 @@
 	if err := s.Settings.Check("upstream"); err != nil {
 		return err
 	}
-	if err := settings.CheckName("$.service", string(s.Service), "the name of the service that the upstream answers for"); err != nil {
+	if err := settings.CheckName("$.service", string(s.Service), "the name of the service that the upstream provides"); err != nil {
 		return err
 	}
 	if err := settings.CheckAddress("$.upstream.address", s.Upstream.Address); err != nil {
--- a/internal/node/slot/slot.go
+++ b/internal/node/slot/slot.go
@@ -1,7 +1,9 @@
-// Package slot is the process beside each upstream: the only one that hands it work or orders.
+// Package slot implements the process that runs on the same host as an upstream and is the only one that sends it
+// requests and orders.
 //
-// It refuses what must not start (fenced, stale, late, leaving), starts the rest exactly once, matches the upstream's
-// answer to its attempt and tells entries how loaded the upstream is.
+// A slot refuses attempts that must not start: fenced ones, those decided on a stale configuration, those past their
+// deadline, and all while it drains. It starts each other attempt exactly once, matches the upstream's response to its
+// attempt and reports the upstream's load to the entries.
 package slot
 
 import (
@@ -25,14 +27,14 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision"
 )
 
-// Deps are the parts that a slot uses.
+// Deps are the dependencies of a slot.
 type Deps struct {
 	Config config.Source
-	// Incarnation is this life of the process; empty lets the slot draw one.
+	// Incarnation identifies this run of the process. If empty, the slot generates one.
 	Incarnation ids.Incarnation
-	// Roster returns the members that the configuration log names; nil if there is no log.
+	// Roster returns the members listed in the configuration log. It is nil if there is no log.
 	Roster func() *revision.Roster
-	// Table keeps the claims of requests that may not be repeated.
+	// Table stores the claims of requests that must not be repeated, and holds the orders for engines.
 	Table  platform.Table
 	Logger log.Logger
 	Tracer *tracing.Tracer
@@ -40,38 +42,38 @@
 
 // Slot is one running slot.
 type Slot struct {
-	settings    *Settings
-	incarnation ids.Incarnation
-	config      config.Source
-	logger      log.Logger
-	tracer      *tracing.Tracer
-	roster      func() *revision.Roster
-	metrics     *slotMetrics
-	table       *attempt.Table
-	client      *httpclient.Client
-	work        *work
-	claims      *claims.Store
-	guard       *quarantine.Gate
-	upstream    upstreamWatch
-	stopClaims  context.CancelFunc
-	speed       speed
-	// steps counts tokens and answers of the upstream: an entry that sees it stand still knows of a stall.
-	steps   atomic.Uint64
-	leaving atomic.Bool
-	server  *httpserver.Server
-	digests *digests
+	settings       *Settings
+	incarnation    ids.Incarnation
+	config         config.Source
+	logger         log.Logger
+	tracer         *tracing.Tracer
+	roster         func() *revision.Roster
+	metrics        *slotMetrics
+	attempts       *attempt.Table
+	client         *httpclient.Client
+	work           *work
+	claims         *claims.Store
+	quarantineGate *quarantine.Gate
+	upstream       upstreamMonitor
+	stopClaims     context.CancelFunc
+	speed          speed
+	// steps counts the tokens and responses of the upstream. Entries detect a stall if it does not advance.
+	steps    atomic.Uint64
+	draining atomic.Bool
+	server   *httpserver.Server
+	digests  *digests
 }
 
-// claimTimeout is after how long the answer to a transaction counts as lost.
+// claimTimeout is the time after which the response to a claim transaction counts as lost.
 const claimTimeout = 500 * time.Millisecond
 
-// defaultQuarantine holds until the configuration is known.
+// defaultQuarantine is the quarantine period until a configuration is loaded.
 const defaultQuarantine = 10 * time.Minute
 
 // defaultLoops is the number of event loops of a slot's listener.
 const defaultLoops = 1
 
-// Start opens the slot's listeners and begins to tell entries of it.
+// Start opens the slot's listeners and starts to send digests to entries.
 func Start(set *Settings, d Deps) (*Slot, error) {
 	s := &Slot{
 		settings:    set,
@@ -81,7 +83,7 @@
 		tracer:      d.Tracer,
 		roster:      d.Roster,
 		metrics:     newSlotMetrics(),
-		table:       attempt.NewTable(time.Now()),
+		attempts:    attempt.NewTable(time.Now()),
 		client:      httpclient.New(httpclient.Options{}),
 		work:        newWork(),
 	}
@@ -90,7 +92,7 @@
 	}
 	claimOptions := claims.DefaultOptions(s.incarnation)
 	claimOptions.Metrics = s.metrics.set
-	s.guard = quarantine.NewGate(s.incarnation, quarantinePeriod(d.Config))
+	s.quarantineGate = quarantine.NewGate(s.incarnation, quarantinePeriod(d.Config))
 	s.claims = claims.NewStore(d.Table, claimOptions, claimTimeout)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stopClaims = cancel
@@ -111,11 +113,11 @@
 	if set.Upstream.Kind == KindModel {
 		go (&orders{slot: s, table: d.Table}).run(ctx)
 	}
-	_ = level.Info(s.logger).Log("msg", "slot serves", "http", set.HTTP.Address, "service", set.Service, "incarnation", s.incarnation)
+	_ = level.Info(s.logger).Log("msg", "slot listening", "http", set.HTTP.Address, "service", set.Service, "incarnation", s.incarnation)
 	return s, nil
 }
 
-// quarantinePeriod is for how long a request that crashed its upstreams is refused.
+// quarantinePeriod returns how long a request that crashed its upstreams is refused.
 func quarantinePeriod(c config.Source) time.Duration {
 	snap := c.Current()
 	if snap == nil {
@@ -124,12 +126,13 @@
 	return time.Duration(snap.Proto.GetPolicies().GetQuarantineS()) * time.Second
 }
 
-// Incarnation returns this life of the slot.
+// Incarnation returns the incarnation of the slot.
 func (s *Slot) Incarnation() ids.Incarnation { return s.incarnation }
 
-// Shutdown refuses new work at once, tells entries, finishes what runs and ends; ctx bounds the wait.
+// Shutdown immediately refuses new work and notifies the entries, then waits for the running requests and stops the slot.
+// ctx bounds the wait.
 func (s *Slot) Shutdown(ctx context.Context) error {
-	s.leaving.Store(true)
+	s.draining.Store(true)
 	s.digests.send(true)
 	err := s.server.Drain(ctx)
 	s.claims.Drain(ctx)
@@ -142,7 +145,7 @@
 	return err
 }
 
-// Kill ends the slot at once, as a crash would; for tests.
+// Kill stops the slot immediately, as a crash would. It is for tests.
 func (s *Slot) Kill() {
 	s.stopClaims()
 	s.digests.stop()
--- a/internal/node/slot/speed.go
+++ b/internal/node/slot/speed.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// speed keeps moving averages of what the upstream was measured at. It is safe for concurrent use.
+// speed holds the moving average of the time between an engine's tokens, or of the response time of a plain service. It
+// is safe for concurrent use.
 type speed struct{ step average }
 
 // average is an exponentially weighted moving average of times, in nanoseconds.
 type average struct{ bits atomic.Uint64 }
 
-// newestWeight is the weight of one new value: about the last twenty values count.
+// newestWeight is the weight of a new value; the average covers about the last twenty values.
 const newestWeight = 0.05
 
 func (a *average) add(d time.Duration) {
--- a/internal/node/slot/upstream.go
+++ b/internal/node/slot/upstream.go
@@ -18,53 +18,55 @@
 )
 
 const (
-	// probeInterval is how often the slot looks whether its upstream is there; probeTimeout bounds one look.
+	// probeInterval is the interval at which the slot probes its upstream; probeTimeout bounds one probe.
 	probeInterval = 250 * time.Millisecond
 	probeTimeout  = time.Second
-	// loadPath is where an engine reports its load, with the id of its process.
+	// loadPath is the engine's path for load reports, which include the id of its process.
 	loadPath = "/v1/load"
-	// digestSuspects is how many suspects one digest carries; more would not fit its datagram.
-	digestSuspects = 4
+	// maxDigestSuspects is the maximum number of suspects per digest; more would not fit into its datagram.
+	maxDigestSuspects = 4
 )
 
-// enter waits for leave to run the job on the upstream. A suspect may have to wait or is refused before the start.
-func (s *Slot) enter(ctx context.Context, j *job) (*quarantine.Permit, error) {
+// acquirePermit waits for permission to run the job on the upstream. A suspected request may have to wait, or is refused
+// before its start.
+func (s *Slot) acquirePermit(ctx context.Context, j *job) (*quarantine.Permit, error) {
 	r := quarantine.Running{
 		Fingerprint: quarantine.FingerprintOf(j.Client, sha256.Sum256(j.body)),
 		Client:      j.Client,
 	}
-	return s.guard.Acquire(ctx, r, quarantine.Level(j.Suspicion))
+	return s.quarantineGate.Acquire(ctx, r, quarantine.Level(j.Suspicion))
 }
 
-// leave tells the guard how a run ended. A connection that broke is looked into at once: if the upstream died, what
-// ran there is suspect, and the entry's next attempt must know.
-func (s *Slot) leave(ctx context.Context, permit *quarantine.Permit, err error) {
+// releasePermit reports the outcome of a run to the quarantine gate. After a broken connection it probes the upstream
+// immediately: if the upstream crashed, the requests that ran there become suspects, and the entry needs to receive this
+// before its next attempt.
+func (s *Slot) releasePermit(ctx context.Context, permit *quarantine.Permit, err error) {
 	switch {
 	case err == nil:
 		permit.Release(quarantine.Whole)
-	case ctx.Err() == nil && broke(err):
+	case ctx.Err() == nil && isBrokenConnection(err):
 		permit.Release(quarantine.Broken)
-		s.upstream.look(s)
+		s.upstream.check(s)
 	default:
 		permit.Release(quarantine.Stopped)
 	}
 }
 
-// broke reports whether the connection to the upstream broke off, before the answer or in the middle of it.
-func broke(err error) bool {
+// isBrokenConnection reports whether the connection to the upstream failed before the response or in the middle of it.
+func isBrokenConnection(err error) bool {
 	var broken *httpclient.BrokenError
-	var cut *attempt.CutError
-	return errors.As(err, &broken) || errors.As(err, &cut)
+	var truncated *attempt.CutError
+	return errors.As(err, &broken) || errors.As(err, &truncated)
 }
 
-// upstreamWatch knows whether the upstream is there and whether it is still the same process.
-type upstreamWatch struct {
+// upstreamMonitor tracks whether the upstream accepts connections and whether it is still the same process.
+type upstreamMonitor struct {
 	down  atomic.Bool
 	start atomic.Pointer[string]
 }
 
-// run looks at the upstream until ctx ends.
-func (w *upstreamWatch) run(ctx context.Context, s *Slot) {
+// run probes the upstream until ctx ends.
+func (m *upstreamMonitor) run(ctx context.Context, s *Slot) {
 	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
 	for {
@@ -72,37 +74,39 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			w.look(s)
+			m.check(s)
 		}
 	}
 }
 
-// engineLoad is the part of an engine's load report that tells one process from the next.
+// engineLoad holds the field of an engine's load report that identifies its process.
 type engineLoad struct {
 	Start string `json:"start"`
 }
 
-// look asks the upstream. One that refuses the connection, or answers as another process, has died since.
-func (w *upstreamWatch) look(s *Slot) {
-	start, err := s.askUpstream()
+// check probes the upstream. If it cannot be connected to, or if its process id changed, it has crashed since the last
+// probe.
+func (m *upstreamMonitor) check(s *Slot) {
+	start, err := s.probeUpstream()
 	var dial *httpclient.DialError
-	gone := errors.As(err, &dial)
-	died := gone && !w.down.Load()
-	w.down.Store(gone)
+	refused := errors.As(err, &dial)
+	crashed := refused && !m.down.Load()
+	m.down.Store(refused)
 	if err == nil && start != "" {
-		last := w.start.Swap(&start)
-		died = died || last != nil && *last != start
+		previous := m.start.Swap(&start)
+		crashed = crashed || previous != nil && *previous != start
 	}
-	if died && s.guard.Died() {
-		_ = level.Warn(s.logger).Log("msg", "upstream died while it ran requests", "upstream", s.settings.Upstream.Address)
+	if crashed && s.quarantineGate.Died() {
+		_ = level.Warn(s.logger).Log("msg", "upstream crashed while running requests", "upstream", s.settings.Upstream.Address)
 		s.metrics.crashes.Inc()
 		s.digests.send(true)
 	}
 }
 
-// askUpstream returns the id of the engine's process. A plain service is only connected to, for it has no path that is
-// known to do nothing: a request of ours would count as a call, and one that may not be repeated.
-func (s *Slot) askUpstream() (string, error) {
+// probeUpstream returns the id of the engine's process, or "" if it reports none. For a plain service it only opens a
+// connection: a plain service has no path that is known to be free of side effects, so a request would be a real call,
+// possibly one that must not be repeated.
+func (s *Slot) probeUpstream() (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	if s.settings.Upstream.Kind == KindPlain {
@@ -115,7 +119,7 @@
 	if err != nil {
 		return "", err
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	res.Release(err == nil)
 	if err != nil {
 		return "", err
--- a/internal/node/slot/upstream_test.go
+++ b/internal/node/slot/upstream_test.go
@@ -11,9 +11,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/httpclient"
 )
 
-// An engine dies in mid-stream because of the request that it runs. The caller's request is resumed elsewhere; unless
-// the cut counts as a broken connection, the slot reports a death at which nothing ran, and the next engine dies too.
-func TestACutInMidStreamCountsAsBroken(t *testing.T) {
+// An engine crashes in mid-stream because of the request that it runs. If the truncated stream did not count as a broken
+// connection, the slot would report a crash during which no request ran. The request would not be suspected, would be
+// resumed on another engine and would crash that as well.
+func TestTruncatedStreamCountsAsBrokenConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +38,7 @@
 	}
 	defer res.Release(false)
 	r := &modelRelay{job: &job{}}
-	if err := r.all(t.Context(), res); !broke(err) {
-		t.Fatalf("%v does not count as broken", err)
+	if err := r.relayEvents(t.Context(), res); !isBrokenConnection(err) {
+		t.Fatalf("%v does not count as a broken connection", err)
 	}
 }
--- a/internal/node/slot/work.go
+++ b/internal/node/slot/work.go
@@ -9,7 +9,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/routing"
 )
 
-// work counts what runs, for each entry that sent it, so that an entry can tell its own part from the others'.
+// work counts the requests and tokens of each entry separately, so that an entry can distinguish its own share of the
+// load from that of the others.
 type work struct {
 	mu      sync.Mutex
 	entries map[ids.Incarnation]*entryWork
@@ -17,11 +18,11 @@
 
 type entryWork struct {
 	routing.Work
-	seen time.Time
+	lastSeen time.Time
 }
 
-// entryKept is how long an entry that sends nothing is remembered.
-const entryKept = 10 * time.Minute
+// entryTTL is how long the counts of an entry that sends nothing are retained.
+const entryTTL = 10 * time.Minute
 
 func newWork() *work { return &work{entries: map[ids.Incarnation]*entryWork{}} }
 
@@ -33,17 +34,18 @@
 		ew = &entryWork{}
 		w.entries[entry] = ew
 	}
-	ew.seen = now
+	ew.lastSeen = now
 	return ew.Start(e)
 }
 
-// counts returns the work of all entries and that of one of them, and forgets entries that are long silent.
+// counts returns the work of all entries and that of the given entry. It also removes entries without work that have
+// sent nothing for entryTTL.
 func (w *work) counts(entry ids.Incarnation, now time.Time) (total, yours routing.Counts) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, ew := range w.entries {
 		c := ew.Counts()
-		if c.Requests() == 0 && now.Sub(ew.seen) > entryKept {
+		if c.Requests() == 0 && now.Sub(ew.lastSeen) > entryTTL {
 			delete(w.entries, id)
 			continue
 		}
