--- a/cmd/cardamomyoke-agent/main.go
+++ b/cmd/cardamomyoke-agent/main.go
@@ -1,4 +1,5 @@
-// cardamomyoke-agent stands beside a rank of a model group on the users' platform and passes on reads and orders.
+// Command cardamomyoke-agent runs on the same host as a rank of a model group and relays reads and orders to the rank's
+// engine on the users' platform.
 package main
 
 import (
@@ -17,10 +18,10 @@
 	"github.com/cardamomyoke/cardamomyoke/platform/engine"
 )
 
-// gcPercent trades processor time, of which an agent uses next to none, for memory.
+// gcPercent trades processor time, of which an agent uses almost none, for memory.
 const gcPercent = 25
 
-// logLines is how many log lines may wait to be written; an agent writes a few at its start and end.
+// logLines is the maximum number of log lines that wait to be written. An agent logs only a few at its start and end.
 const logLines = 64
 
 func main() {
--- a/cmd/cardamomyoke-bench/main.go
+++ b/cmd/cardamomyoke-bench/main.go
@@ -1,4 +1,5 @@
-// Command cardamomyoke-bench measures the system: load, policies and experiments, each with a seed and a table.
+// Command cardamomyoke-bench measures the system: load, policies and experiments. Each measurement takes a seed and
+// reports a table.
 package main
 
 import (
@@ -20,7 +21,7 @@
 
 func main() {
 	app := kingpin.New("cardamomyoke-bench", "Load and experiments for cardamomyoke.")
-	// Each experiment lives in its own package below internal/testing/bench and adds its command here with Register(app).
+	// Each experiment is in its own package below internal/testing/bench, whose Register function adds its command.
 	claims.Register(app)
 	config.Register(app)
 	demo.Register(app)
--- a/cmd/cardamomyoke-entry/main.go
+++ b/cmd/cardamomyoke-entry/main.go
@@ -1,4 +1,4 @@
-// Command cardamomyoke-entry takes callers' requests and routes them to slots; it runs on each entry host.
+// Command cardamomyoke-entry accepts callers' requests and routes them to slots. It runs on each entry host.
 package main
 
 import (
--- a/cmd/cardamomyoke-gateway/main.go
+++ b/cmd/cardamomyoke-gateway/main.go
@@ -1,4 +1,4 @@
-// cardamomyoke-gateway takes callers' requests on the users' platform and sends them straight to upstreams.
+// Command cardamomyoke-gateway accepts callers' requests on the users' platform and sends them directly to upstreams.
 package main
 
 import (
@@ -28,7 +28,7 @@
 // gcPercent trades processor time for memory, of which a host has little.
 const gcPercent = 40
 
-// logLines is how many log lines may wait to be written: some seconds at the busiest.
+// logLines is the maximum number of log lines that wait to be written: the lines of some seconds under the highest load.
 const logLines = 4096
 
 func main() {
@@ -40,7 +40,7 @@
 	}, os.Args[1:]))
 }
 
-// reloadInterval is how often the settings file is looked at; it may change without a signal.
+// reloadInterval is the interval at which the settings file is checked, since it may change without a signal.
 const reloadInterval = 2 * time.Second
 
 func run(ctx context.Context, checked settings.Checker, o program.Options) error {
@@ -49,7 +49,7 @@
 	out := logging.NewAsync(os.Stdout, logLines)
 	defer out.Close()
 	logger := log.With(logging.New(out, set.Log), "node", set.Name)
-	// Asked for before anything else: until then the signal would end the process.
+	// SIGHUP is registered before anything else is started: until then it would terminate the process.
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	var live atomic.Pointer[gateway.Settings]
@@ -69,14 +69,15 @@
 		return fmt.Errorf("start: %w", err)
 	}
 	go watch(ctx, o, signals, logger, func(next *gateway.Settings) []string {
-		kept := g.Reload(next)
+		needsRestart := g.Reload(next)
 		live.Store(g.Settings())
-		return kept
+		return needsRestart
 	})
 	return g.Run(ctx)
 }
 
-// flushTimeout bounds the sending of the last spans; it is within the time that a gateway leaves before it is killed.
+// flushTimeout bounds the export of the last spans. It fits into the time between the end of the gateway's shutdown and
+// the kill by the platform.
 const flushTimeout = 200 * time.Millisecond
 
 func closeTracer(t *tracing.Tracer, logger log.Logger) {
@@ -87,14 +88,14 @@
 	}
 }
 
-// watch reloads the settings when their file changes.
+// watch reloads the settings when their file changes or SIGHUP arrives, until ctx ends.
 func watch(ctx context.Context, o program.Options, signals <-chan os.Signal, logger log.Logger, reload func(*gateway.Settings) []string) {
 	w := &settings.Watcher{
 		File: o.SettingsFile, Interval: reloadInterval, Signals: signals,
 		Fresh: func() settings.Checker { return &gateway.Settings{} },
 		Changed: func(next settings.Checker) {
-			kept := reload(next.(*gateway.Settings))
-			_ = level.Info(logger).Log("msg", "settings reloaded", "needs_restart", strings.Join(kept, ","))
+			needsRestart := reload(next.(*gateway.Settings))
+			_ = level.Info(logger).Log("msg", "settings reloaded", "needs_restart", strings.Join(needsRestart, ","))
 		},
 		Refused: func(err error) {
 			_ = level.Error(logger).Log("msg", "settings kept", "reason", "the new ones cannot be used", "err", err)
--- a/cmd/cardamomyoke-slot/main.go
+++ b/cmd/cardamomyoke-slot/main.go
@@ -1,4 +1,5 @@
-// Command cardamomyoke-slot runs beside each upstream and is the only process that hands it work or orders.
+// Command cardamomyoke-slot runs on the same host as an upstream and is the only process that sends it requests and
+// orders.
 package main
 
 import (
--- a/cmd/cardamomyoke-standin/main.go
+++ b/cmd/cardamomyoke-standin/main.go
@@ -1,5 +1,5 @@
-// Command cardamomyoke-standin plays what surrounds the system in tests and the demo: the platform, engines and plain
-// services.
+// Command cardamomyoke-standin runs stand-ins for the environment of the system, for tests and the demo: the platform,
+// engines and plain services.
 package main
 
 import (
@@ -27,7 +27,7 @@
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 }
 
-// untilSignal waits for the signal that ends the stand-in.
+// untilSignal waits for SIGTERM or SIGINT.
 func untilSignal() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/cmd/cardamomyokectl/main.go
+++ b/cmd/cardamomyokectl/main.go
@@ -1,4 +1,4 @@
-// Command cardamomyokectl is the operators' client: everything goes through the RPC that each entry serves.
+// Command cardamomyokectl is the command-line client for operators. It uses the RPC service that each entry serves.
 package main
 
 import (
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -1,4 +1,5 @@
-// Package daemon is what the daemons with a slot or entry share: the runtime of logger, tracer and node.
+// Package daemon contains what the slot and entry daemons have in common: flags, logger, tracer, the node with its
+// configuration and RPC port, and an orderly shutdown.
 package daemon
 
 import (
@@ -12,12 +13,13 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/config"
 )
 
-// FixedFlag adds the flag for a configuration that never changes, in place of the platform's, for measurements.
+// FixedFlag adds the flag for a configuration file that replaces the platform's configuration and never changes. It is
+// for measurements.
 func FixedFlag(run *kingpin.CmdClause) *string {
 	return run.Flag("configuration", "Configuration file (JSON) that never changes, for measurements.").ExistingFile()
 }
 
-// ReadFixed reads the configuration that FixedFlag names; nil if it names none.
+// ReadFixed reads the configuration file given by FixedFlag. It returns nil if file is empty.
 func ReadFixed(file string) (*config.Snapshot, error) {
 	if file == "" {
 		return nil, nil
@@ -25,7 +27,7 @@
 	return ReadConfiguration(file)
 }
 
-// ReadConfiguration reads a configuration from a JSON file and checks it.
+// ReadConfiguration reads and validates a configuration from a JSON file.
 func ReadConfiguration(file string) (*config.Snapshot, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/node/daemon/entrymain/entrymain.go
+++ b/internal/node/daemon/entrymain/entrymain.go
@@ -1,4 +1,4 @@
-// Package entrymain puts an entry process together.
+// Package entrymain assembles the entry daemon: the entry, the operators' RPC service and the leased duties.
 package entrymain
 
 import (
@@ -26,14 +26,14 @@
 
 // Program returns the entry daemon.
 func Program() program.Program {
-	var fixed *string
+	var configFile *string
 	return program.Program{
 		Name:     "cardamomyoke-entry",
 		Help:     "Takes callers' requests and routes them to slots.",
 		Settings: func() settings.Checker { return &entry.Settings{} },
-		Flags:    func(cmd *kingpin.CmdClause) { fixed = daemon.FixedFlag(cmd) },
+		Flags:    func(cmd *kingpin.CmdClause) { configFile = daemon.FixedFlag(cmd) },
 		Run: func(ctx context.Context, set settings.Checker, o program.Options) error {
-			return run(ctx, set, o, *fixed)
+			return run(ctx, set, o, *configFile)
 		},
 	}
 }
@@ -83,7 +83,7 @@
 	return r.Serve(ctx, e, tick, o.Grace)
 }
 
-// withDuties adds the duties that this entry may hold a lease for to what the control loop does.
+// withDuties returns a tick function that also runs the duties for which this entry may hold a lease.
 func withDuties(set *entry.Settings, n *daemon.Node, tick func(time.Time), logger log.Logger) func(time.Time) {
 	hub := node.NewHub()
 	n.Mux.Handle(cardamomyokev1connect.NewExpertMapServiceHandler(hub))
--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -28,25 +28,26 @@
 const (
 	// platformTimeout bounds one call to the platform.
 	platformTimeout = 2 * time.Second
-	// tickInterval is the period of the control loop.
+	// tickInterval is the interval of the control loop's ticks.
 	tickInterval = 25 * time.Millisecond
 )
 
-// NodeOptions say who a node is.
+// NodeOptions configures a Node.
 type NodeOptions struct {
 	Self *revision.Member
-	// Seeds are RPC addresses of other nodes, IP:PORT, to ask while the table is down.
+	// Seeds are RPC addresses of other nodes, IP:PORT, from which the node gets the configuration while the table is down.
 	Seeds []string
-	// Platform is the address of the platform's service, IP:PORT.
+	// Platform is the address of the platform service, IP:PORT.
 	Platform string
-	// Fixed is a configuration that never changes; nil in production.
+	// Fixed is a configuration that never changes. It is nil in production.
 	Fixed *config.Snapshot
-	// Keys are for the RPC port and for RPC to other nodes; nil: both are plain.
+	// Keys are the TLS keys for the RPC port and for RPC to other nodes. If nil, both are unencrypted.
 	Keys   *keys.Source
 	Logger log.Logger
 }
 
-// Node is what every daemon of the system has: the control loop, the configuration, the platform and the RPC port.
+// Node holds what every daemon of the system needs: the control loop, the configuration, the platform client and the RPC
+// port.
 type Node struct {
 	Incarnation ids.Incarnation
 	Loop        *control.Loop
@@ -64,7 +65,7 @@
 	control *controlport.Port
 }
 
-// NewNode builds a node; nothing runs before Run.
+// NewNode returns a node that Run starts.
 func NewNode(o NodeOptions) *Node {
 	n := &Node{
 		Incarnation: ids.NewIncarnation(),
@@ -106,21 +107,22 @@
 	}
 }
 
-// CatchUpAudit has this node write the audit rows of changes whose own entry died, until ctx ends; entries do it.
+// CatchUpAudit starts to write the audit rows of changes whose own entry crashed before writing them, until ctx ends.
+// Entries call it.
 func (n *Node) CatchUpAudit(ctx context.Context) {
 	if n.Audit != nil {
 		go n.Audit.RunCatchUp(ctx, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), n.logger)
 	}
 }
 
-// Record tells the audit what this node did.
+// Record adds an audit row about an action of this node. It does nothing with a fixed configuration.
 func (n *Node) Record(now time.Time, r *audit.Row) {
 	if n.Audit != nil {
 		n.Audit.Record(now, r)
 	}
 }
 
-// peerClient returns the client of other nodes' RPC, and the scheme of their addresses.
+// peerClient returns the HTTP client for RPC to other nodes, and the URL scheme of their addresses.
 func peerClient(source *keys.Source) (client *http.Client, scheme string) {
 	if source == nil {
 		return agent.HTTP2(), "http"
@@ -128,7 +130,8 @@
 	return source.HTTPClient(), "https"
 }
 
-// HandlerOptions are those of the operators' service on this node.
+// HandlerOptions returns the options of the operators' service on this node: authorization by certificate if the RPC port
+// uses TLS, otherwise none.
 func (n *Node) HandlerOptions() []connect.HandlerOption {
 	if n.keys == nil {
 		return nil
@@ -136,7 +139,8 @@
 	return []connect.HandlerOption{connect.WithInterceptors(keys.Interceptor{})}
 }
 
-// seedMembers makes members of addresses; a seed's name is learned from its answer.
+// seedMembers returns members for seed addresses. The address serves as the name, since a seed's real name is only known
+// from its response.
 func seedMembers(addresses []string) []*revision.Member {
 	var out []*revision.Member
 	for _, a := range addresses {
@@ -145,7 +149,7 @@
 	return out
 }
 
-// Run opens the RPC port and runs the control loop, with tick in each period, until Stop.
+// Run opens the RPC port and starts the control loop, which calls tick at each interval until Stop.
 func (n *Node) Run(set *metrics.Set, tick func(now time.Time)) error {
 	c, err := controlport.Start(n.address, n.Mux, set, n.keys, n.logger)
 	if err != nil {
@@ -154,7 +158,7 @@
 	n.control = c
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
-	go n.Loop.Run(ctx, tickInterval, n.ticks(tick))
+	go n.Loop.Run(ctx, tickInterval, n.tickFunc(tick))
 	if n.Audit != nil {
 		go n.Audit.Run(ctx)
 	}
@@ -164,8 +168,8 @@
 	return nil
 }
 
-// ticks returns what the control loop does in each period.
-func (n *Node) ticks(tick func(now time.Time)) func(now time.Time) {
+// tickFunc returns the function that the control loop calls at each interval.
+func (n *Node) tickFunc(tick func(now time.Time)) func(now time.Time) {
 	if n.Agent == nil {
 		return tick
 	}
@@ -177,7 +181,7 @@
 	}
 }
 
-// Roster returns the newest members that this node knows of, or nil.
+// Roster returns the newest roster that this node has, or nil if it has none.
 func (n *Node) Roster() *revision.Roster {
 	if n.Agent == nil || n.Agent.View().Newest == nil {
 		return nil
@@ -185,7 +189,7 @@
 	return n.Agent.View().Newest.Roster
 }
 
-// Directory finds other nodes by the roster.
+// Directory returns a directory that resolves other nodes by the roster.
 func (n *Node) Directory() *rebalance.Directory {
 	members := func() []*revision.Member {
 		if r := n.Roster(); r != nil {
@@ -197,18 +201,19 @@
 	return &rebalance.Directory{Members: members, Client: client, Scheme: scheme}
 }
 
-// Leave takes the node out of the roster, as the last step of an orderly shutdown: from then on no change waits for it.
+// Leave removes the node from the roster, so that changes no longer wait for its acknowledgement, and writes the pending
+// audit rows. It is the last step of an orderly shutdown.
 func (n *Node) Leave(ctx context.Context) {
 	if n.Agent == nil {
 		return
 	}
 	n.Agent.Leave(ctx)
 	if err := n.Audit.Flush(ctx); err != nil {
-		_ = level.Warn(n.logger).Log("msg", "audit rows are lost with this process", "rows", n.Audit.Waiting(), "err", err)
+		_ = level.Warn(n.logger).Log("msg", "audit rows not written before exit", "rows", n.Audit.Waiting(), "err", err)
 	}
 }
 
-// Stop ends the node.
+// Stop stops the agent, the control loop and the RPC port.
 func (n *Node) Stop() {
 	if n.Agent != nil {
 		n.Agent.Close()
--- a/internal/node/daemon/node_test.go
+++ b/internal/node/daemon/node_test.go
@@ -20,10 +20,10 @@
 	standin "github.com/cardamomyoke/cardamomyoke/internal/testing/standin/platform"
 )
 
-// bound ends a test that would otherwise hang; it measures nothing.
+// bound is the time limit of a test that would otherwise hang.
 const bound = time.Minute
 
-// node is a running node and where its control port is.
+// node is a running node with the address of its control port.
 type node struct {
 	*daemon.Node
 	address string
@@ -51,10 +51,10 @@
 	}}, nil
 }
 
-// A node starts while the table is down, and has only the address of another one that is up. It can learn the
-// configuration from that one alone, by RPC; so it does if its certificate is good, and stays without if it comes from
-// another authority, or if it has none.
-func TestNodesTalkOverTLS(t *testing.T) {
+// A node starts while the table is down and can get the configuration only from a seed, by RPC. It must succeed with a
+// valid node certificate. The seed must refuse a certificate of another authority, one of an operator, and a client
+// without a certificate.
+func TestSeedServesConfigurationOnlyToNodeCertificates(t *testing.T) {
 	srv := httptest.NewServer(standin.Handler(standin.NewStore(standin.Limits{})))
 	t.Cleanup(srv.Close)
 	ca := keystest.New(t)
@@ -78,7 +78,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			t.Fatal("the configuration did not come over TLS")
+			t.Fatal("the configuration was not received over TLS")
 		}
 	}
 	to := &revision.Member{Name: "e1", Address: first.address}
@@ -88,10 +88,10 @@
 		"no certificate":    agent.NewRPC(agent.HTTP2(), "http"),
 	} {
 		if _, err := transport.CatchUp(ctx, to); err == nil {
-			t.Errorf("%s: the configuration was given away", name)
+			t.Errorf("%s: the seed served the configuration", name)
 		}
 	}
 	if _, err := agent.NewRPC(keystest.Load(t, ca.Issue("e3", keys.RoleNode)).HTTPClient(), "https").CatchUp(ctx, to); err != nil {
-		t.Errorf("the control: %v", err)
+		t.Errorf("another node certificate was refused: %v", err)
 	}
 }
--- a/internal/node/daemon/runtime.go
+++ b/internal/node/daemon/runtime.go
@@ -15,34 +15,34 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/tracing"
 )
 
-// RuntimeOptions are the settings that all daemons have.
+// RuntimeOptions configures a Runtime.
 type RuntimeOptions struct {
-	// Process is the program's name, for traces.
+	// Process is the program name in traces.
 	Process string
 	Log     logging.Options
 	Tracing tracing.Options
 	TLS     keys.Settings
-	// Node says who the node is; its Keys and Logger are filled in.
+	// Node configures the node; Open sets its Keys and Logger.
 	Node NodeOptions
 }
 
-// Runtime is what surrounds a daemon's own part: logger, tracer and node.
+// Runtime holds the logger, the tracer and the node that a daemon's component runs with.
 type Runtime struct {
 	Logger log.Logger
 	Tracer *tracing.Tracer
 	Node   *Node
 }
 
-// Part is a daemon's own part: an entry or a slot.
-type Part interface {
+// Component is what a daemon runs: an entry or a slot.
+type Component interface {
 	Metrics() *metrics.Set
-	// Shutdown finishes what is in flight and ends; ctx bounds it.
+	// Shutdown finishes the requests in flight and stops. ctx bounds it.
 	Shutdown(ctx context.Context) error
-	// Kill ends at once.
+	// Kill stops immediately.
 	Kill()
 }
 
-// Open sets up a Runtime; nothing runs before Serve.
+// Open sets up a Runtime, whose node starts with Serve. Errors: invalid tracing options or TLS keys.
 func Open(ctx context.Context, o RuntimeOptions) (*Runtime, error) {
 	logger := logging.New(os.Stderr, o.Log)
 	tracer, err := tracing.New(ctx, o.Process, o.Tracing)
@@ -58,11 +58,11 @@
 	return &Runtime{Logger: logger, Tracer: tracer, Node: NewNode(o.Node)}, nil
 }
 
-// Serve runs the part, with tick on the control loop, until ctx ends, and then shuts down in order within grace: the
-// part first, so that nothing in flight is cut off, then the node's membership, so that no change waits for it.
-func (r *Runtime) Serve(ctx context.Context, p Part, tick func(now time.Time), grace time.Duration) error {
-	if err := r.Node.Run(p.Metrics(), tick); err != nil {
-		p.Kill()
+// Serve runs the component until ctx ends, with tick on the control loop. It then shuts down within grace: first the
+// component, so that no request in flight is interrupted, then the node's membership, so that no change waits for it.
+func (r *Runtime) Serve(ctx context.Context, c Component, tick func(now time.Time), grace time.Duration) error {
+	if err := r.Node.Run(c.Metrics(), tick); err != nil {
+		c.Kill()
 		return fmt.Errorf("start: %w", err)
 	}
 	defer r.Node.Stop()
@@ -70,7 +70,7 @@
 	_ = level.Info(r.Logger).Log("msg", "shutting down")
 	limit, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
-	err := p.Shutdown(limit)
+	err := c.Shutdown(limit)
 	r.Node.Leave(limit)
 	if closeErr := r.Tracer.Close(limit); err == nil {
 		err = closeErr
--- a/internal/node/daemon/slotmain/slotmain.go
+++ b/internal/node/daemon/slotmain/slotmain.go
@@ -1,4 +1,4 @@
-// Package slotmain puts a slot process together.
+// Package slotmain assembles the slot daemon: the slot and, for an engine in a model group, its side of the map switch.
 package slotmain
 
 import (
@@ -23,14 +23,14 @@
 
 // Program returns the slot daemon.
 func Program() program.Program {
-	var fixed *string
+	var configFile *string
 	return program.Program{
 		Name:     "cardamomyoke-slot",
 		Help:     "Runs beside an upstream and is the only process that hands it work or orders.",
 		Settings: func() settings.Checker { return &slot.Settings{} },
-		Flags:    func(cmd *kingpin.CmdClause) { fixed = daemon.FixedFlag(cmd) },
+		Flags:    func(cmd *kingpin.CmdClause) { configFile = daemon.FixedFlag(cmd) },
 		Run: func(ctx context.Context, set settings.Checker, o program.Options) error {
-			return run(ctx, set, o, *fixed)
+			return run(ctx, set, o, *configFile)
 		},
 	}
 }
@@ -78,7 +78,7 @@
 	return r.Serve(ctx, s, func(time.Time) {}, o.Grace)
 }
 
-// joinGroup runs the rank's part of the map switch and answers for its reports.
+// joinGroup runs the rank's side of the group's map switch and serves the RPC for the rank's reports.
 func joinGroup(ctx context.Context, set *slot.Settings, n *daemon.Node, logger log.Logger) {
 	r := expertmap.Rank(set.Group.Rank)
 	engine := rank.NewEngine(set.Upstream.Address, set.Group.Name, r)
--- a/internal/node/operator/errors.go
+++ b/internal/node/operator/errors.go
@@ -12,14 +12,15 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision/store"
 )
 
-// asConnect gives an error the code and the detail that clients act on:
+// asConnect returns err as a connect error with the code and the detail that clients depend on:
 //
 //	invalid_argument    nothing was done; FieldViolation names the field
-//	aborted             nothing was done: another change came first; ConflictDetail
+//	aborted             nothing was done: another write came first; ConflictDetail if that was a change
 //	already_exists      nothing was done: the operation id belongs to another change
 //	resource_exhausted  nothing was done: too many changes wait to be accepted
 //	unavailable         nothing was done: the platform cannot be reached
-//	unknown             it may have been done, or may still be: ask GetOperation, or send it again with the same id
+//	unknown             the outcome is unknown and may change: call GetOperation, or retry with the same operation id
+//	internal            any other error
 func asConnect(err error) error {
 	var (
 		field   *config.FieldError
--- a/internal/node/operator/operator.go
+++ b/internal/node/operator/operator.go
@@ -1,7 +1,7 @@
-// Package operator serves the operators' RPC.
+// Package operator implements the RPC service for operators, which each entry mounts on its RPC port with Handler.
 //
-// Mount it with path, handler := operator.Handler(operator.New(options)) on each entry's RPC port. Changes go through
-// the revision agent and are answered when they are accepted, or with the nodes that are missing when wait_ms is over.
+// Changes are committed through the revision agent. The response is sent once the change is accepted, or after wait_ms
+// with the nodes whose acknowledgement is still pending.
 package operator
 
 import (
@@ -28,46 +28,46 @@
 )
 
 const (
-	maxWaitMS   = 60_000
-	maxPage     = 1000
-	defaultPage = 100
+	maxWaitMS       = 60_000
+	maxPageSize     = 1000
+	defaultPageSize = 100
 )
 
-// Options are what the service is built from.
+// Options configures a Server.
 type Options struct {
 	Node  string
 	Agent *agent.Agent
 	Table platform.Table
-	// Upstreams and Groups tell the status of what this entry routes to; nil: none are listed.
+	// Upstreams and Groups return the status of the upstreams and groups that this entry routes to. If nil, none are listed.
 	Upstreams func() []*cardamomyokev1.UpstreamStatus
 	Groups    func() []*cardamomyokev1.GroupStatus
-	// Audit is told what operators do; nil: nothing is recorded.
+	// Audit records the operators' actions. If nil, nothing is recorded.
 	Audit Auditor
 }
 
-// Auditor keeps the audit; see internal/state/audit/writer.
+// Auditor writes the audit rows; see internal/state/audit/writer.
 type Auditor interface {
-	// Committed is called after an entry of the log was committed; it does not wait.
+	// Committed is called after an entry of the configuration log was committed. It does not block.
 	Committed()
-	// Record takes in a fact that is not in the log; it does not wait.
+	// Record records an action that is not in the configuration log. It does not block.
 	Record(now time.Time, r *cardamomyokev1.AuditRow)
-	// FlushAll writes what it can of all that this node knows of.
+	// FlushAll writes as many as possible of the rows that this node has not written yet.
 	FlushAll(ctx context.Context)
 }
 
-// noAudit keeps nothing.
+// noAudit is an Auditor that records nothing.
 type noAudit struct{}
 
 func (noAudit) Committed()                                 {}
 func (noAudit) Record(time.Time, *cardamomyokev1.AuditRow) {}
 func (noAudit) FlushAll(context.Context)                   {}
 
-// Server implements the RPC. It is safe for concurrent use.
+// Server implements the operators' RPC service. It is safe for concurrent use.
 type Server struct{ o Options }
 
 var _ cardamomyokev1connect.OperatorServiceHandler = (*Server)(nil)
 
-// New returns a server.
+// New returns a server with the given options.
 func New(o Options) *Server {
 	if o.Audit == nil {
 		o.Audit = noAudit{}
@@ -75,7 +75,7 @@
 	return &Server{o}
 }
 
-// Handler returns the path and handler of the service; options are, for example, keys.Interceptor.
+// Handler returns the path and handler of the service. Authorization is passed as an option, see keys.Interceptor.
 func Handler(s *Server, options ...connect.HandlerOption) (string, http.Handler) {
 	return cardamomyokev1connect.NewOperatorServiceHandler(s, options...)
 }
@@ -106,7 +106,7 @@
 	return &cardamomyokev1.RollForwardResponse{Outcome: o, Edits: e.GetEdits()}, nil
 }
 
-// change commits edits and waits for acceptance.
+// change commits the edits that build returns and waits up to waitMS for their acceptance.
 func (s *Server) change(ctx context.Context, meta *cardamomyokev1.ChangeMeta, waitMS uint32, build store.Build) (*cardamomyokev1.Outcome, *revision.Entry, error) {
 	if waitMS > maxWaitMS {
 		return nil, nil, &config.FieldError{Field: "wait_ms", Want: "0 to 60000"}
@@ -158,11 +158,12 @@
 			return nil, asConnect(err)
 		}
 	}
-	return &cardamomyokev1.ListResponse{Configuration: only(st.Configuration(), r.GetKind())}, nil
+	return &cardamomyokev1.ListResponse{Configuration: filterKind(st.Configuration(), r.GetKind())}, nil
 }
 
-// only returns the objects of one kind; nothing is shared with c that the caller could change.
-func only(c *cardamomyokev1.Configuration, kind cardamomyokev1.ObjectKind) *cardamomyokev1.Configuration {
+// filterKind returns a configuration with the objects of one kind, or of all kinds if kind is unspecified. The objects
+// themselves are shared with c.
+func filterKind(c *cardamomyokev1.Configuration, kind cardamomyokev1.ObjectKind) *cardamomyokev1.Configuration {
 	out := &cardamomyokev1.Configuration{Revision: c.GetRevision()}
 	all := kind == cardamomyokev1.ObjectKind_OBJECT_KIND_UNSPECIFIED
 	if all || kind == cardamomyokev1.ObjectKind_OBJECT_KIND_CLASS {
@@ -201,11 +202,11 @@
 	return &cardamomyokev1.GetOperationResponse{Found: true, Outcome: outcome(e, s.o.Agent.View())}, nil
 }
 
-func page(limit uint32) (int, error) {
+func pageSize(limit uint32) (int, error) {
 	if limit == 0 {
-		return defaultPage, nil
+		return defaultPageSize, nil
 	}
-	if limit > maxPage {
+	if limit > maxPageSize {
 		return 0, &config.FieldError{Field: "limit", Want: "0 to 1000"}
 	}
 	return int(limit), nil
@@ -213,7 +214,7 @@
 
 // ListRevisions implements the RPC.
 func (s *Server) ListRevisions(ctx context.Context, r *cardamomyokev1.ListRevisionsRequest) (*cardamomyokev1.ListRevisionsResponse, error) {
-	limit, err := page(r.GetLimit())
+	limit, err := pageSize(r.GetLimit())
 	if err != nil {
 		return nil, asConnect(err)
 	}
@@ -296,7 +297,7 @@
 	return nil
 }
 
-// record tells the audit of what an operator did beside the log.
+// record adds an audit row for an operator's action that is not in the configuration log.
 func (s *Server) record(meta *cardamomyokev1.ChangeMeta, kind, subject, after string) {
 	s.o.Audit.Record(time.Now(), &cardamomyokev1.AuditRow{
 		Actor: meta.GetOperator(), Reason: meta.GetReason(), OperationId: meta.GetOperationId(),
@@ -310,7 +311,7 @@
 	for {
 		changed := s.o.Agent.Changed()
 		now := s.revisions()
-		if last == nil || !sameStatus(last, now) {
+		if last == nil || !equalStatus(last, now) {
 			last = now
 			if err := stream.Send(&cardamomyokev1.WatchResponse{Revisions: now}); err != nil {
 				return err
--- a/internal/node/operator/operator_test.go
+++ b/internal/node/operator/operator_test.go
@@ -31,7 +31,7 @@
 	ops   int
 }
 
-func serve(t *testing.T) *fixture {
+func startServer(t *testing.T) *fixture {
 	s := standin.NewStore(standin.Limits{})
 	loop := control.New()
 	a := agent.New(agent.Config{
@@ -58,7 +58,8 @@
 		cancel()
 		<-ended
 	})
-	// A node that is no member yet would make the first change accepted by nobody, and join at any later time.
+	// Wait until the node is a member. Otherwise the first change would be accepted without any node, and the node would
+	// join at some time during the test.
 	for a.View().Newest == nil || a.View().Newest.Roster.Member("e1") == nil || a.View().Accepted < a.View().Staged {
 		<-a.Changed()
 	}
@@ -72,7 +73,7 @@
 	}
 }
 
-func put(o proto.Message) *cardamomyokev1.Edit {
+func editOf(o proto.Message) *cardamomyokev1.Edit {
 	e := &cardamomyokev1.Edit{Action: cardamomyokev1.EditAction_EDIT_ACTION_CREATE}
 	switch o := o.(type) {
 	case *cardamomyokev1.PriorityClass:
@@ -88,22 +89,23 @@
 	return e
 }
 
-func first() []*cardamomyokev1.Edit {
+func initialEdits() []*cardamomyokev1.Edit {
 	return []*cardamomyokev1.Edit{
-		put(&cardamomyokev1.PriorityClass{Name: "first", QueueLimit: 10}),
-		put(&cardamomyokev1.Service{
+		editOf(&cardamomyokev1.PriorityClass{Name: "first", QueueLimit: 10}),
+		editOf(&cardamomyokev1.Service{
 			Name: "desk-model", Kind: cardamomyokev1.ServiceKind_SERVICE_KIND_MODEL, Class: "first", Repeatable: true,
 			DeadlineMs: 1000, MaxBodyBytes: 1000,
 		}),
-		put(&cardamomyokev1.ModelGroup{Name: "g", Service: "desk-model", Ranks: 4, Experts: 8, Layers: 1}),
-		put(&cardamomyokev1.Policies{AddressKeepMs: 5000, EjectionPercent: 30, QuarantineS: 60}),
+		editOf(&cardamomyokev1.ModelGroup{Name: "g", Service: "desk-model", Ranks: 4, Experts: 8, Layers: 1}),
+		editOf(&cardamomyokev1.Policies{AddressKeepMs: 5000, EjectionPercent: 30, QuarantineS: 60}),
 	}
 }
 
-const wait = 60_000 // a bound for a test that would otherwise hang, not a measurement
+// waitMS is the timeout of changes, in milliseconds; it bounds a test that would otherwise hang.
+const waitMS = 60_000
 
-// accepted fails unless the change is accepted as the given revision.
-func accepted(t *testing.T, o *cardamomyokev1.Outcome, err error, rev uint64) {
+// requireAccepted fails the test unless the change is accepted as the given revision.
+func requireAccepted(t *testing.T, o *cardamomyokev1.Outcome, err error, rev uint64) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -113,8 +115,8 @@
 	}
 }
 
-// refused fails unless err has the code and, if detail is not nil, carries a detail equal to it.
-func refused(t *testing.T, err error, code connect.Code, detail proto.Message) {
+// requireRefused fails the test unless err has the code and, if detail is not nil, a detail equal to it.
+func requireRefused(t *testing.T, err error, code connect.Code, detail proto.Message) {
 	t.Helper()
 	var ce *connect.Error
 	if !errors.As(err, &ce) || ce.Code() != code {
@@ -133,22 +135,22 @@
 }
 
 func TestChangeAndRollForward(t *testing.T) {
-	f := serve(t)
+	f := startServer(t)
 	ctx := t.Context()
 	meta := f.meta(0)
-	r, err := f.Change(ctx, &cardamomyokev1.ChangeRequest{Meta: meta, Edits: first(), WaitMs: wait})
-	accepted(t, r.GetOutcome(), err, 1)
-	again, err := f.Change(ctx, &cardamomyokev1.ChangeRequest{Meta: meta, Edits: first(), WaitMs: wait})
-	accepted(t, again.GetOutcome(), err, 1)
+	r, err := f.Change(ctx, &cardamomyokev1.ChangeRequest{Meta: meta, Edits: initialEdits(), WaitMs: waitMS})
+	requireAccepted(t, r.GetOutcome(), err, 1)
+	again, err := f.Change(ctx, &cardamomyokev1.ChangeRequest{Meta: meta, Edits: initialEdits(), WaitMs: waitMS})
+	requireAccepted(t, again.GetOutcome(), err, 1)
 	drain := &cardamomyokev1.ActRequest_DrainUpstream{DrainUpstream: &cardamomyokev1.DrainUpstream{Upstream: "u1", Drained: true}}
-	act, err := f.Act(ctx, &cardamomyokev1.ActRequest{Meta: f.meta(1), Action: drain, WaitMs: wait})
-	accepted(t, act.GetOutcome(), err, 2)
+	act, err := f.Act(ctx, &cardamomyokev1.ActRequest{Meta: f.meta(1), Action: drain, WaitMs: waitMS})
+	requireAccepted(t, act.GetOutcome(), err, 2)
 	pause := &cardamomyokev1.ActRequest_PauseRebalancing{PauseRebalancing: &cardamomyokev1.PauseRebalancing{Group: "g", Paused: true}}
-	act, err = f.Act(ctx, &cardamomyokev1.ActRequest{Meta: f.meta(2), Action: pause, WaitMs: wait})
-	accepted(t, act.GetOutcome(), err, 3)
+	act, err = f.Act(ctx, &cardamomyokev1.ActRequest{Meta: f.meta(2), Action: pause, WaitMs: waitMS})
+	requireAccepted(t, act.GetOutcome(), err, 3)
 
-	back, err := f.RollForward(ctx, &cardamomyokev1.RollForwardRequest{Meta: f.meta(3), ToRevision: 1, WaitMs: wait})
-	accepted(t, back.GetOutcome(), err, 4)
+	back, err := f.RollForward(ctx, &cardamomyokev1.RollForwardRequest{Meta: f.meta(3), ToRevision: 1, WaitMs: waitMS})
+	requireAccepted(t, back.GetOutcome(), err, 4)
 	list, err := f.List(ctx, &cardamomyokev1.ListRequest{InForce: true})
 	if err != nil {
 		t.Fatal(err)
@@ -173,41 +175,41 @@
 }
 
 func TestRefusalsAreTyped(t *testing.T) {
-	f := serve(t)
+	f := startServer(t)
 	ctx := t.Context()
-	r, err := f.Change(ctx, &cardamomyokev1.ChangeRequest{Meta: f.meta(0), Edits: first(), WaitMs: wait})
-	accepted(t, r.GetOutcome(), err, 1)
+	r, err := f.Change(ctx, &cardamomyokev1.ChangeRequest{Meta: f.meta(0), Edits: initialEdits(), WaitMs: waitMS})
+	requireAccepted(t, r.GetOutcome(), err, 1)
 
 	bad := &cardamomyokev1.Policies{AddressKeepMs: 1}
-	_, err = f.Change(ctx, &cardamomyokev1.ChangeRequest{Meta: f.meta(1), Edits: []*cardamomyokev1.Edit{put(bad)}})
-	refused(t, err, connect.CodeInvalidArgument, &cardamomyokev1.FieldViolation{Field: "edits[0].policies.address_keep_ms"})
+	_, err = f.Change(ctx, &cardamomyokev1.ChangeRequest{Meta: f.meta(1), Edits: []*cardamomyokev1.Edit{editOf(bad)}})
+	requireRefused(t, err, connect.CodeInvalidArgument, &cardamomyokev1.FieldViolation{Field: "edits[0].policies.address_keep_ms"})
 	_, err = f.Change(ctx, &cardamomyokev1.ChangeRequest{Meta: &cardamomyokev1.ChangeMeta{}})
-	refused(t, err, connect.CodeInvalidArgument, &cardamomyokev1.FieldViolation{Field: "meta.operator"})
+	requireRefused(t, err, connect.CodeInvalidArgument, &cardamomyokev1.FieldViolation{Field: "meta.operator"})
 	_, err = f.RollForward(ctx, &cardamomyokev1.RollForwardRequest{Meta: f.meta(1), ToRevision: 9})
-	refused(t, err, connect.CodeInvalidArgument, &cardamomyokev1.FieldViolation{Field: "to_revision"})
+	requireRefused(t, err, connect.CodeInvalidArgument, &cardamomyokev1.FieldViolation{Field: "to_revision"})
 
-	late := &cardamomyokev1.ChangeRequest{Meta: f.meta(0), Edits: []*cardamomyokev1.Edit{put(&cardamomyokev1.PriorityClass{Name: "b", QueueLimit: 1})}}
+	late := &cardamomyokev1.ChangeRequest{Meta: f.meta(0), Edits: []*cardamomyokev1.Edit{editOf(&cardamomyokev1.PriorityClass{Name: "b", QueueLimit: 1})}}
 	_, err = f.Change(ctx, late)
-	refused(t, err, connect.CodeAborted, &cardamomyokev1.ConflictDetail{CommittedRevision: 1, BaseRevision: 0})
+	requireRefused(t, err, connect.CodeAborted, &cardamomyokev1.ConflictDetail{CommittedRevision: 1, BaseRevision: 0})
 
 	reused := f.meta(1)
 	reused.OperationId = "op-b" // the first change's
 	late.Meta = reused
 	_, err = f.Change(ctx, late)
-	refused(t, err, connect.CodeAlreadyExists, nil)
+	requireRefused(t, err, connect.CodeAlreadyExists, nil)
 
 	f.store.SetFaults(standin.PartTable, standin.Faults{Outage: true})
 	late.Meta = f.meta(1)
 	_, err = f.Change(ctx, late)
-	refused(t, err, connect.CodeUnavailable, nil)
+	requireRefused(t, err, connect.CodeUnavailable, nil)
 	s, err := f.GetStatus(ctx, &cardamomyokev1.GetStatusRequest{})
 	if err != nil || len(s.GetUnavailable()) != 1 || len(s.GetNodes()) != 1 || s.GetRevisions().GetInForceRevision() != 1 {
 		t.Fatalf("status %v, %v", s, err)
 	}
 }
 
-func TestOrdersCarryGrowingFences(t *testing.T) {
-	f := serve(t)
+func TestNewOrdersGetIncreasingFences(t *testing.T) {
+	f := startServer(t)
 	o := &cardamomyokev1.EngineOrder{Upstream: "u1", Order: &cardamomyokev1.EngineOrder_LoadModel{
 		LoadModel: &cardamomyokev1.LoadModel{Model: "m", Version: "v1"},
 	}}
@@ -222,17 +224,17 @@
 		}
 	}
 	_, err := f.Order(t.Context(), &cardamomyokev1.OrderRequest{Meta: f.meta(0), Order: &cardamomyokev1.EngineOrder{Upstream: "u1"}})
-	refused(t, err, connect.CodeInvalidArgument, &cardamomyokev1.FieldViolation{Field: "order.order"})
+	requireRefused(t, err, connect.CodeInvalidArgument, &cardamomyokev1.FieldViolation{Field: "order.order"})
 }
 
 func TestWatchSendsEachChange(t *testing.T) {
-	f := serve(t)
+	f := startServer(t)
 	stream, err := f.Watch(t.Context(), &cardamomyokev1.WatchRequest{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := f.Change(t.Context(), &cardamomyokev1.ChangeRequest{Meta: f.meta(0), Edits: first(), WaitMs: wait})
-	accepted(t, r.GetOutcome(), err, 1)
+	r, err := f.Change(t.Context(), &cardamomyokev1.ChangeRequest{Meta: f.meta(0), Edits: initialEdits(), WaitMs: waitMS})
+	requireAccepted(t, r.GetOutcome(), err, 1)
 	for stream.Receive() {
 		if stream.Msg().GetRevisions().GetInForceRevision() == 1 {
 			return
--- a/internal/node/operator/status.go
+++ b/internal/node/operator/status.go
@@ -16,7 +16,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision/store"
 )
 
-// tableUpWithin is how old the newest read of the table may be that a node heard of for the table to count as up.
+// tableUpWithin is the maximum age of the newest table read that this node is aware of for the table to count as up.
 const tableUpWithin = 4 * time.Second
 
 func (s *Server) revisions() *cardamomyokev1.RevisionStatus {
@@ -32,9 +32,10 @@
 	return out
 }
 
-func sameStatus(a, b *cardamomyokev1.RevisionStatus) bool { return proto.Equal(a, b) }
+func equalStatus(a, b *cardamomyokev1.RevisionStatus) bool { return proto.Equal(a, b) }
 
-// GetStatus implements the RPC. It answers what this entry knows, and names what it could not read.
+// GetStatus implements the RPC. It returns this entry's view of the system, and lists in unavailable what it could not
+// read.
 func (s *Server) GetStatus(ctx context.Context, _ *cardamomyokev1.GetStatusRequest) (*cardamomyokev1.GetStatusResponse, error) {
 	out := &cardamomyokev1.GetStatusResponse{Node: s.o.Node, Revisions: s.revisions()}
 	if v := s.o.Agent.View(); v.Newest != nil {
@@ -56,9 +57,10 @@
 	return out, nil
 }
 
-// ListAudit implements the RPC. The first page is preceded by writing what this entry has not written yet.
+// ListAudit implements the RPC. Before it reads the first page, it writes the audit rows that this entry has not written
+// yet.
 func (s *Server) ListAudit(ctx context.Context, r *cardamomyokev1.ListAuditRequest) (*cardamomyokev1.ListAuditResponse, error) {
-	limit, err := page(r.GetLimit())
+	limit, err := pageSize(r.GetLimit())
 	if err != nil {
 		return nil, asConnect(err)
 	}
@@ -71,7 +73,7 @@
 	}
 	out := &cardamomyokev1.ListAuditResponse{}
 	for _, row := range rows {
-		a, err := readAudit(row)
+		a, err := decodeAuditRow(row)
 		if err != nil {
 			return nil, asConnect(err)
 		}
@@ -80,7 +82,7 @@
 	return out, nil
 }
 
-func readAudit(row platform.Row) (*cardamomyokev1.AuditRow, error) {
+func decodeAuditRow(row platform.Row) (*cardamomyokev1.AuditRow, error) {
 	a := &cardamomyokev1.AuditRow{}
 	if err := proto.Unmarshal(row.Value, a); err != nil {
 		return nil, &store.CorruptError{Key: row.Key, Cause: err}
@@ -89,7 +91,7 @@
 	return a, nil
 }
 
-// pauseEdit returns the edit that stops or resumes the rebalancing of a group.
+// pauseEdit returns the edit that pauses or resumes the rebalancing of a group.
 func pauseEdit(p *cardamomyokev1.PauseRebalancing) store.Build {
 	return func(st *revision.State) ([]*cardamomyokev1.Edit, error) {
 		for _, g := range st.Configuration().GetGroups() {
@@ -109,7 +111,7 @@
 	}
 }
 
-// drainEdit returns the edit that takes new work from an upstream, or gives it back.
+// drainEdit returns the edit that drains an upstream, so that it gets no new work, or ends the drain.
 func drainEdit(d *cardamomyokev1.DrainUpstream) store.Build {
 	return func(st *revision.State) ([]*cardamomyokev1.Edit, error) {
 		action := cardamomyokev1.EditAction_EDIT_ACTION_CREATE
