--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -13,14 +13,14 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/config"
 )
 
-// FixedFlag adds the flag for a configuration file that replaces the platform's configuration and never changes. It is
+// FixedConfigFlag adds the flag for a configuration file that replaces the platform's configuration and never changes. It is
 // for measurements.
-func FixedFlag(run *kingpin.CmdClause) *string {
+func FixedConfigFlag(run *kingpin.CmdClause) *string {
 	return run.Flag("configuration", "Configuration file (JSON) that never changes, for measurements.").ExistingFile()
 }
 
-// ReadFixed reads the configuration file given by FixedFlag. It returns nil if file is empty.
-func ReadFixed(file string) (*config.Snapshot, error) {
+// ReadFixedConfig reads the configuration file given by FixedConfigFlag. It returns nil if file is empty.
+func ReadFixedConfig(file string) (*config.Snapshot, error) {
 	if file == "" {
 		return nil, nil
 	}
--- a/internal/node/daemon/entrymain/entrymain.go
+++ b/internal/node/daemon/entrymain/entrymain.go
@@ -31,7 +31,7 @@
 		Name:     "cardamomyoke-entry",
 		Help:     "Takes callers' requests and routes them to slots.",
 		Settings: func() settings.Checker { return &entry.Settings{} },
-		Flags:    func(cmd *kingpin.CmdClause) { configFile = daemon.FixedFlag(cmd) },
+		Flags:    func(cmd *kingpin.CmdClause) { configFile = daemon.FixedConfigFlag(cmd) },
 		Run: func(ctx context.Context, set settings.Checker, o program.Options) error {
 			return run(ctx, set, o, *configFile)
 		},
@@ -39,7 +39,7 @@
 }
 
 func run(ctx context.Context, checked settings.Checker, o program.Options, file string) error {
-	fixed, err := daemon.ReadFixed(file)
+	fixed, err := daemon.ReadFixedConfig(file)
 	if err != nil {
 		return err
 	}
--- a/internal/node/daemon/slotmain/slotmain.go
+++ b/internal/node/daemon/slotmain/slotmain.go
@@ -28,7 +28,7 @@
 		Name:     "cardamomyoke-slot",
 		Help:     "Runs beside an upstream and is the only process that hands it work or orders.",
 		Settings: func() settings.Checker { return &slot.Settings{} },
-		Flags:    func(cmd *kingpin.CmdClause) { configFile = daemon.FixedFlag(cmd) },
+		Flags:    func(cmd *kingpin.CmdClause) { configFile = daemon.FixedConfigFlag(cmd) },
 		Run: func(ctx context.Context, set settings.Checker, o program.Options) error {
 			return run(ctx, set, o, *configFile)
 		},
@@ -36,7 +36,7 @@
 }
 
 func run(ctx context.Context, checked settings.Checker, o program.Options, file string) error {
-	fixed, err := daemon.ReadFixed(file)
+	fixed, err := daemon.ReadFixedConfig(file)
 	if err != nil {
 		return err
 	}
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -195,7 +195,8 @@
 	e.reportUsage(now)
 }
 
-// applyConfig applies the configuration in force, and updates the lifecycle by whether that configuration is fresh.
+// applyConfig applies the configuration in force if it changed, and fires the lifecycle event for whether it is fresh or
+// stale.
 func (e *Entry) applyConfig(now time.Time) {
 	snap := e.config.Current()
 	if snap == nil {
@@ -267,7 +268,7 @@
 	e.view.Store(e.state.build(current == stateServing || current == stateLeaving, now))
 }
 
-// sendDigests sends this entry's digest to the members that are due, or to all members if all is set, for an urgent
+// sendDigests sends this entry's digest to the targets that are due, or to all targets if all is set, for an urgent
 // change.
 func (e *Entry) sendDigests(now time.Time, all bool) {
 	due := e.state.members.DueTargets(e.settings.Digests.Seeds, now, all)
--- a/internal/node/entry/forward.go
+++ b/internal/node/entry/forward.go
@@ -142,7 +142,8 @@
 	return failure.New(interruptedCode(ctx), err)
 }
 
-// interruptedCode returns the failure code of an attempt that may have run, by whether its context has ended and why.
+// interruptedCode returns the failure code of an attempt that may have run: the deadline or the cancellation if ctx has
+// ended, otherwise a failure of the upstream.
 func interruptedCode(ctx context.Context) failure.Code {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
--- a/internal/node/entry/handler.go
+++ b/internal/node/entry/handler.go
@@ -24,7 +24,7 @@
 // headerRequest is the response header field with the id of the request, which is the same for all its attempts.
 const headerRequest = "Cardamomyoke-Request"
 
-// retryAfter is the delay proposed to a caller if the entry is stopping or its configuration is stale.
+// retryAfter is the retry delay sent to a caller while the entry is stopping or its configuration is stale.
 const retryAfter = time.Second
 
 func (e *Entry) serve(ctx context.Context, x *httpserver.Exchange) {
--- a/internal/node/entry/model.go
+++ b/internal/node/entry/model.go
@@ -123,8 +123,8 @@
 
 // atTokenLimit reports whether as many tokens are delivered as the caller's limit allows.
 //
-// An upstream may crash between the last token and the event that ends the stream. There is nothing to retry then, and a
-// retry would generate one token too many.
+// An upstream may crash between the last token and the event that ends the stream. The response has all its tokens then,
+// and a retry would generate one too many.
 func (m *modelResponse) atTokenLimit() bool {
 	return m.r.chat != nil && m.r.tokenLimit > 0 && m.tokens >= m.r.tokenLimit
 }
--- a/internal/node/entry/request.go
+++ b/internal/node/entry/request.go
@@ -64,7 +64,7 @@
 	suspicion int
 }
 
-// chatRequest holds the fields of an OpenAI-style body that the entry reads; the engine receives the body unchanged.
+// chatRequest holds the fields of an OpenAI-style body that the entry reads; the others are for the engine only.
 type chatRequest struct {
 	Model     string          `json:"model"`
 	Messages  json.RawMessage `json:"messages"`
--- a/internal/node/entry/shutdown.go
+++ b/internal/node/entry/shutdown.go
@@ -25,7 +25,7 @@
 	return err
 }
 
-// withdraw removes the entry from the addresses given to callers and notifies all members.
+// withdraw stops giving this entry's address to callers, and sends a digest with the new state to all targets.
 func (e *Entry) withdraw() {
 	e.post(func(now time.Time) {
 		e.fire(eventLeave)
--- a/internal/node/entry/state.go
+++ b/internal/node/entry/state.go
@@ -316,9 +316,9 @@
 	return float64(max(1, s.config.Current().Client(c).GetShare()))
 }
 
-// capacity returns how much work this entry may run concurrently: the fraction of all batch slots that the clients'
-// fair shares of work at this entry need. It is an even split while there is no demand, or if there are too many
-// entries to exchange demand in full.
+// capacity returns the limit on the work that this entry runs concurrently: a fraction of the capacity of all upstreams.
+// The fraction is the part of all clients' fair-share work that arrives at this entry. It is the same for all entries
+// while there is no demand, or if there are too many entries to exchange demand in full.
 func (s *state) capacity(list []*routing.Upstream, stepTime float64, now time.Time) admission.Capacity {
 	total := 0.0
 	for _, u := range list {
--- a/internal/node/slot/digests.go
+++ b/internal/node/slot/digests.go
@@ -77,7 +77,7 @@
 	d.slot.quarantineGate.Merge(quarantine.FromDigest(in)...)
 }
 
-// send sends a digest to the entries that are due, or to all entries if all is set, for an urgent change.
+// send sends a digest to the targets that are due, or to all targets if all is set, for an urgent change.
 func (d *digests) send(all bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/node/slot/plain.go
+++ b/internal/node/slot/plain.go
@@ -82,7 +82,7 @@
 
 func readPlain(j *job, res *httpclient.Response) (*plainResponse, error) {
 	// If the service echoes the request id, a response to another request is detected here. If it does not, the response
-	// is reusable to be the one to this request, since httpclient never shares a connection between concurrent requests.
+	// is assumed to belong to this one, since httpclient never shares a connection between concurrent requests.
 	if id := string(res.Header.Peek(engineHeaderID)); id != "" && id != j.Attempt.String() {
 		return nil, &attempt.MismatchError{Attempt: j.Attempt, Want: "its own id", Got: id}
 	}
--- a/internal/node/slot/slot.go
+++ b/internal/node/slot/slot.go
@@ -2,7 +2,7 @@
 // requests and orders.
 //
 // A slot refuses attempts that must not start: fenced ones, those decided on a stale configuration, those past their
-// deadline, and all while it drains. It starts each other attempt exactly once, matches the upstream's response to its
+// deadline and, while it drains, all. It starts each of the others exactly once, matches the upstream's response to its
 // attempt and reports the upstream's load to the entries.
 package slot
 
--- a/internal/node/slot/upstream.go
+++ b/internal/node/slot/upstream.go
@@ -84,8 +84,8 @@
 	Start string `json:"start"`
 }
 
-// check probes the upstream. If it cannot be connected to, or if its process id changed, it has crashed since the last
-// probe.
+// check probes the upstream. The upstream has crashed since the last probe if it newly refuses connections, or if its
+// process id has changed. If requests were running on it, the crash is counted and reported to the entries.
 func (m *upstreamMonitor) check(s *Slot) {
 	start, err := s.probeUpstream()
 	var dial *httpclient.DialError
