--- a/internal/node/entry/forward.go
+++ b/internal/node/entry/forward.go
@@ -75,8 +75,8 @@
 	return req
 }
 
-// send sends the attempt and returns the slot's response. A refusal and a response to another attempt are returned as
-// errors. The caller must release the response. Errors: *failure.Error.
+// send sends the attempt and returns the slot's response, which the caller must release. A refusal and a response to
+// another attempt are returned as errors. Errors: *failure.Error.
 func (e *Entry) send(ctx context.Context, t *try) (*httpclient.Response, error) {
 	req := t.request()
 	res, err := e.client.Do(ctx, t.to.Address, req)
--- a/internal/node/entry/handler.go
+++ b/internal/node/entry/handler.go
@@ -180,8 +180,8 @@
 	if level == quarantine.Refused {
 		return "", quarantine.Refusal(time.Now(), until)
 	}
-	// An interrupted attempt may have crashed its upstream. Until the cause is determined, the retry must not run together
-	// with another suspect, or one request could crash as many upstreams as it has attempts.
+	// An interrupted attempt may have crashed its upstream. Until the cause is determined, the retry must not run on the
+	// same upstream as another suspect, or one request could crash as many upstreams as it has attempts.
 	if m.interrupted {
 		level = max(level, quarantine.Suspected)
 	}
--- a/internal/node/entry/view.go
+++ b/internal/node/entry/view.go
@@ -11,7 +11,7 @@
 )
 
 // view is the snapshot of the control state that requests use. It is immutable except for the gates and budgets of its
-// pools, which are safe for concurrent use.
+// pools and the work counts and cached blocks of their upstreams, which are safe for concurrent use.
 type view struct {
 	config *config.Snapshot
 	// serving is set if the entry accepts new work.
--- a/internal/node/slot/orders_test.go
+++ b/internal/node/slot/orders_test.go
@@ -112,7 +112,7 @@
 }
 
 // Guards against losing an order because the engine was down: an order that could not be delivered must not count as
-// delivered, so that the next turn retries it.
+// delivered, so that the next poll retries it.
 func TestFailedOrderIsRetried(t *testing.T) {
 	store := standin.NewStore(standin.Limits{})
 	o, e := startOrders(t, store, true)
--- a/internal/node/slot/upstream.go
+++ b/internal/node/slot/upstream.go
@@ -38,8 +38,8 @@
 }
 
 // releasePermit reports the outcome of a run to the quarantine gate. After a broken connection it probes the upstream
-// immediately: if the upstream crashed, the requests that ran there become suspects, and the entry needs to receive this
-// before its next attempt.
+// immediately: if the upstream crashed, the requests that ran there become suspects, and the entry must receive them
+// before it sends its next attempt.
 func (s *Slot) releasePermit(ctx context.Context, permit *quarantine.Permit, err error) {
 	switch {
 	case err == nil:
