--- a/internal/base/charts/charts.go
+++ b/internal/base/charts/charts.go
@@ -1,9 +1,9 @@
-// Package charts interprets state charts that are kept as YAML files beside it.
+// Package charts interprets the state charts in the YAML files of its directory.
 //
-// A chart names its events and states. Each state says, for each event, where it leads and which actions the owner
-// must carry out, or that the event is ignored there. Load refuses a chart with a state that cannot be reached or an
-// event that a state neither handles nor ignores, so that a forgotten case is found when the program starts and not
-// when a rare message arrives.
+// A chart names its events and states. For each event, a state defines the next state and the actions that the owner must
+// carry out, or that the event is ignored. Load rejects a chart with an unreachable state or with an event that a state
+// neither handles nor ignores, so that a forgotten case is found when the program starts and not when a rare message
+// arrives.
 package charts
 
 import (
@@ -23,32 +23,32 @@
 // Event names an event of a chart.
 type Event string
 
-// Action names an effect that the owner of a machine carries out.
+// Action names an action that the owner of a machine carries out.
 type Action string
 
-// Transition is what an event leads to.
+// Transition is the effect of an event: the next state and the actions to carry out.
 type Transition struct {
 	To State    `yaml:"to"`
 	Do []Action `yaml:"do"`
 }
 
-type node struct {
+type stateDef struct {
 	On     map[Event]Transition `yaml:"on"`
 	Ignore []Event              `yaml:"ignore"`
 	Final  bool                 `yaml:"final"`
 	Doc    string               `yaml:"doc"`
 }
 
-// Chart is a checked state chart. It is immutable and safe for concurrent use.
+// Chart is a valid state chart. It is immutable and safe for concurrent use.
 type Chart struct {
-	Name    string          `yaml:"name"`
-	Doc     string          `yaml:"doc"`
-	Initial State           `yaml:"initial"`
-	Events  []Event         `yaml:"events"`
-	States  map[State]*node `yaml:"states"`
+	Name    string              `yaml:"name"`
+	Doc     string              `yaml:"doc"`
+	Initial State               `yaml:"initial"`
+	Events  []Event             `yaml:"events"`
+	States  map[State]*stateDef `yaml:"states"`
 }
 
-// InvalidError says what is wrong with a chart's file.
+// InvalidError describes why a chart's file is invalid.
 type InvalidError struct {
 	Chart  string
 	Reason string
@@ -61,7 +61,7 @@
 // Unwrap returns the cause, if there is one.
 func (e *InvalidError) Unwrap() error { return e.Cause }
 
-// UnhandledError says that an event is not part of the chart.
+// UnhandledError reports that the chart does not declare an event.
 type UnhandledError struct {
 	Chart string
 	State State
@@ -70,10 +70,10 @@
 
 // Error implements error.
 func (e *UnhandledError) Error() string {
-	return fmt.Sprintf("chart %s: state %s does not know event %s", e.Chart, e.State, e.Event)
+	return fmt.Sprintf("chart %s: state %s: event %s is not declared", e.Chart, e.State, e.Event)
 }
 
-// Load reads and checks the chart kept as NAME.yaml; it returns *InvalidError if the chart is not sound.
+// Load reads and validates the chart in the embedded file NAME.yaml. Errors: *InvalidError.
 func Load(name string) (*Chart, error) {
 	text, err := files.ReadFile(name + ".yaml")
 	if err != nil {
@@ -82,7 +82,7 @@
 	return Parse(name, text)
 }
 
-// MustLoad is Load for charts that are part of the program; it panics if the chart is not sound.
+// MustLoad is like Load but panics on an error, since the charts are part of the program.
 func MustLoad(name string) *Chart {
 	c, err := Load(name)
 	if err != nil {
@@ -91,14 +91,14 @@
 	return c
 }
 
-// Parse reads and checks a chart from text.
+// Parse parses and validates the text of the named chart. Errors: *InvalidError.
 func Parse(name string, text []byte) (*Chart, error) {
 	c := &Chart{}
 	if err := yaml.UnmarshalWithOptions(text, c, yaml.Strict()); err != nil {
 		return nil, &InvalidError{name, err.Error(), err}
 	}
 	if c.Name != name {
-		return nil, &InvalidError{name, fmt.Sprintf("is named %q inside", c.Name), nil}
+		return nil, &InvalidError{name, fmt.Sprintf("is named %q in its file", c.Name), nil}
 	}
 	if err := c.check(); err != nil {
 		return nil, err
@@ -125,7 +125,7 @@
 	return c.checkReachable()
 }
 
-func (c *Chart) checkState(name State, n *node) error {
+func (c *Chart) checkState(name State, n *stateDef) error {
 	for ev, tr := range n.On {
 		if !slices.Contains(c.Events, ev) {
 			return c.invalid("state %s handles undeclared event %s", name, ev)
@@ -153,14 +153,14 @@
 
 func (c *Chart) checkReachable() error {
 	seen := map[State]bool{c.Initial: true}
-	todo := []State{c.Initial}
-	for len(todo) > 0 {
-		s := todo[0]
-		todo = todo[1:]
+	queue := []State{c.Initial}
+	for len(queue) > 0 {
+		s := queue[0]
+		queue = queue[1:]
 		for _, tr := range c.States[s].On {
 			if !seen[tr.To] {
 				seen[tr.To] = true
-				todo = append(todo, tr.To)
+				queue = append(queue, tr.To)
 			}
 		}
 	}
@@ -181,14 +181,14 @@
 // Start returns a machine in the chart's initial state.
 func (c *Chart) Start() Machine { return Machine{chart: c, state: c.Initial} }
 
-// State returns the present state.
+// State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Final reports whether the present state is an end.
+// Final reports whether the current state is final.
 func (m *Machine) Final() bool { return m.chart.States[m.state].Final }
 
-// Fire applies an event and returns the actions to carry out, which are nil for an ignored one. It returns
-// *UnhandledError, and changes nothing, for an event that the chart does not declare.
+// Fire applies an event and returns the actions to carry out, or nil if the event is ignored. For an event that the chart
+// does not declare it returns *UnhandledError and leaves the state unchanged.
 func (m *Machine) Fire(ev Event) ([]Action, error) {
 	if !slices.Contains(m.chart.Events, ev) {
 		return nil, &UnhandledError{m.chart.Name, m.state, ev}
--- a/internal/base/charts/charts_test.go
+++ b/internal/base/charts/charts_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-func TestEveryChartIsSound(t *testing.T) {
+func TestEveryChartIsValid(t *testing.T) {
 	entries, err := fs.ReadDir(files, ".")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(entries) == 0 {
-		t.Fatal("no chart is embedded")
+		t.Fatal("no charts are embedded")
 	}
 	for _, e := range entries {
 		if _, err := Load(strings.TrimSuffix(e.Name(), ".yaml")); err != nil {
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestParseRefusesUnsoundCharts(t *testing.T) {
+func TestParseRejectsInvalidCharts(t *testing.T) {
 	tests := map[string]struct{ text, want string }{
 		"unreachable": {"name: x\ninitial: a\nevents: [e]\nstates:\n  a: {ignore: [e]}\n  b: {ignore: [e]}\n", "cannot be reached"},
 		"forgotten":   {"name: x\ninitial: a\nevents: [e, f]\nstates:\n  a: {on: {e: {to: a}}}\n", "neither handles nor ignores"},
--- a/internal/base/control/loop.go
+++ b/internal/base/control/loop.go
@@ -1,7 +1,7 @@
-// Package control runs the one goroutine that owns a process's control state.
+// Package control runs the single goroutine that owns a process's control state.
 //
-// All events that change control state are posted to a Loop and run there one after the other, so the state needs no
-// locks. Traffic never waits for the loop: it reads immutable snapshots that functions on the loop publish.
+// All events that change control state are posted to a Loop, which runs them one at a time, so the state needs no locks.
+// Traffic never waits for the loop: it reads immutable snapshots that functions on the loop publish.
 package control
 
 import (
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// mailboxSize is how many events may wait; a sender waits when it is full.
+// mailboxSize is how many events may be queued; Post blocks while the mailbox is full.
 const mailboxSize = 1024
 
-// Loop is a mailbox with one goroutine. Create it with New.
+// Loop runs posted functions on one goroutine. Create it with New.
 type Loop struct {
 	mailbox chan func(now time.Time)
 	done    chan struct{}
 }
 
-// New returns a loop that does not run yet.
+// New returns a loop that is not running yet.
 func New() *Loop {
 	return &Loop{mailbox: make(chan func(time.Time), mailboxSize), done: make(chan struct{})}
 }
 
-// Post hands f to the loop; it is dropped once the loop has ended. f must not wait for anything.
+// Post queues f to run on the loop; f is dropped once Run has returned. f must not block.
 func (l *Loop) Post(f func(now time.Time)) {
 	select {
 	case l.mailbox <- f:
@@ -31,7 +31,7 @@
 	}
 }
 
-// Run runs posted functions, and tick every period, until ctx ends.
+// Run runs the posted functions, and calls tick every period, until ctx ends.
 func (l *Loop) Run(ctx context.Context, period time.Duration, tick func(now time.Time)) {
 	defer close(l.done)
 	ticker := time.NewTicker(period)
--- a/internal/base/controlport/controlport.go
+++ b/internal/base/controlport/controlport.go
@@ -1,4 +1,5 @@
-// Package controlport is the listener that daemons have beside that for traffic.
+// Package controlport provides the listener that daemons open in addition to the one for traffic. It serves RPC, metrics
+// and health checks.
 package controlport
 
 import (
@@ -16,17 +17,17 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/keys"
 )
 
-// Port is the listener for RPC, metrics and health of a daemon.
+// Port is the control listener of a daemon.
 type Port struct {
 	Mux    *http.ServeMux
 	server *http.Server
 }
 
-// controlTimeout bounds the reading of a request's header on the control listener.
-const controlTimeout = 5 * time.Second
+// headerTimeout limits how long reading a request's header may take on the control listener.
+const headerTimeout = 5 * time.Second
 
-// Start serves on address: /metrics with the given set and the process's own, /healthz, and what is added to
-// Mux before. With keys it serves TLS only, to peers with a certificate; keys may be nil.
+// Start serves mux on address, and adds /metrics, with the metrics of set and of the process, and /healthz to it. If
+// source is not nil, the listener accepts only TLS, from clients with a valid certificate; otherwise it is not encrypted.
 func Start(address string, mux *http.ServeMux, set *metrics.Set, source *keys.Source, logger log.Logger) (*Port, error) {
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		set.WritePrometheus(w)
@@ -49,14 +50,14 @@
 	} else {
 		protocols.SetUnencryptedHTTP2(true)
 	}
-	c := &Port{Mux: mux, server: &http.Server{Handler: handler, ReadHeaderTimeout: controlTimeout, Protocols: protocols}}
+	p := &Port{Mux: mux, server: &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, Protocols: protocols}}
 	go func() {
-		if err := c.server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
+		if err := p.server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
 			_ = level.Error(logger).Log("msg", "control listener ended", "err", err)
 		}
 	}()
-	return c, nil
+	return p, nil
 }
 
-// Stop closes the listener.
-func (c *Port) Stop() { _ = c.server.Close() }
+// Stop closes the listener and its connections.
+func (p *Port) Stop() { _ = p.server.Close() }
--- a/internal/base/failure/doc_test.go
+++ b/internal/base/failure/doc_test.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/failure"
 )
 
-// TestEveryCodeIsInTheAPIPage holds docs/api.md to the table of codes.
+// A code is added or its meaning changes, and docs/api.md is not updated: each code must have its row on that page.
 func TestEveryCodeIsInTheAPIPage(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/api.md")
 	if err != nil {
--- a/internal/base/failure/failure.go
+++ b/internal/base/failure/failure.go
@@ -1,7 +1,8 @@
-// Package failure holds the typed refusals and failures that a caller can see.
+// Package failure defines the typed refusals and failures that are returned to callers.
 //
-// Every answer that is not the upstream's own carries exactly one Code. The code decides the HTTP status, the JSON
-// body and, above all, what the caller may conclude: NotRun codes promise that the request did not start anywhere.
+// Every response that does not come from the upstream carries exactly one Code. The code determines the HTTP status, the
+// JSON body and, most importantly, what the caller may conclude: a NotRun code promises that the request was not started
+// on any upstream.
 package failure
 
 import (
@@ -11,25 +12,25 @@
 	"time"
 )
 
-// Code names one kind of failure. It is stable: callers and operators' scripts compare it.
+// Code identifies a kind of failure. Codes are stable, because callers and operators' scripts compare them.
 type Code string
 
-// Proof says why a request that was refused as "not run" cannot have run.
+// Proof is the reason why a request that was refused as "not run" cannot have run.
 type Proof string
 
-// The kinds of proof that go with a NotRun code.
+// The kinds of proof.
 const (
-	// ProofNone goes with codes that do not promise anything about the run.
+	// ProofNone is used with codes that do not promise that the request was not run.
 	ProofNone Proof = ""
-	// ProofNeverSent: no byte of the request left the entry towards any slot.
+	// ProofNeverSent means that the entry sent no byte of the request to any slot.
 	ProofNeverSent Proof = "never-sent"
-	// ProofRefusedBeforeStart: each slot that saw the request refused it before handing it to its upstream.
+	// ProofRefusedBeforeStart means that each slot that received the request refused it before passing it to its upstream.
 	ProofRefusedBeforeStart Proof = "refused-before-start"
-	// ProofFenced: the slot promised never to start the attempt, whenever it may still arrive.
+	// ProofFenced means that the slot promised never to start the attempt, even if it arrives later.
 	ProofFenced Proof = "fenced"
 )
 
-// The codes that a caller can see.
+// The codes that are returned to callers.
 const (
 	CodeMalformed         Code = "malformed"
 	CodeTooLarge          Code = "too-large"
@@ -57,15 +58,15 @@
 	statusClientCancelled      = 499
 )
 
-// Meaning is what a code promises, as printed in docs/api.md.
+// Meaning describes what a code promises to the caller, as listed in docs/api.md.
 type Meaning struct {
 	// Status is the HTTP status that carries the code.
 	Status int
-	// NotRun says that the request did not start on any upstream.
+	// NotRun is set if the request was not started on any upstream.
 	NotRun bool
-	// Resend says that the caller may send the same request again with a hope of success.
+	// Resend is set if the same request may succeed when the caller sends it again.
 	Resend bool
-	// Text is one sentence for people.
+	// Text is a one-sentence explanation for people.
 	Text string
 }
 
@@ -95,23 +96,23 @@
 	CodeInternal:         {http.StatusInternalServerError, false, false, "the node met a state that it does not know"},
 }
 
-// Codes returns each code with its meaning; the map must not be changed.
+// Codes returns the meaning of every code. The caller must not modify the map.
 func Codes() map[Code]Meaning { return meanings }
 
-// Error is a failure with its code. It wraps the cause, if there is one.
+// Error is a failure with a code. It wraps the cause, if there is one.
 type Error struct {
 	Code Code
-	// Proof is set with each code whose meaning says NotRun.
+	// Proof is set if the meaning of Code has NotRun set.
 	Proof Proof
-	// RetryAfter is when the caller may come back; zero if the code does not say.
+	// RetryAfter is the time after which the caller may retry; zero if none is suggested.
 	RetryAfter time.Duration
-	// Field names the part of the request at fault, if there is one.
+	// Field describes the invalid part of the request, if there is one.
 	Field string
 	// Cause is the underlying error, or nil.
 	Cause error
 }
 
-// New returns a failure of the given code. A NotRun code gets ProofNeverSent unless WithProof changes it.
+// New returns a failure with the given code and cause. A NotRun code gets ProofNeverSent; WithProof sets another proof.
 func New(code Code, cause error) *Error {
 	e := &Error{Code: code, Cause: cause}
 	if code.Meaning().NotRun {
@@ -120,14 +121,14 @@
 	return e
 }
 
-// WithProof returns a copy of e with another proof.
+// WithProof returns a copy of e with the given proof.
 func (e *Error) WithProof(p Proof) *Error {
 	c := *e
 	c.Proof = p
 	return &c
 }
 
-// WithRetryAfter returns a copy of e that tells the caller when to come back.
+// WithRetryAfter returns a copy of e with the given RetryAfter.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
@@ -149,13 +150,13 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Is reports whether target is a failure of the same code, so that errors.Is(err, failure.New(code, nil)) works.
+// Is reports whether target is a failure with the same code, so that errors.Is(err, failure.New(code, nil)) works.
 func (e *Error) Is(target error) bool {
 	t, ok := target.(*Error)
 	return ok && t.Code == e.Code
 }
 
-// Meaning returns what the code promises; an unknown code means CodeInternal's.
+// Meaning returns the meaning of the code, or that of CodeInternal for an unknown code.
 func (c Code) Meaning() Meaning {
 	if m, ok := meanings[c]; ok {
 		return m
@@ -163,7 +164,7 @@
 	return meanings[CodeInternal]
 }
 
-// From returns the failure that err carries, or one of CodeInternal that wraps it.
+// From returns the failure that err wraps, or a failure with CodeInternal that wraps err.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -172,5 +173,5 @@
 	return New(CodeInternal, err)
 }
 
-// CodeOf returns the code that err carries, or CodeInternal.
+// CodeOf returns the code of the failure that err wraps, or CodeInternal.
 func CodeOf(err error) Code { return From(err).Code }
--- a/internal/base/gnetlog/gnetlog.go
+++ b/internal/base/gnetlog/gnetlog.go
@@ -1,4 +1,4 @@
-// Package gnetlog keeps gnet's own lines out of a process's structured log, but for its errors.
+// Package gnetlog adapts gnet's logging. It drops everything except errors, which it writes to standard error.
 package gnetlog
 
 import (
@@ -24,10 +24,10 @@
 // Warnf drops the line.
 func (l *Logger) Warnf(string, ...any) {}
 
-// Errorf writes the line.
+// Errorf writes the line at level error.
 func (l *Logger) Errorf(format string, args ...any) {
 	_ = level.Error(l.next).Log("msg", "gnet", "err", fmt.Sprintf(format, args...))
 }
 
-// Fatalf writes the line; ending the process is the process's own business.
+// Fatalf writes the line at level error. It does not exit: only the program decides when to exit.
 func (l *Logger) Fatalf(format string, args ...any) { l.Errorf(format, args...) }
--- a/internal/base/httpclient/client.go
+++ b/internal/base/httpclient/client.go
@@ -1,9 +1,9 @@
-// Package httpclient sends requests of fasthttp's type over connections that it owns.
+// Package httpclient sends fasthttp requests over connections that it pools itself.
 //
-// A ready-made client hides which connection an answer came on and when that connection goes back into its pool. Here
-// both decide whether a caller can get another caller's answer, so the pool is kept small and strict: a connection is
-// reused only after its answer was read to the end, was matched by the caller of this package and left no byte over.
-// Requests and answers themselves are written and parsed by fasthttp.
+// A ready-made client hides which connection a response arrived on and when that connection returns to its pool. Both
+// determine whether a caller could receive another caller's response, so this pool is simple and strict. A connection is
+// reused only if its response was read to the end and trusted by the user of this package, and no byte is left on the
+// connection. fasthttp writes the requests and parses the responses.
 package httpclient
 
 import (
@@ -20,16 +20,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Options of a Client. Zero values mean the defaults.
+// Options configures a Client. Zero values select the defaults.
 type Options struct {
-	// DialTimeout bounds the making of a connection; default 500ms.
+	// DialTimeout is the maximum time to establish a connection; default 500ms.
 	DialTimeout time.Duration
-	// MaxIdle is how many idle connections are kept for one address; default 256.
+	// MaxIdle is the maximum number of idle connections per address; default 256.
 	MaxIdle int
-	// IdleTimeout is how long an idle connection is kept; default 30s. A shorter time in an answer's Keep-Alive goes first.
+	// IdleTimeout is how long an idle connection is kept; default 30s. A shorter timeout in a response's Keep-Alive header
+	// takes precedence.
 	IdleTimeout time.Duration
-	// SilentAfter ends a connection whose peer has acknowledged nothing for so long, though bytes or probes were sent;
-	// 0 leaves that to the kernel, which waits for minutes.
+	// SilentAfter is how long a peer may leave sent bytes or keep-alive probes unacknowledged before the connection fails.
+	// 0 selects the kernel's defaults, which are minutes.
 	SilentAfter time.Duration
 }
 
@@ -40,7 +41,7 @@
 	readBufferBytes    = 8 << 10
 )
 
-// DialError says that no connection could be made, so that nothing was sent.
+// DialError reports that no connection could be established, so nothing was sent.
 type DialError struct {
 	Address string
 	Cause   error
@@ -52,7 +53,7 @@
 // Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Cause }
 
-// BrokenError says that the connection failed after bytes were sent: the request may have arrived.
+// BrokenError reports that the connection failed after the client began to send the request, which may have arrived.
 type BrokenError struct {
 	Address string
 	Stage   string
@@ -65,7 +66,7 @@
 // Unwrap returns the cause.
 func (e *BrokenError) Unwrap() error { return e.Cause }
 
-// Client is a pool of connections. It is safe for concurrent use.
+// Client sends requests and pools connections. It is safe for concurrent use.
 type Client struct {
 	opts Options
 	mu   sync.Mutex
@@ -74,14 +75,15 @@
 
 type clientConn struct {
 	net.Conn
-	reader *bufio.Reader
-	writer *bufio.Writer
-	since  time.Time
-	// keep is for how long the peer keeps the connection when it is idle, as far as it said so.
-	keep time.Duration
+	reader    *bufio.Reader
+	writer    *bufio.Writer
+	idleSince time.Time
+	// idleTimeout is how long the connection may be idle before it is no longer reused. The peer's Keep-Alive header
+	// replaces it, bounded by Options.IdleTimeout.
+	idleTimeout time.Duration
 }
 
-// New returns a client without connections.
+// New returns a client with an empty pool.
 func New(o Options) *Client {
 	if o.DialTimeout <= 0 {
 		o.DialTimeout = defaultDialTimeout
@@ -95,38 +97,39 @@
 	return &Client{opts: o, idle: map[string][]*clientConn{}}
 }
 
-// Response is an answer whose header is read and whose body is still to come. Release must be called once.
+// Response is a response whose header was read and whose body can be read from Body. Release must be called once.
 type Response struct {
 	// Status is the HTTP status.
 	Status int
 	Header *fasthttp.ResponseHeader
-	// Reused says that the connection had carried other requests before.
+	// Reused is set if the connection has carried other requests before.
 	Reused bool
-	// Body ends with io.EOF after the whole body, and with another error if the answer was cut off.
-	Body    io.Reader
-	raw     *fasthttp.Response
-	client  *Client
-	conn    *clientConn
-	address string
-	stop    func() bool
-	whole   bool
-	// written gets the outcome of sending the request.
-	written *sending
+	// Body returns io.EOF after the complete body, and another error if the response was truncated.
+	Body     io.Reader
+	raw      *fasthttp.Response
+	client   *Client
+	conn     *clientConn
+	address  string
+	stop     func() bool
+	complete bool
+	// written is the result of writing the request.
+	written *writeResult
 }
 
-// Match tells whether an answer belongs to the request. One that does not is read to its end and dropped.
+// Match reports whether a response belongs to the request. A response that does not match is read to its end and
+// discarded.
 type Match func(*fasthttp.ResponseHeader) bool
 
-// Do sends req to address (IP:PORT) and reads the answer's header. When ctx ends the connection is closed, also while
+// Do sends req to address (IP:PORT) and reads the response header. The connection is closed when ctx ends, including while
 // the body is read. Errors: *DialError, *BrokenError.
 func (c *Client) Do(ctx context.Context, address string, req *fasthttp.Request) (*Response, error) {
 	return c.DoMatching(ctx, address, req, nil)
 }
 
-// DoMatching is Do for peers that may send an answer twice or late: answers that do not match are dropped.
+// DoMatching is like Do, for peers that may send a response twice or late: responses that do not match are discarded.
 //
-// A second copy of an earlier answer may arrive where this request's answer is due. A peer serves one request at a time on a
-// connection, so that what is foreign comes before what is due and can be dropped.
+// A second copy of an earlier response may arrive before the response to this request. A peer serves one request at a
+// time on a connection, so mismatched responses always precede the expected one and can be discarded.
 func (c *Client) DoMatching(ctx context.Context, address string, req *fasthttp.Request, match Match) (*Response, error) {
 	conn, reused, err := c.get(ctx, address)
 	if err != nil {
@@ -138,7 +141,7 @@
 	if err != nil {
 		stop()
 		_ = conn.Close()
-		<-written.ended // the request belongs to the caller again
+		<-written.finished // from here on the caller may reuse the request
 		return nil, &BrokenError{address, stage, errors.Join(err, ctx.Err())}
 	}
 	res := &Response{Status: raw.StatusCode(), Header: &raw.Header, Reused: reused, raw: raw, client: c, conn: conn, address: address, stop: stop, written: written}
@@ -146,34 +149,34 @@
 	return res, nil
 }
 
-// bodyReader notes when the body was read to its end.
+// bodyReader reads the body and records when it was read to its end.
 type bodyReader struct{ response *Response }
 
 // Read implements io.Reader.
 func (r *bodyReader) Read(p []byte) (int, error) {
 	stream := r.response.raw.BodyStream()
 	if stream == nil {
-		r.response.whole = true
+		r.response.complete = true
 		return 0, io.EOF
 	}
 	n, err := stream.Read(p)
 	if err == io.EOF {
-		r.response.whole = true
+		r.response.complete = true
 	}
 	return n, err
 }
 
-// Release ends the use of the answer. With trusted set the connection may be reused, if the body was read to its end
-// and nothing follows it; otherwise it is closed.
+// Release frees the response, which must not be used afterwards. The connection is reused if trusted is set, the body was
+// read to its end and nothing follows it; otherwise the connection is closed.
 //
-// Without this rule a late or doubled answer that is still on the connection would be read as the answer to the next
-// request. Closing is enough: bytes of one connection never reach another.
+// Without this rule, a late or duplicate response that is still on the connection would be read as the response to the
+// next request. Closing the connection is sufficient, because bytes of one connection never reach another.
 func (res *Response) Release(trusted bool) {
-	live := res.stop()
-	reusable := trusted && live && res.whole && res.written.done() && !res.Header.ConnectionClose() && res.conn.reader.Buffered() == 0
+	notCancelled := res.stop()
+	reusable := trusted && notCancelled && res.complete && res.written.succeeded() && !res.Header.ConnectionClose() && res.conn.reader.Buffered() == 0
 	if !reusable {
 		_ = res.conn.Close()
-		<-res.written.ended // the request belongs to the caller again
+		<-res.written.finished // from here on the caller may reuse the request
 	}
 	_ = res.raw.CloseBodyStream()
 	fasthttp.ReleaseResponse(res.raw)
@@ -182,7 +185,7 @@
 	}
 }
 
-// Probe reports whether address takes connections; it sends nothing. Errors: *DialError.
+// Probe checks that address accepts connections, without sending anything. Errors: *DialError.
 func (c *Client) Probe(ctx context.Context, address string) error {
 	conn, err := c.dial(ctx, address)
 	if err != nil {
@@ -209,7 +212,7 @@
 		if conn == nil {
 			break
 		}
-		if time.Since(conn.since) < conn.keep && silent(conn.Conn) {
+		if time.Since(conn.idleSince) < conn.idleTimeout && idleAndOpen(conn.Conn) {
 			return conn, true, nil
 		}
 		_ = conn.Close()
@@ -236,15 +239,15 @@
 	if len(c.idle[address]) >= c.opts.MaxIdle {
 		return false
 	}
-	conn.since = time.Now()
-	conn.keep = min(conn.keep, c.opts.IdleTimeout)
+	conn.idleSince = time.Now()
+	conn.idleTimeout = min(conn.idleTimeout, c.opts.IdleTimeout)
 	c.idle[address] = append(c.idle[address], conn)
 	return true
 }
 
-// silent reports whether an idle connection is open and has nothing to read. A peer that closed it would make the
-// next request's fate unknown; bytes on it belong to an answer that nobody waits for.
-func silent(conn net.Conn) bool {
+// idleAndOpen reports whether an idle connection is open and has nothing to read. If the peer has closed it, the outcome
+// of the next request would be unknown. Bytes on it belong to a response that no caller waits for.
+func idleAndOpen(conn net.Conn) bool {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/base/httpclient/client_test.go
+++ b/internal/base/httpclient/client_test.go
@@ -15,7 +15,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/httpclient"
 )
 
-// peer is a server that answers each connection's requests by script: one text for each request, "" to hang up.
+// peer is a server that responds to requests from a script: one response text for each request, "" to close the
+// connection. The last entry repeats.
 type peer struct {
 	address string
 	conns   atomic.Int64
@@ -37,13 +38,13 @@
 				return
 			}
 			p.conns.Add(1)
-			go answer(c, script, &next)
+			go serveScript(c, script, &next)
 		}
 	}()
 	return p
 }
 
-func answer(c net.Conn, script []string, next *atomic.Int64) {
+func serveScript(c net.Conn, script []string, next *atomic.Int64) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
@@ -77,13 +78,13 @@
 }
 
 const (
-	answerA       = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nA"
-	answerB       = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nB"
-	answerChunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nA\r\n0\r\n\r\n"
+	responseA       = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nA"
+	responseB       = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nB"
+	responseChunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nA\r\n0\r\n\r\n"
 )
 
-func TestAWholeAnswerLetsItsConnectionBeReused(t *testing.T) {
-	for name, text := range map[string]string{"length": answerA, "chunked": answerChunked} {
+func TestCompleteResponseAllowsConnectionReuse(t *testing.T) {
+	for name, text := range map[string]string{"length": responseA, "chunked": responseChunked} {
 		t.Run(name, func(t *testing.T) {
 			p := startPeer(t, text)
 			c := httpclient.New(httpclient.Options{})
@@ -100,10 +101,10 @@
 	}
 }
 
-// A caller would get the answer to another's request: the upstream sends one answer twice, and the copy waits on the
-// connection for whoever uses it next. The connection is closed instead, whether the copy is already read or not.
-func TestADoubledAnswerNeverReachesTheNextRequest(t *testing.T) {
-	p := startPeer(t, answerA+answerA, answerB)
+// The upstream sends a response twice, and the copy remains on the connection. If the connection were reused, the next
+// caller would receive the response to another request; it must be closed instead.
+func TestDuplicateResponseNeverReachesNextRequest(t *testing.T) {
+	p := startPeer(t, responseA+responseA, responseB)
 	c := httpclient.New(httpclient.Options{})
 	defer c.Close()
 	if body, err := get(t, c, p); err != nil || body != "A" {
@@ -117,15 +118,15 @@
 	}
 }
 
-// A caller would wait on a dead connection: the upstream closed it while it was idle. It is not used again.
-func TestAnIdleConnectionThatWasClosedIsNotUsed(t *testing.T) {
-	p := startPeer(t, answerA, "", answerB)
+// The upstream closes an idle connection. It must not be reused, or the outcome of the next request would be unknown.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
+	p := startPeer(t, responseA, "", responseB)
 	c := httpclient.New(httpclient.Options{})
 	defer c.Close()
 	if _, err := get(t, c, p); err != nil {
 		t.Fatal(err)
 	}
-	// The peer hangs up on the second request, whose fate is then unknown to the client.
+	// The peer closes the connection on the second request, whose outcome is then unknown to the client.
 	var broken *httpclient.BrokenError
 	if _, err := get(t, c, p); !errors.As(err, &broken) {
 		t.Fatalf("got %v", err)
@@ -135,8 +136,8 @@
 	}
 }
 
-// The caller sees a failure and not a short answer: the connection broke in mid-answer.
-func TestACutAnswerIsAnError(t *testing.T) {
+// The connection breaks in mid-response. The caller must get an error and not a short response.
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	tests := map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nA",
 		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nA",
@@ -161,14 +162,15 @@
 			c := httpclient.New(httpclient.Options{})
 			defer c.Close()
 			if body, err := get(t, c, &peer{address: l.Addr().String()}); err == nil {
-				t.Fatalf("took %q for a whole answer", body)
+				t.Fatalf("truncated response %q was read as complete", body)
 			}
 		})
 	}
 }
 
-// Nothing was sent, and the error says so: only then may the caller be told "not run" without asking anybody.
-func TestNoConnectionIsADialError(t *testing.T) {
+// A failed connect must be a DialError, which means that nothing was sent. Only then may the caller be told "not run"
+// without asking any slot.
+func TestFailedConnectIsADialError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -182,9 +184,10 @@
 	}
 }
 
-// The caller went away while the answer was being read: the read ends at once and the connection is not kept.
-func TestTheEndOfTheContextEndsTheAnswer(t *testing.T) {
-	p := startPeer(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nA\r\n", answerB)
+// The caller disconnects while the response body is read. The read must fail immediately and the connection must not be
+// reused.
+func TestContextCancelAbortsBodyRead(t *testing.T) {
+	p := startPeer(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nA\r\n", responseB)
 	c := httpclient.New(httpclient.Options{})
 	defer c.Close()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -200,7 +203,7 @@
 	}
 	cancel()
 	if _, err := io.ReadAll(res.Body); err == nil {
-		t.Fatal("read on after the end of the context")
+		t.Fatal("the body was read to its end after the context was cancelled")
 	}
 	res.Release(true)
 	if body, err := get(t, c, p); err != nil || body != "B" {
--- a/internal/base/httpclient/dial.go
+++ b/internal/base/httpclient/dial.go
@@ -10,13 +10,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// probes is how many keep-alive probes in a row may go unanswered.
-const probes = 3
+// keepAliveProbes is how many consecutive keep-alive probes may remain unacknowledged.
+const keepAliveProbes = 3
 
 func (c *Client) dial(ctx context.Context, address string) (*clientConn, error) {
 	d := net.Dialer{Timeout: c.opts.DialTimeout}
-	if every := c.opts.SilentAfter / (probes + 1); every > 0 {
-		d.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: every, Interval: every, Count: probes}
+	if interval := c.opts.SilentAfter / (keepAliveProbes + 1); interval > 0 {
+		d.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: interval, Interval: interval, Count: keepAliveProbes}
 		d.Control = userTimeout(c.opts.SilentAfter)
 	}
 	conn, err := d.DialContext(ctx, "tcp", address)
@@ -24,24 +24,25 @@
 		return nil, &DialError{address, err}
 	}
 	return &clientConn{
-		Conn:   conn,
-		reader: bufio.NewReaderSize(conn, readBufferBytes),
-		writer: bufio.NewWriterSize(conn, readBufferBytes),
-		keep:   c.opts.IdleTimeout,
+		Conn:        conn,
+		reader:      bufio.NewReaderSize(conn, readBufferBytes),
+		writer:      bufio.NewWriterSize(conn, readBufferBytes),
+		idleTimeout: c.opts.IdleTimeout,
 	}, nil
 }
 
-// userTimeout bounds how long sent bytes may stay unacknowledged. Keep-alive probes are not sent while there are such
-// bytes, so that without it a request to a host that fell silent would hang until its deadline.
+// userTimeout returns a dialer control function that limits how long sent bytes may remain unacknowledged. The kernel sends
+// no keep-alive probes while there are such bytes, so without the limit a request to a host that became unresponsive
+// would hang until its deadline.
 func userTimeout(d time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
-		var failed error
+		var sockErr error
 		err := raw.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
+			sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
-		return failed
+		return sockErr
 	}
 }
--- a/internal/base/httpclient/exchange.go
+++ b/internal/base/httpclient/exchange.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// aheadBytes is the largest body that is written before the answer is read. It fits the smallest send buffer in use,
-	// so that the write does not wait for a peer that answers first.
-	aheadBytes = 4 << 10
-	// maxMismatched is how many answers in a row may belong to other requests before the connection is given up.
+	// maxInlineBody is the size in bytes of the largest request body that is written before the response is read. It fits
+	// the smallest send buffer in use, so the write does not block on a peer that responds before it reads the body.
+	maxInlineBody = 4 << 10
+	// maxMismatched is after how many consecutive responses to other requests the connection is closed.
 	maxMismatched = 4
 )
 
-// sending is the outcome of writing a request.
-type sending struct {
-	ended chan struct{}
-	err   error
+// writeResult is the result of writing a request. err is valid once finished is closed.
+type writeResult struct {
+	finished chan struct{}
+	err      error
 }
 
-// done reports whether the whole request was written. A peer may answer before it has read a long body, and reads on
-// later: a connection that still owes it bytes must not carry another request.
-func (s *sending) done() bool {
+// succeeded reports whether the complete request was written. A peer may respond before it has read a long body and read
+// the rest later, so a connection with unsent request bytes must not carry another request.
+func (s *writeResult) succeeded() bool {
 	select {
-	case <-s.ended:
+	case <-s.finished:
 		return s.err == nil
 	default:
 		return false
 	}
 }
 
-// send writes the request; a long body is written beside the reading of the answer.
-func (c *clientConn) send(req *fasthttp.Request) *sending {
-	s := &sending{ended: make(chan struct{})}
+// send writes the request. A request with a body over maxInlineBody is written concurrently with reading the response.
+func (c *clientConn) send(req *fasthttp.Request) *writeResult {
+	s := &writeResult{finished: make(chan struct{})}
 	write := func() {
-		defer close(s.ended)
+		defer close(s.finished)
 		if s.err = req.Write(c.writer); s.err == nil {
 			s.err = c.writer.Flush()
 		}
 	}
-	if len(req.Body()) <= aheadBytes {
+	if len(req.Body()) <= maxInlineBody {
 		write()
 	} else {
 		go write()
@@ -51,8 +51,8 @@
 	return s
 }
 
-// receive reads answers until one matches. The stage names what failed.
-func (c *clientConn) receive(match Match, head bool, written *sending) (res *fasthttp.Response, stage string, err error) {
+// receive reads responses until one matches. If it fails, stage names the failed step for BrokenError.
+func (c *clientConn) receive(match Match, head bool, written *writeResult) (res *fasthttp.Response, stage string, err error) {
 	res = fasthttp.AcquireResponse()
 	defer func() {
 		if err != nil {
@@ -66,26 +66,27 @@
 		if err := res.Read(c.reader); err != nil {
 			return res, failedStage(written), err
 		}
-		c.keep = keepAlive(&res.Header, c.keep)
+		c.idleTimeout = keepAlive(&res.Header, c.idleTimeout)
 		if match == nil || match(&res.Header) {
 			return res, "", nil
 		}
-		if err := dropBody(res); err != nil {
-			return res, "drop foreign answer from", err
+		if err := discardBody(res); err != nil {
+			return res, "discard mismatched response from", err
 		}
 	}
-	return res, "match answers from", &MismatchedResponseError{maxMismatched}
+	return res, "match responses from", &MismatchedResponseError{maxMismatched}
 }
 
-func failedStage(written *sending) string {
-	if written.done() {
+func failedStage(written *writeResult) string {
+	if written.succeeded() {
 		return "read from"
 	}
 	return "write to"
 }
 
-// dropBody reads a foreign answer to its end. One without a length never ends before the connection does.
-func dropBody(res *fasthttp.Response) error {
+// discardBody reads a mismatched response to its end. It fails for a response without a length, which only ends with the
+// connection.
+func discardBody(res *fasthttp.Response) error {
 	if res.Header.ContentLength() < -1 {
 		return &MismatchedResponseError{1}
 	}
@@ -97,28 +98,28 @@
 	return res.CloseBodyStream()
 }
 
-// MismatchedResponseError says that only answers to other requests came.
+// MismatchedResponseError reports that only responses to other requests arrived.
 type MismatchedResponseError struct{ Responses int }
 
 // Error implements error.
 func (e *MismatchedResponseError) Error() string {
-	return strconv.Itoa(e.Responses) + " answers in a row belong to other requests"
+	return strconv.Itoa(e.Responses) + " consecutive responses belong to other requests"
 }
 
-// keepAlive returns for how long the peer keeps an idle connection, less a margin for the way; known is what was known
-// before. Peers state whole seconds, rounded down.
-func keepAlive(h *fasthttp.ResponseHeader, known time.Duration) time.Duration {
+// keepAlive returns how long the peer keeps an idle connection according to its Keep-Alive header, less
+// keepAliveMargin. It returns previous if the header has no valid timeout. Peers state whole seconds, rounded down.
+func keepAlive(h *fasthttp.ResponseHeader, previous time.Duration) time.Duration {
 	_, after, found := strings.Cut(string(h.Peek("Keep-Alive")), "timeout=")
 	if !found {
-		return known
+		return previous
 	}
 	digits, _, _ := strings.Cut(after, ",")
 	seconds, err := strconv.Atoi(strings.TrimSpace(digits))
 	if err != nil {
-		return known
+		return previous
 	}
 	return max(0, time.Duration(seconds)*time.Second-keepAliveMargin)
 }
 
-// keepAliveMargin covers the way of a request to the peer, which may take a retransmission of 200 ms.
+// keepAliveMargin covers the transit time of a request to the peer, which may include a retransmission after 200 ms.
 const keepAliveMargin = 250 * time.Millisecond
--- a/internal/base/httpserver/conn.go
+++ b/internal/base/httpserver/conn.go
@@ -12,35 +12,35 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/monotonic"
 )
 
-// maxPipelined is how many bytes a caller may send ahead while a request runs.
+// maxPipelined is how many bytes a caller may send ahead while a request is running; beyond it the connection is closed.
 const maxPipelined = 64 << 10
 
-// conn is one connection. Its fields are used by its event loop, unless they are atomic.
+// conn is one connection. Its event loop owns all fields except the atomic ones, out, and cancel, which mu guards.
 type conn struct {
-	srv  *Server
-	gc   gnet.Conn
-	need int
-	// told says that "100 Continue" was sent for the request that is being read.
-	told bool
-	// running is set while a request runs on its goroutine.
+	srv      *Server
+	gc       gnet.Conn
+	minBytes int
+	// continueSent is set once "100 Continue" was sent for the request that is being read.
+	continueSent bool
+	// running is set while a request runs on its goroutine, and for good once bytes of the connection were refused.
 	running atomic.Bool
-	// partialSince is when the first byte of an unfinished request came, by monotonic.Nanos; 0 if there is none.
+	// partialSince is when the first bytes of an incomplete request arrived, by monotonic.Nanos; 0 if there is none.
 	partialSince atomic.Int64
 	idleSince    atomic.Int64
-	// unread is how many written bytes the caller had not taken when the loop last looked.
+	// unread is how many written bytes were not yet accepted by the socket when the event loop last checked.
 	unread      atomic.Int64
 	unreadSince atomic.Int64
-	// refusedAt is when bytes of this connection were refused, by monotonic.Nanos; 0 if they were not.
-	refusedAt atomic.Int64
-	gone      atomic.Bool
-	out       outbox
-	mu        sync.Mutex
-	cancel    context.CancelFunc
+	// refusedAt is when the server refused bytes of this connection, by monotonic.Nanos; 0 if it has not.
+	refusedAt    atomic.Int64
+	disconnected atomic.Bool
+	out          outbox
+	mu           sync.Mutex
+	cancel       context.CancelFunc
 }
 
-// traffic runs on the event loop for each arrival of bytes and each wake-up.
-func (c *conn) traffic() gnet.Action {
-	c.noteUnread(c.gc.OutboundBuffered())
+// onTraffic runs on the event loop whenever bytes arrive and after each wake-up.
+func (c *conn) onTraffic() gnet.Action {
+	c.recordUnread(c.gc.OutboundBuffered())
 	if c.refusedAt.Load() != 0 {
 		if _, err := c.gc.Discard(-1); err != nil {
 			return gnet.Close
@@ -57,41 +57,42 @@
 	if buffered == 0 {
 		return gnet.None
 	}
-	if buffered < c.need {
-		return c.expire()
+	if buffered < c.minBytes {
+		return c.refuseIfExpired()
 	}
 	buf, err := c.gc.Peek(-1)
 	if err != nil {
 		return gnet.Close
 	}
-	p, err := cut(buf, *c.srv.limits.Load())
+	p, err := parseRequest(buf, *c.srv.limits.Load())
 	if err != nil {
 		c.srv.refuse(c, err)
 		return gnet.None
 	}
 	if p.req == nil {
-		return c.wait(p)
+		return c.awaitRest(p)
 	}
-	return c.begin(p)
+	return c.startRequest(p)
 }
 
-// wait notes that a request has begun to arrive.
-func (c *conn) wait(p parsed) gnet.Action {
-	c.need = p.need
+// awaitRest records that a request has partly arrived, and sends "100 Continue" if the caller expects it.
+func (c *conn) awaitRest(p parseResult) gnet.Action {
+	c.minBytes = p.minBytes
 	c.partialSince.CompareAndSwap(0, monotonic.Nanos())
-	if p.interim && !c.told {
-		c.told = true
-		if _, err := c.gc.Write(interimRes); err != nil {
+	if p.wantsContinue && !c.continueSent {
+		c.continueSent = true
+		if _, err := c.gc.Write(continueResponse); err != nil {
 			return gnet.Close
 		}
 	}
-	return c.expire()
+	return c.refuseIfExpired()
 }
 
-// expire answers a request that is past the read timeout and still not whole. It runs on the event loop, like begin:
-// from the sweeper's goroutine the refusal, which promises "not run", could race with the last bytes' arrival.
-func (c *conn) expire() gnet.Action {
-	if !past(monotonic.Nanos(), c.partialSince.Load(), c.srv.limits.Load().ReadTimeout.Std()) {
+// refuseIfExpired refuses a request that is still incomplete after the read timeout. Like startRequest it runs on the
+// event loop: from the sweep's goroutine, the refusal, which promises "not run", could race with the arrival of the last
+// bytes.
+func (c *conn) refuseIfExpired() gnet.Action {
+	if !timedOut(monotonic.Nanos(), c.partialSince.Load(), c.srv.limits.Load().ReadTimeout.Std()) {
 		return gnet.None
 	}
 	e := failure.New(failure.CodeMalformed, nil)
@@ -100,13 +101,13 @@
 	return gnet.None
 }
 
-// begin hands a whole request to its goroutine.
-func (c *conn) begin(p parsed) gnet.Action {
-	if _, err := c.gc.Discard(p.used); err != nil {
+// startRequest starts the goroutine of a complete request.
+func (c *conn) startRequest(p parseResult) gnet.Action {
+	if _, err := c.gc.Discard(p.consumed); err != nil {
 		return gnet.Close
 	}
-	c.need = 0
-	c.told = false
+	c.minBytes = 0
+	c.continueSent = false
 	c.partialSince.Store(0)
 	ctx, cancel := context.WithCancel(context.Background())
 	c.mu.Lock()
@@ -118,26 +119,26 @@
 	return gnet.None
 }
 
-// finished runs on the request's goroutine after its answer was written.
-func (c *conn) finished(closeNow bool) {
-	c.end()
+// requestDone runs on the request's goroutine after the response was written.
+func (c *conn) requestDone(closeNow bool) {
+	c.cancelRequest()
 	if closeNow {
 		_ = c.gc.Close()
 		return
 	}
 	c.idleSince.Store(monotonic.Nanos())
 	c.running.Store(false)
-	// Bytes of the next request may have come meanwhile; without a wake-up the loop would not look at them again.
+	// Bytes of the next request may have arrived in the meantime; without a wake-up the event loop would not parse them.
 	_ = c.gc.Wake(nil)
 }
 
-// closed runs on the event loop when the connection is gone: the running request is cancelled.
-func (c *conn) closed() {
-	c.gone.Store(true)
-	c.end()
+// onClosed runs on the event loop when the connection was closed, and cancels the running request.
+func (c *conn) onClosed() {
+	c.disconnected.Store(true)
+	c.cancelRequest()
 }
 
-func (c *conn) end() {
+func (c *conn) cancelRequest() {
 	c.mu.Lock()
 	cancel := c.cancel
 	c.cancel = nil
@@ -147,38 +148,40 @@
 	}
 }
 
-// noteUnread runs on the event loop.
-func (c *conn) noteUnread(n int) {
-	before := c.unread.Swap(int64(n))
+// recordUnread stores the number of unread bytes. It runs on the event loop. The write timeout restarts whenever the
+// number falls.
+func (c *conn) recordUnread(n int) {
+	previous := c.unread.Swap(int64(n))
 	switch {
 	case n == 0:
 		c.unreadSince.Store(0)
-	case before == 0 || int64(n) < before:
+	case previous == 0 || int64(n) < previous:
 		c.unreadSince.Store(monotonic.Nanos())
 	}
 }
 
-// sweep ends the connection if it is past a timeout; the event loop answers a half-sent request first.
-func (c *conn) sweep(now int64) {
+// enforceTimeouts closes the connection if a timeout has passed. A partly received request is left to the event loop,
+// which refuses it with a response.
+func (c *conn) enforceTimeouts(now int64) {
 	l := c.srv.limits.Load()
 	switch {
-	case past(now, c.refusedAt.Load(), lingerFor):
+	case timedOut(now, c.refusedAt.Load(), refusalLinger):
 		_ = c.gc.Close()
-	case past(now, c.unreadSince.Load(), l.WriteTimeout.Std()):
+	case timedOut(now, c.unreadSince.Load(), l.WriteTimeout.Std()):
 		_ = c.gc.Close()
-	case past(now, c.partialSince.Load(), l.ReadTimeout.Std()):
+	case timedOut(now, c.partialSince.Load(), l.ReadTimeout.Std()):
 		_ = c.gc.Wake(nil)
 	case c.running.Load():
 		if c.unread.Load() > 0 {
 			_ = c.gc.Wake(nil)
 		}
-	case past(now, c.idleSince.Load(), l.IdleTimeout.Std()) || c.srv.closing.Load():
+	case timedOut(now, c.idleSince.Load(), l.IdleTimeout.Std()) || c.srv.closing.Load():
 		if c.partialSince.Load() == 0 {
 			_ = c.gc.Close()
 		}
 	}
 }
 
-func past(now, since int64, limit time.Duration) bool {
+func timedOut(now, since int64, limit time.Duration) bool {
 	return since != 0 && now-since > int64(limit)
 }
--- a/internal/base/httpserver/doc.go
+++ b/internal/base/httpserver/doc.go
@@ -1,8 +1,10 @@
 // Package httpserver serves HTTP/1.1 on gnet event loops and parses requests with fasthttp.
 //
-// An event loop only collects bytes and cuts them into requests; each request then runs on a goroutine of its own, so
-// that a handler may wait. A connection runs one request at a time. The handler's context ends when the caller goes
-// away, which is how a cancel travels on towards the engine. Entry, slot and the engine stand-in share this server.
+// An event loop only buffers bytes and parses them into requests. Each request then runs on its own goroutine, so a
+// handler may block. A connection runs one request at a time. The handler's context is cancelled when the caller
+// disconnects, which propagates the cancellation towards the engine. The entry, the slot and the engine stand-in share
+// this server.
 //
-// What a caller can do wrong ends in a typed answer and never holds a connection or the process: see Limits.
+// Invalid input and slow callers end in a typed response or a closed connection, so that no caller can occupy a
+// connection or the process indefinitely; see Limits.
 package httpserver
--- a/internal/base/httpserver/exchange.go
+++ b/internal/base/httpserver/exchange.go
@@ -18,30 +18,31 @@
 	HeaderProof   = "Cardamomyoke-Proof"
 )
 
-// ConnectionClosedError says that the caller closed its connection, or left an answer unread for too long.
+// ConnectionClosedError reports that the connection to the caller is closed, or that the request was cancelled while the
+// caller left the response unread.
 type ConnectionClosedError struct{ Reason string }
 
 // Error implements error.
-func (e *ConnectionClosedError) Error() string { return "caller gone: " + e.Reason }
+func (e *ConnectionClosedError) Error() string { return "caller disconnected: " + e.Reason }
 
-// Header is one header line of an answer.
+// Header is one header line of a response.
 type Header struct{ Name, Value string }
 
-// Exchange is one request with the means to answer it. It is used by one goroutine.
+// Exchange is one request together with its response writer. It is not safe for concurrent use.
 type Exchange struct {
 	// Req is valid until the handler returns.
 	Req       *fasthttp.Request
 	conn      *conn
 	close     bool
 	responded bool
-	stream    bool
-	size      [sizeBytes]byte
+	streaming bool
+	chunkSize [chunkSizeBytes]byte
 }
 
-// Close makes the connection end after this answer.
+// Close makes the server close the connection after this response.
 func (x *Exchange) Close() { x.close = true }
 
-// Responded reports whether an answer was begun.
+// Responded reports whether a response was started.
 func (x *Exchange) Responded() bool { return x.responded }
 
 // FailureBody is the JSON body of a typed failure.
@@ -49,7 +50,7 @@
 	Error FailureDetail `json:"error"`
 }
 
-// FailureDetail is what FailureBody holds; NotRun promises that the request did not start anywhere.
+// FailureDetail describes a typed failure. NotRun promises that the request was not started on any upstream.
 type FailureDetail struct {
 	Code         failure.Code  `json:"code"`
 	NotRun       bool          `json:"not_run"`
@@ -72,7 +73,7 @@
 	}
 }
 
-// Fail answers with a typed failure: status, headers and JSON body.
+// Fail responds with a typed failure: status, headers and JSON body.
 func (x *Exchange) Fail(e *failure.Error, extra ...Header) {
 	body, err := json.Marshal(FailureBody{DetailOf(e)})
 	if err != nil {
@@ -89,21 +90,21 @@
 	_ = x.Respond(e.Code.Meaning().Status, headers, body)
 }
 
-// Respond answers with a whole body. Errors: *ConnectionClosedError.
+// Respond sends a complete response. Errors: *ConnectionClosedError.
 func (x *Exchange) Respond(status int, headers []Header, body []byte) error {
 	x.responded = true
-	return x.conn.write(x.head(status, headers, len(body)), body)
+	return x.conn.write(x.header(status, headers, len(body)), body)
 }
 
-// Stream begins an answer whose body is sent in pieces. Errors: *ConnectionClosedError.
+// Stream starts a response whose body is sent in pieces by Write. Errors: *ConnectionClosedError.
 func (x *Exchange) Stream(status int, headers []Header) error {
 	x.responded = true
-	x.stream = true
-	return x.conn.write(x.head(status, headers, chunked))
+	x.streaming = true
+	return x.conn.write(x.header(status, headers, chunked))
 }
 
-// Write sends one piece of a streamed body, which may be reused when Write returns; it waits while the caller leaves
-// too much unread. Errors: *ConnectionClosedError.
+// Write sends one piece of a streamed body. It blocks while the caller has more than MaxUnreadBytes unread. The piece may
+// be reused after Write returns. Errors: *ConnectionClosedError.
 func (x *Exchange) Write(ctx context.Context, piece []byte) error {
 	if len(piece) == 0 {
 		return nil
@@ -111,23 +112,24 @@
 	if err := x.waitForReader(ctx); err != nil {
 		return err
 	}
-	size := append(strconv.AppendInt(x.size[:0], int64(len(piece)), 16), lineEnd...)
+	size := append(strconv.AppendInt(x.chunkSize[:0], int64(len(piece)), 16), lineEnd...)
 	return x.conn.write(size, piece, lineEnd)
 }
 
-// End completes a streamed body. A stream that is not ended is cut off, which the caller sees.
+// End completes a streamed body. If the handler returns without calling End, the connection is closed and the caller sees
+// a truncated response.
 func (x *Exchange) End() error {
-	x.stream = false
+	x.streaming = false
 	return x.conn.write(lastChunk)
 }
 
 const (
-	// chunked stands for a body of unknown length, as fasthttp encodes it.
+	// chunked is fasthttp's content length for a body of unknown length.
 	chunked = -1
-	// sizeBytes is room for a chunk's length in hexadecimal and its line end.
-	sizeBytes = 18
-	// unreadPoll is how often a stream that waits for its reader looks again.
-	unreadPoll = 5 * time.Millisecond
+	// chunkSizeBytes fits a chunk's length in hexadecimal and its line end.
+	chunkSizeBytes = 18
+	// unreadPollInterval is how often a blocked Write checks whether the caller has read enough.
+	unreadPollInterval = 5 * time.Millisecond
 )
 
 var (
@@ -135,14 +137,14 @@
 	lastChunk = []byte("0\r\n\r\n")
 )
 
-// heads keeps headers between answers; headBytes is room for a usual one.
-var heads = sync.Pool{New: func() any { return &fasthttp.ResponseHeader{} }}
+// headerPool reuses response headers; headerBufferBytes fits a typical one.
+var headerPool = sync.Pool{New: func() any { return &fasthttp.ResponseHeader{} }}
 
-const headBytes = 384
+const headerBufferBytes = 384
 
-func (x *Exchange) head(status int, headers []Header, length int) []byte {
-	h := heads.Get().(*fasthttp.ResponseHeader)
-	defer heads.Put(h)
+func (x *Exchange) header(status int, headers []Header, length int) []byte {
+	h := headerPool.Get().(*fasthttp.ResponseHeader)
+	defer headerPool.Put(h)
 	h.Reset()
 	h.SetNoDefaultContentType(true)
 	h.SetStatusCode(status)
@@ -154,16 +156,17 @@
 		x.close = true
 		h.SetConnectionClose()
 	}
-	return h.AppendBytes(make([]byte, 0, headBytes))
+	return h.AppendBytes(make([]byte, 0, headerBufferBytes))
 }
 
-// abandon closes a connection whose handler returned without a whole answer. The caller must see the cut: a
-// connection left open would make it wait, and the next answer on it would be taken for this one.
-func (x *Exchange) abandon() {
+// completeOrClose handles a handler that returned without a complete response: it sends a failure if the response was not
+// started, and marks the connection to be closed if a stream was not ended. On a connection left open the caller would
+// wait for the rest, and would mistake the next response for it.
+func (x *Exchange) completeOrClose() {
 	if !x.responded {
 		x.Fail(failure.New(failure.CodeInternal, nil))
 	}
-	if x.stream {
+	if x.streaming {
 		x.close = true
 	}
 }
@@ -173,8 +176,8 @@
 	for x.conn.unread.Load() > limit {
 		select {
 		case <-ctx.Done():
-			return &ConnectionClosedError{"cancelled while the caller left the answer unread"}
-		case <-time.After(unreadPoll):
+			return &ConnectionClosedError{"cancelled while the caller left the response unread"}
+		case <-time.After(unreadPollInterval):
 		}
 		_ = x.conn.gc.Wake(nil)
 	}
--- a/internal/base/httpserver/limits.go
+++ b/internal/base/httpserver/limits.go
@@ -6,21 +6,21 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/settings"
 )
 
-// Limits are the static settings that keep one caller from harming others. Zero values mean the defaults.
+// Limits are the static settings that protect callers from each other. Zero values select the defaults.
 type Limits struct {
-	// MaxHeaderBytes is the largest request line with headers; default 16384.
+	// MaxHeaderBytes is the maximum size of the request line and headers together; default 16384.
 	MaxHeaderBytes int `yaml:"max_header_bytes"`
-	// MaxBodyBytes is the largest request body; default 1048576.
+	// MaxBodyBytes is the maximum size of a request body; default 1048576.
 	MaxBodyBytes int `yaml:"max_body_bytes"`
-	// MaxConnections is the most connections held at once; default 20000.
+	// MaxConnections is the maximum number of open connections; default 20000.
 	MaxConnections int `yaml:"max_connections"`
-	// ReadTimeout is the time from the first byte of a request to its last; default 10s.
+	// ReadTimeout is the maximum time from the first byte of a request to its last; default 10s.
 	ReadTimeout settings.Duration `yaml:"read_timeout"`
-	// IdleTimeout is how long a connection may wait between requests; default 75s.
+	// IdleTimeout is how long a connection may be idle between requests; default 75s.
 	IdleTimeout settings.Duration `yaml:"idle_timeout"`
 	// WriteTimeout is how long a caller may leave written bytes unread; default 10s.
 	WriteTimeout settings.Duration `yaml:"write_timeout"`
-	// MaxUnreadBytes is how much a caller may leave unread before a stream waits for it; default 262144.
+	// MaxUnreadBytes is how many written bytes a caller may leave unread before Exchange.Write blocks; default 262144.
 	MaxUnreadBytes int `yaml:"max_unread_bytes"`
 }
 
@@ -47,9 +47,9 @@
 	return l
 }
 
-func orDefault(v, standard int) int {
+func orDefault(v, def int) int {
 	if v <= 0 {
-		return standard
+		return def
 	}
 	return v
 }
--- a/internal/base/httpserver/outbox.go
+++ b/internal/base/httpserver/outbox.go
@@ -5,19 +5,19 @@
 	"sync"
 )
 
-// outbox collects what a request's goroutine writes until the event loop sends it. While a flush is on its way to the
-// loop, further pieces join it: under load a burst of tokens costs one wake-up and one system call, not one each.
+// outbox buffers what a request's goroutine writes until the event loop sends it. Pieces that are added while a flush
+// is pending join that flush, so that under load a burst of tokens costs one wake-up and one system call in total.
 type outbox struct {
 	mu sync.Mutex
-	// buf waits for the loop; spare is a buffer that nobody uses, or nil.
+	// buf holds the bytes that the event loop has not fetched yet; spare is an unused buffer, or nil.
 	buf, spare []byte
 	flushing   bool
 }
 
-// maxSpare is the largest buffer that a connection keeps for its next answer, in bytes.
+// maxSpare is the capacity of the largest buffer that a connection keeps for reuse, in bytes.
 const maxSpare = 64 << 10
 
-// add copies the pieces and reports whether a flush must be asked for.
+// add copies the pieces and reports whether the caller must schedule a flush.
 func (o *outbox) add(pieces ...[]byte) (first bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -29,10 +29,10 @@
 	return first
 }
 
-// take returns what waits. The buffer is the loop's until it is put back.
+// take returns the buffered bytes. The event loop owns the buffer until it calls recycle.
 //
-// The spare buffer is given up when it comes into use: kept as the spare one, it would be taken again after a burst, and one
-// answer's bytes overwritten by another's.
+// spare is set to nil when it becomes buf. Otherwise the same buffer would be handed out again after a burst, and the
+// bytes of one response would be overwritten by those of another.
 func (o *outbox) take() []byte {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -43,8 +43,8 @@
 	return buf
 }
 
-// put gives back a buffer that take returned.
-func (o *outbox) put(buf []byte) {
+// recycle keeps a buffer that take returned for reuse, unless it is larger than maxSpare.
+func (o *outbox) recycle(buf []byte) {
 	if cap(buf) > maxSpare {
 		return
 	}
@@ -55,7 +55,7 @@
 
 // write copies the pieces into the outbox. Errors: *ConnectionClosedError.
 func (c *conn) write(pieces ...[]byte) error {
-	if c.gone.Load() {
+	if c.disconnected.Load() {
 		return &ConnectionClosedError{"connection closed"}
 	}
 	if !c.out.add(pieces...) {
@@ -67,18 +67,18 @@
 	return nil
 }
 
-// Run implements gnet.Runnable: it runs on the event loop and sends what the outbox holds.
+// Run implements gnet.Runnable. It runs on the event loop and sends the contents of the outbox.
 func (c *conn) Run(context.Context) error {
 	buf := c.out.take()
-	if c.gone.Load() {
+	if c.disconnected.Load() {
 		return nil
 	}
-	// gnet copies what the socket does not take, so the buffer can be used again.
+	// gnet copies the bytes that the socket does not accept, so the buffer can be reused.
 	_, err := c.gc.Write(buf)
-	c.out.put(buf)
+	c.out.recycle(buf)
 	if err != nil {
 		return c.gc.Close()
 	}
-	c.noteUnread(c.gc.OutboundBuffered())
+	c.recordUnread(c.gc.OutboundBuffered())
 	return nil
 }
--- a/internal/base/httpserver/outbox_test.go
+++ b/internal/base/httpserver/outbox_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// A caller reads a long stream. One burst outgrows the buffer that is kept; the loop sends the next one while the stream
-// goes on. What the loop is sending must not change under it, or the caller gets bytes of later pieces in the place of
-// earlier ones.
-func TestWhatIsBeingSentDoesNotChange(t *testing.T) {
+// A burst of a long stream outgrows the buffer kept for reuse, and the stream goes on while the event loop sends the next
+// piece. If a buffer that is being sent were reused, the caller would receive bytes of later pieces in place of earlier
+// ones.
+func TestFlushedBufferIsNotOverwritten(t *testing.T) {
 	var o outbox
 	send := func(text string, during string) {
 		t.Helper()
@@ -19,7 +19,7 @@
 		if !bytes.Equal(buf, []byte(text)) {
 			t.Fatalf("%.20q was overwritten: %.20q", text, buf)
 		}
-		o.put(buf)
+		o.recycle(buf)
 		if got := o.take(); string(got) != during {
 			t.Fatalf("got %.20q, want %.20q", got, during)
 		}
@@ -27,17 +27,17 @@
 	large := strings.Repeat("large", maxSpare)
 	for range 3 {
 		send("first", "second")
-		// The buffer of the large burst is not kept.
+		// The buffer of the large burst is not kept for reuse.
 		o.add([]byte(large))
 		first := o.take()
 		o.add([]byte("third"))
-		o.put(first)
+		o.recycle(first)
 		second := o.take()
 		o.add([]byte("FOURTH"))
 		if string(second) != "third" {
 			t.Fatalf("third was overwritten: %q", second)
 		}
-		o.put(second)
+		o.recycle(second)
 		o.take()
 	}
 }
--- a/internal/base/httpserver/server.go
+++ b/internal/base/httpserver/server.go
@@ -16,27 +16,28 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/monotonic"
 )
 
-// Handler answers one request. It must call Respond once, or Stream and then End; ctx ends when the caller goes away.
+// Handler responds to one request. It must call Respond once, or Stream and then End. ctx is cancelled when the caller
+// disconnects.
 type Handler func(ctx context.Context, x *Exchange)
 
 // sweepInterval is how often connections are checked against the timeouts of Limits.
 const sweepInterval = 250 * time.Millisecond
 
-// Server is one listener. Create it with Start.
+// Server is an HTTP/1.1 listener. Create it with Start.
 type Server struct {
 	gnet.BuiltinEventEngine
-	handler Handler
-	limits  atomic.Pointer[Limits]
-	eng     gnet.Engine
-	booted  chan struct{}
-	ended   chan error
-	conns   sync.Map // *conn → struct{}
-	count   atomic.Int64
-	busy    atomic.Int64
-	closing atomic.Bool
+	handler   Handler
+	limits    atomic.Pointer[Limits]
+	eng       gnet.Engine
+	booted    chan struct{}
+	runErr    chan error
+	conns     sync.Map // *conn → struct{}
+	connCount atomic.Int64
+	busy      atomic.Int64
+	closing   atomic.Bool
 }
 
-// ListenError says that a listener could not be opened or ended early.
+// ListenError reports that the listener failed before it accepted connections.
 type ListenError struct {
 	Address string
 	Cause   error
@@ -48,17 +49,17 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// Start listens on address (IP:PORT) and serves with the given number of event loops; it returns once connections are
-// accepted, or *ListenError.
+// Start listens on address (IP:PORT) and serves with the given number of event loops. It returns once the server accepts
+// connections. Errors: *ListenError.
 func Start(address string, loops int, l Limits, h Handler) (*Server, error) {
 	s := &Server{
 		handler: h,
 		booted:  make(chan struct{}),
-		ended:   make(chan error, 1),
+		runErr:  make(chan error, 1),
 	}
 	s.SetLimits(l)
 	go func() {
-		s.ended <- gnet.Run(s, "tcp://"+address,
+		s.runErr <- gnet.Run(s, "tcp://"+address,
 			gnet.WithNumEventLoop(loops),
 			gnet.WithTicker(true),
 			gnet.WithReuseAddr(true),
@@ -69,7 +70,7 @@
 	select {
 	case <-s.booted:
 		return s, nil
-	case err := <-s.ended:
+	case err := <-s.runErr:
 		return nil, &ListenError{address, err}
 	}
 }
@@ -83,7 +84,7 @@
 // Busy returns how many requests are running.
 func (s *Server) Busy() int { return int(s.busy.Load()) }
 
-// Drain asks every connection to end after its present request and waits until none is running or ctx ends.
+// Drain closes every connection after its current request and waits until no request is running or ctx ends.
 func (s *Server) Drain(ctx context.Context) error {
 	s.closing.Store(true)
 	tick := time.NewTicker(10 * time.Millisecond)
@@ -115,7 +116,7 @@
 
 // OnOpen implements gnet.EventHandler.
 func (s *Server) OnOpen(gc gnet.Conn) ([]byte, gnet.Action) {
-	if s.count.Add(1) > int64(s.limits.Load().MaxConnections) {
+	if s.connCount.Add(1) > int64(s.limits.Load().MaxConnections) {
 		return nil, gnet.Close
 	}
 	c := &conn{srv: s, gc: gc}
@@ -127,13 +128,13 @@
 
 // OnClose implements gnet.EventHandler.
 func (s *Server) OnClose(gc gnet.Conn, _ error) gnet.Action {
-	s.count.Add(-1)
+	s.connCount.Add(-1)
 	c, ok := gc.Context().(*conn)
 	if !ok {
 		return gnet.None
 	}
 	s.conns.Delete(c)
-	c.closed()
+	c.onClosed()
 	return gnet.None
 }
 
@@ -143,41 +144,41 @@
 	if !ok {
 		return gnet.Close
 	}
-	return c.traffic()
+	return c.onTraffic()
 }
 
-// OnTick implements gnet.EventHandler: it ends connections that are past a timeout.
+// OnTick implements gnet.EventHandler. It enforces the timeouts of all connections.
 func (s *Server) OnTick() (time.Duration, gnet.Action) {
 	now := monotonic.Nanos()
 	s.conns.Range(func(key, _ any) bool {
-		key.(*conn).sweep(now)
+		key.(*conn).enforceTimeouts(now)
 		return true
 	})
 	return sweepInterval, gnet.None
 }
 
-// run serves one request on a goroutine of its own.
+// run serves one request on its own goroutine.
 func (s *Server) run(ctx context.Context, c *conn, req *fasthttp.Request) {
 	x := &Exchange{Req: req, conn: c, close: req.Header.ConnectionClose()}
 	defer func() {
-		x.abandon()
+		x.completeOrClose()
 		fasthttp.ReleaseRequest(req)
 		s.busy.Add(-1)
-		c.finished(x.close || s.closing.Load())
+		c.requestDone(x.close || s.closing.Load())
 	}()
 	s.handler(ctx, x)
 }
 
-// lingerFor is how long a connection stays open after bytes on it were refused; a caller on the same continent has read
-// the answer by then.
-const lingerFor = 500 * time.Millisecond
+// refusalLinger is how long a connection stays open after the server refused bytes on it. It is long enough for a caller
+// on the same continent to read the response.
+const refusalLinger = 500 * time.Millisecond
 
-// refuse answers bytes that are not a request, and ends the connection a little later.
+// refuse responds to bytes that are not a valid request, and leaves the connection open for refusalLinger.
 //
-// A caller may still be sending a body that is too large. Closing at once would reset the connection before it has read why
-// it is refused; what still comes is read and dropped until it has had time to read.
+// The caller may still be sending a body that is too large. Closing immediately would reset the connection before the
+// caller has read the response, so the server discards the remaining bytes until then.
 func (s *Server) refuse(c *conn, err error) {
-	c.running.Store(true) // no request is read from this connection any more
+	c.running.Store(true) // no further request is read from this connection
 	c.refusedAt.Store(monotonic.Nanos())
 	x := &Exchange{conn: c, close: true}
 	x.Fail(failure.From(err))
--- a/internal/base/httpserver/server_test.go
+++ b/internal/base/httpserver/server_test.go
@@ -15,7 +15,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/settings"
 )
 
-// start serves h on a free port and returns its address.
+// start serves h on a free port and returns the server and its address.
 func start(t *testing.T, l httpserver.Limits, h httpserver.Handler) (*httpserver.Server, string) {
 	t.Helper()
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +46,7 @@
 	return c
 }
 
-func TestBadInputGetsATypedAnswer(t *testing.T) {
+func TestBadInputGetsTypedResponse(t *testing.T) {
 	limits := httpserver.Limits{MaxHeaderBytes: 512, MaxBodyBytes: 64, ReadTimeout: settings.Duration(300 * time.Millisecond)}
 	tests := map[string]struct {
 		send string
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestBodiesArriveWhole(t *testing.T) {
+func TestFragmentedBodiesAreReassembled(t *testing.T) {
 	_, address := start(t, httpserver.Limits{}, echo)
 	tests := map[string][]string{
 		"length in pieces": {"POST / HTTP/1.1\r\nHost: a\r\nContent-Le", "ngth: 5\r\n\r\nhe", "llo"},
@@ -131,8 +131,8 @@
 	expectBody(t, r, "ok")
 }
 
-// The caller sends two requests at once on one connection and gets both answers, in order: the second is not looked
-// at before the first is answered, and is not forgotten either.
+// The caller pipelines two requests on one connection. Both responses must arrive in order: the second request must not
+// start before the first response is sent, and must not be lost.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	_, address := start(t, httpserver.Limits{}, func(_ context.Context, x *httpserver.Exchange) {
 		if string(x.Req.URI().Path()) == "/slow" {
@@ -147,8 +147,9 @@
 	expectBody(t, r, "/fast")
 }
 
-// The caller goes away in mid-stream. The handler's context must end, or the engine would go on for nobody.
-func TestACallerThatLeavesCancelsItsRequest(t *testing.T) {
+// The caller disconnects in mid-stream. Unless the handler's context is cancelled, the engine keeps working on a response
+// that no caller receives.
+func TestDisconnectCancelsRequest(t *testing.T) {
 	cancelled := make(chan struct{})
 	_, address := start(t, httpserver.Limits{}, func(ctx context.Context, x *httpserver.Exchange) {
 		_ = x.Stream(http.StatusOK, nil)
@@ -165,9 +166,9 @@
 	<-cancelled
 }
 
-// The caller sees that its answer was cut off: the handler gave up in mid-stream, so the connection is closed without
-// the last chunk. Left open, it would make the caller wait for ever.
-func TestAStreamThatIsNotEndedIsCutOff(t *testing.T) {
+// The handler returns in mid-stream. The connection must be closed without the last chunk, so that the caller sees a
+// truncated response. On an open connection it would wait forever.
+func TestUnfinishedStreamClosesConnection(t *testing.T) {
 	_, address := start(t, httpserver.Limits{}, func(ctx context.Context, x *httpserver.Exchange) {
 		_ = x.Stream(http.StatusOK, nil)
 		_ = x.Write(ctx, []byte("part"))
@@ -178,13 +179,13 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	if _, err := io.ReadAll(res.Body); err == nil {
-		t.Fatal("the part looked like a whole answer")
+		t.Fatal("the truncated response was read as complete")
 	}
 }
 
-// The caller does not read its stream. The writer waits for it and, after the write timeout, the connection is closed
-// and the request cancelled, so that one slow reader cannot fill the entry's memory.
-func TestASlowReaderIsCutOff(t *testing.T) {
+// The caller does not read its stream. The writer must block and, after the write timeout, the connection must be closed
+// and the request cancelled. Otherwise one slow reader could fill the entry's memory.
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	limits := httpserver.Limits{MaxUnreadBytes: 64 << 10, WriteTimeout: settings.Duration(300 * time.Millisecond)}
 	written := make(chan int, 1)
 	_, address := start(t, limits, func(ctx context.Context, x *httpserver.Exchange) {
@@ -200,12 +201,12 @@
 	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	const kernelBuffers = 16 << 20
 	if n := <-written; n > kernelBuffers {
-		t.Fatalf("%d bytes were taken for a reader that reads nothing", n)
+		t.Fatalf("%d bytes were accepted for a caller that reads nothing", n)
 	}
 }
 
-// A server that shuts down finishes what runs and says "close" on it; nothing in flight is cut off.
-func TestDrainFinishesWhatRuns(t *testing.T) {
+// A server that drains must complete the running requests and truncate no response.
+func TestDrainCompletesRunningRequests(t *testing.T) {
 	entered := make(chan struct{})
 	release := make(chan struct{})
 	s, address := start(t, httpserver.Limits{}, func(_ context.Context, x *httpserver.Exchange) {
--- a/internal/base/ids/ids.go
+++ b/internal/base/ids/ids.go
@@ -1,4 +1,4 @@
-// Package ids holds the identifiers that processes of the system exchange.
+// Package ids defines the types of the identifiers that the processes of the system exchange.
 package ids
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/google/uuid"
 )
 
-// Node names a process of the system; it is stable over restarts of the same host's process.
+// Node names a process of the system. The name stays the same when that process restarts.
 type Node string
 
 // DataCentre names a data centre.
@@ -27,16 +27,16 @@
 // Upstream names an upstream host.
 type Upstream string
 
-// UpstreamIncarnation is one life of an upstream, from a start to its end. A restart may keep the upstream's id; nothing that was known of
-// an ended life, its load, failures, pace or copies of weights, holds for the next.
+// UpstreamIncarnation identifies one run of an upstream, from its start to its exit. A restart may keep the upstream's id,
+// but the load, failures, slowdown factor and copies of weights recorded for one incarnation do not apply to the next.
 type UpstreamIncarnation struct {
 	Upstream Upstream
-	// StartedAtMS is the start's Unix time in milliseconds by the upstream's own clock, which may be set back between two lives: it
-	// tells lives apart and does not order them. 0 if the upstream does not say.
+	// StartedAtMS is the start time in Unix milliseconds by the upstream's own clock; 0 if the upstream does not report
+	// it. The clock may be set back between two incarnations, so the value distinguishes them but does not order them.
 	StartedAtMS int64
 }
 
-// String returns the id, with the start after it if that is known.
+// String returns the upstream's id, followed by "@" and the start time if that is set.
 func (i UpstreamIncarnation) String() string {
 	if i.StartedAtMS == 0 {
 		return string(i.Upstream)
@@ -44,35 +44,36 @@
 	return string(i.Upstream) + "@" + strconv.FormatInt(i.StartedAtMS, 10)
 }
 
-// Operation identifies one write of an operator or a node, so that a lost answer is settled by reading it back.
+// Operation identifies one write of an operator or a node. After a lost response, the writer resolves the outcome by
+// reading the operation back.
 type Operation string
 
-// Revision numbers configurations; it only grows. Zero means none.
+// Revision is the number of a configuration. It only increases; zero means none.
 type Revision uint64
 
-// Fence is a fencing number; each new holder of a lease gets a larger one.
+// Fence is a fencing token. Each new holder of a lease gets a larger one.
 type Fence uint64
 
-// Incarnation tells two lives of the same node apart. A process draws a new one at each start.
+// Incarnation identifies one run of a node. A process generates a new one at each start.
 type Incarnation string
 
-// NewIncarnation draws an incarnation; it sorts by time of birth.
+// NewIncarnation generates an incarnation. Incarnations sort by the time they were generated.
 func NewIncarnation() Incarnation {
 	return Incarnation(uuid.Must(uuid.NewV7()).String())
 }
 
-// NewOperation draws an operation id.
+// NewOperation generates an operation id.
 func NewOperation() Operation {
 	return Operation(uuid.Must(uuid.NewV7()).String())
 }
 
-// Attempt identifies one try of one request: the entry's incarnation and a sequence number of that life.
+// Attempt identifies one attempt to run a request by the entry's incarnation and a sequence number within it.
 type Attempt struct {
 	Entry Incarnation
 	Seq   uint64
 }
 
-// AttemptError says that a text is not an attempt id.
+// AttemptError reports that a text is not an attempt id.
 type AttemptError struct{ Text string }
 
 // Error implements error.
@@ -80,12 +81,12 @@
 	return fmt.Sprintf("attempt id %q: want ENTRY-INCARNATION/SEQUENCE", e.Text)
 }
 
-// String formats the attempt as it stands in headers.
+// String formats the attempt as it is sent in headers.
 func (a Attempt) String() string {
 	return string(a.Entry) + "/" + strconv.FormatUint(a.Seq, 10)
 }
 
-// ParseAttempt reads what String wrote; it returns *AttemptError for anything else.
+// ParseAttempt parses the format of String. Errors: *AttemptError.
 func ParseAttempt(text string) (Attempt, error) {
 	entry, seq, found := strings.Cut(text, "/")
 	if !found || entry == "" {
--- a/internal/base/ids/ids_test.go
+++ b/internal/base/ids/ids_test.go
@@ -7,6 +7,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
+// Guards against untyped errors, and against ids that change when they are formatted and parsed again.
 func FuzzParseAttempt(f *testing.F) {
 	f.Add("0190-abc/7")
 	f.Add("/7")
@@ -23,7 +24,7 @@
 		}
 		again, err := ids.ParseAttempt(a.String())
 		if err != nil || again != a {
-			t.Fatalf("%q: read %v, wrote and read %v (%v)", text, a, again, err)
+			t.Fatalf("%q: parsed %v, after formatting parsed %v (%v)", text, a, again, err)
 		}
 	})
 }
--- a/internal/base/keys/keys.go
+++ b/internal/base/keys/keys.go
@@ -1,9 +1,9 @@
-// Package keys lets processes and operators know each other by certificates: TLS with mutual authentication on the
-// control port, reloaded while the process runs, and roles for operators.
+// Package keys authenticates processes and operators by certificates and authorizes them by role. It provides mutual TLS
+// for the control port, reloads the certificates while the process runs, and checks the roles of operators.
 //
-// Who somebody is stands in the certificate: the common name is the name of the node or operator, the organisational
-// units are its roles. Addresses are not checked: hosts are replaced at any time and their addresses used again, so a
-// certificate that named them would be out of date; a peer must have the role of a node instead.
+// The certificate holds the identity: its common name is the name of the node or operator, and its organisational units
+// are the roles. Addresses are not checked, because hosts are replaced at any time and their addresses are reused, so
+// certificates that name addresses would be out of date. Instead, a peer must have the node role.
 package keys
 
 import (
@@ -23,23 +23,23 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/settings"
 )
 
-// reloadPeriod is how often files are compared with what is in use.
-const reloadPeriod = 5 * time.Second
+// reloadInterval is how often the files are compared with the keys in use.
+const reloadInterval = 5 * time.Second
 
-// Settings name the files of a process; all are PEM. None: the control port is plain.
+// Settings names the PEM files of a process. If none is set, the control port is not encrypted.
 type Settings struct {
-	// CA is the file with the certificates of the authorities that peers' certificates must come from.
+	// CA is the file with the certificates of the authorities that must have issued the peers' certificates.
 	CA string `yaml:"ca"`
-	// Certificate is the file with this process's certificate, and those between it and the authority.
+	// Certificate is the file with this process's certificate and the intermediate certificates.
 	Certificate string `yaml:"certificate"`
 	// Key is the file with the certificate's private key.
 	Key string `yaml:"key"`
 }
 
-// Enabled reports whether any file is named.
+// Enabled reports whether any file is set.
 func (s Settings) Enabled() bool { return s != Settings{} }
 
-// Check refuses settings that name some files and not all: half of mutual authentication would be none.
+// Check returns *settings.KeyError if some files are set but not all, because mutual authentication needs all three.
 func (s Settings) Check() error {
 	if !s.Enabled() {
 		return nil
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// FileError says that a file cannot be used.
+// FileError reports that a file cannot be read or holds no usable certificate or key.
 type FileError struct {
 	File  string
 	Cause error
@@ -64,32 +64,32 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// NoCertificateError says that a file or a connection holds no certificate.
+// NoCertificateError reports that a file contains no certificate, or that the peer of a connection presented none.
 type NoCertificateError struct{}
 
 // Error implements error.
 func (*NoCertificateError) Error() string { return "there is no certificate" }
 
-// material is what the files held at one time.
-type material struct {
+// keyMaterial holds the contents of the files as they were read together, and what was parsed from them.
+type keyMaterial struct {
 	ca, certificate, key []byte
 	roots                *x509.CertPool
 	own                  tls.Certificate
 }
 
-// Source holds the newest usable keys. It is safe for concurrent use.
+// Source holds the most recent valid keys. It is safe for concurrent use.
 type Source struct {
 	settings Settings
 	logger   log.Logger
-	current  atomic.Pointer[material]
+	current  atomic.Pointer[keyMaterial]
 }
 
-// Load reads the files. It returns nil if the settings name none. Errors: *FileError.
+// Load reads the files and returns a source for them, or nil if the settings name no files. Errors: *FileError.
 func Load(s Settings, logger log.Logger) (*Source, error) {
 	if !s.Enabled() {
 		return nil, nil
 	}
-	m, err := read(s)
+	m, err := readFiles(s)
 	if err != nil {
 		return nil, err
 	}
@@ -98,8 +98,8 @@
 	return out, nil
 }
 
-func read(s Settings) (*material, error) {
-	m := &material{}
+func readFiles(s Settings) (*keyMaterial, error) {
+	m := &keyMaterial{}
 	for _, f := range []struct {
 		name string
 		text *[]byte
@@ -121,9 +121,9 @@
 	return m, nil
 }
 
-// Run reloads the files when they change, until ctx ends.
+// Run reloads the files whenever they change, until ctx ends.
 func (s *Source) Run(ctx context.Context) {
-	tick := time.NewTicker(reloadPeriod)
+	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -135,11 +135,11 @@
 	}
 }
 
-// Reload takes over changed files. Certificate and key are two files, which are not replaced at one moment: a pair that
-// does not fit is left for the next time, and the old keys stay in use.
+// Reload reads the files and replaces the keys in use if they have changed. Certificate and key are separate files that are
+// not replaced atomically: while they do not match, the old keys stay in use until a later reload succeeds.
 func (s *Source) Reload() {
 	old := s.current.Load()
-	m, err := read(s.settings)
+	m, err := readFiles(s.settings)
 	if err != nil {
 		_ = level.Error(s.logger).Log("msg", "keys not reloaded; the old ones stay in use", "err", err)
 		return
@@ -151,10 +151,11 @@
 	_ = level.Info(s.logger).Log("msg", "keys reloaded", "valid_until", m.own.Leaf.NotAfter)
 }
 
-// Name is the common name of the own certificate.
+// Name returns the common name of the process's own certificate.
 func (s *Source) Name() string { return s.current.Load().own.Leaf.Subject.CommonName }
 
-// Server returns the configuration of a listener: each handshake goes by the newest keys, and needs a certificate.
+// Server returns the TLS configuration of a listener. Each handshake uses the newest keys and requires a client
+// certificate.
 func (s *Source) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -167,50 +168,50 @@
 				Certificates: []tls.Certificate{m.own},
 				ClientAuth:   tls.RequireAndVerifyClientCert,
 				ClientCAs:    m.roots,
-				// A ticket would let a client resume without its certificate being checked against the newest authorities.
+				// With a ticket, a client could resume a session without a check of its certificate against the newest authorities.
 				SessionTicketsDisabled: true,
 			}, nil
 		},
 	}
 }
 
-// Client returns the configuration of a client of nodes.
+// Client returns the TLS configuration for connections to nodes.
 func (s *Source) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return &s.current.Load().own, nil
 		},
-		// The library's check goes by the address and by fixed authorities. verifyNode takes its place on every
-		// handshake; without it, anybody could pose as a node.
+		// The library would verify the address, and with a fixed set of authorities. verifyNode replaces that check on every
+		// handshake; without it, any process could impersonate a node.
 		InsecureSkipVerify: true,
 		VerifyConnection:   s.verifyNode,
 	}
 }
 
-// verifyNode checks that the peer has a valid certificate of a node.
+// verifyNode checks that the peer has a valid certificate with the node role.
 func (s *Source) verifyNode(c tls.ConnectionState) error {
 	if len(c.PeerCertificates) == 0 {
 		return &NoCertificateError{}
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, cert := range c.PeerCertificates[1:] {
-		between.AddCert(cert)
+		intermediates.AddCert(cert)
 	}
 	leaf := c.PeerCertificates[0]
 	_, err := leaf.Verify(x509.VerifyOptions{
-		Roots: s.current.Load().roots, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
+		Roots: s.current.Load().roots, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
 	})
 	if err != nil {
-		return fmt.Errorf("keys: the peer's certificate: %w", err)
+		return fmt.Errorf("keys: verify the peer's certificate: %w", err)
 	}
-	if who := identityOf(leaf); !who.has(RoleNode) {
-		return fmt.Errorf("keys: %w", &RoleError{who.Name, RoleNode})
+	if peer := identityOf(leaf); !peer.has(RoleNode) {
+		return fmt.Errorf("keys: %w", &RoleError{peer.Name, RoleNode})
 	}
 	return nil
 }
 
-// HTTPClient returns a client of nodes that speaks HTTP/2.
+// HTTPClient returns an HTTP/2 client for connections to nodes.
 func (s *Source) HTTPClient() *http.Client {
 	t := &http.Transport{TLSClientConfig: s.Client(), Protocols: new(http.Protocols)}
 	t.Protocols.SetHTTP2(true)
--- a/internal/base/keys/keys_test.go
+++ b/internal/base/keys/keys_test.go
@@ -21,17 +21,18 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1/cardamomyokev1connect"
 )
 
-// answering takes every call that the guard and the interceptor let through.
-type answering struct {
+// unimplementedServices responds to every authorized call with the code unimplemented.
+type unimplementedServices struct {
 	cardamomyokev1connect.UnimplementedOperatorServiceHandler
 	cardamomyokev1connect.UnimplementedRevisionServiceHandler
 }
 
-// serve runs a node's port with both services; what is let through ends with the code unimplemented.
+// serve runs a node's control port with both services and returns its URL. Authorized calls return the code
+// unimplemented.
 func serve(t *testing.T, source *keys.Source) string {
 	mux := http.NewServeMux()
-	mux.Handle(cardamomyokev1connect.NewOperatorServiceHandler(answering{}, connect.WithInterceptors(keys.Interceptor{})))
-	mux.Handle(cardamomyokev1connect.NewRevisionServiceHandler(answering{}))
+	mux.Handle(cardamomyokev1connect.NewOperatorServiceHandler(unimplementedServices{}, connect.WithInterceptors(keys.Interceptor{})))
+	mux.Handle(cardamomyokev1connect.NewRevisionServiceHandler(unimplementedServices{}))
 	mux.HandleFunc("GET /healthz", func(http.ResponseWriter, *http.Request) {})
 	srv := httptest.NewUnstartedServer(keys.RequireNodeRole(mux))
 	srv.Config.ErrorLog = nil
@@ -57,7 +58,7 @@
 	return client{cardamomyokev1connect.NewOperatorServiceClient(c, url), cardamomyokev1connect.NewRevisionServiceClient(c, url)}
 }
 
-// calls are one call of each sort.
+// calls holds a call of each kind that the roles distinguish, and a change under another operator's name.
 var calls = map[string]func(context.Context, client) error{
 	"list": func(ctx context.Context, c client) error {
 		_, err := c.List(ctx, &cardamomyokev1.ListRequest{})
@@ -119,12 +120,12 @@
 	}
 }
 
-// Somebody without a certificate, or with one of another authority or one that has expired, calls a node; and somebody
-// with an operator's certificate poses as a node. None may get through, or hear what a node would be told.
+// A caller without a certificate, with one of another authority or with an expired one calls a node, and an operator
+// impersonates a node. No such call may succeed, and the impersonated node must not receive the request of a node.
 //
-// The node refuses a certificate only after the caller has sent it. A caller that writes its request meanwhile may find the
-// connection closed before it has read why; that is the network's error then, and never an answer of the handler.
-func TestStrangersAreRefused(t *testing.T) {
+// The node refuses a certificate only after the caller has sent it. A caller that is writing its request at that time may
+// find the connection closed before it reads the reason: it then sees a network error, never a response of the handler.
+func TestInvalidCertificatesAreRefused(t *testing.T) {
 	ca := keystest.New(t)
 	good := ca.Issue("ana", keys.RoleForce)
 	node := ca.Issue("e1", keys.RoleNode)
@@ -132,7 +133,7 @@
 	expired := ca.Issue("ana", keys.RoleForce)
 	ca.IssueTo(expired, "ana", -time.Minute, keys.RoleForce)
 	other := keystest.New(t).Issue("ana", keys.RoleForce)
-	other.CA = node.CA // it trusts the node; the node must not trust it
+	other.CA = node.CA // the caller trusts the node, but the node must not trust the caller
 	for name, s := range map[string]keys.Settings{"another authority": other, "expired": expired} {
 		if err := calls["list"](t.Context(), dial(t, url, s)); !refused(err) {
 			t.Errorf("%s: got %v", name, err)
@@ -143,17 +144,17 @@
 		t.Errorf("without a certificate: got %v", r.Status)
 	}
 	if err := calls["list"](t.Context(), dial(t, url, good)); connect.CodeOf(err) != connect.CodeUnimplemented {
-		t.Errorf("the control: got %v", err)
+		t.Errorf("valid certificate: got %v", err)
 	}
 	var role *keys.RoleError
-	posing := serve(t, keystest.Load(t, good))
-	if err := calls["push"](t.Context(), dial(t, posing, node)); !errors.As(err, &role) {
-		t.Errorf("an operator posing as a node: got %v", err)
+	impersonated := serve(t, keystest.Load(t, good))
+	if err := calls["push"](t.Context(), dial(t, impersonated, node)); !errors.As(err, &role) {
+		t.Errorf("an operator impersonating a node: got %v", err)
 	}
 }
 
-// The authority is replaced while the process runs. Halfway the certificate is new and its key still old: the old pair
-// stays in use. Then new certificates work without a restart, and old ones no longer do.
+// The authority is replaced while the process runs. While the certificate is new and its key still old, the old pair must
+// stay in use. After that, certificates of the new authority must work without a restart, and old ones must be refused.
 func TestReload(t *testing.T) {
 	old, next := keystest.New(t), keystest.New(t)
 	files := old.Issue("e1", keys.RoleNode)
@@ -168,19 +169,19 @@
 		}
 	}
 	list(before, connect.CodeUnimplemented)
-	key, err := os.ReadFile(files.Key)
+	oldKey, err := os.ReadFile(files.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	next.IssueTo(files, "e1", time.Hour, keys.RoleNode)
-	whole, err := os.ReadFile(files.Key)
+	newKey, err := os.ReadFile(files.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, files.Key, key)
+	write(t, files.Key, oldKey)
 	source.Reload()
 	list(before, connect.CodeUnimplemented)
-	write(t, files.Key, whole)
+	write(t, files.Key, newKey)
 	source.Reload()
 	list(after, connect.CodeUnimplemented)
 	list(before, connect.CodeUnavailable)
@@ -194,27 +195,27 @@
 }
 
 func TestSettings(t *testing.T) {
-	whole := keystest.New(t).Issue("e1", keys.RoleNode)
+	complete := keystest.New(t).Issue("e1", keys.RoleNode)
 	if s, err := keys.Load(keys.Settings{}, log.NewNopLogger()); s != nil || err != nil {
 		t.Fatalf("no settings: %v, %v", s, err)
 	}
-	if err := whole.Check(); err != nil {
+	if err := complete.Check(); err != nil {
 		t.Fatal(err)
 	}
-	half := whole
-	half.Key = ""
-	if err := half.Check(); err == nil {
-		t.Fatal("half of the settings was taken")
+	partial := complete
+	partial.Key = ""
+	if err := partial.Check(); err == nil {
+		t.Fatal("settings without a key were accepted")
 	}
 	var file *keys.FileError
-	swapped := whole
-	swapped.Certificate, swapped.Key = whole.Key, whole.Certificate
+	swapped := complete
+	swapped.Certificate, swapped.Key = complete.Key, complete.Certificate
 	if _, err := keys.Load(swapped, log.NewNopLogger()); !errors.As(err, &file) {
 		t.Fatalf("swapped files: %v", err)
 	}
 }
 
-// refused reports whether a call ended without an answer, since the node closed the connection.
+// refused reports whether a call failed without a response because the node closed the connection.
 func refused(err error) bool {
 	if connect.IsWireError(err) {
 		return false
--- a/internal/base/keys/keystest/keystest.go
+++ b/internal/base/keys/keystest/keystest.go
@@ -1,4 +1,4 @@
-// Package keystest makes certificates for tests.
+// Package keystest issues certificates for tests.
 package keystest
 
 import (
@@ -19,14 +19,14 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/keys"
 )
 
-// Authority issues certificates.
+// Authority is a certificate authority. It fails its test on errors.
 type Authority struct {
 	t    testing.TB
 	key  *ecdsa.PrivateKey
 	cert *x509.Certificate
 }
 
-// New returns an authority.
+// New returns an authority with a new key and a self-signed certificate.
 func New(t testing.TB) *Authority {
 	a := &Authority{t: t, key: newKey(t)}
 	template := &x509.Certificate{
@@ -58,7 +58,7 @@
 	return cert
 }
 
-// Load reads keys as a process does.
+// Load loads the keys as a process does, and fails the test on errors.
 func Load(t testing.TB, s keys.Settings) *keys.Source {
 	t.Helper()
 	source, err := keys.Load(s, log.NewNopLogger())
@@ -68,7 +68,8 @@
 	return source
 }
 
-// Issue writes the keys of somebody to files of a new directory; it is valid for an hour from now.
+// Issue issues a certificate with the given common name and roles, valid for an hour from now, and writes it with its key
+// and the authority's certificate to a new directory.
 func (a *Authority) Issue(name string, roles ...keys.Role) keys.Settings {
 	dir := a.t.TempDir()
 	s := keys.Settings{CA: filepath.Join(dir, "ca"), Certificate: filepath.Join(dir, "certificate"), Key: filepath.Join(dir, "key")}
@@ -76,7 +77,8 @@
 	return s
 }
 
-// IssueTo writes the keys of somebody over files; with a negative time they have expired.
+// IssueTo is like Issue but overwrites the files of s. The certificate expires after valid; if valid is negative, it has
+// already expired.
 func (a *Authority) IssueTo(s keys.Settings, name string, valid time.Duration, roles ...keys.Role) {
 	key := newKey(a.t)
 	var units []string
--- a/internal/base/keys/roles.go
+++ b/internal/base/keys/roles.go
@@ -14,27 +14,27 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1/cardamomyokev1connect"
 )
 
-// Role is what somebody may do; it is an organisational unit of the certificate.
+// Role is a set of permissions. A certificate lists its roles as organisational units.
 type Role string
 
-// Roles. An operator with RoleForce may also change, and one with RoleChange may also read.
+// The roles. RoleForce includes RoleChange, and RoleChange includes RoleRead.
 const (
 	RoleRead   Role = "read"
 	RoleChange Role = "change"
 	RoleForce  Role = "force"
-	// RoleNode is the role of entries and slots. It is no operator's.
+	// RoleNode is the role of entries and slots. No operator role includes it.
 	RoleNode Role = "node"
 )
 
-// stronger are the roles that include a role.
-var stronger = map[Role][]Role{
+// includedBy maps each role to the roles that include it.
+var includedBy = map[Role][]Role{
 	RoleRead:   {RoleRead, RoleChange, RoleForce},
 	RoleChange: {RoleChange, RoleForce},
 	RoleForce:  {RoleForce},
 	RoleNode:   {RoleNode},
 }
 
-// RoleError says that somebody's certificate does not have a role.
+// RoleError reports that a certificate lacks a role.
 type RoleError struct {
 	Name string
 	Role Role
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("the certificate of %q does not have the role %q", e.Name, e.Role)
 }
 
-// OperatorError says that a change names somebody else than the certificate does.
+// OperatorError reports that a change names another operator than the certificate of the caller.
 type OperatorError struct{ Named, Certificate string }
 
 // Error implements error.
@@ -53,7 +53,7 @@
 	return fmt.Sprintf("the change names the operator %q, the certificate %q", e.Named, e.Certificate)
 }
 
-// identity is who a certificate says somebody is.
+// identity is the name and the roles in a certificate.
 type identity struct {
 	Name  string
 	Roles []string
@@ -64,37 +64,40 @@
 }
 
 func (i identity) has(r Role) bool {
-	return slices.ContainsFunc(stronger[r], func(s Role) bool { return slices.Contains(i.Roles, string(s)) })
+	return slices.ContainsFunc(includedBy[r], func(s Role) bool { return slices.Contains(i.Roles, string(s)) })
 }
 
 type identityKey struct{}
 
-// operatorPath is where the operators' RPC is served; all other RPC is between nodes.
+// operatorPath is the path prefix of the operators' RPC; all other RPC is between nodes.
 const operatorPath = "/" + cardamomyokev1connect.OperatorServiceName + "/"
 
-// openPaths need a valid certificate and no role.
+// openPaths require a valid certificate but no role.
 var openPaths = []string{"/metrics", "/healthz"}
 
-// RequireNodeRole lets only nodes through, but for the operators' RPC, where Interceptor decides, and for metrics and health. What
-// is added to the port later is closed to operators until it says otherwise.
+// Authorize wraps next and rejects requests without a client certificate. It requires the node role, except for the
+// operators' RPC, where Interceptor checks the role, and for /metrics and /healthz. Handlers that are added to the port
+// later are therefore closed to operators by default. Authorize stores the caller's identity in the request's context for
+// Interceptor.
 func RequireNodeRole(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 			http.Error(w, "a certificate is needed", http.StatusUnauthorized)
 			return
 		}
-		who := identityOf(r.TLS.PeerCertificates[0])
-		isOperators := strings.HasPrefix(r.URL.Path, operatorPath)
-		if !isOperators && !slices.Contains(openPaths, r.URL.Path) && !who.has(RoleNode) {
-			http.Error(w, (&RoleError{who.Name, RoleNode}).Error(), http.StatusForbidden)
+		caller := identityOf(r.TLS.PeerCertificates[0])
+		isOperatorRPC := strings.HasPrefix(r.URL.Path, operatorPath)
+		if !isOperatorRPC && !slices.Contains(openPaths, r.URL.Path) && !caller.has(RoleNode) {
+			http.Error(w, (&RoleError{caller.Name, RoleNode}).Error(), http.StatusForbidden)
 			return
 		}
-		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), identityKey{}, who)))
+		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), identityKey{}, caller)))
 	})
 }
 
-// needed is the role that each procedure needs; Act depends on its action. A procedure without one is refused.
-var needed = map[string]Role{
+// requiredRoles maps each procedure to the role that it requires; for Act, roleFor decides by the action. A procedure that
+// is not listed is refused.
+var requiredRoles = map[string]Role{
 	cardamomyokev1connect.OperatorServiceDiffProcedure:          RoleRead,
 	cardamomyokev1connect.OperatorServiceListProcedure:          RoleRead,
 	cardamomyokev1connect.OperatorServiceGetOperationProcedure:  RoleRead,
@@ -114,13 +117,14 @@
 		case *cardamomyokev1.ActRequest_PauseRebalancing, *cardamomyokev1.ActRequest_DrainUpstream:
 			return RoleChange
 		}
-		return RoleForce // also for actions that are added later
+		return RoleForce // the default also applies to actions that are added later
 	}
-	return needed[procedure]
+	return requiredRoles[procedure]
 }
 
-// Interceptor checks an operator's role, and that a change names the operator of the certificate: else the audit could
-// be made to name somebody else. Handlers that use it must be behind RequireNodeRole.
+// Interceptor checks that an operator has the required role, and that a change names the operator of the certificate.
+// Otherwise an operator could have changes recorded in the audit under another name. Handlers that use it must be wrapped
+// by Authorize.
 type Interceptor struct{}
 
 var _ connect.Interceptor = Interceptor{}
@@ -128,14 +132,14 @@
 // WrapUnary implements connect.Interceptor.
 func (Interceptor) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, r connect.AnyRequest) (connect.AnyResponse, error) {
-		if err := allow(ctx, r.Spec().Procedure, r.Any()); err != nil {
+		if err := authorizeOperator(ctx, r.Spec().Procedure, r.Any()); err != nil {
 			return nil, err
 		}
 		return next(ctx, r)
 	}
 }
 
-// WrapStreamingClient implements connect.Interceptor; it changes nothing.
+// WrapStreamingClient implements connect.Interceptor. It returns next unchanged.
 func (Interceptor) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return next
 }
@@ -143,27 +147,27 @@
 // WrapStreamingHandler implements connect.Interceptor.
 func (Interceptor) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return func(ctx context.Context, c connect.StreamingHandlerConn) error {
-		if err := allow(ctx, c.Spec().Procedure, nil); err != nil {
+		if err := authorizeOperator(ctx, c.Spec().Procedure, nil); err != nil {
 			return err
 		}
 		return next(ctx, c)
 	}
 }
 
-func allow(ctx context.Context, procedure string, message any) error {
-	who, ok := ctx.Value(identityKey{}).(identity)
+func authorizeOperator(ctx context.Context, procedure string, message any) error {
+	caller, ok := ctx.Value(identityKey{}).(identity)
 	if !ok {
 		return connect.NewError(connect.CodeUnauthenticated, &NoCertificateError{})
 	}
 	role := roleFor(procedure, message)
-	if !who.has(role) {
-		return connect.NewError(connect.CodePermissionDenied, &RoleError{who.Name, role})
+	if !caller.has(role) {
+		return connect.NewError(connect.CodePermissionDenied, &RoleError{caller.Name, role})
 	}
 	change, ok := message.(interface {
 		GetMeta() *cardamomyokev1.ChangeMeta
 	})
-	if ok && change.GetMeta().GetOperator() != who.Name {
-		return connect.NewError(connect.CodePermissionDenied, &OperatorError{change.GetMeta().GetOperator(), who.Name})
+	if ok && change.GetMeta().GetOperator() != caller.Name {
+		return connect.NewError(connect.CodePermissionDenied, &OperatorError{change.GetMeta().GetOperator(), caller.Name})
 	}
 	return nil
 }
--- a/internal/base/logging/async.go
+++ b/internal/base/logging/async.go
@@ -7,27 +7,27 @@
 	"sync/atomic"
 )
 
-// Async writes lines from a goroutine of its own and never makes a caller wait.
+// Async writes lines from its own goroutine, so that Write never blocks.
 //
-// If whoever reads the log stops, requests that log must not hang. Lines that find the queue full are dropped and counted,
-// and the next line that is written says how many.
+// Requests that log must not hang when the process that reads the log stops reading. If the queue is full, lines are
+// dropped and counted, and a line with their number is written before the next one.
 type Async struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Uint64
-	total   atomic.Uint64
-	close   sync.Once
-	done    chan struct{}
+	out       io.Writer
+	lines     chan []byte
+	dropped   atomic.Uint64
+	total     atomic.Uint64
+	closeOnce sync.Once
+	done      chan struct{}
 }
 
-// NewAsync returns a writer that keeps up to the given number of lines. Close writes what is left.
+// NewAsync returns a writer that queues up to the given number of lines for out. Close writes the remaining lines.
 func NewAsync(out io.Writer, lines int) *Async {
 	a := &Async{out: out, lines: make(chan []byte, lines), done: make(chan struct{})}
 	go a.run()
 	return a
 }
 
-// Write implements io.Writer; it takes one line, copies it and never fails.
+// Write implements io.Writer. It copies and queues one line, and never fails.
 func (a *Async) Write(line []byte) (int, error) {
 	select {
 	case a.lines <- append([]byte(nil), line...):
@@ -38,12 +38,12 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns how many lines have been dropped so far.
 func (a *Async) Dropped() uint64 { return a.total.Load() }
 
-// Close writes the lines that are queued. Nothing may be written after it.
+// Close writes the queued lines and waits for them. Write must not be called afterwards.
 func (a *Async) Close() {
-	a.close.Do(func() { close(a.lines) })
+	a.closeOnce.Do(func() { close(a.lines) })
 	<-a.done
 }
 
@@ -51,7 +51,7 @@
 	defer close(a.done)
 	for line := range a.lines {
 		if n := a.dropped.Swap(0); n > 0 {
-			// There is nowhere to report that the log cannot be written.
+			// A failure to write the log cannot be reported anywhere.
 			_, _ = fmt.Fprintf(a.out, "level=warn msg=\"log lines dropped\" lines=%d\n", n)
 		}
 		_, _ = a.out.Write(line)
--- a/internal/base/logging/logging.go
+++ b/internal/base/logging/logging.go
@@ -18,7 +18,7 @@
 	FormatJSON   Format = "json"
 )
 
-// Options are the static settings of the logger.
+// Options configures the logger.
 type Options struct {
 	// Format is logfmt (the default) or json.
 	Format Format `yaml:"format"`
@@ -26,7 +26,7 @@
 	Level string `yaml:"level"`
 }
 
-// OptionError says that an option has a value that is not known.
+// OptionError reports that an option has an unknown value.
 type OptionError struct {
 	Option string
 	Value  string
@@ -52,7 +52,7 @@
 	return &OptionError{"level", o.Level, "debug, info, warn, error"}
 }
 
-// New returns a logger that writes to w, with time stamps in UTC.
+// New returns a logger that writes to w with UTC timestamps.
 func New(w io.Writer, o Options) log.Logger {
 	var l log.Logger
 	if o.Format == FormatJSON {
@@ -60,11 +60,11 @@
 	} else {
 		l = log.NewLogfmtLogger(log.NewSyncWriter(w))
 	}
-	l = level.NewFilter(l, allowed(o.Level))
+	l = level.NewFilter(l, levelOption(o.Level))
 	return log.With(l, "ts", log.DefaultTimestampUTC)
 }
 
-func allowed(name string) level.Option {
+func levelOption(name string) level.Option {
 	switch name {
 	case "debug":
 		return level.AllowDebug()
--- a/internal/base/logging/ratelimited.go
+++ b/internal/base/logging/ratelimited.go
@@ -8,13 +8,14 @@
 	"golang.org/x/time/rate"
 )
 
-// KeySuppressed is the field of a line that says how many lines of its class were left out before it.
+// KeySuppressed is the log key for the number of lines of the same class that were suppressed before a line.
 const KeySuppressed = "left_out"
 
-// RateLimited passes on at most so many lines a second, and counts the others. It is safe for concurrent use.
+// RateLimited forwards a limited number of lines per second to a logger and counts the others. It is safe for concurrent
+// use.
 //
-// Under overload, writing lines would take the processor time that requests need. With a bound for each class of lines, what
-// a process logs does not follow its load; the next line that is written says how many are missing.
+// Under overload, writing log lines would take the processor time that requests need. With one limit for each class of
+// lines, the log volume does not grow with the load. The next line that is written reports how many were suppressed.
 type RateLimited struct {
 	next       log.Logger
 	limiter    *rate.Limiter
@@ -23,7 +24,7 @@
 	total      atomic.Uint64
 }
 
-// NewRateLimited returns a logger that writes up to perSecond lines a second to next, with bursts of as many.
+// NewRateLimited returns a logger that writes up to perSecond lines per second to next, in bursts of up to perSecond.
 func NewRateLimited(next log.Logger, perSecond int, now func() time.Time) *RateLimited {
 	return &RateLimited{next: next, limiter: rate.NewLimiter(rate.Limit(perSecond), perSecond), now: now}
 }
@@ -41,5 +42,5 @@
 	return r.next.Log(keyvals...)
 }
 
-// Suppressed returns how many lines were left out so far.
+// Suppressed returns how many lines have been suppressed so far.
 func (r *RateLimited) Suppressed() uint64 { return r.total.Load() }
--- a/internal/base/logging/ratelimited_test.go
+++ b/internal/base/logging/ratelimited_test.go
@@ -12,9 +12,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/logging"
 )
 
-// Load triples for a second. The log stays as long as it is bounded to be, and the first line of the next second tells how
-// many lines are missing.
-func TestBoundedLeavesOutAndCounts(t *testing.T) {
+// The load triples for a second. The log must stay within its limit, and the first line of the next second must report
+// how many lines were suppressed.
+func TestRateLimitedSuppressesAndCounts(t *testing.T) {
 	now := time.Unix(0, 0)
 	var out bytes.Buffer
 	r := logging.NewRateLimited(log.NewLogfmtLogger(&out), 10, func() time.Time { return now })
@@ -28,31 +28,31 @@
 		t.Fatalf("%d lines", len(lines))
 	}
 	if want := "msg=next left_out=20"; lines[10] != want || r.Suppressed() != 20 {
-		t.Fatalf("got %q, left out %d", lines[10], r.Suppressed())
+		t.Fatalf("got %q, suppressed %d", lines[10], r.Suppressed())
 	}
 }
 
-// stuck is a log whose reader has stopped: the first write never returns until it is released.
-type stuck struct{ release chan struct{} }
+// blockedWriter is a log output whose reader has stopped: writes block until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
-	<-s.release
+func (w blockedWriter) Write(p []byte) (int, error) {
+	<-w.release
 	return len(p), nil
 }
 
-var _ io.Writer = stuck{}
+var _ io.Writer = blockedWriter{}
 
-// Whoever reads the log stops, and the pipe is full. Requests that log go on: the lines that do not fit the queue are
-// dropped and counted. The test would hang if a line waited for the reader.
-func TestAStoppedReaderHoldsNobodyUp(t *testing.T) {
+// The process that reads the log stops, and the pipe is full. Requests that log must continue: lines that do not fit the
+// queue are dropped and counted. The test hangs if a line waits for the reader.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	const queue, lines = 8, 1000
-	out := stuck{make(chan struct{})}
+	out := blockedWriter{make(chan struct{})}
 	a := logging.NewAsync(out, queue)
 	logger := logging.New(a, logging.Options{})
 	for range lines {
 		_ = logger.Log("msg", "placed")
 	}
-	// One line may be in the writer's hands beside those in the queue.
+	// The goroutine may hold one line in addition to those in the queue.
 	if got := a.Dropped(); got < lines-queue-1 {
 		t.Fatalf("%d of %d lines dropped", got, lines)
 	}
--- a/internal/base/monotonic/monotonic.go
+++ b/internal/base/monotonic/monotonic.go
@@ -1,7 +1,8 @@
-// Package monotonic tells the time that has passed in this process, for fields that are read and written as integers.
+// Package monotonic provides the process's monotonic clock as an integer, for timestamps in atomic fields, and detects
+// pauses of the process.
 //
-// The host's time of day may be set forward by seconds: idle connections would be closed under their callers' next requests,
-// and counts of the last seconds start anew. The monotonic clock is not set.
+// The host's wall clock may be set forward by seconds. Timeouts based on it would close idle connections just as callers
+// send their next requests, and would reset counts over the last seconds. The monotonic clock is never set.
 package monotonic
 
 import (
@@ -9,12 +10,13 @@
 	"time"
 )
 
-var started = time.Now()
+var startTime = time.Now()
 
-// Nanos is the time in ns since the process started, of the monotonic clock; it is above 0, which stands for never.
-func Nanos() int64 { return max(1, int64(time.Since(started))) }
+// Nanos returns the monotonic time since the process started, in nanoseconds. It is at least 1, so that fields can use 0
+// for "never".
+func Nanos() int64 { return max(1, int64(time.Since(startTime))) }
 
-// Sleep waits for d, or until ctx ends.
+// Sleep blocks for d or until ctx ends.
 func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/base/monotonic/pausedetector.go
+++ b/internal/base/monotonic/pausedetector.go
@@ -6,34 +6,36 @@
 )
 
 const (
-	// pauseThreshold is the time between two observations from which on the process is held to have stood still; it is some times the
-	// usual one, as a busy host is late by a few.
+	// pauseThreshold is the gap between two observations above which the process counts as paused. It is several times the
+	// normal gap, because on a busy host an observation is a few normal gaps late.
 	pauseThreshold = 300 * time.Millisecond
-	// justWoken is how long after a standstill what is read may have waited for it.
-	justWoken = 100 * time.Millisecond
+	// resumeWindow is how long after a pause the bytes that are read may have arrived during it.
+	resumeWindow = 100 * time.Millisecond
 )
 
-// PauseDetector notices when its process did not run for a while, as when its host was frozen. It is safe for concurrent use.
+// PauseDetector detects that its process did not run for a while, for example because its host was frozen. It is safe for
+// concurrent use.
 //
-// A request that waited unread through that has less time left than its header says.
+// A request that arrived during the pause and was not read until afterwards has less time left than its header states.
 type PauseDetector struct {
-	mu           sync.Mutex
-	last, wokeAt time.Time
-	stood        time.Duration
+	mu                      sync.Mutex
+	lastObserved, resumedAt time.Time
+	pause                   time.Duration
 }
 
-// Observe says that the process runs. It returns for how long the process stood still before if it has just woken, else 0.
+// Observe records that the process is running at now. It returns the length of the last pause if the process resumed
+// within resumeWindow before now, and 0 otherwise.
 func (d *PauseDetector) Observe(now time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if gap := now.Sub(d.last); !d.last.IsZero() && gap > pauseThreshold {
-		d.wokeAt, d.stood = now, gap
+	if gap := now.Sub(d.lastObserved); !d.lastObserved.IsZero() && gap > pauseThreshold {
+		d.resumedAt, d.pause = now, gap
 	}
-	if now.After(d.last) {
-		d.last = now
+	if now.After(d.lastObserved) {
+		d.lastObserved = now
 	}
-	if d.wokeAt.IsZero() || now.Sub(d.wokeAt) > justWoken {
+	if d.resumedAt.IsZero() || now.Sub(d.resumedAt) > resumeWindow {
 		return 0
 	}
-	return d.stood
+	return d.pause
 }
--- a/internal/base/program/program.go
+++ b/internal/base/program/program.go
@@ -1,4 +1,4 @@
-// Package program is what the mains of all daemons share: commands, settings and signals.
+// Package program is the command line that all daemons share: it parses commands, reads settings and handles signals.
 package program
 
 import (
@@ -14,48 +14,48 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/settings"
 )
 
-// Exit codes of all programs; scripts compare them.
+// Exit codes of all programs. Scripts depend on them.
 const (
 	ExitOK = 0
-	// ExitFailed: the program met an error while it ran.
+	// ExitFailed means that the program failed while it was running.
 	ExitFailed = 1
-	// ExitUsage: the command line or the settings are wrong.
+	// ExitUsage means that the command line or the settings are invalid.
 	ExitUsage = 2
 )
 
-// Program is one daemon.
+// Program describes a daemon to Main.
 type Program struct {
 	Name string
 	Help string
 	// Settings returns an empty settings value.
 	Settings func() settings.Checker
-	// Flags adds flags of its own to the run command; nil for none.
+	// Flags adds the daemon's own flags to the run command; nil for none.
 	Flags func(run *kingpin.CmdClause)
-	// Run runs until ctx ends and then shuts down in order.
+	// Run runs the daemon until ctx ends and then shuts it down gracefully.
 	Run func(ctx context.Context, set settings.Checker, o Options) error
 }
 
-// Options are the command line's.
+// Options holds the command line's values for Program.Run.
 type Options struct {
-	// Grace bounds an orderly shutdown.
+	// Grace is the maximum duration of a graceful shutdown.
 	Grace time.Duration
-	// SettingsFile is where the settings were read, SettingsText what was read.
+	// SettingsFile is the path of the settings file, and SettingsText its content when it was read.
 	SettingsFile string
 	SettingsText []byte
 }
 
-// Main parses the command line and runs the program; it returns the exit code.
+// Main parses the command line, runs the command and returns the exit code.
 func Main(p Program, args []string) int {
 	app := kingpin.New(p.Name, p.Help)
-	run := app.Command("run", "Run the daemon until SIGTERM or SIGINT; then shut down without cutting anything off.")
+	run := app.Command("run", "Run the daemon until SIGTERM or SIGINT; then shut down gracefully, completing requests in flight.")
 	runFile := run.Flag("settings", "Settings file (YAML).").Envar("CARDAMOMYOKE_SETTINGS").Required().ExistingFile()
-	grace := run.Flag("grace", "Longest time for an orderly shutdown.").Default("60s").Duration()
+	grace := run.Flag("grace", "Maximum duration of a graceful shutdown.").Default("60s").Duration()
 	if p.Flags != nil {
 		p.Flags(run)
 	}
-	check := app.Command("check-settings", "Check a settings file and say where its first fault is.")
+	check := app.Command("check-settings", "Check a settings file and report the location of its first error.")
 	checkFile := check.Arg("file", "Settings file (YAML).").Required().ExistingFile()
-	show := app.Command("print-settings", "Check a settings file and print all keys as they are taken, also those that it leaves out.")
+	show := app.Command("print-settings", "Check a settings file and print all keys with the values in use, including keys that the file omits.")
 	showFile := show.Arg("file", "Settings file (YAML).").Required().ExistingFile()
 	version := app.Command("version", "Print the program's version.")
 	command, err := app.Parse(args)
--- a/internal/base/program/version.go
+++ b/internal/base/program/version.go
@@ -5,7 +5,8 @@
 	"runtime/debug"
 )
 
-// Version names what the program was built from: the module's version, or the commit of a checkout, and Go's version.
+// Version returns the version that the program was built from, which is the module's version or the commit of a checkout,
+// followed by the Go version. It returns "unknown" if the binary has no build information.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -14,8 +15,8 @@
 	return versionOf(info)
 }
 
-// shownRevision is how many characters of a commit's name are shown; as many as tools of version control show.
-const shownRevision = 12
+// shownRevisionLength is how many characters of a commit hash are shown, as many as version control tools show.
+const shownRevisionLength = 12
 
 func versionOf(info *debug.BuildInfo) string {
 	set := map[string]string{}
@@ -30,5 +31,5 @@
 	if set["vcs.modified"] == "true" {
 		changed = ", changed since"
 	}
-	return fmt.Sprintf("%s%s (%s)", revision[:min(shownRevision, len(revision))], changed, info.GoVersion)
+	return fmt.Sprintf("%s%s (%s)", revision[:min(shownRevisionLength, len(revision))], changed, info.GoVersion)
 }
--- a/internal/base/settings/duration.go
+++ b/internal/base/settings/duration.go
@@ -6,10 +6,11 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Duration is a length of time with its unit, such as 250ms. Unlike time.Duration it is refused with its key.
+// Duration is a duration with a unit in YAML, such as 250ms. Unlike time.Duration, an invalid value is reported with its
+// key.
 type Duration time.Duration
 
-// UnmarshalYAML implements yaml.NodeUnmarshaler; it returns *KeyError.
+// UnmarshalYAML implements yaml.NodeUnmarshaler. It returns *KeyError if the value is negative or not a duration.
 func (d *Duration) UnmarshalYAML(node ast.Node) error {
 	const want = "a duration with a unit, for example 250ms or 2s"
 	text := node.GetToken().Value
@@ -21,16 +22,16 @@
 	return nil
 }
 
-// Std returns d as the standard library's type.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Or returns d, or the given default if d is not set.
-func (d Duration) Or(standard time.Duration) time.Duration {
+// Or returns d, or def if d is zero.
+func (d Duration) Or(def time.Duration) time.Duration {
 	if d == 0 {
-		return standard
+		return def
 	}
 	return time.Duration(d)
 }
 
-// MarshalYAML writes the duration as UnmarshalYAML reads it.
+// MarshalYAML returns d in the format that UnmarshalYAML parses.
 func (d Duration) MarshalYAML() (any, error) { return time.Duration(d).String(), nil }
--- a/internal/base/settings/settings.go
+++ b/internal/base/settings/settings.go
@@ -1,8 +1,8 @@
 // Package settings reads the static YAML settings of a process.
 //
-// Static settings are what a process must know before it can reach anything: its addresses, its data centre, its
-// peers, the platform. All else is dynamic configuration and comes through the operators' RPC. Reading is strict:
-// an unknown key, a wrong unit or a missing value is refused with file, line, key and what was expected.
+// Static settings are those that a process needs before it can reach any other: its addresses, its data centre, its
+// peers and the platform. Everything else is dynamic configuration, which operators change by RPC. Parsing is strict: an
+// unknown key, a wrong unit or a missing value is reported with file, line, key and expected value.
 package settings
 
 import (
@@ -15,19 +15,19 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Checker is a settings value that can say which key is wrong.
+// Checker is a settings value that can validate itself.
 type Checker interface {
-	// Check returns nil, or an error built by Invalid for the first wrong key.
+	// Check returns nil, or an error for the first invalid key, usually a *KeyError.
 	Check() error
 }
 
-// KeyError says that a key has a value that cannot be used.
+// KeyError reports that a key is missing or has an invalid value.
 type KeyError struct {
-	// Path is the key in YAML path form, for example "$.http.address".
+	// Path is the YAML path of the key, for example "$.http.address".
 	Path string
-	// Want says what was expected.
+	// Want describes the expected value.
 	Want string
-	// Got is the value found, as text; empty if the key is missing.
+	// Got is the actual value as text; empty if the key is missing.
 	Got string
 }
 
@@ -39,7 +39,7 @@
 	return fmt.Sprintf("key %s: got %q, want %s", e.Path, e.Got, e.Want)
 }
 
-// FileError says where in a settings file the first fault is.
+// FileError reports the location of the first error in a settings file. Line is 0 if it is not known.
 type FileError struct {
 	File  string
 	Line  int
@@ -57,7 +57,7 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// Read fills out from the file; it returns *FileError.
+// Read parses the file into out. Errors: *FileError.
 func Read(file string, out Checker) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return Parse(file, text, out)
 }
 
-// Parse fills out from text; file is used in errors only. It returns *FileError.
+// Parse parses text into out and checks it. file is used only in errors. Errors: *FileError.
 func Parse(file string, text []byte, out Checker) error {
 	err := yaml.UnmarshalWithOptions(text, out, yaml.Strict())
 	if err == nil {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// Format returns settings as a file that Parse reads to the same value.
+// Format returns set as the text of a settings file, which Parse parses to the same value.
 func Format(set Checker) ([]byte, error) {
 	text, err := yaml.Marshal(set)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return lineOfKey(text, err)
 }
 
-// lineOfKey finds the line of the key that a KeyError names; 0 if the key is missing from the text.
+// lineOfKey returns the line of the key that a KeyError in err names, or 0 if the key is missing from text.
 func lineOfKey(text []byte, err error) int {
 	var ke *KeyError
 	if !errors.As(err, &ke) {
@@ -112,7 +112,7 @@
 	return node.GetToken().Position.Line
 }
 
-// CheckAddress returns *KeyError unless value is IP:PORT with both parts set.
+// CheckAddress returns *KeyError unless value is IP:PORT with a port other than 0.
 func CheckAddress(path, value string) error {
 	const want = "IP:PORT, for example 127.0.0.1:8080"
 	ap, err := netip.ParseAddrPort(value)
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// CheckAddresses returns *KeyError for the first value that CheckAddress refuses.
+// CheckAddresses returns *KeyError for the first value that CheckAddress rejects.
 func CheckAddresses(path string, values []string) error {
 	for i, value := range values {
 		if err := CheckAddress(fmt.Sprintf("%s[%d]", path, i), value); err != nil {
--- a/internal/base/settings/watch.go
+++ b/internal/base/settings/watch.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// Watcher follows a settings file that may change while its process runs.
+// Watcher reloads a settings file that may change while its process runs.
 type Watcher struct {
 	File string
-	// Interval is the time between two looks at the file, since it may change without a signal.
+	// Interval is how often the file is polled, since it may change without a signal.
 	Interval time.Duration
-	// Signals makes the watcher look at once; nil for none.
+	// Signals triggers an immediate check of the file; nil for none.
 	Signals <-chan os.Signal
-	// Fresh returns an empty settings value.
+	// NewSettings returns an empty settings value.
 	Fresh func() Checker
-	// Changed is called with settings that are new and checked, Refused with the error of new ones that cannot be used, and
-	// Unchanged after a signal that brought nothing new.
+	// Changed is called with changed settings after they passed their check. Refused is called with a *FileError if the
+	// file cannot be read or the changed settings are invalid. Unchanged is called after a signal if the file is the same.
 	Changed   func(Checker)
 	Refused   func(error)
 	Unchanged func()
 }
 
-// Run looks until ctx ends; known is the file's text as the process has read it.
-func (w *Watcher) Run(ctx context.Context, known []byte) {
+// Run watches the file until ctx ends. current is the file's text as the process has read it.
+func (w *Watcher) Run(ctx context.Context, current []byte) {
 	tick := time.NewTicker(w.Interval)
 	defer tick.Stop()
 	for {
-		asked := false
+		signalled := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-w.Signals:
-			asked = true
+			signalled = true
 		case <-tick.C:
 		}
 		text, err := os.ReadFile(w.File)
@@ -41,18 +41,18 @@
 		case err != nil:
 			w.Refused(&FileError{File: w.File, Cause: err})
 			continue
-		case bytes.Equal(text, known):
-			if asked {
+		case bytes.Equal(text, current):
+			if signalled {
 				w.Unchanged()
 			}
 			continue
 		}
-		known = text
-		w.take(text)
+		current = text
+		w.apply(text)
 	}
 }
 
-func (w *Watcher) take(text []byte) {
+func (w *Watcher) apply(text []byte) {
 	next := w.Fresh()
 	if err := Parse(w.File, text, next); err != nil {
 		w.Refused(err)
--- a/internal/base/settings/watch_test.go
+++ b/internal/base/settings/watch_test.go
@@ -11,7 +11,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/settings"
 )
 
-// named is a settings value with one key, which must be set.
+// named is a settings value with one required key.
 type named struct {
 	Name string `yaml:"name"`
 }
@@ -19,9 +19,9 @@
 // Check implements settings.Checker.
 func (n *named) Check() error { return settings.CheckName("$.name", n.Name, "a name") }
 
-// An operator writes settings that cannot be used, asks for a reload, and mends them. The process keeps what it has, says
-// why, and takes over what is mended; a signal without a change says so.
-func TestWatcherTakesOnlyWhatCanBeUsed(t *testing.T) {
+// An operator writes invalid settings, triggers a reload, and corrects them. The process must keep its settings, report
+// the error and apply the corrected settings. A signal without a change must be reported as such.
+func TestWatcherRejectsInvalidSettings(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.yaml")
 	write := func(text string) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
--- a/internal/base/tracing/tracing.go
+++ b/internal/base/tracing/tracing.go
@@ -1,4 +1,4 @@
-// Package tracing makes a span for each hop of a request and carries the W3C trace context between processes.
+// Package tracing records a span for each hop of a request and propagates the W3C trace context between processes.
 package tracing
 
 import (
@@ -16,29 +16,30 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// Options are the static settings of traces. Without an exporter no span is made.
+// Options configures tracing. No spans are recorded unless OTLP or File is set.
 type Options struct {
-	// OTLP is the URL of a collector that takes OTLP over HTTP, for example http://127.0.0.1:4318/v1/traces.
+	// OTLP is the URL of a collector that accepts OTLP over HTTP, for example http://127.0.0.1:4318/v1/traces.
 	OTLP string `yaml:"otlp"`
-	// File gets one JSON object a span.
+	// File is the path of a file to which each span is appended as a JSON object.
 	File string `yaml:"file"`
-	// Ratio is the part of new traces that is kept, 0 to 1; default 1. A caller's own decision is followed.
+	// Ratio is the fraction of new traces that are sampled, from 0 to 1; default 1. If the incoming trace context
+	// carries a sampling decision, that decision applies instead.
 	Ratio *float64 `yaml:"ratio"`
 }
 
-// HeaderName is the field of the W3C trace context.
+// HeaderName is the HTTP header that carries the W3C trace context.
 const HeaderName = "traceparent"
 
-// Tracer makes the spans of one process.
+// Tracer records the spans of one process.
 type Tracer struct {
 	tracer trace.Tracer
 	prop   propagation.TraceContext
 	close  func(context.Context) error
 }
 
-// New returns the tracer of the named process.
+// New returns the tracer for the named process.
 func New(ctx context.Context, process string, o Options) (*Tracer, error) {
-	exporters, err := exportersOf(ctx, o)
+	exporters, err := newExporters(ctx, o)
 	if err != nil {
 		return nil, err
 	}
@@ -46,7 +47,7 @@
 		return Disabled(), nil
 	}
 	opts := []sdktrace.TracerProviderOption{
-		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(ratioOf(o)))),
+		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(samplingRatio(o)))),
 		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", process))),
 	}
 	for _, e := range exporters {
@@ -56,26 +57,26 @@
 	return &Tracer{tracer: provider.Tracer(process), close: provider.Shutdown}, nil
 }
 
-// Disabled returns a tracer that makes no spans; a trace context that comes in goes on unchanged.
+// Disabled returns a tracer that records no spans and forwards an incoming trace context unchanged.
 func Disabled() *Tracer {
 	return &Tracer{tracer: noop.NewTracerProvider().Tracer(""), close: func(context.Context) error { return nil }}
 }
 
-func ratioOf(o Options) float64 {
+func samplingRatio(o Options) float64 {
 	if o.Ratio == nil {
 		return 1
 	}
 	return *o.Ratio
 }
 
-func exportersOf(ctx context.Context, o Options) ([]sdktrace.SpanExporter, error) {
-	var list []sdktrace.SpanExporter
+func newExporters(ctx context.Context, o Options) ([]sdktrace.SpanExporter, error) {
+	var exporters []sdktrace.SpanExporter
 	if o.OTLP != "" {
 		e, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(o.OTLP))
 		if err != nil {
 			return nil, fmt.Errorf("trace exporter: %w", err)
 		}
-		list = append(list, e)
+		exporters = append(exporters, e)
 	}
 	if o.File != "" {
 		f, err := os.OpenFile(o.File, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
@@ -86,12 +87,12 @@
 		if err != nil {
 			return nil, fmt.Errorf("trace exporter: %w", err)
 		}
-		list = append(list, e)
+		exporters = append(exporters, e)
 	}
-	return list, nil
+	return exporters, nil
 }
 
-// Close sends what is still kept.
+// Close exports the buffered spans and shuts the tracer down.
 func (t *Tracer) Close(ctx context.Context) error { return t.close(ctx) }
 
 // Span is one hop of a request.
@@ -100,7 +101,8 @@
 	parent string
 }
 
-// Start begins the span of a hop; parent is the traceparent that came in, and may be empty.
+// Start begins the span of a hop. parent is the incoming traceparent header and may be empty; it is used only if ctx
+// has no span yet.
 func (t *Tracer) Start(ctx context.Context, name, parent string, attrs ...attribute.KeyValue) (context.Context, Span) {
 	if parent != "" && !trace.SpanContextFromContext(ctx).IsValid() {
 		ctx = t.prop.Extract(ctx, propagation.MapCarrier{HeaderName: parent})
@@ -109,7 +111,7 @@
 	return ctx, Span{span, parent}
 }
 
-// Header returns the traceparent for the next hop.
+// Header returns the traceparent header for the next hop.
 func (s Span) Header() string {
 	sc := s.span.SpanContext()
 	if !sc.IsValid() {
@@ -118,10 +120,10 @@
 	return fmt.Sprintf("00-%s-%s-%s", sc.TraceID(), sc.SpanID(), sc.TraceFlags())
 }
 
-// Note adds an attribute.
+// SetAttributes sets attributes of the span.
 func (s Span) Note(attrs ...attribute.KeyValue) { s.span.SetAttributes(attrs...) }
 
-// End ends the span; err may be nil.
+// End ends the span and records err on it if err is not nil.
 func (s Span) End(err error) {
 	if err != nil {
 		s.span.RecordError(err)
--- a/internal/base/tracing/tracing_test.go
+++ b/internal/base/tracing/tracing_test.go
@@ -11,7 +11,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/tracing"
 )
 
-// span is the part of an exported span that the tests look at.
+// span holds the fields of an exported span that the tests check.
 type span struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
@@ -36,9 +36,9 @@
 	return out
 }
 
-// Two processes carry one trace by the header alone: the second's span is a child of the first's, and both belong to
-// the trace that the caller began.
-func TestSpansOfTwoProcessesMakeOneTrace(t *testing.T) {
+// Two processes share a trace through the traceparent header alone. The slot's span must be a child of the entry's
+// span, and both must belong to the trace that the caller started.
+func TestSpansOfTwoProcessesShareOneTrace(t *testing.T) {
 	const caller = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 	file := filepath.Join(t.TempDir(), "spans.json")
 	first, err := tracing.New(t.Context(), "entry", tracing.Options{File: file})
@@ -60,7 +60,7 @@
 	}
 	spans := readSpans(t, file)
 	if spans["slot run"].Parent.SpanID != spans["entry request"].SpanContext.SpanID {
-		t.Fatalf("the slot's span is no child of the entry's: %+v", spans)
+		t.Fatalf("the slot's span is not a child of the entry's span: %+v", spans)
 	}
 	for name, s := range spans {
 		if s.SpanContext.TraceID != "0af7651916cd43dd8448eb211c80319c" {
@@ -69,8 +69,8 @@
 	}
 }
 
-// Without an exporter no span is made, and the caller's context still reaches the engine.
-func TestWithoutAnExporterTheHeaderGoesThrough(t *testing.T) {
+// Without an exporter no span is recorded, but the caller's trace context must still reach the engine.
+func TestTraceContextIsForwardedWithoutExporter(t *testing.T) {
 	const caller = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 	tr, err := tracing.New(t.Context(), "entry", tracing.Options{})
 	if err != nil {
