--- a/internal/base/httpclient/client.go
+++ b/internal/base/httpclient/client.go
@@ -30,7 +30,7 @@
 	// takes precedence.
 	IdleTimeout time.Duration
 	// SilentAfter is how long a peer may leave sent bytes or keep-alive probes unacknowledged before the connection fails.
-	// 0 selects the kernel's defaults, which are minutes.
+	// 0 leaves this to the kernel, which waits for minutes.
 	SilentAfter time.Duration
 }
 
--- a/internal/base/httpserver/conn.go
+++ b/internal/base/httpserver/conn.go
@@ -89,8 +89,8 @@
 }
 
 // refuseIfExpired refuses a request that is still incomplete after the read timeout. Like startRequest it runs on the
-// event loop: from the sweep's goroutine, the refusal, which promises "not run", could race with the arrival of the last
-// bytes.
+// event loop. On the goroutine that enforces the timeouts, the refusal, which promises "not run", could race with the
+// arrival of the last bytes.
 func (c *conn) refuseIfExpired() gnet.Action {
 	if !timedOut(monotonic.Nanos(), c.partialSince.Load(), c.srv.limits.Load().ReadTimeout.Std()) {
 		return gnet.None
--- a/internal/base/httpserver/outbox.go
+++ b/internal/base/httpserver/outbox.go
@@ -18,15 +18,15 @@
 const maxSpare = 64 << 10
 
 // add copies the pieces and reports whether the caller must schedule a flush.
-func (o *outbox) add(pieces ...[]byte) (first bool) {
+func (o *outbox) add(pieces ...[]byte) (needsFlush bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, p := range pieces {
 		o.buf = append(o.buf, p...)
 	}
-	first = !o.flushing
+	needsFlush = !o.flushing
 	o.flushing = true
-	return first
+	return needsFlush
 }
 
 // take returns the buffered bytes. The event loop owns the buffer until it calls recycle.
--- a/internal/base/httpserver/parse.go
+++ b/internal/base/httpserver/parse.go
@@ -75,12 +75,12 @@
 }
 
 // Read implements io.Reader.
-func (n *eofRecorder) Read(p []byte) (int, error) {
-	got, err := n.Reader.Read(p)
+func (r *eofRecorder) Read(p []byte) (int, error) {
+	n, err := r.Reader.Read(p)
 	if err == io.EOF {
-		n.sawEOF = true
+		r.sawEOF = true
 	}
-	return got, err
+	return n, err
 }
 
 // minReadBuffer is the size of the smallest buffer passed to fasthttp's body reader, in bytes.
--- a/internal/base/httpserver/server.go
+++ b/internal/base/httpserver/server.go
@@ -176,7 +176,7 @@
 // refuse responds to bytes that are not a valid request, and leaves the connection open for refusalLinger.
 //
 // The caller may still be sending a body that is too large. Closing immediately would reset the connection before the
-// caller has read the response, so the server discards the remaining bytes until then.
+// caller has read the response, so until then the server reads and discards further bytes.
 func (s *Server) refuse(c *conn, err error) {
 	c.running.Store(true) // no further request is read from this connection
 	c.refusedAt.Store(monotonic.Nanos())
--- a/internal/base/keys/keys_test.go
+++ b/internal/base/keys/keys_test.go
@@ -121,7 +121,7 @@
 }
 
 // A caller without a certificate, with one of another authority or with an expired one calls a node, and an operator
-// impersonates a node. No such call may succeed, and the impersonated node must not receive the request of a node.
+// impersonates a node. No such call may succeed, and the impostor must not receive requests meant for a node.
 //
 // The node refuses a certificate only after the caller has sent it. A caller that is writing its request at that time may
 // find the connection closed before it reads the reason: it then sees a network error, never a response of the handler.
@@ -147,8 +147,8 @@
 		t.Errorf("valid certificate: got %v", err)
 	}
 	var role *keys.RoleError
-	impersonated := serve(t, keystest.Load(t, good))
-	if err := calls["push"](t.Context(), dial(t, impersonated, node)); !errors.As(err, &role) {
+	impostor := serve(t, keystest.Load(t, good))
+	if err := calls["push"](t.Context(), dial(t, impostor, node)); !errors.As(err, &role) {
 		t.Errorf("an operator impersonating a node: got %v", err)
 	}
 }
--- a/internal/base/monotonic/pausedetector.go
+++ b/internal/base/monotonic/pausedetector.go
@@ -9,7 +9,7 @@
 	// pauseThreshold is the gap between two observations above which the process counts as paused. It is several times the
 	// normal gap, because on a busy host an observation is a few normal gaps late.
 	pauseThreshold = 300 * time.Millisecond
-	// resumeWindow is how long after a pause the bytes that are read may have arrived during it.
+	// resumeWindow is the time after a pause within which a request that is read may have arrived during the pause.
 	resumeWindow = 100 * time.Millisecond
 )
 
--- a/internal/base/settings/watch_test.go
+++ b/internal/base/settings/watch_test.go
@@ -29,13 +29,13 @@
 		}
 	}
 	write("name: first\n")
-	signals, said := make(chan os.Signal), make(chan string)
+	signals, calls := make(chan os.Signal), make(chan string)
 	w := &settings.Watcher{
 		File: file, Interval: time.Hour, Signals: signals,
 		Fresh:     func() settings.Checker { return &named{} },
-		Changed:   func(c settings.Checker) { said <- "changed to " + c.(*named).Name },
-		Refused:   func(err error) { said <- "refused: " + filepath.Base(err.Error()) },
-		Unchanged: func() { said <- "unchanged" },
+		Changed:   func(c settings.Checker) { calls <- "changed to " + c.(*named).Name },
+		Refused:   func(err error) { calls <- "refused: " + filepath.Base(err.Error()) },
+		Unchanged: func() { calls <- "unchanged" },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -48,7 +48,7 @@
 	} {
 		write(step.text)
 		signals <- syscall.SIGHUP
-		if got := <-said; got != step.want {
+		if got := <-calls; got != step.want {
 			t.Fatalf("got %q, want %q", got, step.want)
 		}
 	}
