--- a/internal/base/monotonic/pausedetector.go
+++ b/internal/base/monotonic/pausedetector.go
@@ -13,7 +13,7 @@
 	resumeWindow = 100 * time.Millisecond
 )
 
-// PauseDetector detects that its process did not run for a while, for example because its host was frozen. It is safe for
+// PauseDetector detects that its process did not run for a while, for example because its host was paused. It is safe for
 // concurrent use.
 //
 // A request that arrived during the pause and was not read until afterwards has less time left than its header states.
