--- a/internal/state/revision/accept.go
+++ b/internal/state/revision/accept.go
@@ -11,9 +11,9 @@
 type pending struct {
 	state *State
 	since time.Time
-	// held says since when this node knows that a member, by index, holds the entry, and seen when it last heard so.
-	held map[int]time.Time
-	seen map[int]time.Time
+	// heldSince says since when this node knows that a member, by index, holds the entry, and seen when it last heard so.
+	heldSince map[int]time.Time
+	lastAck   map[int]time.Time
 	// edit is the entry's change of the roster, or nil.
 	edit *cardamomyokev1.RosterEdit
 	// silent are members that the entry removes only because they were silent. One that reaches the table but no node
@@ -21,22 +21,22 @@
 	silent []*Member
 }
 
-// bits returns the members that held the entry at the time `since`, and still did not long before now. An
+// holders returns the members that held the entry at the time `since`, and still did not long before now. An
 // acknowledgement counts for ackKept only: a member that restarts after it has forgotten the entry, and if several do so
 // before the rest has got hold of it, they could form a majority that never hears of it.
-func (p *pending) bits(since, now time.Time) bitset {
+func (p *pending) holders(since, now time.Time) bitset {
 	out := newBitset(len(p.state.Roster.members))
-	for i, first := range p.held {
-		if !first.After(since) && now.Sub(p.seen[i]) <= ackKept {
+	for i, first := range p.heldSince {
+		if !first.After(since) && now.Sub(p.lastAck[i]) <= ackTTL {
 			out.set(i)
 		}
 	}
 	return out
 }
 
-// credit notes which members hold the entry seq, and with it all entries before.
-func (n *Node) credit(held bitset, seq uint64, now time.Time) {
-	s := n.at(seq)
+// recordHolders notes which members hold the entry seq, and with it all entries before.
+func (n *Node) recordHolders(held bitset, seq uint64, now time.Time) {
+	s := n.stateAt(seq)
 	if s == nil {
 		return
 	}
@@ -49,11 +49,11 @@
 			if !bits.has(i) {
 				continue
 			}
-			if _, known := p.held[i]; !known || now.Sub(p.seen[i]) > ackKept {
-				p.held[i] = now
+			if _, known := p.heldSince[i]; !known || now.Sub(p.lastAck[i]) > ackTTL {
+				p.heldSince[i] = now
 			}
-			p.seen[i] = now
-			n.heard[p.state.Roster.members[i].GetName()] = now
+			p.lastAck[i] = now
+			n.lastSeen[p.state.Roster.members[i].GetName()] = now
 		}
 	}
 }
@@ -66,7 +66,7 @@
 	}
 	for _, p := range n.pending {
 		if i, ok := p.state.Roster.index[n.self.GetName()]; ok {
-			p.seen[i] = n.now
+			p.lastAck[i] = n.now
 		}
 	}
 	for i := len(n.pending) - 1; i >= 0; i-- {
@@ -74,11 +74,11 @@
 		if p.state.Seq <= n.accepted || !n.acceptable(p) {
 			continue
 		}
-		n.acceptAt = n.now.Add(readLimit)
-		n.do(&Accept{p.state})
+		n.acceptAt = n.now.Add(readTimeout)
+		n.emit(&Accept{p.state})
 		return
 	}
-	n.collect()
+	n.publishHolds()
 }
 
 // acceptable reports whether no node can act on what was before the entry, now or later.
@@ -93,11 +93,11 @@
 	if len(missing) == 0 {
 		return true
 	}
-	if n.now.Sub(p.since) < n.options.wait() {
+	if n.now.Sub(p.since) < n.options.stopTimeout() {
 		return false
 	}
-	held := p.bits(n.now.Add(-n.options.wait()), n.now)
-	gone := n.goneNames()
+	held := p.holders(n.now.Add(-n.options.stopTimeout()), n.now)
+	gone := n.removedNames()
 	for _, s := range n.states {
 		if s.Seq > p.state.Seq {
 			break
@@ -108,17 +108,17 @@
 				bits.set(i)
 			}
 		}
-		if !s.Roster.excludes(bits, missing) {
+		if !s.Roster.excludesMajority(bits, missing) {
 			return false
 		}
 	}
 	return true
 }
 
-// goneNames returns the nodes that are known to have ended, since they left or are said to be gone. None of them can
+// removedNames returns the nodes that are known to have ended, since they left or are said to be gone. None of them can
 // vouch for a node that is missing. A later life of one counts too: it is no member in its own eyes before it holds the
 // entry that adds it again.
-func (n *Node) goneNames() map[string]bool {
+func (n *Node) removedNames() map[string]bool {
 	out := map[string]bool{}
 	for _, p := range n.pending {
 		for _, name := range p.edit.GetRemove() {
@@ -131,9 +131,9 @@
 // missingFor returns the nodes that may not hold the entry and may not have been told to stop: members that have not
 // acknowledged it, and those that it or an entry before it, not accepted yet, removes for their silence.
 func (n *Node) missingFor(p *pending) []*Member {
-	gone := n.goneNames()
+	gone := n.removedNames()
 	var out []*Member
-	held := p.bits(n.now, n.now)
+	held := p.holders(n.now, n.now)
 	for i, m := range p.state.Roster.members {
 		if !held.has(i) && !gone[m.GetName()] {
 			out = append(out, m)
@@ -165,28 +165,28 @@
 	return false
 }
 
-// collect uses the table to put together the acknowledgements of nodes that do not reach each other.
-func (n *Node) collect() {
+// publishHolds uses the table to put together the acknowledgements of nodes that do not reach each other.
+func (n *Node) publishHolds() {
 	p := n.oldestPending()
-	if p == nil || n.now.Sub(p.since) < holdsAfter || n.now.Sub(n.holdsAt) < n.options.HeartbeatInterval*3/2 {
+	if p == nil || n.now.Sub(p.since) < holdsDelay || n.now.Sub(n.holdsWrittenAt) < n.options.HeartbeatInterval*3/2 {
 		return
 	}
 	held := n.holds()
-	n.holdsAt = n.now
+	n.holdsWrittenAt = n.now
 	n.holdsCount++
-	n.do(&WriteHolds{&cardamomyokev1.Holds{Seq: n.staged(), Holds: held, From: n.incarnation, Count: n.holdsCount}})
+	n.emit(&WriteHolds{&cardamomyokev1.Holds{Seq: n.staged(), Holds: held, From: n.incarnation, Count: n.holdsCount}})
 }
 
-// takeHolds credits what other nodes wrote in the table since the last read.
-func (n *Node) takeHolds(rows []*cardamomyokev1.Holds) {
+// mergeHolds credits what other nodes wrote in the table since the last read.
+func (n *Node) mergeHolds(rows []*cardamomyokev1.Holds) {
 	for _, h := range rows {
-		last, known := n.counts[h.GetFrom()]
+		last, known := n.holdsCounts[h.GetFrom()]
 		if !known || last == h.GetCount() {
-			n.counts[h.GetFrom()] = h.GetCount()
+			n.holdsCounts[h.GetFrom()] = h.GetCount()
 			continue // it may be old: only a change shows that it is not
 		}
-		n.counts[h.GetFrom()] = h.GetCount()
-		n.credit(bitset(h.GetHolds()), h.GetSeq(), n.now)
+		n.holdsCounts[h.GetFrom()] = h.GetCount()
+		n.recordHolders(bitset(h.GetHolds()), h.GetSeq(), n.now)
 	}
 }
 
--- a/internal/state/revision/ack.go
+++ b/internal/state/revision/ack.go
@@ -6,7 +6,7 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-func (v vouch) proto(now time.Time) *cardamomyokev1.Vouch {
+func (v quorumCert) proto(now time.Time) *cardamomyokev1.Vouch {
 	return &cardamomyokev1.Vouch{Seq: v.seq, AgeUs: ageOf(now, v.basis), All: v.all, DataCentres: v.centres}
 }
 
@@ -17,27 +17,27 @@
 		return n.finish()
 	}
 	c, known := n.children[m.GetFrom()]
-	if !known || c.life != m.GetIncarnation() {
-		c = &child{life: m.GetIncarnation()}
+	if !known || c.incarnation != m.GetIncarnation() {
+		c = &child{incarnation: m.GetIncarnation()}
 		n.children[m.GetFrom()] = c
 		known = false
 	}
 	if m.GetNonce() <= c.nonce {
 		return n.finish() // overtaken on its way
 	}
-	n.take(c, m)
-	n.learn(m.GetEntries(), m.GetCommitted(), 0)
+	n.updateChild(c, m)
+	n.merge(m.GetEntries(), m.GetCommitted(), 0)
 	n.catchUp(m.GetFrom(), m.GetStaged())
-	n.credit(c.holds, c.staged, n.now)
-	n.wish(m.GetWanted())
-	n.answer(m)
+	n.recordHolders(c.holds, c.staged, n.now)
+	n.mergeRequests(m.GetWanted())
+	n.recordReply(m)
 	if !known {
 		n.sendPush(c)
 	}
 	return n.finish()
 }
 
-func (n *Node) take(c *child, m *Ack) {
+func (n *Node) updateChild(c *child, m *Ack) {
 	dc := ""
 	if member := n.roster().Member(m.GetFrom()); member != nil {
 		dc = member.GetDataCentre()
@@ -50,34 +50,34 @@
 	c.holds = bitset(m.GetHolds())
 }
 
-// answer adds the nodes that m speaks for to the beat that it answers.
-func (n *Node) answer(m *Ack) {
-	s := n.at(m.GetStaged())
+// recordReply adds the nodes that m speaks for to the beat that it answers.
+func (n *Node) recordReply(m *Ack) {
+	s := n.stateAt(m.GetStaged())
 	for _, r := range n.rounds {
-		if r.origin != m.GetOrigin() || r.beat != m.GetBeat() {
+		if r.origin != m.GetOrigin() || r.heartbeat != m.GetBeat() {
 			continue
 		}
-		r.answered[m.GetFrom()] = true
+		r.acked[m.GetFrom()] = true
 		if s != nil {
 			r.alive.or(translate(m.GetAlive(), s.Roster, r.roster))
 			r.maxStaged = max(r.maxStaged, m.GetMaxStaged())
 		}
-		n.count(r)
+		n.certify(r)
 	}
 	n.scheduleAck(n.ackDelay())
 }
 
-// count certifies that a majority answered a beat that started here. A node that restarted and has not recovered does
+// certify certifies that a majority answered a beat that started here. A node that restarted and has not recovered does
 // not count: it has forgotten what it holds.
-func (n *Node) count(r *round) {
+func (n *Node) certify(r *round) {
 	if r.origin != n.incarnation || r.roster != n.roster() {
 		return
 	}
 	n.countSelf(r)
-	n.hear(r)
+	n.markAlive(r)
 	all, centres := r.roster.majorities(r.alive)
 	if all || len(centres) > 0 {
-		n.vouched(vouch{seq: r.maxStaged, basis: r.start, all: all, centres: centres})
+		n.mergeCert(quorumCert{seq: r.maxStaged, basis: r.start, all: all, centres: centres})
 	}
 }
 
@@ -92,13 +92,13 @@
 
 // ackDelay is how long an acknowledgement waits for the nodes that hear from this one.
 func (n *Node) ackDelay() time.Duration {
-	if n.staged() > n.parentHi {
+	if n.staged() > n.parentStaged {
 		return 0
 	}
 	r := n.lastRound()
 	for name, c := range n.children {
-		if r == nil || !r.answered[name] || c.staged < n.staged() {
-			return ackWait
+		if r == nil || !r.acked[name] || c.staged < n.staged() {
+			return maxAckDelay
 		}
 	}
 	return 0
@@ -118,8 +118,8 @@
 	if n.ackAt.IsZero() || n.parent == "" || n.now.Before(n.ackAt) {
 		return
 	}
-	urgent := n.staged() > n.parentHi || n.ackedAt.Before(n.parentAt)
-	if !urgent && n.now.Sub(n.ackedAt) < ackPause {
+	urgent := n.staged() > n.parentStaged || n.ackedAt.Before(n.parentAt)
+	if !urgent && n.now.Sub(n.ackedAt) < minAckInterval {
 		return
 	}
 	n.ackAt = time.Time{}
@@ -134,24 +134,24 @@
 	}
 	next := n.nonces[len(n.nonces)-1].n + 1
 	n.nonces = append(n.nonces, nonce{next, n.now})
-	if len(n.nonces) > noncesKept {
+	if len(n.nonces) > maxNonces {
 		n.nonces = n.nonces[1:]
 	}
 	m := &Ack{
 		From: n.self.GetName(), Incarnation: n.incarnation, Address: n.self.GetAddress(), Nonce: next,
 		Staged: n.staged(), Committed: n.committed, Holds: n.holds(), MaxStaged: n.staged(),
 	}
-	m.Wanted = n.wishes()
+	m.Wanted = n.openRequests()
 	if to == n.parent {
-		m.Entries = n.entriesAfter(n.parentHi)
+		m.Entries = n.entriesAfter(n.parentStaged)
 	}
 	if r := n.lastRound(); r != nil {
 		n.countSelf(r)
-		m.Origin, m.Beat = r.origin, r.beat
+		m.Origin, m.Beat = r.origin, r.heartbeat
 		m.Alive = translate(r.alive, r.roster, n.roster())
 		m.MaxStaged = max(r.maxStaged, m.MaxStaged)
 	}
-	n.do(&SendAck{member, m})
+	n.emit(&SendAck{member, m})
 }
 
 // holds returns the members known to hold the newest entry that this node holds: itself and those that its children
--- a/internal/state/revision/agent/agent.go
+++ b/internal/state/revision/agent/agent.go
@@ -33,12 +33,12 @@
 )
 
 const (
-	tableTimeout = 2 * time.Second
-	sendTimeout  = 2 * time.Second
-	fetchTimeout = 10 * time.Second
-	hostsPeriod  = 10 * time.Second
-	// sendsToOne bounds the messages under way to one node, so that a silent one costs a few goroutines, not many.
-	sendsToOne = 4
+	tableTimeout  = 2 * time.Second
+	sendTimeout   = 2 * time.Second
+	fetchTimeout  = 10 * time.Second
+	hostsInterval = 10 * time.Second
+	// maxSendsPerNode bounds the messages under way to one node, so that a silent one costs a few goroutines, not many.
+	maxSendsPerNode = 4
 )
 
 // Transport carries messages to other nodes.
@@ -67,13 +67,13 @@
 
 // Agent runs one node. Its methods are safe for concurrent use, but Tick must be called on the loop.
 type Agent struct {
-	config  Config
-	store   *store.Store
-	node    *revision.Node // on the loop only
-	view    atomic.Pointer[revision.View]
-	hostsAt time.Time // on the loop only
-	ctx     context.Context
-	cancel  context.CancelFunc
+	config      Config
+	store       *store.Store
+	node        *revision.Node // on the loop only
+	view        atomic.Pointer[revision.View]
+	hostsReadAt time.Time // on the loop only
+	ctx         context.Context
+	cancel      context.CancelFunc
 
 	mu      sync.Mutex
 	changed chan struct{}
@@ -127,15 +127,15 @@
 
 // Tick lets time pass; the control loop calls it.
 func (a *Agent) Tick(now time.Time) {
-	a.run(a.node.Tick(now))
-	if a.config.Hosts != nil && now.Sub(a.hostsAt) >= hostsPeriod {
-		a.hostsAt = now
+	a.execute(a.node.Tick(now))
+	if a.config.Hosts != nil && now.Sub(a.hostsReadAt) >= hostsInterval {
+		a.hostsReadAt = now
 		go a.readHosts()
 	}
 }
 
 func (a *Agent) post(f func(now time.Time) []revision.Effect) {
-	a.config.Loop.Post(func(now time.Time) { a.run(f(now)) })
+	a.config.Loop.Post(func(now time.Time) { a.execute(f(now)) })
 }
 
 // ReceivePush takes a beat from another node.
@@ -154,10 +154,10 @@
 // Error implements error.
 func (e *NotReadyError) Error() string { return e.Node + " holds no configuration yet" }
 
-// AnswerCatchUp returns the whole state for another node. Errors: *NotReadyError, the context's.
-func (a *Agent) AnswerCatchUp(ctx context.Context) (*cardamomyokev1.CatchUpResponse, error) {
+// HandleCatchUp returns the whole state for another node. Errors: *NotReadyError, the context's.
+func (a *Agent) HandleCatchUp(ctx context.Context) (*cardamomyokev1.CatchUpResponse, error) {
 	out := make(chan *cardamomyokev1.CatchUpResponse, 1)
-	a.config.Loop.Post(func(time.Time) { out <- a.node.CatchUpAnswer() })
+	a.config.Loop.Post(func(time.Time) { out <- a.node.CatchUpResponse() })
 	select {
 	case r := <-out:
 		if r == nil {
@@ -173,7 +173,7 @@
 func (a *Agent) Change(ctx context.Context, meta *cardamomyokev1.ChangeMeta, build store.Build) (*revision.Entry, error) {
 	e, err := a.store.Change(ctx, a.View().Newest, meta, build)
 	if err == nil {
-		a.committed(e)
+		a.postCommitted(e)
 	}
 	return e, err
 }
@@ -182,12 +182,12 @@
 func (a *Agent) RemoveMembers(ctx context.Context, meta *cardamomyokev1.ChangeMeta, names []string) (*revision.Entry, error) {
 	e, err := a.store.EditRoster(ctx, a.View().Newest, &cardamomyokev1.RosterEdit{Remove: names}, meta)
 	if err == nil {
-		a.committed(e)
+		a.postCommitted(e)
 	}
 	return e, err
 }
 
-func (a *Agent) committed(e *revision.Entry) {
+func (a *Agent) postCommitted(e *revision.Entry) {
 	a.post(func(now time.Time) []revision.Effect { return a.node.OnCommitted(now, e) })
 }
 
@@ -233,8 +233,8 @@
 	a.changed = make(chan struct{})
 }
 
-// run carries out effects; it does not wait for any of them.
-func (a *Agent) run(effects []revision.Effect) {
+// execute carries out effects; it does not wait for any of them.
+func (a *Agent) execute(effects []revision.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case *revision.Publish:
@@ -260,11 +260,11 @@
 // send hands a message to the transport; a message too many to a node that does not take them is dropped, as the
 // network might.
 func (a *Agent) send(to *revision.Member, do func(context.Context) error) {
-	if !a.enter(to.GetName()) {
+	if !a.acquireSend(to.GetName()) {
 		return
 	}
 	go func() {
-		defer a.exit(to.GetName())
+		defer a.releaseSend(to.GetName())
 		ctx, cancel := context.WithTimeout(a.ctx, sendTimeout)
 		defer cancel()
 		if err := do(ctx); err != nil {
@@ -273,17 +273,17 @@
 	}()
 }
 
-func (a *Agent) enter(to string) bool {
+func (a *Agent) acquireSend(to string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.sending[to] >= sendsToOne {
+	if a.sending[to] >= maxSendsPerNode {
 		return false
 	}
 	a.sending[to]++
 	return true
 }
 
-func (a *Agent) exit(to string) {
+func (a *Agent) releaseSend(to string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sending[to]--
@@ -294,12 +294,12 @@
 
 func (a *Agent) readHead(e *revision.ReadHead) {
 	limit := tableTimeout
-	if e.Whole {
+	if e.Full {
 		limit = fetchTimeout
 	}
 	ctx, cancel := context.WithTimeout(a.ctx, limit)
 	defer cancel()
-	rd := a.store.ReadHead(ctx, e.After, e.Whole, e.Holds)
+	rd := a.store.ReadHead(ctx, e.After, e.Full, e.Holds)
 	a.post(func(now time.Time) []revision.Effect { return a.node.OnHead(now, rd) })
 }
 
@@ -345,7 +345,7 @@
 		_ = level.Warn(a.config.Logger).Log("msg", "cannot change the roster", "err", err)
 		return
 	}
-	a.committed(entry)
+	a.postCommitted(entry)
 }
 
 func (a *Agent) readHosts() {
--- a/internal/state/revision/agent/agent_test.go
+++ b/internal/state/revision/agent/agent_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestChangeIsInForceEverywhere(t *testing.T) {
+func TestChangeIsInForceOnAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
 		defer c.stop()
--- a/internal/state/revision/agent/cluster_test.go
+++ b/internal/state/revision/agent/cluster_test.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	tick  = 50 * time.Millisecond
-	stale = 4 * time.Second
+	tick       = 50 * time.Millisecond
+	staleAfter = 4 * time.Second
 	// hostLag is how far the host list lags behind.
 	hostLag = 20 * time.Second
 )
@@ -30,20 +30,20 @@
 	agent  *agent.Agent
 	table  *standin.Client
 	cancel context.CancelFunc
-	ended  chan struct{}
+	done   chan struct{}
 	paused chan chan struct{}
-	// resumes is when a pause is over for certain.
-	resumes time.Time
+	// resumesBy is when a pause is over for certain.
+	resumesBy time.Time
 }
 
 // cluster runs agents over a stand-in of the platform, within a synctest bubble.
 type cluster struct {
-	t       *testing.T
-	store   *standin.Store
-	net     *memnet.Net
-	rng     *rand.Rand
-	members map[string]*member
-	ops     int
+	t          *testing.T
+	store      *standin.Store
+	net        *memnet.Net
+	rng        *rand.Rand
+	members    map[string]*member
+	operations int
 }
 
 func newCluster(t *testing.T, seed uint64) *cluster {
@@ -69,7 +69,7 @@
 }
 
 func (c *cluster) start(name string, seeds ...string) *member {
-	m := &member{name: name, table: c.store.Client(name), ended: make(chan struct{}), paused: make(chan chan struct{}, 1)}
+	m := &member{name: name, table: c.store.Client(name), done: make(chan struct{}), paused: make(chan chan struct{}, 1)}
 	var peers []*revision.Member
 	for _, s := range seeds {
 		peers = append(peers, c.describe(s))
@@ -83,7 +83,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
 	go func() {
-		defer close(m.ended)
+		defer close(m.done)
 		loop.Run(ctx, tick, func(now time.Time) {
 			select {
 			case resume := <-m.paused:
@@ -96,7 +96,7 @@
 	}()
 	c.members[name] = m
 	c.net.Attach(name, m.agent)
-	c.list()
+	c.updateHostList()
 	return m
 }
 
@@ -114,13 +114,13 @@
 	c.net.Attach(name, nil)
 	m.agent.Close()
 	m.cancel()
-	<-m.ended
+	<-m.done
 	delete(c.members, name)
-	c.list()
+	c.updateHostList()
 }
 
-// list makes the host list show the processes as they are now, hostLag later.
-func (c *cluster) list() {
+// updateHostList makes the host list show the processes as they are now, hostLag later.
+func (c *cluster) updateHostList() {
 	var hosts []platform.Host
 	for name := range c.members {
 		hosts = append(hosts, platform.Host{Name: name, DataCentre: ids.DataCentre(dataCentre(name)), State: platform.HostLive})
@@ -142,36 +142,36 @@
 	return func() { close(ch) }
 }
 
-// isolate cuts the named nodes off from the others and, if table is set, from the platform.
-func (c *cluster) isolate(table bool, names ...string) {
+// partition cuts the named nodes off from the others and, if table is set, from the platform.
+func (c *cluster) partition(table bool, names ...string) {
 	in := map[string]bool{}
 	for _, name := range names {
 		in[name] = true
 	}
-	c.net.Cut(func(from, to string) bool { return in[from] != in[to] })
+	c.net.Partition(func(from, to string) bool { return in[from] != in[to] })
 	for name, m := range c.members {
 		m.table.SetCut(table && in[name])
 	}
 }
 
-func (c *cluster) heal() { c.isolate(false) }
+func (c *cluster) healPartition() { c.partition(false) }
 
 func (c *cluster) meta(base uint64) *cardamomyokev1.ChangeMeta {
-	c.ops++
-	return &cardamomyokev1.ChangeMeta{Operator: "op", Reason: "test", OperationId: fmt.Sprintf("op-%d", c.ops), BaseRevision: base}
+	c.operations++
+	return &cardamomyokev1.ChangeMeta{Operator: "op", Reason: "test", OperationId: fmt.Sprintf("op-%d", c.operations), BaseRevision: base}
 }
 
 // change commits a new keep time for addresses, which is the simplest change there is.
 func (c *cluster) change(at string, base uint64) *revision.Entry {
 	c.t.Helper()
-	e, err := c.members[at].agent.Change(context.Background(), c.meta(base), keep(1000+uint32(base)))
+	e, err := c.members[at].agent.Change(context.Background(), c.meta(base), addressTTLEdit(1000+uint32(base)))
 	if err != nil {
 		c.t.Fatalf("change based on %d at %s: %v", base, at, err)
 	}
 	return e
 }
 
-func keep(ms uint32) func(*revision.State) ([]*cardamomyokev1.Edit, error) {
+func addressTTLEdit(ms uint32) func(*revision.State) ([]*cardamomyokev1.Edit, error) {
 	return func(*revision.State) ([]*cardamomyokev1.Edit, error) {
 		p := &cardamomyokev1.Policies{AddressKeepMs: ms, EjectionPercent: 30, QuarantineS: 60}
 		return []*cardamomyokev1.Edit{{
@@ -198,7 +198,7 @@
 // accepted entry has passed.
 func (c *cluster) wantInForce(rev uint64) {
 	c.t.Helper()
-	time.Sleep(stale)
+	time.Sleep(staleAfter)
 	for name, m := range c.members {
 		v := m.agent.View()
 		if v.Fresh(time.Now()) && v.InForce.Revision() < rev {
--- a/internal/state/revision/agent/rpc.go
+++ b/internal/state/revision/agent/rpc.go
@@ -34,7 +34,7 @@
 
 // CatchUp implements the RPC.
 func (s *service) CatchUp(ctx context.Context, _ *cardamomyokev1.CatchUpRequest) (*cardamomyokev1.CatchUpResponse, error) {
-	r, err := s.agent.AnswerCatchUp(ctx)
+	r, err := s.agent.HandleCatchUp(ctx)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
--- a/internal/state/revision/agent/scenario_test.go
+++ b/internal/state/revision/agent/scenario_test.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	objects   = 3
-	operators = 4
-	never     = int64(1) << 62
+	objects      = 3
+	operators    = 4
+	neverReturns = int64(1) << 62
 )
 
 // seeds is how many trials each scenario gets: `make test` runs one with the race detector, which takes ten times as
@@ -66,25 +66,25 @@
 	done  chan struct{}
 	clock atomic.Int64
 
-	mu         sync.Mutex
-	history    []porcupine.Operation
-	changes    int
-	conflicts  int
-	unknown    int
-	refused    int
-	violations []string
-	acceptedAt []moment
-	inForce    map[string]uint64
-	names      int
+	mu              sync.Mutex
+	history         []porcupine.Operation
+	changes         int
+	conflicts       int
+	unknownOutcomes int
+	refused         int
+	violations      []string
+	acceptedAt      []acceptance
+	inForce         map[string]uint64
+	replacements    int
 }
 
-// moment says when the checks first saw an entry accepted.
-type moment struct {
+// acceptance says when the checks first saw an entry accepted.
+type acceptance struct {
 	seq uint64
 	at  time.Time
 }
 
-func (tr *trial) violate(format string, args ...any) {
+func (tr *trial) recordViolation(format string, args ...any) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	if len(tr.violations) < 20 {
@@ -92,8 +92,8 @@
 	}
 }
 
-// snapshot returns the members by name, in order; scenarios replace them while operators and checks run.
-func (tr *trial) snapshot() []*member {
+// sortedMembers returns the members by name, in order; scenarios replace them while operators and checks run.
+func (tr *trial) sortedMembers() []*member {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	var out []*member
@@ -134,8 +134,8 @@
 	case err == nil:
 		tr.changes++
 	case errors.As(err, &unknown):
-		tr.unknown++
-		ret = never // it may take effect at any time from the call on
+		tr.unknownOutcomes++
+		ret = neverReturns // it may take effect at any time from the call on
 	case errors.As(err, &race):
 		tr.conflicts++
 		return
@@ -183,15 +183,15 @@
 	}
 }
 
-// operate lets one operator change and read at random nodes until the trial is done.
-func (tr *trial) operate(id int, rng *rand.Rand) {
+// runOperator lets one operator change and read at random nodes until the trial is done.
+func (tr *trial) runOperator(id int, rng *rand.Rand) {
 	for i := uint32(1); ; i++ {
 		select {
 		case <-tr.done:
 			return
 		case <-time.After(time.Duration(rng.IntN(3000)) * time.Millisecond):
 		}
-		members := tr.snapshot()
+		members := tr.sortedMembers()
 		at := members[rng.IntN(len(members))]
 		if rng.IntN(4) == 0 {
 			tr.read(at)
@@ -201,8 +201,8 @@
 	}
 }
 
-// check looks at every node each few milliseconds.
-func (tr *trial) check() {
+// watchInvariants looks at every node each few milliseconds.
+func (tr *trial) watchInvariants() {
 	var head cardamomyokev1.Head
 	for {
 		select {
@@ -212,11 +212,11 @@
 		}
 		var now cardamomyokev1.Head
 		if err := proto.Unmarshal(tr.store.Peek("config/head").Value, &now); err != nil {
-			tr.violate("head row: %v", err)
+			tr.recordViolation("head row: %v", err)
 		}
 		tr.checkHead(&head, &now)
 		head.Committed, head.Accepted = now.GetCommitted(), now.GetAccepted()
-		for _, m := range tr.snapshot() {
+		for _, m := range tr.sortedMembers() {
 			tr.checkNode(m, head.GetAccepted())
 		}
 	}
@@ -224,15 +224,15 @@
 
 func (tr *trial) checkHead(before, now *cardamomyokev1.Head) {
 	if now.GetCommitted() < before.GetCommitted() || now.GetAccepted() < before.GetAccepted() {
-		tr.violate("head goes back from %v to %v", before, now)
+		tr.recordViolation("head goes back from %v to %v", before, now)
 	}
 	if now.GetAccepted() == before.GetAccepted() {
 		return
 	}
-	tr.acceptedAt = append(tr.acceptedAt, moment{now.GetAccepted(), time.Now()})
-	for _, m := range tr.snapshot() {
+	tr.acceptedAt = append(tr.acceptedAt, acceptance{now.GetAccepted(), time.Now()})
+	for _, m := range tr.sortedMembers() {
 		if v := m.agent.View(); v.Fresh(time.Now()) && v.Staged < now.GetAccepted() {
-			tr.violate("%s takes work without entry %d, which is accepted", m.name, now.GetAccepted())
+			tr.recordViolation("%s takes work without entry %d, which is accepted", m.name, now.GetAccepted())
 		}
 	}
 }
@@ -244,35 +244,35 @@
 		return
 	}
 	for i := len(tr.acceptedAt) - 1; i >= 0; i-- {
-		if a := tr.acceptedAt[i]; now.Sub(a.at) > stale {
+		if a := tr.acceptedAt[i]; now.Sub(a.at) > staleAfter {
 			if v.InForce.Seq < a.seq {
-				tr.violate("%s takes work on entry %d, %v after %d was accepted", m.name, v.InForce.Seq, now.Sub(a.at), a.seq)
+				tr.recordViolation("%s takes work on entry %d, %v after %d was accepted", m.name, v.InForce.Seq, now.Sub(a.at), a.seq)
 			}
 			break
 		}
 	}
 	if v.InForce.Seq < tr.inForce[m.name] {
-		tr.violate("%s goes back from entry %d, accepted and in force before, to %d", m.name, tr.inForce[m.name], v.InForce.Seq)
+		tr.recordViolation("%s goes back from entry %d, accepted and in force before, to %d", m.name, tr.inForce[m.name], v.InForce.Seq)
 	}
 	if v.InForce.Seq <= accepted {
 		tr.inForce[m.name] = v.InForce.Seq
 	}
 }
 
-// settleDown mends everything and checks that the system works: one more change is accepted, in force everywhere, and
+// checkRecovery mends everything and checks that the system works: one more change is accepted, in force everywhere, and
 // every node takes work.
-func (tr *trial) settleDown() {
+func (tr *trial) checkRecovery() {
 	tr.mu.Lock()
 	tr.store.SetFaults(standin.PartTable, standin.Faults{Delay: 4 * time.Millisecond})
-	tr.heal()
+	tr.healPartition()
 	tr.mu.Unlock()
 	time.Sleep(time.Minute)
 	close(tr.done)
 	time.Sleep(time.Minute)
-	members := tr.snapshot()
+	members := tr.sortedMembers()
 	for _, m := range members {
 		if !m.agent.Fresh(time.Now()) {
-			tr.violate("%s takes no work a minute after the last fault: %+v", m.name, m.agent.View())
+			tr.recordViolation("%s takes no work a minute after the last fault: %+v", m.name, m.agent.View())
 		}
 	}
 	at := members[0].agent
@@ -280,16 +280,16 @@
 	defer cancel()
 	st, err := at.Store().Committed(ctx, nil)
 	if err != nil {
-		tr.violate("after the last fault: %v", err)
+		tr.recordViolation("after the last fault: %v", err)
 		return
 	}
-	e, err := at.Change(ctx, tr.meta(st.Revision()), keep(5000))
+	e, err := at.Change(ctx, tr.meta(st.Revision()), addressTTLEdit(5000))
 	if err != nil {
-		tr.violate("change after the last fault: %v", err)
+		tr.recordViolation("change after the last fault: %v", err)
 		return
 	}
 	if v := at.Wait(ctx, e.GetSeq()); v.Accepted < e.GetSeq() {
-		tr.violate("change after the last fault is not accepted, pending %v", v.Pending)
+		tr.recordViolation("change after the last fault is not accepted, pending %v", v.Pending)
 	}
 }
 
@@ -300,27 +300,27 @@
 			cluster: newCluster(t, seed), rand: rand.New(rand.NewPCG(seed, 7)), done: make(chan struct{}), inForce: map[string]uint64{},
 		}
 		tr.startAll(4, "a", "b", "c")
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		e := tr.cluster.change("a-0", 0)
 		tr.accepted("a-0", e, 5*time.Second)
 		var wg sync.WaitGroup
 		for id := range operators {
-			wg.Go(func() { tr.operate(id+1, rand.New(rand.NewPCG(seed, uint64(id)))) })
+			wg.Go(func() { tr.runOperator(id+1, rand.New(rand.NewPCG(seed, uint64(id)))) })
 		}
-		wg.Go(tr.check)
+		wg.Go(tr.watchInvariants)
 		faults(tr)
-		tr.settleDown()
+		tr.checkRecovery()
 		wg.Wait()
 		tr.stop()
 	})
 	if !porcupine.CheckOperations(register, tr.history) {
-		tr.violate("history of %d operations is not linearizable", len(tr.history))
+		tr.recordViolation("history of %d operations is not linearizable", len(tr.history))
 	}
 	return tr
 }
 
-// steps lets time pass in random steps and makes trouble at each.
-func (tr *trial) steps(n int, step func()) {
+// randomSteps lets time pass in random steps and makes trouble at each.
+func (tr *trial) randomSteps(n int, step func()) {
 	for range n {
 		tr.mu.Lock()
 		step()
@@ -329,7 +329,7 @@
 	}
 }
 
-func (tr *trial) loseAnswers() {
+func (tr *trial) loseResponses() {
 	tr.store.SetFaults(standin.PartTable, standin.Faults{
 		Delay: time.Duration(tr.rand.IntN(300)) * time.Millisecond, LoseAnswers: tr.rand.IntN(6),
 		LateWrites: tr.rand.IntN(3), LateBy: time.Duration(tr.rand.IntN(10_000)) * time.Millisecond,
@@ -342,17 +342,17 @@
 }
 
 func (tr *trial) pauseOne() {
-	names := tr.sorted()
+	names := tr.sortedNames()
 	m := tr.members[names[tr.rand.IntN(len(names))]]
-	if time.Now().Before(m.resumes) {
+	if time.Now().Before(m.resumesBy) {
 		return
 	}
 	d := time.Duration(tr.rand.IntN(15_000)) * time.Millisecond
-	m.resumes = time.Now().Add(d + time.Second)
+	m.resumesBy = time.Now().Add(d + time.Second)
 	time.AfterFunc(d, m.pause())
 }
 
-func (tr *trial) sorted() []string {
+func (tr *trial) sortedNames() []string {
 	var names []string
 	for name := range tr.members {
 		names = append(names, name)
@@ -361,31 +361,31 @@
 	return names
 }
 
-func (tr *trial) isolateSome() {
-	names := tr.sorted()
+func (tr *trial) partitionSome() {
+	names := tr.sortedNames()
 	switch tr.rand.IntN(4) {
 	case 0:
-		tr.heal()
+		tr.healPartition()
 	case 1:
 		names = tr.cluster.names([]string{"a", "b", "c"}[tr.rand.IntN(3)])
-		tr.isolate(tr.rand.IntN(2) == 0, names...)
+		tr.partition(tr.rand.IntN(2) == 0, names...)
 	default:
 		tr.rand.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-		tr.isolate(tr.rand.IntN(2) == 0, names[:1+tr.rand.IntN(5)]...)
+		tr.partition(tr.rand.IntN(2) == 0, names[:1+tr.rand.IntN(5)]...)
 	}
 }
 
 // replaceOne replaces the node that has run for longest in turn, by one of the same or another name, with or without
 // leaving first.
 func (tr *trial) replaceOne() {
-	names := tr.sorted()
-	name := names[tr.names%len(names)]
-	tr.names++
+	names := tr.sortedNames()
+	name := names[tr.replacements%len(names)]
+	tr.replacements++
 	next := name
 	if tr.rand.IntN(2) == 0 {
-		next = fmt.Sprintf("%s-r%d", dataCentre(name), tr.names)
+		next = fmt.Sprintf("%s-r%d", dataCentre(name), tr.replacements)
 	}
-	if time.Now().Before(tr.members[name].resumes) {
+	if time.Now().Before(tr.members[name].resumesBy) {
 		return // its loop cannot end while it is paused
 	}
 	tr.kill(name)
@@ -397,18 +397,18 @@
 		name   string
 		faults func(*trial)
 	}{
-		{"racing operators", func(tr *trial) { tr.steps(20, func() {}) }},
-		{"lost answers and late writes", func(tr *trial) { tr.steps(20, tr.loseAnswers) }},
-		{"outages before, during and after a put", func(tr *trial) { tr.steps(20, tr.outage) }},
-		{"paused nodes", func(tr *trial) { tr.steps(20, tr.pauseOne) }},
-		{"isolated nodes and data centres", func(tr *trial) { tr.steps(20, tr.isolateSome) }},
-		{"rolling replacement of every node", func(tr *trial) { tr.steps(30, tr.replaceOne) }},
+		{"racing operators", func(tr *trial) { tr.randomSteps(20, func() {}) }},
+		{"lost answers and late writes", func(tr *trial) { tr.randomSteps(20, tr.loseResponses) }},
+		{"outages before, during and after a put", func(tr *trial) { tr.randomSteps(20, tr.outage) }},
+		{"paused nodes", func(tr *trial) { tr.randomSteps(20, tr.pauseOne) }},
+		{"isolated nodes and data centres", func(tr *trial) { tr.randomSteps(20, tr.partitionSome) }},
+		{"rolling replacement of every node", func(tr *trial) { tr.randomSteps(30, tr.replaceOne) }},
 		{"rolling replacement during outages", func(tr *trial) {
-			tr.steps(30, func() { tr.replaceOne(); tr.outage() })
+			tr.randomSteps(30, func() { tr.replaceOne(); tr.outage() })
 		}},
 		{"all of it at once", func(tr *trial) {
-			all := []func(){tr.loseAnswers, tr.outage, tr.pauseOne, tr.isolateSome, tr.replaceOne}
-			tr.steps(40, func() { all[tr.rand.IntN(len(all))]() })
+			all := []func(){tr.loseResponses, tr.outage, tr.pauseOne, tr.partitionSome, tr.replaceOne}
+			tr.randomSteps(40, func() { all[tr.rand.IntN(len(all))]() })
 		}},
 	}
 	total := 0
@@ -418,7 +418,7 @@
 			tr := runTrial(t, 100+seed, sc.faults)
 			changes += tr.changes
 			conflicts += tr.conflicts
-			unknown += tr.unknown
+			unknown += tr.unknownOutcomes
 			refused += tr.refused
 			violations += len(tr.violations)
 			for _, v := range tr.violations {
--- a/internal/state/revision/beat.go
+++ b/internal/state/revision/beat.go
@@ -10,30 +10,30 @@
 	// origin is the incarnation that started the beat. By its name, an answer to a beat of its former life could count
 	// for one of the same number now: a majority would vouch for what it held long ago.
 	origin    string
-	beat      uint64
+	heartbeat uint64
 	start     time.Time
 	alive     bitset
 	roster    *Roster
 	maxStaged uint64
-	answered  map[string]bool // nodes that hear from this one
+	acked     map[string]bool // nodes that hear from this one
 }
 
 // isOrigin reports whether this node hears from nobody, so that beats start here.
 func (n *Node) isOrigin() bool { return n.parent == "" }
 
-// dropSilent gives up a parent and children that have been silent for too long, and looks for a parent.
-func (n *Node) dropSilent() {
+// dropUnresponsive gives up a parent and children that have been silent for too long, and looks for a parent.
+func (n *Node) dropUnresponsive() {
 	for name, c := range n.children {
-		if n.now.Sub(c.seenAt) > n.options.forget() {
+		if n.now.Sub(c.seenAt) > n.options.childTimeout() {
 			delete(n.children, name)
 		}
 	}
-	if n.parent != "" && n.now.Sub(n.parentAt) > n.options.silence() {
+	if n.parent != "" && n.now.Sub(n.parentAt) > n.options.parentTimeout() {
 		n.parent = ""
-		n.originAt = n.now
+		n.originSince = n.now
 		n.joinNext = 0
 		n.joinAt = time.Time{}
-		n.beatAt = n.now
+		n.heartbeatAt = n.now
 	}
 	n.join()
 }
@@ -56,15 +56,15 @@
 		}
 		return
 	}
-	n.joinAt = n.now.Add(joinPause)
-	for range min(joinWidth, len(parents)) {
+	n.joinAt = n.now.Add(joinInterval)
+	for range min(joinParallelism, len(parents)) {
 		n.sendAck(parents[n.joinNext%len(parents)])
 		n.joinNext++
 	}
 }
 
-// better reports whether a is a better node to hear from than the present one.
-func (n *Node) better(a string) bool {
+// isBetterParent reports whether a is a better node to hear from than the present one.
+func (n *Node) isBetterParent(a string) bool {
 	parents := n.roster().parents(n.self.GetName(), n.options.Fanout)
 	i, j := slices.Index(parents, a), slices.Index(parents, n.parent)
 	return i >= 0 && (j < 0 || i < j)
@@ -76,17 +76,17 @@
 	if r := n.roster(); m.GetFrom() == n.self.GetName() || r.before(n.self.GetName(), m.GetFrom()) {
 		return n.finish()
 	}
-	n.learn(m.GetEntries(), m.GetCommitted(), m.GetAccepted())
+	n.merge(m.GetEntries(), m.GetCommitted(), m.GetAccepted())
 	n.catchUp(m.GetFrom(), m.GetStaged())
-	n.trust(m)
-	n.follow(m)
+	n.mergeFreshness(m)
+	n.followParent(m)
 	return n.finish()
 }
 
-// trust takes what the beat says about freshness. The sender's ages count from when it sent the beat, which is not
+// mergeFreshness takes what the beat says about freshness. The sender's ages count from when it sent the beat, which is not
 // before this node's acknowledgement, echoed in the beat, plus the time that it lay at the sender; so a beat that was
 // long on its way makes what it says older, never younger.
-func (n *Node) trust(m *Push) {
+func (n *Node) mergeFreshness(m *Push) {
 	i := slices.IndexFunc(n.nonces, func(v nonce) bool { return v.n == m.GetEcho() })
 	if i < 0 || m.GetEchoAgeUs() < 0 {
 		return
@@ -96,38 +96,38 @@
 		sent = n.now
 	}
 	if m.GetTableAgeUs() >= 0 {
-		n.covered(sent.Add(-time.Duration(m.GetTableAgeUs())*time.Microsecond), m.GetStaged())
+		n.mergeTableRead(sent.Add(-time.Duration(m.GetTableAgeUs())*time.Microsecond), m.GetStaged())
 	}
 	if v := m.GetVouch(); v != nil && v.GetAgeUs() >= 0 {
-		n.vouched(vouch{
+		n.mergeCert(quorumCert{
 			seq: v.GetSeq(), basis: sent.Add(-time.Duration(v.GetAgeUs()) * time.Microsecond),
 			all: v.GetAll(), centres: v.GetDataCentres(),
 		})
 	}
 }
 
-// follow makes the sender the parent if it is the best at hand, and passes its beat on.
-func (n *Node) follow(m *Push) {
-	if n.parent != m.GetFrom() && n.parent != "" && !n.better(m.GetFrom()) {
+// followParent makes the sender the parent if it is the best at hand, and passes its beat on.
+func (n *Node) followParent(m *Push) {
+	if n.parent != m.GetFrom() && n.parent != "" && !n.isBetterParent(m.GetFrom()) {
 		return
 	}
 	n.parent = m.GetFrom()
 	n.parentAt = n.now
-	n.parentHi = m.GetStaged()
+	n.parentStaged = m.GetStaged()
 	n.missing = append(n.namesOf(m.GetMissing(), m.GetStaged()), m.GetMissingRemoved()...)
 	last := n.lastRound()
-	if last != nil && last.origin == m.GetOrigin() && last.beat >= m.GetBeat() {
+	if last != nil && last.origin == m.GetOrigin() && last.heartbeat >= m.GetBeat() {
 		n.scheduleAck(0)
 		return
 	}
 	n.startRound(m.GetOrigin(), m.GetBeat())
-	n.news = true
+	n.hasUpdate = true
 	n.pushedAt = time.Time{}
 	n.scheduleAck(n.ackDelay())
 }
 
 func (n *Node) namesOf(bits []byte, seq uint64) []string {
-	s := n.at(seq)
+	s := n.stateAt(seq)
 	if len(bits) == 0 || s == nil {
 		return nil
 	}
@@ -148,36 +148,36 @@
 }
 
 func (n *Node) startRound(origin string, beat uint64) {
-	r := &round{origin: origin, beat: beat, start: n.now, roster: n.roster(), answered: map[string]bool{}}
+	r := &round{origin: origin, heartbeat: beat, start: n.now, roster: n.roster(), acked: map[string]bool{}}
 	r.alive = newBitset(len(r.roster.members))
 	n.rounds = append(n.rounds, r)
-	if len(n.rounds) > roundsKept {
+	if len(n.rounds) > maxRounds {
 		n.rounds = n.rounds[1:]
 	}
 }
 
-// spread starts a beat when it is time, or passes on what has just come in.
-func (n *Node) spread() {
-	if n.isOrigin() && (!n.now.Before(n.beatAt) || n.news) && n.rested() {
-		n.beats++
-		n.startRound(n.incarnation, n.beats)
-		n.count(n.lastRound())
-		if !n.now.Before(n.beatAt) {
-			n.beatAt = n.now.Add(n.options.HeartbeatInterval)
+// pushHeartbeat starts a beat when it is time, or passes on what has just come in.
+func (n *Node) pushHeartbeat() {
+	if n.isOrigin() && (!n.now.Before(n.heartbeatAt) || n.hasUpdate) && n.mayPush() {
+		n.heartbeats++
+		n.startRound(n.incarnation, n.heartbeats)
+		n.certify(n.lastRound())
+		if !n.now.Before(n.heartbeatAt) {
+			n.heartbeatAt = n.now.Add(n.options.HeartbeatInterval)
 		}
-		n.news = true
+		n.hasUpdate = true
 	}
-	if !n.news || !n.rested() || n.lastRound() == nil {
+	if !n.hasUpdate || !n.mayPush() || n.lastRound() == nil {
 		return
 	}
-	n.news = false
+	n.hasUpdate = false
 	n.pushedAt = n.now
 	for _, name := range n.childNames() {
 		n.sendPush(n.children[name])
 	}
 }
 
-func (n *Node) rested() bool { return n.now.Sub(n.pushedAt) >= newsPause }
+func (n *Node) mayPush() bool { return n.now.Sub(n.pushedAt) >= minPushInterval }
 
 func (n *Node) childNames() []string {
 	names := make([]string, 0, len(n.children))
@@ -194,19 +194,19 @@
 		return
 	}
 	m := &Push{
-		From: n.self.GetName(), Incarnation: n.incarnation, Origin: last.origin, Beat: last.beat,
+		From: n.self.GetName(), Incarnation: n.incarnation, Origin: last.origin, Beat: last.heartbeat,
 		Committed: n.committed, Accepted: n.accepted, Staged: n.staged(),
 		TableAgeUs: -1, Echo: c.nonce, EchoAgeUs: n.now.Sub(c.nonceAt).Microseconds(),
 		Entries: n.entriesAfter(c.staged),
 	}
 	m.Missing, m.MissingRemoved = n.missingBits()
-	if !n.tableBasis.IsZero() {
-		m.TableAgeUs = ageOf(n.now, n.tableBasis)
+	if !n.tableReadAt.IsZero() {
+		m.TableAgeUs = ageOf(n.now, n.tableReadAt)
 	}
-	if !n.vouch.basis.IsZero() {
-		m.Vouch = n.vouch.proto(n.now)
+	if !n.newestCert.basis.IsZero() {
+		m.Vouch = n.newestCert.proto(n.now)
 	}
-	n.do(&SendPush{c.member, m})
+	n.emit(&SendPush{c.member, m})
 }
 
 // ageOf rounds up, so that nothing looks younger than it is.
--- a/internal/state/revision/catchup.go
+++ b/internal/state/revision/catchup.go
@@ -6,8 +6,8 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// CatchUpAnswer is what another node gets that asks for the whole state; nil if this node has none to give.
-func (n *Node) CatchUpAnswer() *cardamomyokev1.CatchUpResponse {
+// CatchUpResponse is what another node gets that asks for the whole state; nil if this node has none to give.
+func (n *Node) CatchUpResponse() *cardamomyokev1.CatchUpResponse {
 	if n.inForce == nil {
 		return nil
 	}
@@ -21,20 +21,20 @@
 	n.begin(now)
 	if s != nil {
 		n.reset(s)
-		n.learn(entries, 0, accepted)
+		n.merge(entries, 0, accepted)
 	}
 	return n.finish()
 }
 
 // catchUp asks a node for the whole state if entries alone cannot lead to what it holds.
 func (n *Node) catchUp(from string, theirs uint64) {
-	if n.staged() >= theirs || n.now.Sub(n.catching) < n.options.HeartbeatInterval {
+	if n.staged() >= theirs || n.now.Sub(n.catchUpAt) < n.options.HeartbeatInterval {
 		return
 	}
 	m := n.roster().Member(from)
 	if m == nil {
 		return
 	}
-	n.catching = n.now
-	n.do(&CatchUp{m})
+	n.catchUpAt = n.now
+	n.emit(&CatchUp{m})
 }
--- a/internal/state/revision/effects.go
+++ b/internal/state/revision/effects.go
@@ -32,8 +32,8 @@
 // ReadHead reads the head row and the entries after After, and hands the result to OnHead, also if it fails.
 type ReadHead struct {
 	After uint64
-	// Whole asks for the newest checkpoint too, for a node that holds nothing.
-	Whole bool
+	// Full asks for the newest checkpoint too, for a node that holds nothing.
+	Full bool
 	// Holds asks for the rows in which other nodes say which members hold what.
 	Holds bool
 }
--- a/internal/state/revision/join.go
+++ b/internal/state/revision/join.go
@@ -9,57 +9,57 @@
 )
 
 const (
-	editPause  = 100 * time.Millisecond // between two changes of the roster
-	wantKept   = 5 * time.Second        // after which a wish that is not repeated is dropped
-	goneAfter  = 30 * time.Second       // of silence, before a member is removed
-	goneListed = 15 * time.Second       // of silence, if the host list does not name it either
+	minEditInterval     = 100 * time.Millisecond // between two changes of the roster
+	requestTTL          = 5 * time.Second        // after which a wish that is not repeated is dropped
+	removeAfter         = 30 * time.Second       // of silence, before a member is removed
+	removeUnlistedAfter = 15 * time.Second       // of silence, if the host list does not name it either
 )
 
-// want is a node's wish to become a member, or to be none any more if member is nil.
-type want struct {
+// membershipRequest is a node's wish to become a member, or to be none any more if member is nil.
+type membershipRequest struct {
 	member *Member
 	at     time.Time
 }
 
-// ownWish notes what this node itself wants.
-func (n *Node) ownWish() {
+// requestOwnMembership notes what this node itself wants.
+func (n *Node) requestOwnMembership() {
 	name := n.self.GetName()
 	m := n.roster().Member(name)
 	if n.leaving {
 		if m != nil {
-			n.wanted[name] = want{nil, n.now}
+			n.requests[name] = membershipRequest{nil, n.now}
 		}
 		return
 	}
 	if m == nil || m.GetAddress() != n.self.GetAddress() || m.GetDataCentre() != n.self.GetDataCentre() {
-		n.wanted[name] = want{n.self, n.now}
+		n.requests[name] = membershipRequest{n.self, n.now}
 	}
 }
 
-// wish takes the wishes of nodes that hear from this one.
-func (n *Node) wish(e *cardamomyokev1.RosterEdit) {
+// mergeRequests takes the wishes of nodes that hear from this one.
+func (n *Node) mergeRequests(e *cardamomyokev1.RosterEdit) {
 	for _, m := range e.GetAdd() {
-		n.wanted[m.GetName()] = want{m, n.now}
+		n.requests[m.GetName()] = membershipRequest{m, n.now}
 	}
 	for _, name := range e.GetRemove() {
-		n.wanted[name] = want{nil, n.now}
+		n.requests[name] = membershipRequest{nil, n.now}
 	}
 	if len(e.GetAdd())+len(e.GetRemove()) > 0 {
 		n.scheduleAck(0)
 	}
 }
 
-// wishes returns what nodes want that the roster does not show yet; nil if there is nothing.
-func (n *Node) wishes() *cardamomyokev1.RosterEdit {
-	n.ownWish()
+// openRequests returns what nodes want that the roster does not show yet; nil if there is nothing.
+func (n *Node) openRequests() *cardamomyokev1.RosterEdit {
+	n.requestOwnMembership()
 	e := &cardamomyokev1.RosterEdit{}
-	for name, w := range n.wanted {
+	for name, w := range n.requests {
 		m := n.roster().Member(name)
 		met := m == nil && w.member == nil
 		met = met || m != nil && w.member != nil && m.GetAddress() == w.member.GetAddress() && m.GetDataCentre() == w.member.GetDataCentre()
 		switch {
-		case met || n.now.Sub(w.at) > wantKept:
-			delete(n.wanted, name)
+		case met || n.now.Sub(w.at) > requestTTL:
+			delete(n.requests, name)
 		case w.member == nil:
 			e.Remove = append(e.Remove, name)
 		default:
@@ -77,56 +77,56 @@
 // editRoster has the wishes committed as one entry. Only a node that hears from nobody does so, else a thousand nodes
 // that start together would race for the head row.
 func (n *Node) editRoster() {
-	if !n.isOrigin() || len(n.states) == 0 || n.staged() < n.committed || n.now.Sub(n.editing) < editPause {
+	if !n.isOrigin() || len(n.states) == 0 || n.staged() < n.committed || n.now.Sub(n.rosterEditAt) < minEditInterval {
 		return
 	}
-	if n.now.Sub(n.tableBasis) > n.options.StaleAfter {
+	if n.now.Sub(n.tableReadAt) > n.options.StaleAfter {
 		return // the table does not answer
 	}
-	e := n.wishes()
+	e := n.openRequests()
 	reason := "nodes join or leave"
 	if e == nil {
-		e = n.gone(goneAfter, nil)
+		e = n.removalEdit(removeAfter, nil)
 		reason = "silent, and too few to serve on their own"
 	}
 	if e == nil {
 		return
 	}
-	n.editing = n.now
-	n.do(&EditRoster{e, reason})
+	n.rosterEditAt = n.now
+	n.emit(&EditRoster{e, reason})
 }
 
-// hear notes who has answered a beat that started here.
-func (n *Node) hear(r *round) {
+// markAlive notes who has answered a beat that started here.
+func (n *Node) markAlive(r *round) {
 	for i, m := range r.roster.members {
 		if r.alive.has(i) {
-			n.heard[m.GetName()] = n.now
+			n.lastSeen[m.GetName()] = n.now
 		}
 	}
 }
 
-// gone returns the removal of members that have been silent for long, or that are silent and not listed. A member that
+// removalEdit returns the removal of members that have been silent for long, or that are silent and not listed. A member that
 // restarts joins again; one that may belong to a part that serves on its own is not removed for its silence, as
 // acceptance must wait for it.
-func (n *Node) gone(after time.Duration, listed map[string]bool) *cardamomyokev1.RosterEdit {
+func (n *Node) removalEdit(after time.Duration, listed map[string]bool) *cardamomyokev1.RosterEdit {
 	r := n.roster()
-	if n.now.Sub(n.originAt) < after {
+	if n.now.Sub(n.originSince) < after {
 		return nil
 	}
 	alive := newBitset(len(r.members))
 	var silent []*Member
 	for i, m := range r.members {
 		switch {
-		case m.GetName() == n.self.GetName() || n.now.Sub(n.heard[m.GetName()]) < after:
+		case m.GetName() == n.self.GetName() || n.now.Sub(n.lastSeen[m.GetName()]) < after:
 			alive.set(i)
-		case listed == nil || n.listed[m.GetName()] && !listed[m.GetName()]:
+		case listed == nil || n.everListed[m.GetName()] && !listed[m.GetName()]:
 			silent = append(silent, m)
 		}
 	}
 	if listed != nil {
 		silent = append(silent, n.unlisted(listed)...)
 	}
-	if len(silent) == 0 || listed == nil && !r.excludes(alive, silent) {
+	if len(silent) == 0 || listed == nil && !r.excludesMajority(alive, silent) {
 		return nil
 	}
 	e := &cardamomyokev1.RosterEdit{}
@@ -148,7 +148,7 @@
 	var out []*Member
 	for _, m := range n.missingFor(n.pending[len(n.pending)-1]) {
 		name := m.GetName()
-		if n.roster().Member(name) == nil && n.listed[name] && !listed[name] {
+		if n.roster().Member(name) == nil && n.everListed[name] && !listed[name] {
 			out = append(out, m)
 		}
 	}
@@ -165,13 +165,13 @@
 		listed[h.Name] = true
 	}
 	if n.isOrigin() && len(hosts) > 0 {
-		if e := n.gone(goneListed, listed); e != nil {
-			n.editing = n.now
-			n.do(&EditRoster{e, "silent, and no longer in the host list"})
+		if e := n.removalEdit(removeUnlistedAfter, listed); e != nil {
+			n.rosterEditAt = n.now
+			n.emit(&EditRoster{e, "silent, and no longer in the host list"})
 		}
 	}
 	for name := range listed {
-		n.listed[name] = true
+		n.everListed[name] = true
 	}
 	return n.finish()
 }
--- a/internal/state/revision/memnet/memnet.go
+++ b/internal/state/revision/memnet/memnet.go
@@ -19,7 +19,7 @@
 type Receiver interface {
 	ReceivePush(m *revision.Push)
 	ReceiveAck(m *revision.Ack)
-	AnswerCatchUp(ctx context.Context) (*cardamomyokev1.CatchUpResponse, error)
+	HandleCatchUp(ctx context.Context) (*cardamomyokev1.CatchUpResponse, error)
 }
 
 // UnreachableError says that a message cannot be delivered.
@@ -30,11 +30,11 @@
 
 // Net connects receivers by name. It is safe for concurrent use.
 type Net struct {
-	mu    sync.RWMutex
-	nodes map[string]Receiver
-	cut   func(from, to string) bool
-	delay func(from, to string) time.Duration
-	usage map[string]*Usage
+	mu          sync.RWMutex
+	nodes       map[string]Receiver
+	partitioned func(from, to string) bool
+	delay       func(from, to string) time.Duration
+	usage       map[string]*Usage
 }
 
 // Usage counts what one node sent and what reached it.
@@ -59,11 +59,11 @@
 	}
 }
 
-// Cut sets which ways are cut; nil mends all. It must not block.
-func (n *Net) Cut(cut func(from, to string) bool) {
+// Partition sets which ways are cut; nil mends all. It must not block.
+func (n *Net) Partition(cut func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = cut
+	n.partitioned = cut
 }
 
 // Usage returns the counters of a node.
@@ -82,11 +82,11 @@
 // Transport returns the way of the named node.
 func (n *Net) Transport(name string) *Transport { return &Transport{n, name} }
 
-func (t *Transport) reach(to string) (Receiver, time.Duration, error) {
+func (t *Transport) route(to string) (Receiver, time.Duration, error) {
 	t.net.mu.RLock()
 	defer t.net.mu.RUnlock()
 	r := t.net.nodes[to]
-	if r == nil || t.net.cut != nil && t.net.cut(t.name, to) {
+	if r == nil || t.net.partitioned != nil && t.net.partitioned(t.name, to) {
 		return nil, 0, &UnreachableError{t.name, to}
 	}
 	var d time.Duration
@@ -105,7 +105,7 @@
 		u.Messages.Add(1)
 		u.Bytes.Add(uint64(len(data)))
 	}
-	r, d, err := t.reach(to)
+	r, d, err := t.route(to)
 	if err != nil {
 		return err
 	}
@@ -135,10 +135,10 @@
 
 // CatchUp fetches the state of another node.
 func (t *Transport) CatchUp(ctx context.Context, to *revision.Member) (*cardamomyokev1.CatchUpResponse, error) {
-	r, d, err := t.reach(to.GetName())
+	r, d, err := t.route(to.GetName())
 	if err != nil {
 		return nil, err
 	}
 	time.Sleep(2 * d)
-	return r.AnswerCatchUp(ctx)
+	return r.HandleCatchUp(ctx)
 }
--- a/internal/state/revision/node.go
+++ b/internal/state/revision/node.go
@@ -29,51 +29,51 @@
 	self        *Member
 	incarnation string
 	rng         *rand.Rand
-	born        time.Time
+	startedAt   time.Time
 	machine     charts.Machine
 	leaving     bool
 	seeds       []*Member
 
 	// states are those of the entries from the older of accepted and in force up to the newest held.
-	states     []*State
-	inForce    *State
-	log        []*Entry
-	committed  uint64
-	accepted   uint64
-	floors     []floor
-	missing    []string // as the last beat says
-	tableBasis time.Time
-	vouch      vouch
-	vouchBasis time.Time
-
-	parent   string
-	parentAt time.Time
-	parentHi uint64 // newest entry that the parent holds
-	joinAt   time.Time
-	joinNext int
-	children map[string]*child
-	nonces   []nonce
-	rounds   []*round
-	beats    uint64
-	beatAt   time.Time // when the next beat starts here, if this node hears from nobody
-	pushedAt time.Time
-	news     bool
-	ackAt    time.Time // zero: nothing to acknowledge
-	ackedAt  time.Time
-
-	pending    []*pending
-	pollAt     time.Time
-	reading    time.Time // zero: no read under way
-	acceptAt   time.Time // not before this
-	catching   time.Time
-	editing    time.Time
-	wanted     map[string]want
-	heard      map[string]time.Time
-	listed     map[string]bool // names that the host list has shown
-	originAt   time.Time
-	holdsAt    time.Time
-	holdsCount uint64
-	counts     map[string]uint64 // of the rows of acknowledgements, by writer
+	states      []*State
+	inForce     *State
+	log         []*Entry
+	committed   uint64
+	accepted    uint64
+	floors      []floor
+	missing     []string // as the last beat says
+	tableReadAt time.Time
+	newestCert  quorumCert
+	certBasis   time.Time
+
+	parent       string
+	parentAt     time.Time
+	parentStaged uint64 // newest entry that the parent holds
+	joinAt       time.Time
+	joinNext     int
+	children     map[string]*child
+	nonces       []nonce
+	rounds       []*round
+	heartbeats   uint64
+	heartbeatAt  time.Time // when the next beat starts here, if this node hears from nobody
+	pushedAt     time.Time
+	hasUpdate    bool
+	ackAt        time.Time // zero: nothing to acknowledge
+	ackedAt      time.Time
+
+	pending        []*pending
+	pollAt         time.Time
+	readStartedAt  time.Time // zero: no read under way
+	acceptAt       time.Time // not before this
+	catchUpAt      time.Time
+	rosterEditAt   time.Time
+	requests       map[string]membershipRequest
+	lastSeen       map[string]time.Time
+	everListed     map[string]bool // names that the host list has shown
+	originSince    time.Time
+	holdsWrittenAt time.Time
+	holdsCount     uint64
+	holdsCounts    map[string]uint64 // of the rows of acknowledgements, by writer
 
 	now  time.Time
 	out  []Effect
@@ -82,13 +82,13 @@
 
 // child is a node that hears from this one.
 type child struct {
-	member  *Member
-	seenAt  time.Time
-	life    string
-	nonce   uint64
-	nonceAt time.Time
-	staged  uint64
-	holds   bitset
+	member      *Member
+	seenAt      time.Time
+	incarnation string
+	nonce       uint64
+	nonceAt     time.Time
+	staged      uint64
+	holds       bitset
 }
 
 // nonce remembers when an acknowledgement was sent.
@@ -97,8 +97,8 @@
 	at time.Time
 }
 
-// vouch certifies that a majority held no entry after seq at some time after basis.
-type vouch struct {
+// quorumCert certifies that a majority held no entry after seq at some time after basis.
+type quorumCert struct {
 	seq     uint64
 	basis   time.Time
 	all     bool
@@ -112,17 +112,17 @@
 		self:        self,
 		incarnation: string(life),
 		rng:         rng,
-		born:        now,
+		startedAt:   now,
 		machine:     chart.Start(),
 		children:    map[string]*child{},
 		seeds:       seeds,
-		wanted:      map[string]want{},
-		heard:       map[string]time.Time{},
-		listed:      map[string]bool{},
-		counts:      map[string]uint64{},
-		originAt:    now,
+		requests:    map[string]membershipRequest{},
+		lastSeen:    map[string]time.Time{},
+		everListed:  map[string]bool{},
+		holdsCounts: map[string]uint64{},
+		originSince: now,
 	}
-	n.beatAt = now.Add(n.jitter(n.options.HeartbeatInterval))
+	n.heartbeatAt = now.Add(n.jitter(n.options.HeartbeatInterval))
 	n.nonces = []nonce{{rng.Uint64() >> 1, now}}
 	return n
 }
@@ -145,8 +145,8 @@
 	return 0
 }
 
-// at returns the state after an entry, or nil if it is not kept.
-func (n *Node) at(seq uint64) *State {
+// stateAt returns the state after an entry, or nil if it is not kept.
+func (n *Node) stateAt(seq uint64) *State {
 	for _, s := range n.states {
 		if s.Seq == seq {
 			return s
@@ -173,7 +173,7 @@
 	n.out = nil
 }
 
-func (n *Node) do(e Effect) { n.out = append(n.out, e) }
+func (n *Node) emit(e Effect) { n.out = append(n.out, e) }
 
 func (n *Node) fire(ev charts.Event) {
 	// The chart declares each of these events, so Fire cannot fail; charts_test and the chart's own check hold that.
@@ -182,11 +182,11 @@
 
 // finish settles what follows from an event and returns the effects.
 func (n *Node) finish() []Effect {
-	n.dropSilent()
+	n.dropUnresponsive()
 	n.editRoster()
 	n.accept()
 	n.advance()
-	n.spread()
+	n.pushHeartbeat()
 	n.acknowledge()
 	n.poll()
 	n.publish()
@@ -211,7 +211,7 @@
 // OnCommitted takes an entry that this node itself has committed in the table.
 func (n *Node) OnCommitted(now time.Time, e *Entry) []Effect {
 	n.begin(now)
-	n.learn([]*Entry{e}, e.GetSeq(), 0)
+	n.merge([]*Entry{e}, e.GetSeq(), 0)
 	return n.finish()
 }
 
@@ -223,12 +223,12 @@
 		// An open circuit fails at once; asking again at once would never end.
 		n.acceptAt = n.now.Add(n.options.HeartbeatInterval/2 + n.jitter(n.options.HeartbeatInterval))
 	}
-	n.learn(nil, 0, seq)
+	n.merge(nil, 0, seq)
 	return n.finish()
 }
 
-// learn takes committed entries, wherever they come from, and stages those that follow what is held.
-func (n *Node) learn(entries []*Entry, committed, accepted uint64) {
+// merge takes committed entries, wherever they come from, and stages those that follow what is held.
+func (n *Node) merge(entries []*Entry, committed, accepted uint64) {
 	before := [3]uint64{n.staged(), n.committed, n.accepted}
 	for _, e := range entries {
 		if len(n.states) > 0 && e.GetSeq() == n.staged()+1 {
@@ -238,7 +238,7 @@
 	n.committed = max(n.committed, committed, n.staged())
 	n.accepted = max(n.accepted, accepted)
 	if before != [3]uint64{n.staged(), n.committed, n.accepted} {
-		n.news = true
+		n.hasUpdate = true
 		n.scheduleAck(n.ackDelay())
 	}
 }
@@ -253,13 +253,13 @@
 	before := n.head().Roster
 	n.states = append(n.states, next)
 	n.log = append(n.log, e)
-	if len(n.log) > logKept {
-		n.log = slices.Clone(n.log[len(n.log)-logKept:])
+	if len(n.log) > maxLogEntries {
+		n.log = slices.Clone(n.log[len(n.log)-maxLogEntries:])
 	}
 	n.fire(evStaged)
-	p := &pending{state: next, since: n.now, held: map[int]time.Time{}, seen: map[int]time.Time{}, edit: e.GetRoster()}
+	p := &pending{state: next, since: n.now, heldSince: map[int]time.Time{}, lastAck: map[int]time.Time{}, edit: e.GetRoster()}
 	if i, ok := next.Roster.index[n.self.GetName()]; ok {
-		p.held[i], p.seen[i] = n.now, n.now
+		p.heldSince[i], p.lastAck[i] = n.now, n.now
 	}
 	for _, name := range e.GetRoster().GetSilent() {
 		if m := before.Member(name); m != nil {
@@ -267,7 +267,7 @@
 		}
 	}
 	for _, m := range e.GetRoster().GetAdd() {
-		n.heard[m.GetName()] = n.now
+		n.lastSeen[m.GetName()] = n.now
 	}
 	n.pending = append(n.pending, p)
 }
@@ -281,7 +281,7 @@
 	n.log = nil
 	n.pending = nil
 	n.committed = max(n.committed, s.Seq)
-	n.news = true
+	n.hasUpdate = true
 	n.scheduleAck(n.ackDelay())
 }
 
@@ -301,10 +301,10 @@
 		return
 	}
 	target := min(n.accepted, n.staged())
-	if n.now.Sub(n.tableBasis) > n.options.ForceAfter {
+	if n.now.Sub(n.tableReadAt) > n.options.ForceAfter {
 		target = n.staged()
 	}
-	if s := n.at(target); s != nil && (n.inForce == nil || s.Seq > n.inForce.Seq) {
+	if s := n.stateAt(target); s != nil && (n.inForce == nil || s.Seq > n.inForce.Seq) {
 		n.putInForce(s)
 	}
 	keep := min(n.inForceSeq(), max(n.accepted, n.states[0].Seq))
@@ -323,8 +323,8 @@
 	if n.inForce == nil || s.Revision() != n.inForce.Revision() {
 		n.floors = append(slices.Clip(n.floors), floor{ids.Revision(s.Revision()), n.now.Add(n.options.ForceAfter)})
 	}
-	if len(n.floors) > floorsKept {
-		n.floors = n.floors[len(n.floors)-floorsKept:]
+	if len(n.floors) > maxFloors {
+		n.floors = n.floors[len(n.floors)-maxFloors:]
 	}
 	n.inForce = s
 	if s.Seq == n.staged() {
@@ -337,42 +337,42 @@
 	if !n.recovered() || !n.isMember() || n.leaving || n.inForce == nil {
 		return time.Time{}
 	}
-	basis := n.tableBasis
+	basis := n.tableReadAt
 	// A majority tells what is held, not what is accepted. While an entry is held but not in force only the table can
 	// tell that it is not accepted yet; else a node that is paused right after could serve without it for ForceAfter longer.
-	if n.vouchBasis.After(basis) && n.inForce.Seq == n.staged() {
-		basis = n.vouchBasis
+	if n.certBasis.After(basis) && n.inForce.Seq == n.staged() {
+		basis = n.certBasis
 	}
 	return basis.Add(n.options.StaleAfter)
 }
 
-// covered takes a moment at which nothing after `seq` was committed, as far as a read of the table tells.
-func (n *Node) covered(basis time.Time, seq uint64) {
+// mergeTableRead takes a moment at which nothing after `seq` was committed, as far as a read of the table tells.
+func (n *Node) mergeTableRead(basis time.Time, seq uint64) {
 	if n.staged() < seq || len(n.states) == 0 {
 		return // the node knows that it lacks something
 	}
-	if basis.After(n.tableBasis) {
-		n.tableBasis = basis
+	if basis.After(n.tableReadAt) {
+		n.tableReadAt = basis
 	}
 	n.recover(basis)
 }
 
-// vouched takes a certificate of a majority.
-func (n *Node) vouched(v vouch) {
+// mergeCert takes a certificate of a majority.
+func (n *Node) mergeCert(v quorumCert) {
 	// Answers come in one by one, so the first certificate of a beat covers less than the last of the beat before;
 	// passed on too early, it would leave the other data centres without one.
-	wider := (v.all || !n.vouch.all) && len(v.centres) >= len(n.vouch.centres)
-	if v.basis.Sub(n.vouch.basis) > n.options.silence() || wider && !v.basis.Before(n.vouch.basis) {
-		n.vouch = v
+	wider := (v.all || !n.newestCert.all) && len(v.centres) >= len(n.newestCert.centres)
+	if v.basis.Sub(n.newestCert.basis) > n.options.parentTimeout() || wider && !v.basis.Before(n.newestCert.basis) {
+		n.newestCert = v
 	}
 	mine := v.all || slices.Contains(v.centres, n.self.GetDataCentre())
 	if !mine || len(n.states) == 0 || n.staged() < v.seq {
 		return
 	}
-	if v.basis.After(n.vouchBasis) {
-		n.vouchBasis = v.basis
+	if v.basis.After(n.certBasis) {
+		n.certBasis = v.basis
 	}
-	n.recover(v.basis.Add(-quarantine))
+	n.recover(v.basis.Add(-restartQuarantine))
 }
 
 // recover ends the time in which a restarted node has forgotten what it acknowledged. Only knowledge from after its
@@ -381,7 +381,7 @@
 // the former life have run out everywhere (quarantine): until then they may be added up with those of nodes that got
 // hold of the entry after they had vouched for this one.
 func (n *Node) recover(basis time.Time) {
-	if basis.Before(n.born) {
+	if basis.Before(n.startedAt) {
 		return
 	}
 	n.fire(evRecovered)
@@ -397,7 +397,7 @@
 	v := &View{
 		InForce:    n.inForce,
 		FreshUntil: until,
-		TableAt:    n.tableBasis,
+		TableAt:    n.tableReadAt,
 		Committed:  n.committed,
 		Accepted:   n.accepted,
 		Staged:     n.staged(),
@@ -409,7 +409,7 @@
 		return
 	}
 	n.view = v
-	n.do(&Publish{v})
+	n.emit(&Publish{v})
 }
 
 func sameView(a, b *View) bool {
--- a/internal/state/revision/node_test.go
+++ b/internal/state/revision/node_test.go
@@ -8,8 +8,8 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// three returns the node of the given name in a data centre of three, with the roster held and accepted at now.
-func three(name string, now time.Time) *Node {
+// threeMemberNode returns the node of the given name in a data centre of three, with the roster held and accepted at now.
+func threeMemberNode(name string, now time.Time) *Node {
 	var self *Member
 	add := &cardamomyokev1.RosterEdit{}
 	for _, m := range []string{"a", "b", "c"} {
@@ -25,7 +25,7 @@
 	return n
 }
 
-func accepts(effects []Effect) bool {
+func hasAccept(effects []Effect) bool {
 	for _, e := range effects {
 		if _, ok := e.(*Accept); ok {
 			return true
@@ -34,8 +34,8 @@
 	return false
 }
 
-// first returns the node that hears from nobody, and the other two.
-func first(now time.Time) (*Node, []string) {
+// originOfThree returns the node that hears from nobody, and the other two.
+func originOfThree(now time.Time) (*Node, []string) {
 	order := NewRoster([]*Member{
 		{Name: "a", DataCentre: "dc"}, {Name: "b", DataCentre: "dc"}, {Name: "c", DataCentre: "dc"},
 	})
@@ -43,10 +43,10 @@
 	for _, i := range order.centres[0].order {
 		names = append(names, order.members[i].GetName())
 	}
-	return three(names[0], now), names[1:]
+	return threeMemberNode(names[0], now), names[1:]
 }
 
-func (n *Node) ackFrom(now time.Time, name string, nonce, staged uint64) []Effect {
+func (n *Node) receiveAckFrom(now time.Time, name string, nonce, staged uint64) []Effect {
 	holds := newBitset(3)
 	holds.set(n.roster().index[name])
 	return n.OnAck(now, &Ack{From: name, Incarnation: name, Nonce: nonce, Staged: staged, Holds: holds, MaxStaged: staged})
@@ -55,17 +55,17 @@
 // Spin's counterexample: a node acknowledges an entry and restarts; it recovers from nodes that do not hold the entry
 // yet; then the last of those acknowledges too. Added up with the old acknowledgement all seem to hold it, but the
 // restarted node and another one could serve without it for ever. So an acknowledgement must be repeated.
-func TestAcknowledgementRunsOut(t *testing.T) {
+func TestAcknowledgementExpires(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, repeated := range []bool{true, false} {
-		n, others := first(start)
+		n, others := originOfThree(start)
 		n.OnCommitted(start, &Entry{Seq: 2})
-		n.ackFrom(start, others[0], 1, 2)
-		late := start.Add(ackKept + time.Second)
+		n.receiveAckFrom(start, others[0], 1, 2)
+		late := start.Add(ackTTL + time.Second)
 		if repeated {
-			n.ackFrom(late, others[0], 2, 2)
+			n.receiveAckFrom(late, others[0], 2, 2)
 		}
-		if got := accepts(n.ackFrom(late, others[1], 1, 2)); got != repeated {
+		if got := hasAccept(n.receiveAckFrom(late, others[1], 1, 2)); got != repeated {
 			t.Errorf("repeated %v: accepted %v", repeated, got)
 		}
 	}
@@ -73,10 +73,10 @@
 
 // The other half of the same case: as long as an acknowledgement of its former life may count, a restarted node takes
 // no majority's word, and is none of those that vouch for others.
-func TestRestartedNodeWaitsForItsOldAcknowledgements(t *testing.T) {
+func TestRestartedNodeWaitsForOldAcknowledgementsToExpire(t *testing.T) {
 	start := time.Unix(1000, 0)
-	donor, _ := first(start)
-	answer := donor.CatchUpAnswer()
+	donor, _ := originOfThree(start)
+	answer := donor.CatchUpResponse()
 	st, err := FromProto(answer.GetState())
 	if err != nil {
 		t.Fatal(err)
@@ -86,10 +86,10 @@
 	for _, tc := range []struct {
 		after time.Duration
 		want  bool
-	}{{time.Second, false}, {quarantine - time.Second, false}, {quarantine + time.Second, true}} {
+	}{{time.Second, false}, {restartQuarantine - time.Second, false}, {restartQuarantine + time.Second, true}} {
 		now := start.Add(tc.after)
 		n.begin(now)
-		n.vouched(vouch{seq: 1, basis: now, all: true})
+		n.mergeCert(quorumCert{seq: 1, basis: now, all: true})
 		n.finish()
 		if got := n.view.InForce != nil && now.Before(n.view.FreshUntil); got != tc.want {
 			t.Errorf("%v after its start: fresh %v", tc.after, got)
--- a/internal/state/revision/options.go
+++ b/internal/state/revision/options.go
@@ -36,34 +36,34 @@
 	return o
 }
 
-// wait is how long after the last acknowledgement a node that is missing has stopped; it is longer than StaleAfter because
+// stopTimeout is how long after the last acknowledgement a node that is missing has stopped; it is longer than StaleAfter because
 // clocks may run at slightly different rates.
-func (o Options) wait() time.Duration { return o.StaleAfter + o.StaleAfter/8 }
+func (o Options) stopTimeout() time.Duration { return o.StaleAfter + o.StaleAfter/8 }
 
-// silence is how long a node may be silent before another is asked in its place.
-func (o Options) silence() time.Duration { return o.HeartbeatInterval * 8 / 5 }
+// parentTimeout is how long a node may be silent before another is asked in its place.
+func (o Options) parentTimeout() time.Duration { return o.HeartbeatInterval * 8 / 5 }
 
-// forget is how long a node that is silent is still sent beats.
-func (o Options) forget() time.Duration { return o.HeartbeatInterval * 16 / 5 }
+// childTimeout is how long a node that is silent is still sent beats.
+func (o Options) childTimeout() time.Duration { return o.HeartbeatInterval * 16 / 5 }
 
 // Times that do not depend on the deployment.
 const (
-	newsPause  = 20 * time.Millisecond  // between two pushes of news
-	ackPause   = 100 * time.Millisecond // between two acknowledgements of one beat
-	ackWait    = 250 * time.Millisecond // for the nodes that hear from this one, before it acknowledges
-	joinPause  = 300 * time.Millisecond // between two tries to find a node to hear from
-	joinWidth  = 2                      // nodes tried at once
-	pollLead   = 200 * time.Millisecond // of the table's read before the beat that carries it
-	readLimit  = 3 * time.Second        // after which a read of the table counts as lost
-	holdsAfter = 700 * time.Millisecond // without acceptance, before the table is used to collect acknowledgements
-	logKept    = 256                    // entries kept for nodes that lack some
-	noncesKept = 64
-	// ackKept is how long an acknowledgement counts that is not repeated with a beat.
-	ackKept = 4 * time.Second
-	// quarantine is how long a restarted node is no part of a majority. It is longer than any acknowledgement of its
+	minPushInterval = 20 * time.Millisecond  // between two pushes of news
+	minAckInterval  = 100 * time.Millisecond // between two acknowledgements of one beat
+	maxAckDelay     = 250 * time.Millisecond // for the nodes that hear from this one, before it acknowledges
+	joinInterval    = 300 * time.Millisecond // between two tries to find a node to hear from
+	joinParallelism = 2                      // nodes tried at once
+	pollLead        = 200 * time.Millisecond // of the table's read before the beat that carries it
+	readTimeout     = 3 * time.Second        // after which a read of the table counts as lost
+	holdsDelay      = 700 * time.Millisecond // without acceptance, before the table is used to collect acknowledgements
+	maxLogEntries   = 256                    // entries kept for nodes that lack some
+	maxNonces       = 64
+	// ackTTL is how long an acknowledgement counts that is not repeated with a beat.
+	ackTTL = 4 * time.Second
+	// restartQuarantine is how long a restarted node is no part of a majority. It is longer than any acknowledgement of its
 	// former life counts: on its way up it lies for the time in which a silent node is forgotten at each of up to seven
 	// nodes, then for ackKept.
-	quarantine = 30 * time.Second
-	floorsKept = 8
-	roundsKept = 4
+	restartQuarantine = 30 * time.Second
+	maxFloors         = 8
+	maxRounds         = 4
 )
--- a/internal/state/revision/roster.go
+++ b/internal/state/revision/roster.go
@@ -98,7 +98,7 @@
 func (r *Roster) parents(name string, fanout int) []string {
 	at, centreAt := r.position(name)
 	if at < 0 {
-		return r.firsts()
+		return r.firstMembers()
 	}
 	var out []string
 	seen := map[int]bool{}
@@ -130,8 +130,8 @@
 	return out
 }
 
-// firsts returns the first members of all data centres, whom a node that is no member may hear from.
-func (r *Roster) firsts() []string {
+// firstMembers returns the first members of all data centres, whom a node that is no member may hear from.
+func (r *Roster) firstMembers() []string {
 	var out []string
 	for _, c := range r.centres {
 		out = append(out, r.members[c.order[0]].GetName())
@@ -157,9 +157,9 @@
 	return 2*total > len(r.members), centres
 }
 
-// excludes reports whether the given members leave too few others for a majority of all, or of a data centre that one
+// excludesMajority reports whether the given members leave too few others for a majority of all, or of a data centre that one
 // of the missing members is in.
-func (r *Roster) excludes(held bitset, missing []*Member) bool {
+func (r *Roster) excludesMajority(held bitset, missing []*Member) bool {
 	total := 0
 	for _, c := range r.centres {
 		n := 0
--- a/internal/state/revision/store/change.go
+++ b/internal/state/revision/store/change.go
@@ -102,16 +102,16 @@
 func (s *Store) propose(ctx context.Context, have *revision.State, meta *cardamomyokev1.ChangeMeta,
 	make func(*revision.State, *cardamomyokev1.Head) (*revision.Entry, error)) (*revision.Entry, error) {
 	var last error
-	for range tries {
+	for range maxAttempts {
 		h, done, err := s.headAndOperation(ctx, meta.GetOperationId())
 		if err != nil {
-			return nil, orUnknown(meta, last, err)
+			return nil, unknownOr(meta, last, err)
 		}
 		if done != nil {
 			return sameChange(done, meta)
 		}
-		if have, err = s.forward(ctx, have, h.Head); err != nil {
-			return nil, orUnknown(meta, last, err)
+		if have, err = s.applyCommitted(ctx, have, h.Head); err != nil {
+			return nil, unknownOr(meta, last, err)
 		}
 		// A refusal here is final, also after a try whose answer was lost: that try names the head's version, so it can
 		// only still be applied on the very state that make accepted then.
@@ -121,19 +121,19 @@
 		}
 		e, err = s.write(ctx, have, h, meta, e)
 		if err == nil {
-			return s.stored(ctx, e, last), nil
+			return s.storedEntry(ctx, e, last), nil
 		}
-		if err != nil && !again(err) {
-			return nil, orUnknown(meta, last, err)
+		if err != nil && !retryable(err) {
+			return nil, unknownOr(meta, last, err)
 		}
 		last = errors.Join(last, err)
 	}
 	return nil, &UnknownError{meta.GetOperationId(), last}
 }
 
-// stored returns the entry as it is in the table. After a try whose answer was lost, that try may be the one that was
+// storedEntry returns the entry as it is in the table. After a try whose answer was lost, that try may be the one that was
 // applied; it differs from the later one in nothing but the time that it is dated with.
-func (s *Store) stored(ctx context.Context, e *revision.Entry, earlier error) *revision.Entry {
+func (s *Store) storedEntry(ctx context.Context, e *revision.Entry, earlier error) *revision.Entry {
 	if earlier == nil {
 		return e
 	}
@@ -158,8 +158,8 @@
 	return h, e, err
 }
 
-// orUnknown returns err, or *UnknownError if an earlier try may have been applied or may still be.
-func orUnknown(meta *cardamomyokev1.ChangeMeta, earlier, err error) error {
+// unknownOr returns err, or *UnknownError if an earlier try may have been applied or may still be.
+func unknownOr(meta *cardamomyokev1.ChangeMeta, earlier, err error) error {
 	var unknown *platform.UnknownOutcomeError
 	if errors.As(earlier, &unknown) {
 		return &UnknownError{meta.GetOperationId(), err}
@@ -174,8 +174,8 @@
 	return e, nil
 }
 
-// forward returns the state at what is committed, from have on.
-func (s *Store) forward(ctx context.Context, have *revision.State, h *cardamomyokev1.Head) (*revision.State, error) {
+// applyCommitted returns the state at what is committed, from have on.
+func (s *Store) applyCommitted(ctx context.Context, have *revision.State, h *cardamomyokev1.Head) (*revision.State, error) {
 	if have == nil {
 		have = revision.Empty()
 	}
@@ -271,7 +271,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return s.forward(ctx, have, h.Head)
+	return s.applyCommitted(ctx, have, h.Head)
 }
 
 // Before returns up to limit entries before a number, newest first; 0 starts with the newest.
--- a/internal/state/revision/store/store.go
+++ b/internal/state/revision/store/store.go
@@ -30,7 +30,7 @@
 
 	pageSize           = 500
 	checkpointInterval = 64
-	tries              = 20
+	maxAttempts        = 20
 )
 
 // Platform is what the store needs of the platform.
@@ -179,7 +179,7 @@
 // Accept writes that the entry of st is accepted, unless a later one is, and returns the newest that is.
 func (s *Store) Accept(ctx context.Context, st *revision.State) (uint64, error) {
 	var last error
-	for range tries {
+	for range maxAttempts {
 		h, err := s.head(ctx)
 		if err != nil {
 			return 0, err
@@ -188,22 +188,22 @@
 			return h.GetAccepted(), nil
 		}
 		h.Accepted = st.Seq
-		if st.Seq-h.GetCheckpoint() >= checkpointInterval && s.keep(ctx, st) == nil {
+		if st.Seq-h.GetCheckpoint() >= checkpointInterval && s.writeCheckpoint(ctx, st) == nil {
 			h.Checkpoint = st.Seq
 		}
 		_, last = s.commit(ctx, ids.NewOperation(), h, nil)
 		if last == nil {
 			return st.Seq, nil
 		}
-		if !again(last) {
+		if !retryable(last) {
 			return 0, last
 		}
 	}
 	return 0, last
 }
 
-// keep writes a checkpoint. One that is there already was made from the same log.
-func (s *Store) keep(ctx context.Context, st *revision.State) error {
+// writeCheckpoint writes a checkpoint. One that is there already was made from the same log.
+func (s *Store) writeCheckpoint(ctx context.Context, st *revision.State) error {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(st.Proto())
 	if err != nil {
 		return &CorruptError{stateName(st.Seq), err}
@@ -228,8 +228,8 @@
 	return s.platform.Commit(ctx, t)
 }
 
-// again reports whether a write may be tried once more after reading the head anew.
-func again(err error) bool {
+// retryable reports whether a write may be tried once more after reading the head anew.
+func retryable(err error) bool {
 	var conflict *platform.ConflictError
 	var unknown *platform.UnknownOutcomeError
 	return errors.As(err, &conflict) || errors.As(err, &unknown)
