--- a/internal/state/revision/accept.go
+++ b/internal/state/revision/accept.go
@@ -11,19 +11,20 @@
 type pending struct {
 	state *State
 	since time.Time
-	// heldSince says since when this node knows that a member, by index, holds the entry, and seen when it last heard so.
+	// heldSince holds, by member index, since when this node has known that the member holds the entry. lastAck holds when
+	// that was last reported.
 	heldSince map[int]time.Time
 	lastAck   map[int]time.Time
 	// edit is the entry's change of the roster, or nil.
 	edit *cardamomyokev1.RosterEdit
-	// silent are members that the entry removes only because they were silent. One that reaches the table but no node
-	// is alive: it serves until it reads of its removal.
+	// silent lists the members that the entry removes only because they were unresponsive. A member that reaches the table
+	// but no other node is alive, and serves until it reads of its removal.
 	silent []*Member
 }
 
-// holders returns the members that held the entry at the time `since`, and still did not long before now. An
-// acknowledgement counts for ackKept only: a member that restarts after it has forgotten the entry, and if several do so
-// before the rest has got hold of it, they could form a majority that never hears of it.
+// holders returns the members that held the entry at the time since and have acknowledged it again within the last ackTTL.
+// An older acknowledgement does not count, because a member that restarts after it has lost the entry. If several members
+// restart before the rest receive the entry, they could form a majority that never learns of it.
 func (p *pending) holders(since, now time.Time) bitset {
 	out := newBitset(len(p.state.Roster.members))
 	for i, first := range p.heldSince {
@@ -34,8 +35,8 @@
 	return out
 }
 
-// recordHolders notes which members hold the entry seq, and with it all entries before.
-func (n *Node) recordHolders(held bitset, seq uint64, now time.Time) {
+// recordHolders records which members hold entry seq and therefore all earlier entries.
+func (n *Node) recordHolders(holders bitset, seq uint64, now time.Time) {
 	s := n.stateAt(seq)
 	if s == nil {
 		return
@@ -44,7 +45,7 @@
 		if p.state.Seq > seq {
 			continue
 		}
-		bits := translate(held, s.Roster, p.state.Roster)
+		bits := translate(holders, s.Roster, p.state.Roster)
 		for i := range p.state.Roster.members {
 			if !bits.has(i) {
 				continue
@@ -58,8 +59,8 @@
 	}
 }
 
-// accept has the newest entry that may be accepted written so. Only a node that hears from nobody does this, as it is
-// the one that the acknowledgements reach.
+// accept emits the effect that marks the newest acceptable entry as accepted in the table. Only an origin does this, since
+// the acknowledgements arrive there.
 func (n *Node) accept() {
 	if !n.isOrigin() || n.now.Before(n.acceptAt) || n.oldestPending() == nil {
 		return
@@ -81,13 +82,13 @@
 	n.publishHolds()
 }
 
-// acceptable reports whether no node can act on what was before the entry, now or later.
+// acceptable reports whether no node can act on the state before the entry, now or later.
 //
-// Each member that holds the entry puts it in force in time by itself. A member that is missing has stopped if it
-// cannot be fresh: a read of the table, begun after the entry was committed, would have shown the entry to it; and a
-// majority without it is impossible if the members that hold the entry leave too few others, in each roster that the
-// missing one may go by. What it knew before that has run out once StaleAfter has passed since the last of them got hold
-// of the entry.
+// Each member that holds the entry puts it in force in time by itself. A missing member (one that may not hold the entry)
+// has stopped if nothing can have kept it fresh. A read of the table that began after the commit would have shown it the
+// entry. A majority without the entry is impossible if the members that hold it leave too few others, in each roster that
+// the missing member may use. Any older basis of its freshness has expired once stopTimeout, which exceeds StaleAfter, has
+// passed since the last of those members received the entry.
 func (n *Node) acceptable(p *pending) bool {
 	missing := n.missingFor(p)
 	if len(missing) == 0 {
@@ -97,14 +98,14 @@
 		return false
 	}
 	held := p.holders(n.now.Add(-n.options.stopTimeout()), n.now)
-	gone := n.removedNames()
+	removed := n.removedNames()
 	for _, s := range n.states {
 		if s.Seq > p.state.Seq {
 			break
 		}
 		bits := translate(held, p.state.Roster, s.Roster)
 		for i, m := range s.Roster.members {
-			if gone[m.GetName()] {
+			if removed[m.GetName()] {
 				bits.set(i)
 			}
 		}
@@ -115,9 +116,9 @@
 	return true
 }
 
-// removedNames returns the nodes that are known to have ended, since they left or are said to be gone. None of them can
-// vouch for a node that is missing. A later life of one counts too: it is no member in its own eyes before it holds the
-// entry that adds it again.
+// removedNames returns the nodes known to be dead: pending entries remove them because they left or were reported dead by
+// an operator or the host list. None of them can be part of a majority that keeps a missing node fresh. This includes a
+// later incarnation of such a node, which does not act as a member before it holds the entry that adds it again.
 func (n *Node) removedNames() map[string]bool {
 	out := map[string]bool{}
 	for _, p := range n.pending {
@@ -128,14 +129,14 @@
 	return out
 }
 
-// missingFor returns the nodes that may not hold the entry and may not have been told to stop: members that have not
-// acknowledged it, and those that it or an entry before it, not accepted yet, removes for their silence.
+// missingFor returns the nodes that may neither hold the entry nor be aware that they must stop: members that have not
+// acknowledged it, and nodes that were unresponsive and are removed for that by this or an earlier pending entry.
 func (n *Node) missingFor(p *pending) []*Member {
-	gone := n.removedNames()
+	removed := n.removedNames()
 	var out []*Member
 	held := p.holders(n.now, n.now)
 	for i, m := range p.state.Roster.members {
-		if !held.has(i) && !gone[m.GetName()] {
+		if !held.has(i) && !removed[m.GetName()] {
 			out = append(out, m)
 		}
 	}
@@ -144,7 +145,7 @@
 			break
 		}
 		for _, m := range before.silent {
-			if !gone[m.GetName()] && !n.addedAfter(i, m.GetName()) {
+			if !removed[m.GetName()] && !n.addedAfter(i, m.GetName()) {
 				out = append(out, m)
 			}
 		}
@@ -152,8 +153,8 @@
 	return out
 }
 
-// addedAfter reports whether a node that was removed for its silence has become a member again: it asked for that
-// because it had read of its removal.
+// addedAfter reports whether an unresponsive node that pending entry i removed has become a member again. It requested
+// that because it had read of its removal.
 func (n *Node) addedAfter(i int, name string) bool {
 	for _, p := range n.pending[i:] {
 		for _, m := range p.edit.GetAdd() {
@@ -165,7 +166,7 @@
 	return false
 }
 
-// publishHolds uses the table to put together the acknowledgements of nodes that do not reach each other.
+// publishHolds writes the known holders to the table, to combine the acknowledgements of nodes that do not reach each other.
 func (n *Node) publishHolds() {
 	p := n.oldestPending()
 	if p == nil || n.now.Sub(p.since) < holdsDelay || n.now.Sub(n.holdsWrittenAt) < n.options.HeartbeatInterval*3/2 {
@@ -177,13 +178,13 @@
 	n.emit(&WriteHolds{&cardamomyokev1.Holds{Seq: n.staged(), Holds: held, From: n.incarnation, Count: n.holdsCount}})
 }
 
-// mergeHolds credits what other nodes wrote in the table since the last read.
+// mergeHolds records the holders that other nodes have written to the table since the last read.
 func (n *Node) mergeHolds(rows []*cardamomyokev1.Holds) {
 	for _, h := range rows {
 		last, known := n.holdsCounts[h.GetFrom()]
 		if !known || last == h.GetCount() {
 			n.holdsCounts[h.GetFrom()] = h.GetCount()
-			continue // it may be old: only a change shows that it is not
+			continue // the row may be old; only a changed count proves that it is not
 		}
 		n.holdsCounts[h.GetFrom()] = h.GetCount()
 		n.recordHolders(bitset(h.GetHolds()), h.GetSeq(), n.now)
@@ -199,8 +200,7 @@
 	return nil
 }
 
-// missingBits returns the nodes that hold acceptance back, for the nodes that hear from this one: members as bits,
-// others by name.
+// missingBits returns the nodes that acceptance waits for, as sent to the children: members as bits, others by name.
 func (n *Node) missingBits() ([]byte, []string) {
 	names := n.pendingNames()
 	if len(names) == 0 {
@@ -219,7 +219,7 @@
 	return out, others
 }
 
-// pendingNames returns the nodes that hold acceptance back, as far as this node knows.
+// pendingNames returns the nodes that acceptance waits for, as far as this node is aware.
 func (n *Node) pendingNames() []string {
 	if n.staged() <= n.accepted || len(n.pending) == 0 {
 		return nil
--- a/internal/state/revision/ack.go
+++ b/internal/state/revision/ack.go
@@ -10,7 +10,7 @@
 	return &cardamomyokev1.Vouch{Seq: v.seq, AgeUs: ageOf(now, v.basis), All: v.all, DataCentres: v.centres}
 }
 
-// OnAck takes the answer of a node that hears from this one, or wants to.
+// OnAck processes the acknowledgement of a child, or of a node that wants to become one.
 func (n *Node) OnAck(now time.Time, m *Ack) []Effect {
 	n.begin(now)
 	if m.GetFrom() == n.self.GetName() || len(n.states) == 0 || n.roster().before(m.GetFrom(), n.self.GetName()) {
@@ -23,7 +23,7 @@
 		known = false
 	}
 	if m.GetNonce() <= c.nonce {
-		return n.finish() // overtaken on its way
+		return n.finish() // a later acknowledgement arrived first
 	}
 	n.updateChild(c, m)
 	n.merge(m.GetEntries(), m.GetCommitted(), 0)
@@ -42,7 +42,7 @@
 	if member := n.roster().Member(m.GetFrom()); member != nil {
 		dc = member.GetDataCentre()
 	}
-	// The address comes from the node itself, since it may have moved while the table is down.
+	// The address is taken from the message, since the node may have moved while the table is down.
 	c.member = &Member{Name: m.GetFrom(), DataCentre: dc, Address: m.GetAddress()}
 	c.seenAt = n.now
 	c.nonce, c.nonceAt = m.GetNonce(), n.now
@@ -50,7 +50,7 @@
 	c.holds = bitset(m.GetHolds())
 }
 
-// recordReply adds the nodes that m speaks for to the beat that it answers.
+// recordReply adds the nodes that m covers to the round of the heartbeat that it answers.
 func (n *Node) recordReply(m *Ack) {
 	s := n.stateAt(m.GetStaged())
 	for _, r := range n.rounds {
@@ -67,8 +67,8 @@
 	n.scheduleAck(n.ackDelay())
 }
 
-// certify certifies that a majority answered a beat that started here. A node that restarted and has not recovered does
-// not count: it has forgotten what it holds.
+// certify creates a certificate if a majority answered a heartbeat that started here. A node that restarted and has not
+// recovered does not count itself, because it has lost its record of the entries that it acknowledged.
 func (n *Node) certify(r *round) {
 	if r.origin != n.incarnation || r.roster != n.roster() {
 		return
@@ -90,7 +90,7 @@
 	r.maxStaged = max(r.maxStaged, n.staged())
 }
 
-// ackDelay is how long an acknowledgement waits for the nodes that hear from this one.
+// ackDelay returns how long an acknowledgement waits for those of the children.
 func (n *Node) ackDelay() time.Duration {
 	if n.staged() > n.parentStaged {
 		return 0
@@ -104,16 +104,17 @@
 	return 0
 }
 
-// scheduleAck plans an acknowledgement; an earlier plan stays.
-func (n *Node) scheduleAck(wait time.Duration) {
-	at := n.now.Add(wait)
+// scheduleAck schedules an acknowledgement after delay, unless an earlier one is scheduled.
+func (n *Node) scheduleAck(delay time.Duration) {
+	at := n.now.Add(delay)
 	if n.ackAt.IsZero() || at.Before(n.ackAt) {
 		n.ackAt = at
 	}
 }
 
-// acknowledge sends a planned acknowledgement. What the parent lacks goes at once; the rest is held back a little, so
-// that one message speaks for many nodes.
+// acknowledge sends a scheduled acknowledgement that is due. Entries that the parent lacks and the first answer to a
+// heartbeat are sent immediately; other acknowledgements are spaced by minAckInterval, so that one message covers many
+// nodes.
 func (n *Node) acknowledge() {
 	if n.ackAt.IsZero() || n.parent == "" || n.now.Before(n.ackAt) {
 		return
@@ -154,8 +155,7 @@
 	n.emit(&SendAck{member, m})
 }
 
-// holds returns the members known to hold the newest entry that this node holds: itself and those that its children
-// speak for.
+// holds returns the members known to hold the newest entry that this node holds: itself and those that its children report.
 func (n *Node) holds() bitset {
 	r := n.roster()
 	out := newBitset(len(r.members))
--- a/internal/state/revision/agent/agent.go
+++ b/internal/state/revision/agent/agent.go
@@ -1,7 +1,7 @@
 // Package agent runs a revision.Node in a process: it carries out the node's effects against the platform and the other
-// nodes, and publishes the node's views to traffic.
+// nodes, and publishes the node's views to request handlers.
 //
-// Wiring, in an entry and a slot alike:
+// An entry and a slot wire it in the same way:
 //
 //	a := agent.New(agent.Config{Self: member, Incarnation: inc, Seeds: peers, Platform: client, Transport: agent.NewRPC(), Loop: loop, ...})
 //	mux.Handle(agent.Handler(a))          // revision service, on the address that member names
@@ -9,8 +9,8 @@
 //	v := a.View()                          // for each request: v.Fresh(now), v.Current(), v.Admits(rev, now)
 //	a.Leave(ctx)                           // last step of a graceful shutdown, when nothing is in flight
 //
-// All state of the node is touched on the control loop only; everything that waits runs on goroutines of its own and
-// posts what came of it.
+// The node's state is accessed only on the control loop. Blocking calls run on their own goroutines and post their results
+// to the loop.
 package agent
 
 import (
@@ -37,31 +37,31 @@
 	sendTimeout   = 2 * time.Second
 	fetchTimeout  = 10 * time.Second
 	hostsInterval = 10 * time.Second
-	// maxSendsPerNode bounds the messages under way to one node, so that a silent one costs a few goroutines, not many.
+	// maxSendsPerNode limits the messages in flight to one node, so that an unresponsive node occupies few goroutines.
 	maxSendsPerNode = 4
 )
 
-// Transport carries messages to other nodes.
+// Transport sends messages to other nodes.
 type Transport interface {
 	Push(ctx context.Context, to *revision.Member, m *revision.Push) error
 	Acknowledge(ctx context.Context, to *revision.Member, m *revision.Ack) error
 	CatchUp(ctx context.Context, to *revision.Member) (*cardamomyokev1.CatchUpResponse, error)
 }
 
-// Config is what an agent is built from.
+// Config configures an Agent.
 type Config struct {
 	Self        *revision.Member
 	Incarnation ids.Incarnation
-	// Seeds are other nodes, from the settings, to ask while the table is down.
+	// Seeds are nodes from the settings, one of which provides the state at start while the table is down.
 	Seeds     []*revision.Member
 	Options   revision.Options
 	Platform  store.Platform
-	Hosts     platform.HostList // nil: the host list is not asked
+	Hosts     platform.HostList // nil if no host list is read
 	Transport Transport
 	Loop      *control.Loop
 	Rand      *rand.Rand
 	Logger    log.Logger
-	// Clock is time.Now, or nil for that.
+	// Clock returns the current time; nil means time.Now.
 	Clock func() time.Time
 }
 
@@ -69,9 +69,9 @@
 type Agent struct {
 	config      Config
 	store       *store.Store
-	node        *revision.Node // on the loop only
+	node        *revision.Node // accessed on the loop only
 	view        atomic.Pointer[revision.View]
-	hostsReadAt time.Time // on the loop only
+	hostsReadAt time.Time // accessed on the loop only
 	ctx         context.Context
 	cancel      context.CancelFunc
 
@@ -80,7 +80,7 @@
 	sending map[string]int
 }
 
-// New returns an agent; it works while its loop runs, until Close.
+// New returns an agent. It works while its loop runs, until Close is called.
 func New(c Config) *Agent {
 	if c.Clock == nil {
 		c.Clock = time.Now
@@ -100,7 +100,7 @@
 	return a
 }
 
-// Close gives up what is under way.
+// Close cancels the calls in flight.
 func (a *Agent) Close() { a.cancel() }
 
 // View returns the newest view; it is never nil.
@@ -112,10 +112,10 @@
 // Fresh reports whether this node may take new work at the given time.
 func (a *Agent) Fresh(now time.Time) bool { return a.View().Fresh(now) }
 
-// Admits reports whether work that was decided on the given revision may start here.
+// Admits reports whether work that was decided on revision r may start here.
 func (a *Agent) Admits(r ids.Revision, now time.Time) bool { return a.View().Admits(r, now) }
 
-// Store returns the log.
+// Store returns the store of the log.
 func (a *Agent) Store() *store.Store { return a.store }
 
 // Changed returns a channel that is closed when the next view is published.
@@ -125,7 +125,7 @@
 	return a.changed
 }
 
-// Tick lets time pass; the control loop calls it.
+// Tick advances the node to now; the control loop calls it.
 func (a *Agent) Tick(now time.Time) {
 	a.execute(a.node.Tick(now))
 	if a.config.Hosts != nil && now.Sub(a.hostsReadAt) >= hostsInterval {
@@ -138,26 +138,26 @@
 	a.config.Loop.Post(func(now time.Time) { a.execute(f(now)) })
 }
 
-// ReceivePush takes a beat from another node.
+// ReceivePush processes a heartbeat from another node.
 func (a *Agent) ReceivePush(m *revision.Push) {
 	a.post(func(now time.Time) []revision.Effect { return a.node.OnPush(now, m) })
 }
 
-// ReceiveAck takes an acknowledgement from another node.
+// ReceiveAck processes an acknowledgement from another node.
 func (a *Agent) ReceiveAck(m *revision.Ack) {
 	a.post(func(now time.Time) []revision.Effect { return a.node.OnAck(now, m) })
 }
 
-// NotReadyError says that this node has no state to give.
+// NotReadyError reports that a node has no configuration in force yet.
 type NotReadyError struct{ Node string }
 
 // Error implements error.
 func (e *NotReadyError) Error() string { return e.Node + " holds no configuration yet" }
 
-// HandleCatchUp returns the whole state for another node. Errors: *NotReadyError, the context's.
+// HandleCatchUp returns the full state for another node. Errors: *NotReadyError and those of ctx.
 func (a *Agent) HandleCatchUp(ctx context.Context) (*cardamomyokev1.CatchUpResponse, error) {
 	out := make(chan *cardamomyokev1.CatchUpResponse, 1)
-	a.config.Loop.Post(func(time.Time) { out <- a.node.CatchUpResponse() })
+	a.config.Loop.Post(func(time.Time) { out <- a.node.CatchUpReply() })
 	select {
 	case r := <-out:
 		if r == nil {
@@ -169,7 +169,7 @@
 	}
 }
 
-// Change commits an operator's change; see store.Change. It returns before the entry is accepted: see Wait.
+// Change commits an operator's change; see store.Store.Change. It returns before the entry is accepted; see Wait.
 func (a *Agent) Change(ctx context.Context, meta *cardamomyokev1.ChangeMeta, build store.Build) (*revision.Entry, error) {
 	e, err := a.store.Change(ctx, a.View().Newest, meta, build)
 	if err == nil {
@@ -178,7 +178,7 @@
 	return e, err
 }
 
-// RemoveMembers commits the removal of nodes that an operator names as gone.
+// RemoveMembers commits the removal of nodes that an operator has declared dead.
 func (a *Agent) RemoveMembers(ctx context.Context, meta *cardamomyokev1.ChangeMeta, names []string) (*revision.Entry, error) {
 	e, err := a.store.EditRoster(ctx, a.View().Newest, &cardamomyokev1.RosterEdit{Remove: names}, meta)
 	if err == nil {
@@ -191,7 +191,7 @@
 	a.post(func(now time.Time) []revision.Effect { return a.node.OnCommitted(now, e) })
 }
 
-// Wait returns the first view in which the entry is accepted, or the newest one when ctx ends.
+// Wait returns the first view in which entry seq is accepted, or the newest view when ctx is done.
 func (a *Agent) Wait(ctx context.Context, seq uint64) *revision.View {
 	for {
 		changed := a.Changed()
@@ -207,8 +207,8 @@
 	}
 }
 
-// Leave has this node removed from the roster and returns when that is committed, or when ctx ends: then others find
-// out by its silence. New work is refused from the start.
+// Leave removes this node from the roster and returns when the removal is committed or ctx is done. In the second case
+// other nodes only notice that this node is unresponsive. New work is refused from the start.
 func (a *Agent) Leave(ctx context.Context) {
 	a.post(a.node.Leave)
 	for {
@@ -233,7 +233,7 @@
 	a.changed = make(chan struct{})
 }
 
-// execute carries out effects; it does not wait for any of them.
+// execute starts the effects without waiting for them.
 func (a *Agent) execute(effects []revision.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -257,9 +257,9 @@
 	}
 }
 
-// send hands a message to the transport; a message too many to a node that does not take them is dropped, as the
-// network might.
-func (a *Agent) send(to *revision.Member, do func(context.Context) error) {
+// send starts a goroutine that sends a message. If maxSendsPerNode messages to the node are in flight, it drops the message,
+// as a network may.
+func (a *Agent) send(to *revision.Member, deliver func(context.Context) error) {
 	if !a.acquireSend(to.GetName()) {
 		return
 	}
@@ -267,8 +267,8 @@
 		defer a.releaseSend(to.GetName())
 		ctx, cancel := context.WithTimeout(a.ctx, sendTimeout)
 		defer cancel()
-		if err := do(ctx); err != nil {
-			_ = level.Debug(a.config.Logger).Log("msg", "message lost", "to", to.GetName(), "err", err)
+		if err := deliver(ctx); err != nil {
+			_ = level.Debug(a.config.Logger).Log("msg", "cannot send message", "to", to.GetName(), "err", err)
 		}
 	}()
 }
@@ -293,11 +293,11 @@
 }
 
 func (a *Agent) readHead(e *revision.ReadHead) {
-	limit := tableTimeout
+	timeout := tableTimeout
 	if e.Full {
-		limit = fetchTimeout
+		timeout = fetchTimeout
 	}
-	ctx, cancel := context.WithTimeout(a.ctx, limit)
+	ctx, cancel := context.WithTimeout(a.ctx, timeout)
 	defer cancel()
 	rd := a.store.ReadHead(ctx, e.After, e.Full, e.Holds)
 	a.post(func(now time.Time) []revision.Effect { return a.node.OnHead(now, rd) })
@@ -308,7 +308,7 @@
 	defer cancel()
 	seq, err := a.store.Accept(ctx, e.State)
 	if err != nil {
-		_ = level.Warn(a.config.Logger).Log("msg", "cannot write that an entry is accepted", "seq", e.State.Seq, "err", err)
+		_ = level.Warn(a.config.Logger).Log("msg", "cannot mark an entry as accepted", "seq", e.State.Seq, "err", err)
 	}
 	a.post(func(now time.Time) []revision.Effect { return a.node.OnAccepted(now, seq) })
 }
@@ -353,7 +353,7 @@
 	defer cancel()
 	hosts, _, err := a.config.Hosts.Hosts(ctx)
 	if err != nil {
-		return // its silence proves nothing
+		return // a missing response is no evidence about any host
 	}
 	a.post(func(now time.Time) []revision.Effect { return a.node.OnHosts(now, hosts) })
 }
--- a/internal/state/revision/agent/agent_test.go
+++ b/internal/state/revision/agent/agent_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// A change must be accepted within a second while all nodes and the table are healthy, and be in force on every node.
 func TestChangeIsInForceOnAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
--- a/internal/state/revision/agent/cluster_test.go
+++ b/internal/state/revision/agent/cluster_test.go
@@ -20,7 +20,7 @@
 const (
 	tick       = 50 * time.Millisecond
 	staleAfter = 4 * time.Second
-	// hostLag is how far the host list lags behind.
+	// hostLag is the delay after which the host list shows a change.
 	hostLag = 20 * time.Second
 )
 
@@ -32,11 +32,11 @@
 	cancel context.CancelFunc
 	done   chan struct{}
 	paused chan chan struct{}
-	// resumesBy is when a pause is over for certain.
+	// resumesBy is the time by which the latest pause has certainly ended.
 	resumesBy time.Time
 }
 
-// cluster runs agents over a stand-in of the platform, within a synctest bubble.
+// cluster runs agents against a stand-in of the platform, within a synctest bubble.
 type cluster struct {
 	t          *testing.T
 	store      *standin.Store
@@ -61,7 +61,7 @@
 	return c
 }
 
-// dataCentre reads it from a node's name, such as "a-3".
+// dataCentre returns the data centre in a node's name: "a" for "a-3".
 func dataCentre(name string) string { return name[:1] }
 
 func (c *cluster) describe(name string) *revision.Member {
@@ -119,7 +119,7 @@
 	c.updateHostList()
 }
 
-// updateHostList makes the host list show the processes as they are now, hostLag later.
+// updateHostList makes the host list contain the current processes after hostLag.
 func (c *cluster) updateHostList() {
 	var hosts []platform.Host
 	for name := range c.members {
@@ -132,25 +132,25 @@
 	for name := range c.members {
 		c.kill(name)
 	}
-	time.Sleep(time.Minute) // lets messages and late writes that are under way end
+	time.Sleep(time.Minute) // lets messages and late writes in flight finish
 }
 
-// pause stops a node's control loop; its process still answers with the views that it has.
+// pause pauses a node's control loop; the process still serves its current view.
 func (m *member) pause() (resume func()) {
 	ch := make(chan struct{})
 	m.paused <- ch
 	return func() { close(ch) }
 }
 
-// partition cuts the named nodes off from the others and, if table is set, from the platform.
+// partition separates the named nodes from the others and, if table is set, from the platform.
 func (c *cluster) partition(table bool, names ...string) {
-	in := map[string]bool{}
+	inside := map[string]bool{}
 	for _, name := range names {
-		in[name] = true
+		inside[name] = true
 	}
-	c.net.Partition(func(from, to string) bool { return in[from] != in[to] })
+	c.net.Partition(func(from, to string) bool { return inside[from] != inside[to] })
 	for name, m := range c.members {
-		m.table.SetCut(table && in[name])
+		m.table.SetCut(table && inside[name])
 	}
 }
 
@@ -161,7 +161,7 @@
 	return &cardamomyokev1.ChangeMeta{Operator: "op", Reason: "test", OperationId: fmt.Sprintf("op-%d", c.operations), BaseRevision: base}
 }
 
-// change commits a new keep time for addresses, which is the simplest change there is.
+// change commits a new value of address_keep_ms, the simplest possible change.
 func (c *cluster) change(at string, base uint64) *revision.Entry {
 	c.t.Helper()
 	e, err := c.members[at].agent.Change(context.Background(), c.meta(base), addressTTLEdit(1000+uint32(base)))
@@ -181,7 +181,7 @@
 	}
 }
 
-// accepted waits for acceptance as seen at a node and returns how long it took.
+// accepted waits until the node `at` learns that e is accepted, and returns how long that took.
 func (c *cluster) accepted(at string, e *revision.Entry, limit time.Duration) time.Duration {
 	c.t.Helper()
 	start := time.Now()
@@ -194,8 +194,7 @@
 	return time.Since(start)
 }
 
-// wantInForce checks that each node that takes new work does so on at least the given revision, once the bound for an
-// accepted entry has passed.
+// wantInForce checks that, once staleAfter has passed, every node that takes new work has at least revision rev in force.
 func (c *cluster) wantInForce(rev uint64) {
 	c.t.Helper()
 	time.Sleep(staleAfter)
--- a/internal/state/revision/agent/failure_test.go
+++ b/internal/state/revision/agent/failure_test.go
@@ -16,7 +16,8 @@
 
 const (
 	settleTime = 10 * time.Second
-	// deadLimit bounds acceptance while nodes are dead or isolated: StaleAfter, an eighth for clocks, and some beats.
+	// deadLimit is the maximum time until acceptance while nodes are dead or isolated: StaleAfter, an eighth of it for
+	// differing clock rates, and some heartbeats.
 	deadLimit = 7 * time.Second
 )
 
@@ -31,9 +32,9 @@
 	})
 }
 
-// Operators see a change pending for about five seconds, then accepted; callers of the isolated host are refused as
-// "not run" after four. The host reaches neither the table nor any node, so it cannot hear of the change, and must have
-// stopped before the change counts as accepted.
+// One host reaches neither the table nor any node, so it cannot learn of a change and must have stopped before the change
+// is accepted. Operators see the change pending for about five seconds, then accepted; the isolated host refuses its
+// callers as "not run" after four seconds.
 func TestIsolatedHostOnlyDelaysAcceptance(t *testing.T) {
 	runCluster(t, 2, 3, func(c *cluster) {
 		c.partition(true, "b-1")
@@ -52,8 +53,8 @@
 	})
 }
 
-// A rack of two of five hosts fails at once: too few for a majority of their data centre, so they stop even if they
-// still reach each other, and acceptance waits for seconds only.
+// A rack with two of the five hosts of a data centre fails. Two are no majority of their data centre, so they stop even if
+// they still reach each other, and acceptance is delayed by seconds only.
 func TestFailedRackOnlyDelaysAcceptance(t *testing.T) {
 	runCluster(t, 3, 5, func(c *cluster) {
 		c.partition(true, "b-1", "b-2")
@@ -62,36 +63,36 @@
 	})
 }
 
-// A data centre is cut off from the table and all others, but alive: its callers are served all the time, on the
-// configuration that was accepted. Operators see the change pending with its nodes. When the data centre is back, the
-// change is accepted at once.
+// A live data centre is partitioned from the table and all other data centres. It serves its callers all the time, on the
+// accepted configuration, and operators see the change pending on its nodes. After the partition the change is accepted
+// within seconds.
 func TestPartitionedDataCentreDelaysAcceptance(t *testing.T) {
 	runCluster(t, 4, 3, func(c *cluster) {
-		cut := c.names("b")
-		c.partition(true, cut...)
+		isolated := c.names("b")
+		c.partition(true, isolated...)
 		e := c.change("a-0", 1)
 		for range 30 {
 			time.Sleep(time.Second)
-			c.wantFresh(true, cut...)
+			c.wantFresh(true, isolated...)
 		}
 		v := c.members["a-0"].agent.View()
 		if v.Accepted >= e.GetSeq() || v.InForce.Revision() != 1 {
-			t.Fatalf("accepted without the part that was cut off: %+v", v)
+			t.Fatalf("accepted without the partitioned data centre: %+v", v)
 		}
-		slices.Sort(cut)
-		if diff := cmp.Diff(cut, v.Pending); diff != "" {
+		slices.Sort(isolated)
+		if diff := cmp.Diff(isolated, v.Pending); diff != "" {
 			t.Fatal(diff)
 		}
 		c.healPartition()
 		c.accepted("a-0", e, 5*time.Second)
 		time.Sleep(3 * time.Second)
 		c.wantInForce(2)
-		c.wantFresh(true, cut...)
+		c.wantFresh(true, isolated...)
 	})
 }
 
-// The operator sees a change accepted within seconds although a data centre reaches no other: all reach the table, so
-// the acknowledgements meet there.
+// A data centre reaches no other one, but all reach the table, through which their acknowledgements are combined. A change
+// is accepted within seconds.
 func TestAcknowledgementsAreCombinedThroughTheTable(t *testing.T) {
 	runCluster(t, 5, 3, func(c *cluster) {
 		c.partition(false, c.names("b")...)
@@ -102,7 +103,8 @@
 	})
 }
 
-// Callers are served through an outage of the table of an hour. An operator's change is refused, and works afterwards.
+// During a table outage of an hour, callers are served. An operator's change is refused during the outage and accepted after
+// it.
 func TestTableOutageDoesNotStopTraffic(t *testing.T) {
 	runCluster(t, 6, 3, func(c *cluster) {
 		c.store.SetFaults(standin.PartTable, standin.Faults{Outage: true})
@@ -123,8 +125,8 @@
 	})
 }
 
-// All nodes are restarted one after the other during an outage. Each takes what a majority holds before it serves, so
-// no caller is served on an older configuration than before, and the others serve on.
+// All nodes are restarted one after the other during a table outage. Each adopts the state that a majority holds before it
+// serves, so no caller is served on an older configuration than before.
 func TestRollingRestartDuringOutageKeepsRevision(t *testing.T) {
 	runCluster(t, 7, 3, func(c *cluster) {
 		c.store.SetFaults(standin.PartTable, standin.Faults{Outage: true})
@@ -133,7 +135,7 @@
 			c.kill(name)
 			c.start(name, "a-0", "b-0", "c-0")
 			time.Sleep(settleTime)
-			c.wantFresh(false, name) // acknowledgements of its former life may still count
+			c.wantFresh(false, name) // acknowledgements of its previous incarnation may still count
 			time.Sleep(3 * settleTime)
 			c.wantFresh(true, name)
 			c.wantInForce(1)
@@ -141,8 +143,8 @@
 	})
 }
 
-// All nodes restart at the same moment during an outage: nobody knows what is in force, so every request is refused as
-// "not run" until the table is back. Serving on an old configuration would be worse than not serving.
+// All nodes restart at the same moment during a table outage, so no node knows which configuration is in force. Every
+// request is refused as "not run" until the table is back; serving on an old configuration would be worse.
 func TestRestartOfAllNodesDuringOutageRefusesRequests(t *testing.T) {
 	runCluster(t, 8, 2, func(c *cluster) {
 		c.store.SetFaults(standin.PartTable, standin.Faults{Outage: true})
@@ -162,8 +164,8 @@
 	})
 }
 
-// A process is paused. While it is, and when it wakes, its requests are refused as "not run" from the deadline in its
-// view on, though its control loop has not run; then it hears of the change that was accepted meanwhile.
+// A process is paused while a change is accepted. After the deadline in its view it refuses requests as "not run", during the
+// pause and on resuming, although its control loop has not run; then it learns of the change.
 func TestPausedNodeIsStaleOnResume(t *testing.T) {
 	runCluster(t, 9, 3, func(c *cluster) {
 		resume := c.members["b-1"].pause()
@@ -178,8 +180,8 @@
 	})
 }
 
-// A host is gone for good and replaced by one of another name. Operators wait some seconds for the first change, not
-// for later ones: once the silent node is known to be unable to serve, it is removed from the roster.
+// A host dies and is replaced by one of another name. Once the dead node is known to be unable to serve, it is removed from
+// the roster, so a later change is accepted without delay.
 func TestDeadMemberIsRemoved(t *testing.T) {
 	runCluster(t, 10, 3, func(c *cluster) {
 		c.kill("b-1")
@@ -196,8 +198,8 @@
 	})
 }
 
-// The table goes down between commit and acceptance. Every node holds the entry and cannot hear whether it is accepted,
-// so each puts it in force by itself within seconds; when the table is back it is accepted.
+// The table goes down between commit and acceptance. Every node holds the entry but cannot learn whether it is accepted, so
+// each puts it in force by itself within seconds. When the table is back, the entry is accepted.
 func TestOutageAfterCommitPutsInForce(t *testing.T) {
 	runCluster(t, 11, 3, func(c *cluster) {
 		e := c.change("a-0", 1)
@@ -210,7 +212,7 @@
 	})
 }
 
-// A node leaves on purpose: the next change does not wait for it at all.
+// A node leaves the roster on shutdown. The next change must not wait for it.
 func TestLeavingNodeDoesNotDelayAcceptance(t *testing.T) {
 	runCluster(t, 12, 3, func(c *cluster) {
 		c.members["c-2"].agent.Leave(context.Background())
--- a/internal/state/revision/agent/rpc.go
+++ b/internal/state/revision/agent/rpc.go
@@ -12,7 +12,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision"
 )
 
-// service answers the RPC of other nodes.
+// service serves the RPCs of other nodes.
 type service struct{ agent *Agent }
 
 // Handler returns the path and handler of the revision service.
@@ -41,7 +41,7 @@
 	return r, nil
 }
 
-// RPC is the Transport over connect. It is safe for concurrent use.
+// RPC is a Transport over Connect. It is safe for concurrent use.
 type RPC struct {
 	scheme string
 	client connect.HTTPClient
@@ -51,13 +51,13 @@
 
 var _ Transport = (*RPC)(nil)
 
-// NewRPC returns a transport that sends over client; scheme is http or https. HTTP/2 keeps a message small, as headers
-// that were sent before cost a byte each.
+// NewRPC returns a transport that sends over client; scheme is http or https. HTTP/2 keeps messages small, since a header
+// that was sent before takes one byte.
 func NewRPC(client connect.HTTPClient, scheme string) *RPC {
 	return &RPC{scheme: scheme, client: client, peers: map[string]cardamomyokev1connect.RevisionServiceClient{}}
 }
 
-// HTTP2 returns an HTTP client that speaks HTTP/2 without TLS, for deployments whose settings name no certificates.
+// HTTP2 returns a client that uses HTTP/2 without TLS, for deployments whose settings name no certificates.
 func HTTP2() *http.Client {
 	t := &http.Transport{Protocols: new(http.Protocols)}
 	t.Protocols.SetUnencryptedHTTP2(true)
--- a/internal/state/revision/agent/scenario_test.go
+++ b/internal/state/revision/agent/scenario_test.go
@@ -29,8 +29,8 @@
 	neverReturns = int64(1) << 62
 )
 
-// seeds is how many trials each scenario gets: `make test` runs one with the race detector, which takes ten times as
-// long, and `make test-config` three without.
+// seeds is the number of trials per scenario. `make test` runs one with the race detector, which takes ten times as long;
+// `make test-config` runs three without it.
 var seeds = flag.Int("seeds", 1, "trials of each scenario")
 
 // input is one operation on one object's register.
@@ -59,7 +59,7 @@
 	},
 }
 
-// trial is one run of a scenario: operators that race, and checks that go on all the time.
+// trial is one run of a scenario: concurrent operators, and checks that run until its end.
 type trial struct {
 	*cluster
 	rand  *rand.Rand
@@ -78,7 +78,7 @@
 	replacements    int
 }
 
-// acceptance says when the checks first saw an entry accepted.
+// acceptance is when the checks first saw an entry accepted.
 type acceptance struct {
 	seq uint64
 	at  time.Time
@@ -92,7 +92,8 @@
 	}
 }
 
-// sortedMembers returns the members by name, in order; scenarios replace them while operators and checks run.
+// sortedMembers returns a copy of the members, sorted by name, since scenarios replace members while operators and checks
+// run.
 func (tr *trial) sortedMembers() []*member {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -135,7 +136,7 @@
 		tr.changes++
 	case errors.As(err, &unknown):
 		tr.unknownOutcomes++
-		ret = neverReturns // it may take effect at any time from the call on
+		ret = neverReturns // the change may take effect at any time after the call
 	case errors.As(err, &race):
 		tr.conflicts++
 		return
@@ -183,7 +184,7 @@
 	}
 }
 
-// runOperator lets one operator change and read at random nodes until the trial is done.
+// runOperator makes one operator's changes and reads at random nodes until the trial is done.
 func (tr *trial) runOperator(id int, rng *rand.Rand) {
 	for i := uint32(1); ; i++ {
 		select {
@@ -201,7 +202,7 @@
 	}
 }
 
-// watchInvariants looks at every node each few milliseconds.
+// watchInvariants checks the head row and every node every 10 ms until the trial is done.
 func (tr *trial) watchInvariants() {
 	var head cardamomyokev1.Head
 	for {
@@ -259,8 +260,7 @@
 	}
 }
 
-// checkRecovery mends everything and checks that the system works: one more change is accepted, in force everywhere, and
-// every node takes work.
+// checkRecovery ends all faults and checks that the system recovers: every node takes work, and one more change is accepted.
 func (tr *trial) checkRecovery() {
 	tr.mu.Lock()
 	tr.store.SetFaults(standin.PartTable, standin.Faults{Delay: 4 * time.Millisecond})
@@ -319,7 +319,7 @@
 	return tr
 }
 
-// randomSteps lets time pass in random steps and makes trouble at each.
+// randomSteps calls step n times, with a random pause of 0.5 to 8.5 s after each call.
 func (tr *trial) randomSteps(n int, step func()) {
 	for range n {
 		tr.mu.Lock()
@@ -375,30 +375,31 @@
 	}
 }
 
-// replaceOne replaces the node that has run for longest in turn, by one of the same or another name, with or without
-// leaving first.
+// replaceOne kills the next node in turn and starts one of the same or of another name. The killed node does not leave first.
 func (tr *trial) replaceOne() {
 	names := tr.sortedNames()
 	name := names[tr.replacements%len(names)]
 	tr.replacements++
-	next := name
+	replacement := name
 	if tr.rand.IntN(2) == 0 {
-		next = fmt.Sprintf("%s-r%d", dataCentre(name), tr.replacements)
+		replacement = fmt.Sprintf("%s-r%d", dataCentre(name), tr.replacements)
 	}
 	if time.Now().Before(tr.members[name].resumesBy) {
-		return // its loop cannot end while it is paused
+		return // the loop of a paused node cannot end
 	}
 	tr.kill(name)
-	tr.start(next, names...)
+	tr.start(replacement, names...)
 }
 
+// Concurrent operators change and read the configuration while random faults occur. The history must stay linearizable, and
+// no node may take work without an accepted entry for longer than staleAfter.
 func TestScenarios(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		faults func(*trial)
 	}{
 		{"racing operators", func(tr *trial) { tr.randomSteps(20, func() {}) }},
-		{"lost answers and late writes", func(tr *trial) { tr.randomSteps(20, tr.loseResponses) }},
+		{"lost responses and late writes", func(tr *trial) { tr.randomSteps(20, tr.loseResponses) }},
 		{"outages before, during and after a put", func(tr *trial) { tr.randomSteps(20, tr.outage) }},
 		{"paused nodes", func(tr *trial) { tr.randomSteps(20, tr.pauseOne) }},
 		{"isolated nodes and data centres", func(tr *trial) { tr.randomSteps(20, tr.partitionSome) }},
@@ -406,7 +407,7 @@
 		{"rolling replacement during outages", func(tr *trial) {
 			tr.randomSteps(30, func() { tr.replaceOne(); tr.outage() })
 		}},
-		{"all of it at once", func(tr *trial) {
+		{"all faults combined", func(tr *trial) {
 			all := []func(){tr.loseResponses, tr.outage, tr.pauseOne, tr.partitionSome, tr.replaceOne}
 			tr.randomSteps(40, func() { all[tr.rand.IntN(len(all))]() })
 		}},
--- a/internal/state/revision/bitset.go
+++ b/internal/state/revision/bitset.go
@@ -15,7 +15,7 @@
 
 func (b bitset) set(i int) { b[i/bitsPerByte] |= 1 << (i % bitsPerByte) }
 
-// or adds the members of o, which must belong to the same roster.
+// or adds the members of o, which must refer to the same roster.
 func (b bitset) or(o bitset) {
 	for i := range min(len(b), len(o)) {
 		b[i] |= o[i]
--- a/internal/state/revision/catchup.go
+++ b/internal/state/revision/catchup.go
@@ -6,8 +6,8 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// CatchUpResponse is what another node gets that asks for the whole state; nil if this node has none to give.
-func (n *Node) CatchUpResponse() *cardamomyokev1.CatchUpResponse {
+// CatchUpReply returns the response to a node that requests the full state, or nil if nothing is in force here.
+func (n *Node) CatchUpReply() *cardamomyokev1.CatchUpResponse {
 	if n.inForce == nil {
 		return nil
 	}
@@ -16,7 +16,7 @@
 	}
 }
 
-// OnCatchUp takes the answer of another node, nil if it failed.
+// OnCatchUp processes the state that another node sent; s is nil if the request failed.
 func (n *Node) OnCatchUp(now time.Time, s *State, entries []*Entry, accepted uint64) []Effect {
 	n.begin(now)
 	if s != nil {
@@ -26,9 +26,9 @@
 	return n.finish()
 }
 
-// catchUp asks a node for the whole state if entries alone cannot lead to what it holds.
-func (n *Node) catchUp(from string, theirs uint64) {
-	if n.staged() >= theirs || n.now.Sub(n.catchUpAt) < n.options.HeartbeatInterval {
+// catchUp requests the full state of a peer that still holds a later entry than this node after its entries were merged.
+func (n *Node) catchUp(from string, peerStaged uint64) {
+	if n.staged() >= peerStaged || n.now.Sub(n.catchUpAt) < n.options.HeartbeatInterval {
 		return
 	}
 	m := n.roster().Member(from)
--- a/internal/state/revision/effects.go
+++ b/internal/state/revision/effects.go
@@ -8,16 +8,16 @@
 
 // Messages between nodes.
 type (
-	// Push is a beat; it travels away from the node that hears from nobody.
+	// Push is a heartbeat; it travels down the tree.
 	Push = cardamomyokev1.PushRequest
-	// Ack answers a beat.
+	// Ack is an acknowledgement of a heartbeat; it travels up the tree.
 	Ack = cardamomyokev1.AcknowledgeRequest
 )
 
-// Effect is something that the owner of a Node must do. The pointer types below are all there are.
+// Effect is an action that the owner of a Node must carry out. The pointer types below are the only effects.
 type Effect interface{ effect() }
 
-// SendPush sends a beat; it may be lost.
+// SendPush sends a heartbeat; it may be lost.
 type SendPush struct {
 	To  *Member
 	Msg *Push
@@ -29,32 +29,32 @@
 	Msg *Ack
 }
 
-// ReadHead reads the head row and the entries after After, and hands the result to OnHead, also if it fails.
+// ReadHead reads the head row and the entries after After, and passes the result or the error to OnHead.
 type ReadHead struct {
 	After uint64
-	// Full asks for the newest checkpoint too, for a node that holds nothing.
+	// Full requests the newest checkpoint too, for a node that has no state.
 	Full bool
-	// Holds asks for the rows in which other nodes say which members hold what.
+	// Holds requests the rows in which other nodes report which members hold which entry.
 	Holds bool
 }
 
-// Accept writes in the head row that Seq is accepted, unless a later entry already is, and calls OnAccepted.
+// Accept marks State.Seq as accepted in the head row, unless a later entry is accepted already, and calls OnAccepted.
 type Accept struct{ State *State }
 
-// WriteHolds writes which members hold an entry, for nodes that this one does not reach.
+// WriteHolds writes to the table which members hold an entry, for nodes that this one does not reach.
 type WriteHolds struct{ Row *cardamomyokev1.Holds }
 
-// CatchUp fetches the state of another node and hands it to OnCatchUp, also if it fails.
+// CatchUp fetches the state of another node and calls OnCatchUp, also if that fails.
 type CatchUp struct{ From *Member }
 
-// EditRoster commits an entry that changes the roster, and hands that entry to OnCommitted. Nothing needs to be told
-// if it fails: the node asks again.
+// EditRoster commits an entry that changes the roster and passes it to OnCommitted. A failure need not be reported: the
+// node repeats the effect.
 type EditRoster struct {
 	Edit   *cardamomyokev1.RosterEdit
 	Reason string
 }
 
-// Publish hands a new view to traffic.
+// Publish replaces the view that request handlers read.
 type Publish struct{ View *View }
 
 func (*SendPush) effect()   {}
@@ -68,7 +68,7 @@
 
 // HeadRead is the result of ReadHead.
 type HeadRead struct {
-	// Started is when the read began: what is accepted later than that it need not show.
+	// Started is when the read began; the result need not contain commits and acceptances after that.
 	Started time.Time
 	Head    *cardamomyokev1.Head
 	// State is the newest checkpoint, or nil if it was not asked for or there is none.
--- a/internal/state/revision/heartbeat.go
+++ b/internal/state/revision/heartbeat.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// round is one beat as this node saw it: who answered it.
+// round records which members answered one heartbeat.
 type round struct {
-	// origin is the incarnation that started the beat. By its name, an answer to a beat of its former life could count
-	// for one of the same number now: a majority would vouch for what it held long ago.
+	// origin is the incarnation that started the heartbeat. The node's name would not do: the answer to a heartbeat of its
+	// previous incarnation could count for one of the same number now, and the majority would certify an outdated state.
 	origin    string
 	heartbeat uint64
 	start     time.Time
 	alive     bitset
 	roster    *Roster
 	maxStaged uint64
-	acked     map[string]bool // nodes that hear from this one
+	acked     map[string]bool // children, by name
 }
 
-// isOrigin reports whether this node hears from nobody, so that beats start here.
+// isOrigin reports whether this node has no parent, so that heartbeats start here.
 func (n *Node) isOrigin() bool { return n.parent == "" }
 
-// dropUnresponsive gives up a parent and children that have been silent for too long, and looks for a parent.
+// dropUnresponsive drops the parent and the children that exceed their timeouts, and looks for a parent.
 func (n *Node) dropUnresponsive() {
 	for name, c := range n.children {
 		if n.now.Sub(c.seenAt) > n.options.childTimeout() {
@@ -38,8 +38,8 @@
 	n.join()
 }
 
-// join asks nodes that come before this one for beats: the next few each time, from the best one on, until one
-// answers. A node that hears from another one than the best asks the best again now and then.
+// join looks for a parent: it sends acknowledgements to the next joinParallelism candidates, best first, until one of them
+// sends a heartbeat. A node whose parent is not the best candidate contacts the best one again every 4 to 5 heartbeats.
 func (n *Node) join() {
 	if n.now.Before(n.joinAt) || len(n.states) == 0 {
 		return
@@ -63,14 +63,14 @@
 	}
 }
 
-// isBetterParent reports whether a is a better node to hear from than the present one.
-func (n *Node) isBetterParent(a string) bool {
+// isBetterParent reports whether name is a better parent than the current one.
+func (n *Node) isBetterParent(name string) bool {
 	parents := n.roster().parents(n.self.GetName(), n.options.Fanout)
-	i, j := slices.Index(parents, a), slices.Index(parents, n.parent)
+	i, j := slices.Index(parents, name), slices.Index(parents, n.parent)
 	return i >= 0 && (j < 0 || i < j)
 }
 
-// OnPush takes a beat.
+// OnPush processes a heartbeat.
 func (n *Node) OnPush(now time.Time, m *Push) []Effect {
 	n.begin(now)
 	if r := n.roster(); m.GetFrom() == n.self.GetName() || r.before(n.self.GetName(), m.GetFrom()) {
@@ -83,9 +83,10 @@
 	return n.finish()
 }
 
-// mergeFreshness takes what the beat says about freshness. The sender's ages count from when it sent the beat, which is not
-// before this node's acknowledgement, echoed in the beat, plus the time that it lay at the sender; so a beat that was
-// long on its way makes what it says older, never younger.
+// mergeFreshness records the table read and the certificate that the heartbeat reports. Their ages are relative to the time
+// at which the sender sent the heartbeat. A lower bound of that time is when this node sent the acknowledgement that the
+// heartbeat echoes, plus the time that it spent at the sender. So a delayed heartbeat can only make the reported moments
+// older, never younger.
 func (n *Node) mergeFreshness(m *Push) {
 	i := slices.IndexFunc(n.nonces, func(v nonce) bool { return v.n == m.GetEcho() })
 	if i < 0 || m.GetEchoAgeUs() < 0 {
@@ -106,7 +107,7 @@
 	}
 }
 
-// followParent makes the sender the parent if it is the best at hand, and passes its beat on.
+// followParent makes the sender the parent if there is none or it is a better one, and prepares to forward the heartbeat.
 func (n *Node) followParent(m *Push) {
 	if n.parent != m.GetFrom() && n.parent != "" && !n.isBetterParent(m.GetFrom()) {
 		return
@@ -147,8 +148,8 @@
 	return n.rounds[len(n.rounds)-1]
 }
 
-func (n *Node) startRound(origin string, beat uint64) {
-	r := &round{origin: origin, heartbeat: beat, start: n.now, roster: n.roster(), acked: map[string]bool{}}
+func (n *Node) startRound(origin string, heartbeat uint64) {
+	r := &round{origin: origin, heartbeat: heartbeat, start: n.now, roster: n.roster(), acked: map[string]bool{}}
 	r.alive = newBitset(len(r.roster.members))
 	n.rounds = append(n.rounds, r)
 	if len(n.rounds) > maxRounds {
@@ -156,7 +157,7 @@
 	}
 }
 
-// pushHeartbeat starts a beat when it is time, or passes on what has just come in.
+// pushHeartbeat starts a heartbeat when one is due at an origin, or forwards a received heartbeat or update to the children.
 func (n *Node) pushHeartbeat() {
 	if n.isOrigin() && (!n.now.Before(n.heartbeatAt) || n.hasUpdate) && n.mayPush() {
 		n.heartbeats++
@@ -209,5 +210,5 @@
 	n.emit(&SendPush{c.member, m})
 }
 
-// ageOf rounds up, so that nothing looks younger than it is.
+// ageOf returns the age of then in microseconds, rounded up so that it is never understated.
 func ageOf(now, then time.Time) int64 { return now.Sub(then).Microseconds() + 1 }
--- a/internal/state/revision/membership.go
+++ b/internal/state/revision/membership.go
@@ -10,18 +10,18 @@
 
 const (
 	minEditInterval     = 100 * time.Millisecond // between two changes of the roster
-	requestTTL          = 5 * time.Second        // after which a wish that is not repeated is dropped
-	removeAfter         = 30 * time.Second       // of silence, before a member is removed
-	removeUnlistedAfter = 15 * time.Second       // of silence, if the host list does not name it either
+	requestTTL          = 5 * time.Second        // after which a request that is not repeated is dropped
+	removeAfter         = 30 * time.Second       // without a message, before a member is removed
+	removeUnlistedAfter = 15 * time.Second       // without a message, if the host list does not contain the member either
 )
 
-// membershipRequest is a node's wish to become a member, or to be none any more if member is nil.
+// membershipRequest is a node's request to become a member, or to be removed if member is nil.
 type membershipRequest struct {
 	member *Member
 	at     time.Time
 }
 
-// requestOwnMembership notes what this node itself wants.
+// requestOwnMembership records this node's own request if the roster does not match its name, address and state.
 func (n *Node) requestOwnMembership() {
 	name := n.self.GetName()
 	m := n.roster().Member(name)
@@ -36,7 +36,7 @@
 	}
 }
 
-// mergeRequests takes the wishes of nodes that hear from this one.
+// mergeRequests records the membership requests that a child reports.
 func (n *Node) mergeRequests(e *cardamomyokev1.RosterEdit) {
 	for _, m := range e.GetAdd() {
 		n.requests[m.GetName()] = membershipRequest{m, n.now}
@@ -49,16 +49,16 @@
 	}
 }
 
-// openRequests returns what nodes want that the roster does not show yet; nil if there is nothing.
+// openRequests returns the edit of the requests that the roster does not satisfy yet, or nil if there are none.
 func (n *Node) openRequests() *cardamomyokev1.RosterEdit {
 	n.requestOwnMembership()
 	e := &cardamomyokev1.RosterEdit{}
 	for name, w := range n.requests {
 		m := n.roster().Member(name)
-		met := m == nil && w.member == nil
-		met = met || m != nil && w.member != nil && m.GetAddress() == w.member.GetAddress() && m.GetDataCentre() == w.member.GetDataCentre()
+		satisfied := m == nil && w.member == nil
+		satisfied = satisfied || m != nil && w.member != nil && m.GetAddress() == w.member.GetAddress() && m.GetDataCentre() == w.member.GetDataCentre()
 		switch {
-		case met || n.now.Sub(w.at) > requestTTL:
+		case satisfied || n.now.Sub(w.at) > requestTTL:
 			delete(n.requests, name)
 		case w.member == nil:
 			e.Remove = append(e.Remove, name)
@@ -74,14 +74,15 @@
 	return e
 }
 
-// editRoster has the wishes committed as one entry. Only a node that hears from nobody does so, else a thousand nodes
-// that start together would race for the head row.
+// editRoster emits the effect that commits all open requests as one entry, or else the removal of members that have been
+// unresponsive for removeAfter. Only an origin does this; otherwise a thousand nodes that start together would race for the
+// head row.
 func (n *Node) editRoster() {
 	if !n.isOrigin() || len(n.states) == 0 || n.staged() < n.committed || n.now.Sub(n.rosterEditAt) < minEditInterval {
 		return
 	}
 	if n.now.Sub(n.tableReadAt) > n.options.StaleAfter {
-		return // the table does not answer
+		return // the table does not respond
 	}
 	e := n.openRequests()
 	reason := "nodes join or leave"
@@ -96,7 +97,7 @@
 	n.emit(&EditRoster{e, reason})
 }
 
-// markAlive notes who has answered a beat that started here.
+// markAlive updates lastSeen of the members that answered a heartbeat that started here.
 func (n *Node) markAlive(r *round) {
 	for i, m := range r.roster.members {
 		if r.alive.has(i) {
@@ -105,9 +106,9 @@
 	}
 }
 
-// removalEdit returns the removal of members that have been silent for long, or that are silent and not listed. A member that
-// restarts joins again; one that may belong to a part that serves on its own is not removed for its silence, as
-// acceptance must wait for it.
+// removalEdit returns the removal of members that have been unresponsive for the time after and, if listed is not nil, are
+// missing from that host list; it returns nil if there are none. A removed member that restarts joins again. Without a host
+// list, no members are removed that may form a partition able to serve on its own, because acceptance must wait for them.
 func (n *Node) removalEdit(after time.Duration, listed map[string]bool) *cardamomyokev1.RosterEdit {
 	r := n.roster()
 	if n.now.Sub(n.originSince) < after {
@@ -140,7 +141,8 @@
 	return e
 }
 
-// unlisted returns nodes that hold acceptance back though they are no members any more, and that are not listed.
+// unlisted returns the nodes that acceptance waits for although they are no longer members, and that have disappeared from
+// the host list.
 func (n *Node) unlisted(listed map[string]bool) []*Member {
 	if len(n.pending) == 0 {
 		return nil
@@ -155,9 +157,9 @@
 	return out
 }
 
-// OnHosts takes the platform's host list. A host that it no longer names is gone, once the member has been silent for a
-// while too. A host that it has never named says nothing, since the list lags behind new hosts: a new one that is cut
-// off and serves must not be taken for gone.
+// OnHosts processes the platform's host list. A member is dead if it was in an earlier list, is not in this one, and has
+// been unresponsive for removeUnlistedAfter. A host that no list has contained proves nothing, since the list lags behind
+// new hosts: a new host that is partitioned and serves must not be mistaken for dead.
 func (n *Node) OnHosts(now time.Time, hosts []platform.Host) []Effect {
 	n.begin(now)
 	listed := make(map[string]bool, len(hosts))
--- a/internal/state/revision/memnet/memnet.go
+++ b/internal/state/revision/memnet/memnet.go
@@ -1,5 +1,5 @@
-// Package memnet carries the messages of revision nodes between agents in one process, for tests and experiments. It
-// marshals each message, counts it, and delivers it after the delay between the two nodes, unless their way is cut.
+// Package memnet delivers the messages of revision nodes between agents in one process, for tests and benchmarks. It
+// marshals each message, counts it, and delivers it after the delay between the two nodes, unless they are partitioned.
 package memnet
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision"
 )
 
-// Receiver is a node that takes messages.
+// Receiver is a node that receives messages.
 type Receiver interface {
 	ReceivePush(m *revision.Push)
 	ReceiveAck(m *revision.Ack)
 	HandleCatchUp(ctx context.Context) (*cardamomyokev1.CatchUpResponse, error)
 }
 
-// UnreachableError says that a message cannot be delivered.
+// UnreachableError reports that a message cannot be delivered.
 type UnreachableError struct{ From, To string }
 
 // Error implements error.
@@ -37,15 +37,15 @@
 	usage       map[string]*Usage
 }
 
-// Usage counts what one node sent and what reached it.
+// Usage counts the messages and bytes that one node sent and received.
 type Usage struct{ Messages, Bytes, Received, ReceivedBytes atomic.Uint64 }
 
-// New returns a net in which everyone reaches everyone after delay; nil means no delay.
+// New returns a net in which all nodes reach each other after delay; a nil function means no delay.
 func New(delay func(from, to string) time.Duration) *Net {
 	return &Net{nodes: map[string]Receiver{}, delay: delay, usage: map[string]*Usage{}}
 }
 
-// Attach makes a node reachable; nil takes it away, as if its process had ended.
+// Attach makes a node reachable. A nil receiver detaches it, as if its process had exited.
 func (n *Net) Attach(name string, r Receiver) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -59,11 +59,11 @@
 	}
 }
 
-// Partition sets which ways are cut; nil mends all. It must not block.
-func (n *Net) Partition(cut func(from, to string) bool) {
+// Partition sets the function that reports whether a path is blocked; nil unblocks all paths. The function must not block.
+func (n *Net) Partition(blocked func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.partitioned = cut
+	n.partitioned = blocked
 }
 
 // Usage returns the counters of a node.
@@ -73,13 +73,13 @@
 	return n.usage[name]
 }
 
-// Transport is one node's way to the others.
+// Transport sends the messages of one node.
 type Transport struct {
 	net  *Net
 	name string
 }
 
-// Transport returns the way of the named node.
+// Transport returns the transport of the named node.
 func (n *Net) Transport(name string) *Transport { return &Transport{n, name} }
 
 func (t *Transport) route(to string) (Receiver, time.Duration, error) {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// Push delivers a beat.
+// Push delivers a heartbeat.
 func (t *Transport) Push(_ context.Context, to *revision.Member, m *revision.Push) error {
 	got := &revision.Push{}
 	return t.send(to.GetName(), m, got, func(r Receiver) { r.ReceivePush(got) })
--- a/internal/state/revision/node.go
+++ b/internal/state/revision/node.go
@@ -22,8 +22,8 @@
 
 const stateStarting charts.State = "starting"
 
-// Node is the state of one node. It does no I/O, reads no clock and is not safe for concurrent use: its owner calls
-// Tick often (each 50 ms) and the On methods with what arrives, and carries out the effects they return.
+// Node is the state machine of one node. It does no I/O, reads no clock and is not safe for concurrent use. Its owner calls
+// Tick every 50 ms, calls the On methods with received messages and results, and carries out the effects they return.
 type Node struct {
 	options     Options
 	self        *Member
@@ -34,53 +34,53 @@
 	leaving     bool
 	seeds       []*Member
 
-	// states are those of the entries from the older of accepted and in force up to the newest held.
+	// states holds the state after each entry, from the older of the accepted one and the one in force to the newest held.
 	states      []*State
 	inForce     *State
 	log         []*Entry
 	committed   uint64
 	accepted    uint64
 	floors      []floor
-	missing     []string // as the last beat says
+	missing     []string // as reported by the last heartbeat
 	tableReadAt time.Time
 	newestCert  quorumCert
 	certBasis   time.Time
 
 	parent       string
 	parentAt     time.Time
-	parentStaged uint64 // newest entry that the parent holds
+	parentStaged uint64 // newest entry held by the parent
 	joinAt       time.Time
 	joinNext     int
 	children     map[string]*child
 	nonces       []nonce
 	rounds       []*round
 	heartbeats   uint64
-	heartbeatAt  time.Time // when the next beat starts here, if this node hears from nobody
+	heartbeatAt  time.Time // when the next heartbeat starts here, if this node is an origin
 	pushedAt     time.Time
 	hasUpdate    bool
-	ackAt        time.Time // zero: nothing to acknowledge
+	ackAt        time.Time // zero if no acknowledgement is scheduled
 	ackedAt      time.Time
 
 	pending        []*pending
 	pollAt         time.Time
-	readStartedAt  time.Time // zero: no read under way
-	acceptAt       time.Time // not before this
+	readStartedAt  time.Time // zero if no read is in flight
+	acceptAt       time.Time // earliest time of the next Accept
 	catchUpAt      time.Time
 	rosterEditAt   time.Time
 	requests       map[string]membershipRequest
 	lastSeen       map[string]time.Time
-	everListed     map[string]bool // names that the host list has shown
+	everListed     map[string]bool // names that any host list has contained
 	originSince    time.Time
 	holdsWrittenAt time.Time
 	holdsCount     uint64
-	holdsCounts    map[string]uint64 // of the rows of acknowledgements, by writer
+	holdsCounts    map[string]uint64 // last Count of the rows of acknowledgements, by writer incarnation
 
 	now  time.Time
 	out  []Effect
 	view *View
 }
 
-// child is a node that hears from this one.
+// child is a node that receives heartbeats from this one.
 type child struct {
 	member      *Member
 	seenAt      time.Time
@@ -91,13 +91,14 @@
 	holds       bitset
 }
 
-// nonce remembers when an acknowledgement was sent.
+// nonce records when an acknowledgement was sent.
 type nonce struct {
 	n  uint64
 	at time.Time
 }
 
-// quorumCert certifies that a majority held no entry after seq at some time after basis.
+// quorumCert certifies that a majority held no entry after seq at some time after basis. The majority is one of all members
+// if all is set, and one of each data centre in centres.
 type quorumCert struct {
 	seq     uint64
 	basis   time.Time
@@ -105,12 +106,12 @@
 	centres []string
 }
 
-// NewNode returns a node that starts now and holds nothing. seeds are nodes to ask while the table is down.
-func NewNode(self *Member, life ids.Incarnation, seeds []*Member, o Options, rng *rand.Rand, now time.Time) *Node {
+// NewNode returns a node that starts now with an empty log. It fetches the state from one of seeds while the table is down.
+func NewNode(self *Member, incarnation ids.Incarnation, seeds []*Member, o Options, rng *rand.Rand, now time.Time) *Node {
 	n := &Node{
 		options:     o.withDefaults(),
 		self:        self,
-		incarnation: string(life),
+		incarnation: string(incarnation),
 		rng:         rng,
 		startedAt:   now,
 		machine:     chart.Start(),
@@ -145,7 +146,7 @@
 	return 0
 }
 
-// stateAt returns the state after an entry, or nil if it is not kept.
+// stateAt returns the state after entry seq, or nil if it is not retained.
 func (n *Node) stateAt(seq uint64) *State {
 	for _, s := range n.states {
 		if s.Seq == seq {
@@ -176,11 +177,11 @@
 func (n *Node) emit(e Effect) { n.out = append(n.out, e) }
 
 func (n *Node) fire(ev charts.Event) {
-	// The chart declares each of these events, so Fire cannot fail; charts_test and the chart's own check hold that.
+	// Fire cannot fail: the chart declares each of these events, which charts_test and the chart's own check verify.
 	_, _ = n.machine.Fire(ev)
 }
 
-// finish settles what follows from an event and returns the effects.
+// finish runs the steps that follow every event and returns the effects.
 func (n *Node) finish() []Effect {
 	n.dropUnresponsive()
 	n.editRoster()
@@ -193,14 +194,14 @@
 	return n.out
 }
 
-// Tick lets time pass.
+// Tick advances the node to now.
 func (n *Node) Tick(now time.Time) []Effect {
 	n.begin(now)
 	return n.finish()
 }
 
-// Leave makes the node take no new work any more and ask to be removed from the roster. Its owner calls it when its
-// work is finished, and may end once the view's newest roster lacks it.
+// Leave stops the node from taking new work and requests its removal from the roster. The owner calls it when the node's
+// work is finished, and may exit once the newest roster in the view no longer contains the node.
 func (n *Node) Leave(now time.Time) []Effect {
 	n.begin(now)
 	n.leaving = true
@@ -208,26 +209,26 @@
 	return n.finish()
 }
 
-// OnCommitted takes an entry that this node itself has committed in the table.
+// OnCommitted processes an entry that this node itself has committed in the table.
 func (n *Node) OnCommitted(now time.Time, e *Entry) []Effect {
 	n.begin(now)
 	n.merge([]*Entry{e}, e.GetSeq(), 0)
 	return n.finish()
 }
 
-// OnAccepted takes the outcome of Accept: the newest entry that is accepted, 0 if that could not be written.
+// OnAccepted processes the outcome of Accept: the newest accepted entry, or 0 if the write failed.
 func (n *Node) OnAccepted(now time.Time, seq uint64) []Effect {
 	n.begin(now)
 	n.acceptAt = n.now
 	if seq == 0 {
-		// An open circuit fails at once; asking again at once would never end.
+		// An open circuit breaker fails immediately, so an immediate retry would loop.
 		n.acceptAt = n.now.Add(n.options.HeartbeatInterval/2 + n.jitter(n.options.HeartbeatInterval))
 	}
 	n.merge(nil, 0, seq)
 	return n.finish()
 }
 
-// merge takes committed entries, wherever they come from, and stages those that follow what is held.
+// merge records committed entries and sequence numbers from any source, and stages the entries that follow the held ones.
 func (n *Node) merge(entries []*Entry, committed, accepted uint64) {
 	before := [3]uint64{n.staged(), n.committed, n.accepted}
 	for _, e := range entries {
@@ -243,8 +244,8 @@
 	}
 }
 
-// stage holds e from now on. An entry that this node cannot apply is not held, so it is never accepted while the node
-// is a member, and `pending` names the node.
+// stage applies e and holds it. An entry that this node cannot apply is not held, so it is never accepted while the node
+// is a member, and the list of pending nodes names it.
 func (n *Node) stage(e *Entry) {
 	next, err := n.head().Apply(e)
 	if err != nil {
@@ -272,7 +273,7 @@
 	n.pending = append(n.pending, p)
 }
 
-// reset replaces all that is held by a later state.
+// reset replaces the held states and entries by a later state.
 func (n *Node) reset(s *State) {
 	if len(n.states) > 0 && s.Seq <= n.staged() {
 		return
@@ -285,7 +286,7 @@
 	n.scheduleAck(n.ackDelay())
 }
 
-// entriesAfter returns what another node lacks, or nil if this one does not keep it.
+// entriesAfter returns the held entries after seq, or nil if there are none or the log no longer retains all of them.
 func (n *Node) entriesAfter(seq uint64) []*Entry {
 	if len(n.log) == 0 || n.log[0].GetSeq() > seq+1 || seq >= n.staged() {
 		return nil
@@ -293,9 +294,9 @@
 	return n.log[seq+1-n.log[0].GetSeq():]
 }
 
-// advance puts in force what is accepted. It also puts in force what is held when the newest read of the table that
-// this node heard of is older than ForceAfter: otherwise a node that is cut off just before an entry is accepted would go
-// on without it for as long as it is cut off. A committed entry is never taken back, so this is early but not wrong.
+// advance puts the accepted entries in force. If the newest table read that this node is aware of is older than ForceAfter,
+// it puts all held entries in force: otherwise a node that is partitioned just before an entry is accepted would work
+// without it for the whole partition. A committed entry is never revoked, so this is early but not wrong.
 func (n *Node) advance() {
 	if len(n.states) == 0 || !n.recovered() {
 		return
@@ -332,24 +333,25 @@
 	}
 }
 
-// freshUntil returns the deadline for new work.
+// freshUntil returns the deadline for new work, zero if the node may take none.
 func (n *Node) freshUntil() time.Time {
 	if !n.recovered() || !n.isMember() || n.leaving || n.inForce == nil {
 		return time.Time{}
 	}
 	basis := n.tableReadAt
-	// A majority tells what is held, not what is accepted. While an entry is held but not in force only the table can
-	// tell that it is not accepted yet; else a node that is paused right after could serve without it for ForceAfter longer.
+	// A majority proves which entries are held, not which are accepted. While an entry is held but not in force, only the
+	// table can show that it is not accepted yet. Otherwise a node that is paused right after could serve without it for
+	// ForceAfter longer.
 	if n.certBasis.After(basis) && n.inForce.Seq == n.staged() {
 		basis = n.certBasis
 	}
 	return basis.Add(n.options.StaleAfter)
 }
 
-// mergeTableRead takes a moment at which nothing after `seq` was committed, as far as a read of the table tells.
+// mergeTableRead records that a read of the table that began at basis showed no committed entry after seq.
 func (n *Node) mergeTableRead(basis time.Time, seq uint64) {
 	if n.staged() < seq || len(n.states) == 0 {
-		return // the node knows that it lacks something
+		return // this node lacks a committed entry
 	}
 	if basis.After(n.tableReadAt) {
 		n.tableReadAt = basis
@@ -357,10 +359,10 @@
 	n.recover(basis)
 }
 
-// mergeCert takes a certificate of a majority.
+// mergeCert records a majority's certificate.
 func (n *Node) mergeCert(v quorumCert) {
-	// Answers come in one by one, so the first certificate of a beat covers less than the last of the beat before;
-	// passed on too early, it would leave the other data centres without one.
+	// Acknowledgements arrive one by one, so the first certificate of a heartbeat covers fewer data centres than the last
+	// one of the heartbeat before. If it replaced that one too early, the other data centres would have no certificate.
 	wider := (v.all || !n.newestCert.all) && len(v.centres) >= len(n.newestCert.centres)
 	if v.basis.Sub(n.newestCert.basis) > n.options.parentTimeout() || wider && !v.basis.Before(n.newestCert.basis) {
 		n.newestCert = v
@@ -375,11 +377,11 @@
 	n.recover(v.basis.Add(-restartQuarantine))
 }
 
-// recover ends the time in which a restarted node has forgotten what it acknowledged. Only knowledge from after its
-// start counts: an entry that its former life acknowledged was committed before that, so a read of the table shows it,
-// and a majority holds one of the nodes that acknowledged it too. A majority counts only once the acknowledgements of
-// the former life have run out everywhere (quarantine): until then they may be added up with those of nodes that got
-// hold of the entry after they had vouched for this one.
+// recover ends the recovery of a restarted node, which has lost its record of the entries that it acknowledged. The basis
+// must be later than the node's start: an entry that the previous incarnation acknowledged was committed before that, so a
+// read of the table shows it, and every majority contains a node that acknowledged it too. A majority counts only once the
+// acknowledgements of the previous incarnation have expired everywhere (restartQuarantine). Until then they may be added to
+// those of nodes that received the entry after they answered the heartbeat for this certificate.
 func (n *Node) recover(basis time.Time) {
 	if basis.Before(n.startedAt) {
 		return
--- a/internal/state/revision/node_test.go
+++ b/internal/state/revision/node_test.go
@@ -34,14 +34,14 @@
 	return false
 }
 
-// originOfThree returns the node that hears from nobody, and the other two.
+// originOfThree returns the origin of a data centre of three, and the names of the other two nodes.
 func originOfThree(now time.Time) (*Node, []string) {
-	order := NewRoster([]*Member{
+	roster := NewRoster([]*Member{
 		{Name: "a", DataCentre: "dc"}, {Name: "b", DataCentre: "dc"}, {Name: "c", DataCentre: "dc"},
 	})
 	var names []string
-	for _, i := range order.centres[0].order {
-		names = append(names, order.members[i].GetName())
+	for _, i := range roster.centres[0].order {
+		names = append(names, roster.members[i].GetName())
 	}
 	return threeMemberNode(names[0], now), names[1:]
 }
@@ -52,9 +52,9 @@
 	return n.OnAck(now, &Ack{From: name, Incarnation: name, Nonce: nonce, Staged: staged, Holds: holds, MaxStaged: staged})
 }
 
-// Spin's counterexample: a node acknowledges an entry and restarts; it recovers from nodes that do not hold the entry
-// yet; then the last of those acknowledges too. Added up with the old acknowledgement all seem to hold it, but the
-// restarted node and another one could serve without it for ever. So an acknowledgement must be repeated.
+// Counterexample found by Spin: a node acknowledges an entry, restarts and recovers from nodes that lack the entry; then
+// the last of those acknowledges it. With the old acknowledgement all nodes seem to hold the entry, but the restarted node
+// and another one could serve without it forever. So an acknowledgement counts only while it is repeated.
 func TestAcknowledgementExpires(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, repeated := range []bool{true, false} {
@@ -71,18 +71,18 @@
 	}
 }
 
-// The other half of the same case: as long as an acknowledgement of its former life may count, a restarted node takes
-// no majority's word, and is none of those that vouch for others.
+// The other half of the same case: while an acknowledgement of its previous incarnation may count, a restarted node neither
+// relies on a majority's certificate nor counts in a majority.
 func TestRestartedNodeWaitsForOldAcknowledgementsToExpire(t *testing.T) {
 	start := time.Unix(1000, 0)
 	donor, _ := originOfThree(start)
-	answer := donor.CatchUpResponse()
-	st, err := FromProto(answer.GetState())
+	response := donor.CatchUpReply()
+	st, err := FromProto(response.GetState())
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := NewNode(&Member{Name: "a", DataCentre: "dc", Address: "a:1"}, "life-2", nil, Options{}, rand.New(rand.NewPCG(1, 2)), start)
-	n.OnCatchUp(start, st, answer.GetEntries(), answer.GetAccepted())
+	n.OnCatchUp(start, st, response.GetEntries(), response.GetAccepted())
 	for _, tc := range []struct {
 		after time.Duration
 		want  bool
@@ -97,7 +97,7 @@
 		r := &round{roster: n.roster(), alive: newBitset(3)}
 		n.countSelf(r)
 		if got := r.alive.count() == 1; got != tc.want {
-			t.Errorf("%v after its start: vouches %v", tc.after, got)
+			t.Errorf("%v after its start: counts in a majority %v", tc.after, got)
 		}
 	}
 }
--- a/internal/state/revision/options.go
+++ b/internal/state/revision/options.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// Options are the times and sizes of a Node; a zero value stands for the default.
+// Options configures a Node. A zero field selects its default.
 type Options struct {
-	// HeartbeatInterval is the time between beats, and between reads of the table by a poller; default 1s.
+	// HeartbeatInterval is the time between heartbeats, and between two reads of the table by a poller; default 1s.
 	HeartbeatInterval time.Duration
-	// StaleAfter is for how long a node takes new work on what it knew at a moment; default 4s.
+	// StaleAfter is how long a node takes new work after the newest moment for which it knows that it held every committed
+	// entry; default 4s.
 	StaleAfter time.Duration
-	// ForceAfter is for how long a node leaves an entry that it holds out of force when it does not hear that it is not
-	// accepted yet; default 2s. It is also the grace for work on the revision before.
+	// ForceAfter is the maximum age of the newest table read that a node is aware of. When that read is older, the node puts
+	// in force the entries that it holds, without waiting for their acceptance; default 2s. It is also the grace period for
+	// work that was decided on the previous revision.
 	ForceAfter time.Duration
-	// Fanout is how many nodes of its data centre hear from one; default 3.
+	// Fanout is the number of children that a node has in its data centre; default 3.
 	Fanout int
-	// Pollers is how many nodes of a data centre read the table at each beat; default 2.
+	// Pollers is the number of nodes per data centre that read the table at each heartbeat; default 2.
 	Pollers int
 }
 
@@ -36,33 +38,33 @@
 	return o
 }
 
-// stopTimeout is how long after the last acknowledgement a node that is missing has stopped; it is longer than StaleAfter because
-// clocks may run at slightly different rates.
+// stopTimeout returns the time, counted from the last acknowledgement, after which a node that has not acknowledged an
+// entry has stopped taking new work. It exceeds StaleAfter because clocks may run at slightly different rates.
 func (o Options) stopTimeout() time.Duration { return o.StaleAfter + o.StaleAfter/8 }
 
-// parentTimeout is how long a node may be silent before another is asked in its place.
+// parentTimeout returns how long a parent may be unresponsive before the node looks for another one.
 func (o Options) parentTimeout() time.Duration { return o.HeartbeatInterval * 8 / 5 }
 
-// childTimeout is how long a node that is silent is still sent beats.
+// childTimeout returns how long an unresponsive child still receives heartbeats.
 func (o Options) childTimeout() time.Duration { return o.HeartbeatInterval * 16 / 5 }
 
 // Times that do not depend on the deployment.
 const (
-	minPushInterval = 20 * time.Millisecond  // between two pushes of news
-	minAckInterval  = 100 * time.Millisecond // between two acknowledgements of one beat
-	maxAckDelay     = 250 * time.Millisecond // for the nodes that hear from this one, before it acknowledges
-	joinInterval    = 300 * time.Millisecond // between two tries to find a node to hear from
-	joinParallelism = 2                      // nodes tried at once
-	pollLead        = 200 * time.Millisecond // of the table's read before the beat that carries it
+	minPushInterval = 20 * time.Millisecond  // between two pushes of updates
+	minAckInterval  = 100 * time.Millisecond // between two acknowledgements of one heartbeat
+	maxAckDelay     = 250 * time.Millisecond // for acknowledgements of the children to arrive before the node sends its own
+	joinInterval    = 300 * time.Millisecond // between two attempts to find a parent
+	joinParallelism = 2                      // candidate parents contacted per attempt
+	pollLead        = 200 * time.Millisecond // by which an origin's table read precedes the heartbeat that carries its result
 	readTimeout     = 3 * time.Second        // after which a read of the table counts as lost
-	holdsDelay      = 700 * time.Millisecond // without acceptance, before the table is used to collect acknowledgements
-	maxLogEntries   = 256                    // entries kept for nodes that lack some
+	holdsDelay      = 700 * time.Millisecond // without acceptance, before acknowledgements are exchanged through the table
+	maxLogEntries   = 256                    // entries retained for nodes that lack some
 	maxNonces       = 64
-	// ackTTL is how long an acknowledgement counts that is not repeated with a beat.
+	// ackTTL is how long an acknowledgement counts if no later heartbeat repeats it.
 	ackTTL = 4 * time.Second
-	// restartQuarantine is how long a restarted node is no part of a majority. It is longer than any acknowledgement of its
-	// former life counts: on its way up it lies for the time in which a silent node is forgotten at each of up to seven
-	// nodes, then for ackKept.
+	// restartQuarantine is how long a restarted node neither relies on a majority nor counts in one. It must exceed the time
+	// for which an acknowledgement of the previous incarnation can count: up to childTimeout at each of up to seven nodes on
+	// its way up the tree, then ackTTL.
 	restartQuarantine = 30 * time.Second
 	maxFloors         = 8
 	maxRounds         = 4
--- a/internal/state/revision/roster.go
+++ b/internal/state/revision/roster.go
@@ -12,24 +12,25 @@
 // Member is a node that must hold each revision.
 type Member = cardamomyokev1.Member
 
-// Roster is the set of members after one entry of the log, with the order in which nodes hear from each other. It is
-// immutable and shared by all states between two changes of the roster.
+// Roster is the set of members after one entry of the log, with the order that defines the message tree. It is immutable
+// and shared by all states between two changes of the roster.
 //
-// Data centres are ordered by the hash of their names, and the members of a data centre by the hash of theirs. In a
-// data centre the order makes a heap: the member at position i hears from the one at (i-1)/fanout, the first of a data
-// centre hears from the first of an earlier data centre, at (k-1)/centreFanout of its own place k. A node hears only from nodes before it, so no loop can form,
-// whatever fails and whoever is asked instead.
+// Data centres are sorted by the hash of their names, and the members of a data centre by the hash of theirs. Within a
+// data centre the members form a heap: the parent of the member at position i is the member at (i-1)/fanout. The parent of
+// the first member of the data centre at position k is the first member of the data centre at (k-1)/centreFanout. The
+// parent of a node always precedes it in this order, so no loop can form, whichever nodes fail or replace a parent.
 type Roster struct {
 	members []*Member // sorted by name
 	index   map[string]int
-	centres []centre // in order
-	rank    []int    // of each member, by index
+	centres []centre // sorted by the hash of their names
+	rank    []int    // position of each member in the order of all members, by index
 }
 
-// centreFanout is how many data centres hear from one; one node that told all would be over its budget of bytes.
+// centreFanout is the number of child data centres of a data centre. A node that sent heartbeats to all data centres would
+// exceed its byte budget.
 const centreFanout = 2
 
-// centre is one data centre's members, as indexes, in order.
+// centre is a data centre with the indexes of its members, sorted by the hash of their names.
 type centre struct {
 	name  string
 	order []int
@@ -76,14 +77,15 @@
 	return r.members[i]
 }
 
-// before reports whether a comes before b in the order; unknown members do for nobody.
+// before reports whether a precedes b in the order; false if either is no member.
 func (r *Roster) before(a, b string) bool {
 	i, ok := r.index[a]
 	j, known := r.index[b]
 	return ok && known && r.rank[i] < r.rank[j]
 }
 
-// position returns the place of a member in its data centre, and that data centre's place in the order.
+// position returns the position of a member in its data centre and that data centre's position, or -1, -1 if name is no
+// member.
 func (r *Roster) position(name string) (at, centreAt int) {
 	i, ok := r.index[name]
 	if !ok {
@@ -93,8 +95,9 @@
 	return slices.Index(r.centres[centreAt].order, i), centreAt
 }
 
-// parents returns whom a member may hear from, best first: the members above it in the heap, then the others before it
-// in its data centre, then those of the data centres above its own in a heap of them, then those of other earlier ones.
+// parents returns the possible parents of a member, best first: its ancestors in the heap, then the other members that
+// precede it in its data centre, then the members of the data centres that are ancestors of its own, then those of other
+// preceding data centres. A node that is no member may have the first member of any data centre as parent.
 func (r *Roster) parents(name string, fanout int) []string {
 	at, centreAt := r.position(name)
 	if at < 0 {
@@ -130,7 +133,7 @@
 	return out
 }
 
-// firstMembers returns the first members of all data centres, whom a node that is no member may hear from.
+// firstMembers returns the first member of each data centre.
 func (r *Roster) firstMembers() []string {
 	var out []string
 	for _, c := range r.centres {
@@ -139,7 +142,8 @@
 	return out
 }
 
-// majorities returns whether the given members are more than half of all, and of which data centres.
+// majorities reports whether the given members are more than half of all members, and returns the data centres in which
+// they are more than half.
 func (r *Roster) majorities(b bitset) (all bool, centres []string) {
 	total := 0
 	for _, c := range r.centres {
@@ -157,8 +161,8 @@
 	return 2*total > len(r.members), centres
 }
 
-// excludesMajority reports whether the given members leave too few others for a majority of all, or of a data centre that one
-// of the missing members is in.
+// excludesMajority reports whether the members in held leave too few others for a majority of all members, and for a
+// majority of each data centre that contains a missing member.
 func (r *Roster) excludesMajority(held bitset, missing []*Member) bool {
 	total := 0
 	for _, c := range r.centres {
@@ -177,7 +181,7 @@
 	return 2*total >= len(r.members)
 }
 
-// translate carries bits from one roster to another, by name. The result is a copy, as messages outlive the call.
+// translate converts member bits from one roster to another, by name. The result is a copy, since messages outlive the call.
 func translate(b bitset, from, to *Roster) bitset {
 	if from == to {
 		return slices.Clone(b)
--- a/internal/state/revision/state.go
+++ b/internal/state/revision/state.go
@@ -10,14 +10,14 @@
 // Entry is one step of the log.
 type Entry = cardamomyokev1.LogEntry
 
-// State is everything that the log says up to one entry. It is immutable.
+// State is the result of applying the log up to one entry. It is immutable.
 type State struct {
 	Seq    uint64
 	Config *config.Snapshot // nil before the first operator's change
 	Roster *Roster
 }
 
-// SequenceError says that an entry does not follow the state it was applied to.
+// SequenceError reports that an entry does not directly follow the state it was applied to.
 type SequenceError struct{ State, Entry uint64 }
 
 // Error implements error.
@@ -28,7 +28,7 @@
 // Empty returns the state before the first entry.
 func Empty() *State { return &State{Roster: NewRoster(nil)} }
 
-// Revision returns the number of the configuration; 0 if there is none.
+// Revision returns the revision of the configuration; 0 if there is none.
 func (s *State) Revision() uint64 { return s.Configuration().GetRevision() }
 
 // Configuration returns the configuration, or nil; it must not be changed.
@@ -59,12 +59,12 @@
 	return next, err
 }
 
-// Proto returns the state as it is kept in the object store and sent to nodes that catch up.
+// Proto returns the form of the state that is stored in the object store and sent to nodes that catch up.
 func (s *State) Proto() *cardamomyokev1.State {
 	return &cardamomyokev1.State{Seq: s.Seq, Configuration: s.Configuration(), Members: s.Roster.members}
 }
 
-// FromProto reads what Proto wrote. Errors: *config.FieldError.
+// FromProto converts the result of Proto back to a State. Errors: *config.FieldError.
 func FromProto(p *cardamomyokev1.State) (*State, error) {
 	s := &State{Seq: p.GetSeq(), Roster: NewRoster(p.GetMembers())}
 	if p.GetConfiguration() == nil {
--- a/internal/state/revision/store/change.go
+++ b/internal/state/revision/store/change.go
@@ -15,13 +15,13 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision"
 )
 
-// maxPending is how many entries may wait for acceptance before operators' changes are refused.
+// maxPending is the number of entries waiting for acceptance at which operators' changes are refused.
 const maxPending = 64
 
-// systemOperator is the operator of changes that the system makes by itself.
+// systemOperator is the operator named in changes that the system makes by itself.
 const systemOperator = "cardamomyoke"
 
-// RaceError says that another operator's change was committed after the revision that this one is based on.
+// RaceError reports that a change is not based on the revision that is committed, because another change was committed first.
 type RaceError struct{ Base, Committed uint64 }
 
 // Error implements error.
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("the change is based on revision %d, but %d is committed", e.Base, e.Committed)
 }
 
-// PendingError says that too many changes wait for acceptance.
+// PendingError reports that too many changes wait for acceptance.
 type PendingError struct{ Committed, Accepted uint64 }
 
 // Error implements error.
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("%d entries wait to be accepted", e.Committed-e.Accepted)
 }
 
-// ReusedError says that an operation id was used for another change.
+// ReusedError reports that the operation id was used for another change.
 type ReusedError struct{ Operation string }
 
 // Error implements error.
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("operation %s was used for another change", e.Operation)
 }
 
-// UnknownError says that a change may or may not be committed, or may still be.
+// UnknownError reports that the outcome of a change is unknown: it may be committed already, or may still be committed.
 type UnknownError struct {
 	Operation string
 	Cause     error
@@ -62,10 +62,10 @@
 // Build returns the edits of a change, given the committed state that it is applied to.
 type Build func(*revision.State) ([]*cardamomyokev1.Edit, error)
 
-// Change commits an operator's change and returns its entry. have is a state to start from, as new as the caller has.
-// A change sent again with the same operation id returns the entry of the first time. Errors: *config.FieldError,
-// *RaceError, *PendingError, *ReusedError (nothing was committed); *platform.UnavailableError (nothing was committed
-// by this call); *UnknownError.
+// Change commits an operator's change and returns its entry. have is the newest state that the caller has, from which the
+// committed state is derived. A change that is repeated with the same operation id returns the entry of the first call.
+// Errors: *config.FieldError, *RaceError, *PendingError, *ReusedError (nothing was committed);
+// *platform.UnavailableError (nothing was committed by this call); *UnknownError.
 func (s *Store) Change(ctx context.Context, have *revision.State, meta *cardamomyokev1.ChangeMeta, build Build) (*revision.Entry, error) {
 	if err := config.CheckMeta(meta); err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 	})
 }
 
-// EditRoster commits a change of the roster and returns its entry. Errors as of Change.
+// EditRoster commits a change of the roster and returns its entry. The errors are those of Change.
 func (s *Store) EditRoster(ctx context.Context, have *revision.State, e *cardamomyokev1.RosterEdit, meta *cardamomyokev1.ChangeMeta) (*revision.Entry, error) {
 	if meta.GetOperator() == "" {
 		meta = &cardamomyokev1.ChangeMeta{
@@ -97,54 +97,55 @@
 	})
 }
 
-// propose writes the entry that make returns after all that is committed. Losing the head row to another write is no
-// conflict by itself: make decides again on the newer state.
+// propose appends the entry that build returns to the log. If another write changes the head row first, that is no conflict
+// by itself: build decides again on the newer state.
 func (s *Store) propose(ctx context.Context, have *revision.State, meta *cardamomyokev1.ChangeMeta,
-	make func(*revision.State, *cardamomyokev1.Head) (*revision.Entry, error)) (*revision.Entry, error) {
-	var last error
+	build func(*revision.State, *cardamomyokev1.Head) (*revision.Entry, error)) (*revision.Entry, error) {
+	var earlier error
 	for range maxAttempts {
 		h, done, err := s.headAndOperation(ctx, meta.GetOperationId())
 		if err != nil {
-			return nil, unknownOr(meta, last, err)
+			return nil, unknownOr(meta, earlier, err)
 		}
 		if done != nil {
 			return sameChange(done, meta)
 		}
 		if have, err = s.applyCommitted(ctx, have, h.Head); err != nil {
-			return nil, unknownOr(meta, last, err)
+			return nil, unknownOr(meta, earlier, err)
 		}
-		// A refusal here is final, also after a try whose answer was lost: that try names the head's version, so it can
-		// only still be applied on the very state that make accepted then.
-		e, err := make(have, h.Head)
+		// A refusal here is final, also after an attempt whose response was lost: that attempt is conditional on the head's
+		// version, so it can only still be applied to the state for which build returned its entry.
+		e, err := build(have, h.Head)
 		if err != nil {
 			return nil, err
 		}
 		e, err = s.write(ctx, have, h, meta, e)
 		if err == nil {
-			return s.storedEntry(ctx, e, last), nil
+			return s.storedEntry(ctx, e, earlier), nil
 		}
 		if err != nil && !retryable(err) {
-			return nil, unknownOr(meta, last, err)
+			return nil, unknownOr(meta, earlier, err)
 		}
-		last = errors.Join(last, err)
+		earlier = errors.Join(earlier, err)
 	}
-	return nil, &UnknownError{meta.GetOperationId(), last}
+	return nil, &UnknownError{meta.GetOperationId(), earlier}
 }
 
-// storedEntry returns the entry as it is in the table. After a try whose answer was lost, that try may be the one that was
-// applied; it differs from the later one in nothing but the time that it is dated with.
+// storedEntry returns the entry as stored in the table. If the response to an earlier attempt was lost, that attempt may be
+// the one that was applied; it differs from e only in its time stamp.
 func (s *Store) storedEntry(ctx context.Context, e *revision.Entry, earlier error) *revision.Entry {
 	if earlier == nil {
 		return e
 	}
 	_, first, err := s.headAndOperation(ctx, e.GetMeta().GetOperationId())
 	if err != nil || first == nil {
-		return e // it is committed, whether or not it can be read now
+		return e // it is committed, even if it cannot be read now
 	}
 	return first
 }
 
-// headAndOperation reads the head, and the entry of the operation if it is committed, as of one moment.
+// headAndOperation reads the head and the operation's row in one consistent read, and returns the operation's entry if it
+// is committed.
 func (s *Store) headAndOperation(ctx context.Context, id string) (head, *revision.Entry, error) {
 	rows, err := s.platform.Get(ctx, keyHead, prefixOp+id)
 	if err != nil {
@@ -158,7 +159,7 @@
 	return h, e, err
 }
 
-// unknownOr returns err, or *UnknownError if an earlier try may have been applied or may still be.
+// unknownOr returns err, or *UnknownError if an earlier attempt may have been applied or may still be.
 func unknownOr(meta *cardamomyokev1.ChangeMeta, earlier, err error) error {
 	var unknown *platform.UnknownOutcomeError
 	if errors.As(earlier, &unknown) {
@@ -174,7 +175,8 @@
 	return e, nil
 }
 
-// applyCommitted returns the state at what is committed, from have on.
+// applyCommitted returns the state after the newest committed entry. It starts from have or, if that is newer, from the
+// checkpoint.
 func (s *Store) applyCommitted(ctx context.Context, have *revision.State, h *cardamomyokev1.Head) (*revision.State, error) {
 	if have == nil {
 		have = revision.Empty()
@@ -203,7 +205,7 @@
 	e.Meta = meta
 	e.CommittedAtUnixMs = s.clock().UnixMilli()
 	if _, err := st.Apply(e); err != nil {
-		return nil, err // nothing half-valid is stored
+		return nil, err // an entry that cannot be applied is never stored
 	}
 	value, err := proto.Marshal(e)
 	if err != nil {
@@ -217,13 +219,13 @@
 	return e, err
 }
 
-// Operation returns the entry of an operation, or nil if none is committed.
+// Operation returns the entry that an operation committed, or nil if there is none.
 func (s *Store) Operation(ctx context.Context, id string) (*revision.Entry, error) {
 	_, e, err := s.headAndOperation(ctx, id)
 	return e, err
 }
 
-// entry reads the entry that an operation's row names.
+// entry reads the entry that the row of an operation refers to.
 func (s *Store) entry(ctx context.Context, op platform.Row) (*revision.Entry, error) {
 	key := prefixLog + string(op.Value)
 	rows, err := s.platform.Get(ctx, key)
@@ -240,7 +242,8 @@
 	return h.Head, err
 }
 
-// StateAt returns the state after the newest entry of a revision. Errors: *config.FieldError if there is none.
+// StateAt returns the state after the newest entry of revision rev. Errors: *config.FieldError if there is no such
+// revision.
 func (s *Store) StateAt(ctx context.Context, rev uint64) (*revision.State, error) {
 	h, err := s.head(ctx)
 	if err != nil {
@@ -265,7 +268,7 @@
 	return st, nil
 }
 
-// Committed returns the newest committed state; have is a state to start from, or nil.
+// Committed returns the newest committed state. have is a state to start from, or nil.
 func (s *Store) Committed(ctx context.Context, have *revision.State) (*revision.State, error) {
 	h, err := s.head(ctx)
 	if err != nil {
@@ -274,7 +277,7 @@
 	return s.applyCommitted(ctx, have, h.Head)
 }
 
-// Before returns up to limit entries before a number, newest first; 0 starts with the newest.
+// Before returns up to limit entries before seq, newest first; seq 0 starts with the newest entry.
 func (s *Store) Before(ctx context.Context, seq, limit uint64) ([]*revision.Entry, error) {
 	if seq == 0 {
 		h, err := s.head(ctx)
--- a/internal/state/revision/store/store.go
+++ b/internal/state/revision/store/store.go
@@ -1,9 +1,13 @@
 // Package store keeps the log of the configuration in the platform's table and object store.
 //
-// Rows: `config/head` says which entries are committed and accepted; `config/log/SEQ` is an entry, written once in the
-// same transaction as the head; `config/op/ID` tells what became of an operation; `config/holds/NODE` collects
-// acknowledgements of nodes that do not reach each other. Object `config/state/SEQ` is a checkpoint of an accepted
-// entry. A read of the head that begins after a commit shows it, and every rule of acceptance rests on that.
+// Rows:
+//   - `config/head` holds the newest committed and the newest accepted entry;
+//   - `config/log/SEQ` is an entry, written once in the same transaction as the head;
+//   - `config/op/ID` holds the sequence number of the entry that an operation committed;
+//   - `config/holds/NODE` holds acknowledgements, for nodes that do not reach each other.
+//
+// Object `config/state/SEQ` is a checkpoint of an accepted entry. A read of the head that begins after a commit shows that
+// commit; every rule of acceptance depends on this.
 package store
 
 import (
@@ -33,7 +37,7 @@
 	maxAttempts        = 20
 )
 
-// Platform is what the store needs of the platform.
+// Platform is the part of the platform that the store uses.
 type Platform interface {
 	platform.Table
 	platform.Objects
@@ -45,13 +49,13 @@
 	clock    func() time.Time
 }
 
-// New returns a store; clock dates entries, for people only.
+// New returns a store. clock provides the time stamps of entries, which are informative only, and the start times of reads.
 func New(p Platform, clock func() time.Time) *Store { return &Store{p, clock} }
 
 func logKey(seq uint64) string    { return fmt.Sprintf("%s%020d", prefixLog, seq) }
 func stateName(seq uint64) string { return fmt.Sprintf("%s%020d", prefixState, seq) }
 
-// CorruptError says that a row or object cannot be read.
+// CorruptError reports that a row or object is missing or cannot be decoded or encoded.
 type CorruptError struct {
 	Key   string
 	Cause error
@@ -85,24 +89,24 @@
 	return h, decode(keyHead, rows[0].Value, h.Head)
 }
 
-// ReadHead reads the head row and the entries after `after`. With whole it starts at the newest checkpoint, with holds
-// it reads the acknowledgements kept in the table too.
-func (s *Store) ReadHead(ctx context.Context, after uint64, whole, holds bool) revision.HeadRead {
+// ReadHead reads the head row and the entries after `after`. If full is set it starts at the newest checkpoint; if holds is
+// set it also reads the acknowledgements stored in the table.
+func (s *Store) ReadHead(ctx context.Context, after uint64, full, holds bool) revision.HeadRead {
 	rd := revision.HeadRead{Started: s.clock()}
-	rd.Err = s.readHead(ctx, &rd, after, whole)
+	rd.Err = s.readHead(ctx, &rd, after, full)
 	if rd.Err == nil && holds {
 		rd.Holds, rd.Err = s.holds(ctx)
 	}
 	return rd
 }
 
-func (s *Store) readHead(ctx context.Context, rd *revision.HeadRead, after uint64, whole bool) error {
+func (s *Store) readHead(ctx context.Context, rd *revision.HeadRead, after uint64, full bool) error {
 	h, err := s.head(ctx)
 	if err != nil {
 		return err
 	}
 	rd.Head = h.Head
-	if whole && h.GetCheckpoint() > after {
+	if full && h.GetCheckpoint() > after {
 		if rd.State, err = s.checkpoint(ctx, h.GetCheckpoint()); err != nil {
 			return err
 		}
@@ -124,7 +128,7 @@
 	return revision.FromProto(p)
 }
 
-// Entries returns the entries after the first number, up to and with the second.
+// Entries returns the entries after `after`, up to and including last.
 func (s *Store) Entries(ctx context.Context, after, last uint64) ([]*revision.Entry, error) {
 	var out []*revision.Entry
 	for after < last {
@@ -176,9 +180,10 @@
 	return err
 }
 
-// Accept writes that the entry of st is accepted, unless a later one is, and returns the newest that is.
+// Accept marks the entry of st as accepted, unless a later one is, and returns the newest accepted entry. It also writes a
+// checkpoint when checkpointInterval entries have been accepted since the last one.
 func (s *Store) Accept(ctx context.Context, st *revision.State) (uint64, error) {
-	var last error
+	var lastErr error
 	for range maxAttempts {
 		h, err := s.head(ctx)
 		if err != nil {
@@ -191,18 +196,18 @@
 		if st.Seq-h.GetCheckpoint() >= checkpointInterval && s.writeCheckpoint(ctx, st) == nil {
 			h.Checkpoint = st.Seq
 		}
-		_, last = s.commit(ctx, ids.NewOperation(), h, nil)
-		if last == nil {
+		_, lastErr = s.commit(ctx, ids.NewOperation(), h, nil)
+		if lastErr == nil {
 			return st.Seq, nil
 		}
-		if !retryable(last) {
-			return 0, last
+		if !retryable(lastErr) {
+			return 0, lastErr
 		}
 	}
-	return 0, last
+	return 0, lastErr
 }
 
-// writeCheckpoint writes a checkpoint. One that is there already was made from the same log.
+// writeCheckpoint writes a checkpoint. An existing one of the same number was made from the same log.
 func (s *Store) writeCheckpoint(ctx context.Context, st *revision.State) error {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(st.Proto())
 	if err != nil {
@@ -211,7 +216,8 @@
 	return s.platform.PutObject(ctx, stateName(st.Seq), data)
 }
 
-// commit writes the head, and the other rows, none of which may exist yet, on condition that the head is unchanged.
+// commit writes the head and the fresh rows in one transaction, on condition that the head is unchanged and no fresh row
+// exists yet.
 func (s *Store) commit(ctx context.Context, op ids.Operation, h head, fresh []platform.Put) (platform.Result, error) {
 	value, err := proto.Marshal(h.Head)
 	if err != nil {
@@ -228,12 +234,12 @@
 	return s.platform.Commit(ctx, t)
 }
 
-// retryable reports whether a write may be tried once more after reading the head anew.
+// retryable reports whether a write may be retried after reading the head again.
 func retryable(err error) bool {
 	var conflict *platform.ConflictError
 	var unknown *platform.UnknownOutcomeError
 	return errors.As(err, &conflict) || errors.As(err, &unknown)
 }
 
-// seqOf reads the number from a key of the log.
+// seqOf returns the sequence number in a key of the log, with its leading zeros.
 func seqOf(key string) string { return strings.TrimPrefix(key, prefixLog) }
--- a/internal/state/revision/table.go
+++ b/internal/state/revision/table.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// poll reads the table when it is this node's turn: the first few members of each data centre at each beat, a node
-// that hears from nobody just before its beat, and any node that has heard of no read for two beats.
+// poll reads the table at each heartbeat if this node is one of the first Pollers members of its data centre, or is aware
+// of no read within the last two heartbeats. An origin reads it pollLead before its own heartbeat.
 func (n *Node) poll() {
 	if !n.readStartedAt.IsZero() && n.now.Sub(n.readStartedAt) < readTimeout {
 		return
@@ -29,7 +29,7 @@
 	return n.now.Sub(n.tableReadAt) > 2*n.options.HeartbeatInterval
 }
 
-// OnHead takes the result of ReadHead.
+// OnHead processes the result of ReadHead.
 func (n *Node) OnHead(now time.Time, rd HeadRead) []Effect {
 	n.begin(now)
 	n.readStartedAt = time.Time{}
@@ -50,7 +50,7 @@
 	return n.finish()
 }
 
-// catchUpFromSeed has a node that holds nothing ask another one while the table is down.
+// catchUpFromSeed requests the state of a random seed if this node has none; it is called when the table is down.
 func (n *Node) catchUpFromSeed() {
 	if len(n.states) > 0 || len(n.seeds) == 0 || n.now.Sub(n.catchUpAt) < n.options.HeartbeatInterval {
 		return
--- a/internal/state/revision/view.go
+++ b/internal/state/revision/view.go
@@ -7,24 +7,25 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/config"
 )
 
-// View is what traffic and operators see of a node. It is immutable.
+// View is a snapshot of a node for request handlers and operators. It is immutable.
 type View struct {
-	// InForce is the state that new work goes by; nil before the node has one.
+	// InForce is the state that applies to new work; nil before the node has one.
 	InForce *State
-	// FreshUntil is the deadline for new work: after it the node cannot know whether InForce is out of date.
+	// FreshUntil is the deadline for new work: after it InForce may be out of date without the node's notice.
 	FreshUntil time.Time
-	// TableAt is the time at which the newest read of the table began that this node heard of.
+	// TableAt is when the newest table read began that this node is aware of.
 	TableAt time.Time
-	// Committed and Accepted are entries that the node knows to be so; Staged is the newest that it holds.
+	// Committed and Accepted are the newest entries that the node knows to be committed and accepted; Staged is the newest
+	// entry that it holds.
 	Committed, Accepted, Staged uint64
-	// Pending names the members that hold acceptance back; empty if nothing waits.
+	// Pending names the nodes that acceptance waits for; empty if no entry is pending.
 	Pending []string
 	// Newest is the newest state that the node holds; nil before it has one.
 	Newest *State
 	floors []floor
 }
 
-// floor says since when work on revisions older than this one is refused.
+// floor is a revision and the time from which work on older revisions is refused.
 type floor struct {
 	revision ids.Revision
 	since    time.Time
@@ -38,12 +39,12 @@
 	return v.InForce.Config
 }
 
-// Fresh reports whether the node may take new work. It must be asked for each request, with the time of the request:
-// a process that was paused finds the deadline passed when it wakes.
+// Fresh reports whether the node may take new work. Callers must check it for each request, with the time of the request,
+// so that a process that was paused notices on resuming that the deadline has passed.
 func (v *View) Fresh(now time.Time) bool { return v.Current() != nil && now.Before(v.FreshUntil) }
 
-// Floor returns the oldest revision that work may have been decided on. It follows what is in force by the grace that
-// nodes need to put a revision in force, so that work on its way during that time is not refused.
+// Floor returns the oldest revision on which admissible work may have been decided. It follows the revision in force with a
+// delay of ForceAfter, the time that nodes need to put a revision in force, so that work in transit is not refused.
 func (v *View) Floor(now time.Time) ids.Revision {
 	var out ids.Revision
 	for _, f := range v.floors {
