--- a/internal/state/config/apply.go
+++ b/internal/state/config/apply.go
@@ -9,15 +9,15 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// named is an object of a list in a Configuration.
+// named is the interface of the objects in the lists of a Configuration.
 type named interface {
 	comparable
 	GetName() string
 }
 
-// Apply returns the configuration that edits make of base, with the given revision, and checks it as a whole. base is
-// not changed; the objects that no edit names are shared between the two, so that a change of one client account does
-// not copy 30,000. It returns *FieldError, with a path that starts at the edit at fault where there is one.
+// Apply applies edits to base and returns the result with the given revision, after checking it as a whole. base is not
+// changed. Objects that no edit names are shared between the two, so that a change of one client account does not copy
+// 30,000. It returns *FieldError, whose path starts at the invalid edit if one edit is the cause.
 func Apply(base *cardamomyokev1.Configuration, edits []*cardamomyokev1.Edit, revision uint64) (*cardamomyokev1.Configuration, error) {
 	next := &cardamomyokev1.Configuration{
 		Revision:  revision,
@@ -37,7 +37,7 @@
 		}
 	}
 	if err := Check(next); err != nil {
-		return nil, blame(err, next, edits)
+		return nil, attributeToEdit(err, next, edits)
 	}
 	return next, nil
 }
@@ -66,17 +66,17 @@
 	return err
 }
 
-// editList returns a copy of list with one object created, changed or deleted; list itself is not changed.
+// editList returns a copy of list in which o is created, changed or deleted. list itself is not changed.
 func editList[T named](list []T, field string, action cardamomyokev1.EditAction, o T) ([]T, error) {
-	var none T
-	if o == none {
+	var zero T
+	if o == zero {
 		return nil, &FieldError{field, "an object"}
 	}
 	at := slices.IndexFunc(list, func(v T) bool { return v.GetName() == o.GetName() })
 	switch action {
 	case cardamomyokev1.EditAction_EDIT_ACTION_CREATE:
 		if at >= 0 {
-			return nil, &FieldError{field + ".name", fmt.Sprintf("a name that is not taken (%q is)", o.GetName())}
+			return nil, &FieldError{field + ".name", fmt.Sprintf("a name that does not exist yet, got %q", o.GetName())}
 		}
 		return append(slices.Clip(list), o), nil
 	case cardamomyokev1.EditAction_EDIT_ACTION_CHANGE, cardamomyokev1.EditAction_EDIT_ACTION_DELETE:
@@ -94,8 +94,9 @@
 	return next, nil
 }
 
-// blame turns the path of a field in the whole configuration into one below the edit that set the object.
-func blame(err error, c *cardamomyokev1.Configuration, edits []*cardamomyokev1.Edit) error {
+// attributeToEdit converts a field path within the configuration to a path within the edit that set the object. It returns
+// err unchanged if no edit did.
+func attributeToEdit(err error, c *cardamomyokev1.Configuration, edits []*cardamomyokev1.Edit) error {
 	var fe *FieldError
 	if !errors.As(err, &fe) {
 		return err
@@ -110,7 +111,7 @@
 	return err
 }
 
-// splitPath cuts "services[2].class" into "services[2]" and ".class".
+// splitPath splits "services[2].class" into "services[2]" and ".class".
 func splitPath(path string) (object, rest string) {
 	i := strings.IndexByte(path, '.')
 	if i < 0 {
@@ -119,7 +120,7 @@
 	return path[:i], path[i:]
 }
 
-// position returns the name of the edit's object and its path in c.
+// position returns the kind of the edit's object and the object's path in c.
 func position(c *cardamomyokev1.Configuration, e *cardamomyokev1.Edit) (kind, path string) {
 	switch o := e.GetObject().(type) {
 	case *cardamomyokev1.Edit_Class:
@@ -136,25 +137,26 @@
 	return "policies", "policies"
 }
 
-func index[T named](name string, list []T, o T) string {
-	return fmt.Sprintf("%s[%d]", name, slices.Index(list, o))
+func index[T named](field string, list []T, o T) string {
+	return fmt.Sprintf("%s[%d]", field, slices.Index(list, o))
 }
 
-// CheckMeta returns *FieldError unless operator, reason and operation id are set and of sensible length.
+// CheckMeta returns *FieldError unless the operator and the reason have 1 to maxTextBytes bytes and the operation id is a
+// valid name.
 func CheckMeta(m *cardamomyokev1.ChangeMeta) error {
-	if m.GetOperator() == "" || len(m.GetOperator()) > maxText {
+	if m.GetOperator() == "" || len(m.GetOperator()) > maxTextBytes {
 		return &FieldError{"meta.operator", "1 to 500 bytes"}
 	}
-	if m.GetReason() == "" || len(m.GetReason()) > maxText {
+	if m.GetReason() == "" || len(m.GetReason()) > maxTextBytes {
 		return &FieldError{"meta.reason", "1 to 500 bytes"}
 	}
 	return CheckName("meta.operation_id", m.GetOperationId())
 }
 
-// CheckName returns *FieldError unless name is fit to be the name of an object.
+// CheckName returns *FieldError for field unless name is a valid name of an object.
 func CheckName(field, name string) error {
 	if len(name) > maxNameLength || !namePattern.MatchString(name) {
-		return &FieldError{field, wantName}
+		return &FieldError{field, nameFormat}
 	}
 	return nil
 }
--- a/internal/state/config/check.go
+++ b/internal/state/config/check.go
@@ -7,25 +7,25 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// Limits of the values that operators can set.
+// Limits of the values that operators may set.
 const (
-	maxNameLength     = 63
-	maxDeadlineMS     = 10 * 60 * 1000
-	maxBodyBytes      = 16 << 20
-	maxRanks          = 1024
-	maxExperts        = 4096
-	maxLayers         = 512
-	maxShare          = 1000
-	maxPercent        = 100
-	maxOutcomeKeptSec = 7 * 24 * 3600
-	maxText           = 500
+	maxNameLength    = 63
+	maxDeadlineMS    = 10 * 60 * 1000
+	maxBodyBytes     = 16 << 20
+	maxRanks         = 1024
+	maxExperts       = 4096
+	maxLayers        = 512
+	maxShare         = 1000
+	maxPercent       = 100
+	maxOutcomeTTLSec = 7 * 24 * 3600
+	maxTextBytes     = 500
 )
 
-const wantName = "1 to 63 of a-z, 0-9 and - (not at the ends)"
+const nameFormat = "1 to 63 of a-z, 0-9 and - (not at the ends)"
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
 
-// Check returns *FieldError for the first field of c that is wrong, or nil.
+// Check returns *FieldError for the first invalid field of c, or nil.
 func Check(c *cardamomyokev1.Configuration) error {
 	classes, err := checkClasses(c.GetClasses())
 	if err != nil {
@@ -47,15 +47,15 @@
 	return checkPolicies(c.GetPolicies())
 }
 
-// names collects the names of one list and refuses a bad or doubled one.
-type names map[string]bool
+// nameSet is the set of names in one list. Its add method rejects invalid and duplicate names.
+type nameSet map[string]bool
 
-func (n names) add(field, name string) error {
+func (n nameSet) add(field, name string) error {
 	if err := CheckName(field+".name", name); err != nil {
 		return err
 	}
 	if n[name] {
-		return &FieldError{field + ".name", fmt.Sprintf("a name that is not taken (%q is)", name)}
+		return &FieldError{field + ".name", fmt.Sprintf("a name that does not exist yet, got %q", name)}
 	}
 	n[name] = true
 	return nil
@@ -68,15 +68,15 @@
 	return nil
 }
 
-func checkKnown(field, name string, known names, kind string) error {
-	if !known[name] {
-		return &FieldError{field, fmt.Sprintf("the name of a %s that exists, got %q", kind, name)}
+func checkExists(field, name string, existing nameSet, kind string) error {
+	if !existing[name] {
+		return &FieldError{field, fmt.Sprintf("the name of an existing %s, got %q", kind, name)}
 	}
 	return nil
 }
 
-func checkClasses(list []*cardamomyokev1.PriorityClass) (names, error) {
-	seen := names{}
+func checkClasses(list []*cardamomyokev1.PriorityClass) (nameSet, error) {
+	seen := nameSet{}
 	for i, v := range list {
 		field := fmt.Sprintf("classes[%d]", i)
 		if err := seen.add(field, v.GetName()); err != nil {
@@ -89,8 +89,8 @@
 	return seen, nil
 }
 
-func checkServices(list []*cardamomyokev1.Service, classes names) (names, error) {
-	seen := names{}
+func checkServices(list []*cardamomyokev1.Service, classes nameSet) (nameSet, error) {
+	seen := nameSet{}
 	for i, v := range list {
 		field := fmt.Sprintf("services[%d]", i)
 		if err := seen.add(field, v.GetName()); err != nil {
@@ -103,11 +103,11 @@
 	return seen, nil
 }
 
-func checkService(field string, v *cardamomyokev1.Service, classes names) error {
+func checkService(field string, v *cardamomyokev1.Service, classes nameSet) error {
 	if v.GetKind() != cardamomyokev1.ServiceKind_SERVICE_KIND_MODEL && v.GetKind() != cardamomyokev1.ServiceKind_SERVICE_KIND_PLAIN {
 		return &FieldError{field + ".kind", "SERVICE_KIND_MODEL or SERVICE_KIND_PLAIN"}
 	}
-	if err := checkKnown(field+".class", v.GetClass(), classes, "priority class"); err != nil {
+	if err := checkExists(field+".class", v.GetClass(), classes, "priority class"); err != nil {
 		return err
 	}
 	if err := checkRange(field+".deadline_ms", uint64(v.GetDeadlineMs()), 1, maxDeadlineMS); err != nil {
@@ -122,11 +122,11 @@
 	if v.GetRepeatable() {
 		return nil
 	}
-	return checkRange(field+".outcome_kept_s", uint64(v.GetOutcomeKeptS()), 1, maxOutcomeKeptSec)
+	return checkRange(field+".outcome_kept_s", uint64(v.GetOutcomeKeptS()), 1, maxOutcomeTTLSec)
 }
 
-func checkGroups(list []*cardamomyokev1.ModelGroup, services names) error {
-	seen := names{}
+func checkGroups(list []*cardamomyokev1.ModelGroup, services nameSet) error {
+	seen := nameSet{}
 	for i, v := range list {
 		field := fmt.Sprintf("groups[%d]", i)
 		if err := seen.add(field, v.GetName()); err != nil {
@@ -139,8 +139,8 @@
 	return nil
 }
 
-func checkGroup(field string, v *cardamomyokev1.ModelGroup, services names) error {
-	if err := checkKnown(field+".service", v.GetService(), services, "service"); err != nil {
+func checkGroup(field string, v *cardamomyokev1.ModelGroup, services nameSet) error {
+	if err := checkExists(field+".service", v.GetService(), services, "service"); err != nil {
 		return err
 	}
 	if err := checkRange(field+".ranks", uint64(v.GetRanks()), 1, maxRanks); err != nil {
@@ -159,8 +159,8 @@
 	return nil
 }
 
-func checkClients(list []*cardamomyokev1.ClientAccount, services names) error {
-	seen := names{}
+func checkClients(list []*cardamomyokev1.ClientAccount, services nameSet) error {
+	seen := nameSet{}
 	for i, v := range list {
 		field := fmt.Sprintf("clients[%d]", i)
 		if err := seen.add(field, v.GetName()); err != nil {
@@ -170,7 +170,7 @@
 			return err
 		}
 		for j, name := range v.GetServices() {
-			if err := checkKnown(fmt.Sprintf("%s.services[%d]", field, j), name, services, "service"); err != nil {
+			if err := checkExists(fmt.Sprintf("%s.services[%d]", field, j), name, services, "service"); err != nil {
 				return err
 			}
 		}
@@ -179,7 +179,7 @@
 }
 
 func checkUpstreams(list []*cardamomyokev1.UpstreamOverride) error {
-	seen := names{}
+	seen := nameSet{}
 	for i, v := range list {
 		if err := seen.add(fmt.Sprintf("upstreams[%d]", i), v.GetName()); err != nil {
 			return err
--- a/internal/state/config/check_test.go
+++ b/internal/state/config/check_test.go
@@ -11,7 +11,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/config"
 )
 
-func valid() *cardamomyokev1.Configuration {
+func validConfiguration() *cardamomyokev1.Configuration {
 	return &cardamomyokev1.Configuration{
 		Revision: 1,
 		Classes:  []*cardamomyokev1.PriorityClass{{Name: "first", QueueLimit: 10}},
@@ -25,7 +25,8 @@
 	}
 }
 
-func TestCheckNamesTheField(t *testing.T) {
+// Each invalid field must be reported under its own path.
+func TestSnapshotErrorNamesField(t *testing.T) {
 	tests := map[string]func(*cardamomyokev1.Configuration){
 		"":                           func(*cardamomyokev1.Configuration) {},
 		"classes[0].queue_limit":     func(c *cardamomyokev1.Configuration) { c.Classes[0].QueueLimit = 0 },
@@ -49,7 +50,7 @@
 	}
 	for field, change := range tests {
 		t.Run(field, func(t *testing.T) {
-			c := proto.Clone(valid()).(*cardamomyokev1.Configuration)
+			c := proto.Clone(validConfiguration()).(*cardamomyokev1.Configuration)
 			change(c)
 			_, err := config.NewSnapshot(c)
 			if field == "" {
@@ -58,8 +59,8 @@
 				}
 				return
 			}
-			var typed *config.FieldError
-			if !errors.As(err, &typed) || typed.Field != field {
+			var fe *config.FieldError
+			if !errors.As(err, &fe) || fe.Field != field {
 				t.Fatalf("got %v", err)
 			}
 		})
--- a/internal/state/config/config.go
+++ b/internal/state/config/config.go
@@ -1,4 +1,4 @@
-// Package config turns the operators' configuration into immutable lookups for traffic.
+// Package config checks and edits the operators' configuration, and indexes it in immutable snapshots for request handlers.
 package config
 
 import (
@@ -9,18 +9,18 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// FieldError says which field of a configuration cannot be accepted.
+// FieldError identifies a field of a configuration or change that is invalid.
 type FieldError struct {
 	// Field is the path of the field, for example "services[2].class".
 	Field string
-	// Want says what was expected.
+	// Want describes the valid values.
 	Want string
 }
 
 // Error implements error.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: want %s", e.Field, e.Want) }
 
-// Snapshot is one configuration with its indexes. It is immutable and safe for concurrent use.
+// Snapshot is a configuration with indexes by name. It is immutable and safe for concurrent use.
 type Snapshot struct {
 	// Proto is the configuration itself; it must not be changed.
 	Proto    *cardamomyokev1.Configuration
@@ -31,7 +31,7 @@
 	drained  map[ids.Upstream]bool
 }
 
-// NewSnapshot checks c and indexes it; it returns *FieldError for the first field that is wrong.
+// NewSnapshot checks c and indexes it. It returns *FieldError for the first invalid field.
 func NewSnapshot(c *cardamomyokev1.Configuration) (*Snapshot, error) {
 	if err := Check(c); err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 	return s, nil
 }
 
-// Revision returns the configuration's number.
+// Revision returns the revision of the configuration.
 func (s *Snapshot) Revision() ids.Revision { return ids.Revision(s.Proto.GetRevision()) }
 
 // Service returns the service of that name, or nil.
@@ -77,14 +77,15 @@
 // Class returns the priority class of that name, or nil.
 func (s *Snapshot) Class(name string) *cardamomyokev1.PriorityClass { return s.classes[name] }
 
-// Drained reports whether an operator took new work from the upstream.
+// Drained reports whether an operator has drained the upstream, which then gets no new work.
 func (s *Snapshot) Drained(name ids.Upstream) bool { return s.drained[name] }
 
-// Deadline returns how long a request to v may take: what the caller asks for, but no more than the service allows.
-func Deadline(v *cardamomyokev1.Service, asked time.Duration) time.Duration {
+// Deadline returns how long a request to v may take: the requested duration, limited to the service's deadline. A requested
+// duration of zero or less selects the service's deadline.
+func Deadline(v *cardamomyokev1.Service, requested time.Duration) time.Duration {
 	limit := time.Duration(v.GetDeadlineMs()) * time.Millisecond
-	if asked <= 0 || asked > limit {
+	if requested <= 0 || requested > limit {
 		return limit
 	}
-	return asked
+	return requested
 }
--- a/internal/state/config/diff.go
+++ b/internal/state/config/diff.go
@@ -6,14 +6,14 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// object is what Diff needs of an object.
+// object is the interface of the objects that Diff compares.
 type object interface {
 	named
 	proto.Message
 }
 
-// Diff returns the edits that make wanted of base, in an order in which Apply takes them. The revision is ignored.
-// The order of objects in the lists has no meaning and is not compared.
+// Diff returns the edits that turn base into wanted, in a sequence that Apply accepts. It ignores the revisions and the
+// order of the objects in the lists, which has no meaning.
 func Diff(base, wanted *cardamomyokev1.Configuration) []*cardamomyokev1.Edit {
 	var out []*cardamomyokev1.Edit
 	out = append(out, diffList(base.GetClasses(), wanted.GetClasses(), func(e *cardamomyokev1.Edit, o *cardamomyokev1.PriorityClass) {
@@ -52,17 +52,17 @@
 		old[o.GetName()] = o
 	}
 	for _, o := range wanted {
-		before, found := old[o.GetName()]
+		before, exists := old[o.GetName()]
 		delete(old, o.GetName())
 		switch {
-		case !found:
+		case !exists:
 			add(cardamomyokev1.EditAction_EDIT_ACTION_CREATE, o)
 		case !proto.Equal(before, o):
 			add(cardamomyokev1.EditAction_EDIT_ACTION_CHANGE, o)
 		}
 	}
 	for _, o := range base {
-		if _, gone := old[o.GetName()]; gone {
+		if _, removed := old[o.GetName()]; removed {
 			add(cardamomyokev1.EditAction_EDIT_ACTION_DELETE, o)
 		}
 	}
--- a/internal/state/config/source.go
+++ b/internal/state/config/source.go
@@ -6,18 +6,18 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// Source gives traffic the configuration in force. It is safe for concurrent use.
+// Source provides request handlers with the configuration in force. It is safe for concurrent use.
 type Source interface {
 	// Current returns the configuration in force, or nil before there is one.
 	Current() *Snapshot
-	// Fresh reports whether the node can know that Current is in force; if not it must take no new work.
+	// Fresh reports whether the node can rely on Current being up to date; if not, it must take no new work.
 	Fresh(now time.Time) bool
-	// Admits reports whether work may start that was decided on the given revision: the node is fresh, and the revision
-	// is not older than what is in force, but for the time that it takes to reach all nodes.
+	// Admits reports whether work that was decided on revision r may start: the node is fresh, and r is not older than the
+	// revision in force. A revision that is being replaced remains admissible while its successor spreads to all nodes.
 	Admits(r ids.Revision, now time.Time) bool
 }
 
-// Static is a Source that never changes, for tests and measurements.
+// Static is a Source that never changes, for tests and benchmarks.
 type Static struct{ Snapshot *Snapshot }
 
 // Current implements Source.
