--- a/internal/state/lease/ended_test.go
+++ b/internal/state/lease/ended_test.go
@@ -20,8 +20,8 @@
 	next uint64
 }
 
-// carryOut answers the effects of a holder at once.
-func (r *row) carryOut(now time.Time, h *lease.Holder, effects []lease.Effect) {
+// execute answers the effects of a holder at once.
+func (r *row) execute(now time.Time, h *lease.Holder, effects []lease.Effect) {
 	for len(effects) > 0 {
 		e := effects[0]
 		effects = effects[1:]
@@ -46,28 +46,28 @@
 	return lease.WriteResult{OK: true, Version: r.Version, Fence: r.Fence}
 }
 
-// node is a holder that takes all others for ended.
-func node(name string, seed uint64) *lease.Holder {
+// holderSeeingOthersDead is a holder that takes all others for ended.
+func holderSeeingOthersDead(name string, seed uint64) *lease.Holder {
 	h := lease.NewHolder("duty", name, ids.Incarnation(name), testLength, rand.New(rand.NewPCG(seed, 1)))
 	h.SetHolderDead(func(holder string, _ ids.Incarnation) bool { return holder != name })
 	return h
 }
 
 // Failure: two nodes that do not hear each other depose each other again and again while the table answers both.
-func TestNodesThatDoNotHearEachOtherDoNotTakeTurns(t *testing.T) {
+func TestPartitionedNodesDoNotDeposeEachOther(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := &row{}
-	a, b := node("a", 1), node("b", 2)
-	r.carryOut(now, a, a.SetWanted(now, true))
+	a, b := holderSeeingOthersDead("a", 1), holderSeeingOthersDead("b", 2)
+	r.execute(now, a, a.SetWanted(now, true))
 	fences := map[uint64]bool{}
 	for i := range 400 {
 		now = now.Add(testTick)
-		r.carryOut(now, a, a.Tick(now))
+		r.execute(now, a, a.Tick(now))
 		if i == 20 {
-			r.carryOut(now, b, b.SetWanted(now, true))
+			r.execute(now, b, b.SetWanted(now, true))
 		}
 		if i > 20 {
-			r.carryOut(now, b, b.Tick(now))
+			r.execute(now, b, b.Tick(now))
 		}
 		fences[r.Fence] = true
 	}
@@ -77,20 +77,20 @@
 }
 
 // A holder that has ended is still replaced long before its lease is over.
-func TestAHolderThatHasEndedIsReplacedSoon(t *testing.T) {
+func TestDeadHolderIsReplacedEarly(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := &row{}
-	a, b := node("a", 1), node("b", 2)
-	r.carryOut(now, a, a.SetWanted(now, true))
+	a, b := holderSeeingOthersDead("a", 1), holderSeeingOthersDead("b", 2)
+	r.execute(now, a, a.SetWanted(now, true))
 	for range 30 {
 		now = now.Add(testTick)
-		r.carryOut(now, a, a.Tick(now))
+		r.execute(now, a, a.Tick(now))
 	}
 	died := now
-	r.carryOut(now, b, b.SetWanted(now, true))
+	r.execute(now, b, b.SetWanted(now, true))
 	for !b.Held().ValidAt(now) {
 		now = now.Add(testTick)
-		r.carryOut(now, b, b.Tick(now))
+		r.execute(now, b, b.Tick(now))
 	}
 	if took := now.Sub(died); took > testLength/2 {
 		t.Errorf("replaced after %v", took)
--- a/internal/state/lease/lease.go
+++ b/internal/state/lease/lease.go
@@ -20,7 +20,7 @@
 	evWanted   charts.Event = "wanted"
 	evUnwanted charts.Event = "unwanted"
 	evExpired  charts.Event = "expired"
-	evTaken    charts.Event = "taken"
+	evAcquired charts.Event = "taken"
 	evRefused  charts.Event = "refused"
 	evLapsed   charts.Event = "lapsed"
 
@@ -35,12 +35,12 @@
 	prefixFence = "fences/"
 	// prefixNumber is that of rows whose versions are numbers drawn for a duty; see manager.AllocateFence.
 	prefixNumber = "numbers/"
-	// renewals are the tries that fit into one length.
-	renewals = 3
-	// marginPart is the part of the length by which the holder stops early, and others wait longer.
-	marginPart = 8
-	// answerLimit is after which part of the length a call counts as lost.
-	answerLimit = 2
+	// renewalsPerLength are the tries that fit into one length.
+	renewalsPerLength = 3
+	// marginDivisor is the part of the length by which the holder stops early, and others wait longer.
+	marginDivisor = 8
+	// callTimeoutDivisor is after which part of the length a call counts as lost.
+	callTimeoutDivisor = 2
 )
 
 // Duty names what is to be done by one node at a time.
@@ -107,23 +107,23 @@
 
 // Holder is one node's part in one lease. It does no I/O, reads no clock, and is not safe for concurrent use.
 type Holder struct {
-	duty    Duty
-	name    string
-	life    ids.Incarnation
-	length  time.Duration
-	rng     *rand.Rand
-	machine charts.Machine
-	wanted  bool
-
-	row    Row
-	seenAt time.Time // when row was first seen as it is
-	held   HeldLease
-	count  uint64
-
-	callAt   time.Time // when the call under way began; zero if none is
-	nextAt   time.Time
-	callID   uint64 // counts calls, so that an answer given up on is known
-	released bool   // the call under way gives the duty back
+	duty        Duty
+	name        string
+	incarnation ids.Incarnation
+	length      time.Duration
+	rng         *rand.Rand
+	machine     charts.Machine
+	wanted      bool
+
+	row            Row
+	unchangedSince time.Time // when row was first seen as it is
+	held           HeldLease
+	renewalCount   uint64
+
+	callStartedAt time.Time // when the call under way began; zero if none is
+	nextCallAt    time.Time
+	callID        uint64 // counts calls, so that an answer given up on is known
+	releasing     bool   // the call under way gives the duty back
 	// holderDead tells of a holder that is known to have ended; nil if that is never known.
 	holderDead func(holder string, life ids.Incarnation) bool
 	// readAt is when the row was known last, changedAt when another holder was last seen to have written it.
@@ -138,7 +138,7 @@
 
 // NewHolder returns a holder that does not want the duty yet.
 func NewHolder(d Duty, name string, life ids.Incarnation, length time.Duration, rng *rand.Rand) *Holder {
-	return &Holder{duty: d, name: name, life: life, length: length, rng: rng, machine: chart.Start()}
+	return &Holder{duty: d, name: name, incarnation: life, length: length, rng: rng, machine: chart.Start()}
 }
 
 // Held returns what this node holds; ask its ValidAt with the time of each deed.
@@ -149,22 +149,22 @@
 
 // NewestFenceOfOthers is NewestFence unless the rows name this very life as the holder; then it is 0.
 func (h *Holder) NewestFenceOfOthers() ids.Fence {
-	if h.own(h.row.Lease) {
+	if h.isOwn(h.row.Lease) {
 		return 0
 	}
 	return h.NewestFence()
 }
 
-func (h *Holder) own(l *cardamomyokev1.Lease) bool {
-	return l.GetHolder() == h.name && l.GetIncarnation() == string(h.life)
+func (h *Holder) isOwn(l *cardamomyokev1.Lease) bool {
+	return l.GetHolder() == h.name && l.GetIncarnation() == string(h.incarnation)
 }
 
 // PendingFor returns for how long the call under way has waited for its answer; 0 if there is none.
 func (h *Holder) PendingFor(now time.Time) time.Duration {
-	if h.callAt.IsZero() {
+	if h.callStartedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(h.callAt)
+	return now.Sub(h.callStartedAt)
 }
 
 // State returns the state in the chart.
@@ -199,21 +199,21 @@
 	if h.machine.State() == stateHeld && !h.held.ValidAt(now) {
 		h.lapse()
 	}
-	if !h.callAt.IsZero() && now.Sub(h.callAt) < h.length/answerLimit {
+	if !h.callStartedAt.IsZero() && now.Sub(h.callStartedAt) < h.length/callTimeoutDivisor {
 		return nil
 	}
 	takeNow := h.machine.State() == stateWatching && h.expired(now)
-	if now.Before(h.nextAt) && !takeNow {
+	if now.Before(h.nextCallAt) && !takeNow {
 		return nil
 	}
 	switch h.machine.State() {
 	case stateHeld:
-		h.count++
+		h.renewalCount++
 		return h.write(now, &Write{Lease: h.ownLease(), Version: h.row.Version, Fence: h.row.Fence})
 	case stateWatching:
 		if h.expired(now) {
 			h.fire(evExpired)
-			h.count = 0
+			h.renewalCount = 0
 			return h.write(now, &Write{Lease: h.ownLease(), Version: h.row.Version, Fence: h.row.Fence, NewFence: true})
 		}
 		return h.read(now)
@@ -225,64 +225,64 @@
 
 func (h *Holder) lapse() {
 	h.held = HeldLease{}
-	h.seenAt = time.Time{}
+	h.unchangedSince = time.Time{}
 	h.fire(evLapsed)
 }
 
 func (h *Holder) ownLease() *cardamomyokev1.Lease {
 	return &cardamomyokev1.Lease{
-		Holder: h.name, Incarnation: string(h.life), LengthMs: h.length.Milliseconds(), Renewals: h.count,
+		Holder: h.name, Incarnation: string(h.incarnation), LengthMs: h.length.Milliseconds(), Renewals: h.renewalCount,
 	}
 }
 
 // expired reports whether the holder that the row names has stopped, by this node's own clock.
 func (h *Holder) expired(now time.Time) bool {
-	if h.seenAt.IsZero() {
+	if h.unchangedSince.IsZero() {
 		return false // not read yet
 	}
 	if h.row.Lease.GetHolder() == "" {
 		return true
 	}
-	if h.holderDead != nil && !h.livedLately(now) && h.holderDead(h.row.Lease.GetHolder(), ids.Incarnation(h.row.Lease.GetIncarnation())) {
+	if h.holderDead != nil && !h.renewedRecently(now) && h.holderDead(h.row.Lease.GetHolder(), ids.Incarnation(h.row.Lease.GetIncarnation())) {
 		return true
 	}
 	length := time.Duration(h.row.Lease.GetLengthMs()) * time.Millisecond
-	return now.Sub(h.seenAt) > length+length/marginPart
+	return now.Sub(h.unchangedSince) > length+length/marginDivisor
 }
 
-// livedLately reports whether the holder has written the row within the time of a renewal.
+// renewedRecently reports whether the holder has written the row within the time of a renewal.
 //
 // Two nodes that do not hear each other, and that the table answers, would take each other for ended and depose each other
 // again and again. A row that changes proves that its holder lives.
-func (h *Holder) livedLately(now time.Time) bool {
-	return !h.changedAt.IsZero() && now.Sub(h.changedAt) < h.renewal()
+func (h *Holder) renewedRecently(now time.Time) bool {
+	return !h.changedAt.IsZero() && now.Sub(h.changedAt) < h.renewalTimeout()
 }
 
-// renewal is within which time a holder that lives renews.
-func (h *Holder) renewal() time.Duration { return h.length / renewals * 3 / 2 }
+// renewalTimeout is within which time a holder that lives renews.
+func (h *Holder) renewalTimeout() time.Duration { return h.length / renewalsPerLength * 3 / 2 }
 
-// know takes in the row as it is now.
-func (h *Holder) know(now time.Time, row Row) {
-	if row.Version != h.row.Version && now.Sub(h.readAt) < h.renewal() && !h.own(row.Lease) {
+// recordRow takes in the row as it is now.
+func (h *Holder) recordRow(now time.Time, row Row) {
+	if row.Version != h.row.Version && now.Sub(h.readAt) < h.renewalTimeout() && !h.isOwn(row.Lease) {
 		h.changedAt = now
 	}
 	h.row, h.readAt = row, now
 }
 
-func (h *Holder) start(now time.Time) {
-	h.callAt = now
+func (h *Holder) startCall(now time.Time) {
+	h.callStartedAt = now
 	h.callID++
-	h.nextAt = now.Add(h.length/renewals - time.Duration(h.rng.Int64N(int64(h.length/renewals/marginPart)+1)))
+	h.nextCallAt = now.Add(h.length/renewalsPerLength - time.Duration(h.rng.Int64N(int64(h.length/renewalsPerLength/marginDivisor)+1)))
 }
 
 func (h *Holder) read(now time.Time) []Effect {
-	h.start(now)
+	h.startCall(now)
 	return []Effect{&Read{}}
 }
 
 func (h *Holder) write(now time.Time, w *Write) []Effect {
-	h.start(now)
-	h.released = w.Lease.GetHolder() == ""
+	h.startCall(now)
+	h.releasing = w.Lease.GetHolder() == ""
 	return []Effect{w}
 }
 
@@ -294,33 +294,33 @@
 	if call != h.callID {
 		return nil
 	}
-	h.callAt = time.Time{}
+	h.callStartedAt = time.Time{}
 	if !ok {
 		return nil
 	}
-	if h.seenAt.IsZero() || row.Version != h.row.Version || row.Fence != h.row.Fence {
-		h.seenAt = now
+	if h.unchangedSince.IsZero() || row.Version != h.row.Version || row.Fence != h.row.Fence {
+		h.unchangedSince = now
 	}
-	h.know(now, row)
+	h.recordRow(now, row)
 	switch h.machine.State() {
 	case stateAcquiring:
 		// A takeover whose answer was lost counts as refused, even if the row names this very life: it is not known
 		// when the write took effect. The row expires like any other's, and is taken over again.
 		h.fire(evRefused)
 	case stateHeld:
-		h.confirm()
+		h.verifyHolder()
 		return nil
 	}
 	if h.machine.State() == stateWatching && h.expired(now) {
-		h.nextAt = now
+		h.nextCallAt = now
 		return h.Tick(now)
 	}
 	return nil
 }
 
-// confirm gives the duty up if the rows name another holder.
-func (h *Holder) confirm() {
-	if h.own(h.row.Lease) && h.row.Fence == uint64(h.held.Fence) {
+// verifyHolder gives the duty up if the rows name another holder.
+func (h *Holder) verifyHolder() {
+	if h.isOwn(h.row.Lease) && h.row.Fence == uint64(h.held.Fence) {
 		return
 	}
 	h.held = HeldLease{}
@@ -341,18 +341,18 @@
 	if call != h.callID {
 		return nil
 	}
-	started := h.callAt
-	h.callAt = time.Time{}
-	if h.released {
+	started := h.callStartedAt
+	h.callStartedAt = time.Time{}
+	if h.releasing {
 		return nil
 	}
 	switch {
 	case w.OK:
-		h.know(now, Row{h.ownLease(), w.Version, w.Fence})
-		h.seenAt = now
-		h.fire(evTaken)
+		h.recordRow(now, Row{h.ownLease(), w.Version, w.Fence})
+		h.unchangedSince = now
+		h.fire(evAcquired)
 		// From before the write was sent: the others count from when they see it, which is later.
-		h.held = HeldLease{h.duty, ids.Fence(w.Fence), started.Add(h.length - h.length/marginPart)}
+		h.held = HeldLease{h.duty, ids.Fence(w.Fence), started.Add(h.length - h.length/marginDivisor)}
 		if !h.held.ValidAt(now) {
 			h.lapse()
 		}
@@ -361,9 +361,9 @@
 		// stays held until its deadline, which rests on the last write that is known; a read tells who holds it now.
 		return h.read(now)
 	case w.Conflict:
-		h.seenAt = time.Time{}
+		h.unchangedSince = time.Time{}
 		h.fire(evRefused)
-		h.nextAt = now
+		h.nextCallAt = now
 	}
 	return nil
 }
--- a/internal/state/lease/manager/manager.go
+++ b/internal/state/lease/manager/manager.go
@@ -88,17 +88,17 @@
 		h.SetHolderDead(m.config.HolderDead)
 		m.holders[d] = h
 	}
-	m.run(now, d, h, h.SetWanted(now, want))
+	m.execute(now, d, h, h.SetWanted(now, want))
 }
 
 // Tick lets time pass; the control loop calls it.
 func (m *Manager) Tick(now time.Time) {
 	for d, h := range m.holders {
-		m.run(now, d, h, h.Tick(now))
+		m.execute(now, d, h, h.Tick(now))
 	}
 }
 
-func (m *Manager) run(now time.Time, d lease.Duty, h *lease.Holder, effects []lease.Effect) {
+func (m *Manager) execute(now time.Time, d lease.Duty, h *lease.Holder, effects []lease.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case *lease.Read:
@@ -134,7 +134,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), m.config.Length/2)
 	defer cancel()
 	row, err := readRow(ctx, m.config.Table, d)
-	m.config.Loop.Post(func(now time.Time) { m.run(now, d, h, h.OnRead(now, call, row, err == nil)) })
+	m.config.Loop.Post(func(now time.Time) { m.execute(now, d, h, h.OnRead(now, call, row, err == nil)) })
 }
 
 func readRow(ctx context.Context, table platform.Table, d lease.Duty) (lease.Row, error) {
@@ -165,7 +165,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), m.config.Length/2)
 	defer cancel()
 	out := commit(ctx, m.config.Table, d, w)
-	m.config.Loop.Post(func(now time.Time) { m.run(now, d, h, h.OnWrite(now, call, out)) })
+	m.config.Loop.Post(func(now time.Time) { m.execute(now, d, h, h.OnWrite(now, call, out)) })
 }
 
 func commit(ctx context.Context, table platform.Table, d lease.Duty, w *lease.Write) lease.WriteResult {
--- a/internal/state/lease/manager/manager_test.go
+++ b/internal/state/lease/manager/manager_test.go
@@ -56,11 +56,11 @@
 
 func (p *process) held() lease.HeldLease { return p.manager.Held(duty) }
 
-// run lets three processes want one duty while f makes trouble. At each moment at most one holds it, and its fencing
+// runProcesses lets three processes want one duty while f makes trouble. At each moment at most one holds it, and its fencing
 // number is larger than that of each other holder before.
 // With forced, an operator takes the duty from a live holder, which may believe for one renewal that it still holds it;
 // then only the numbers' growth is checked, as its deeds are refused by them.
-func run(t *testing.T, seed uint64, forced bool, f func(s *standin.Store, ps []*process, rng *rand.Rand)) {
+func runProcesses(t *testing.T, seed uint64, forced bool, f func(s *standin.Store, ps []*process, rng *rand.Rand)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore(standin.Limits{})
 		s.SetFaults(standin.PartTable, standin.Faults{Delay: 4 * time.Millisecond})
@@ -72,7 +72,7 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			watch(t, ps, forced, done)
+			watchInvariants(t, ps, forced, done)
 		}()
 		f(s, ps, rand.New(rand.NewPCG(seed, 4)))
 		close(done)
@@ -84,7 +84,7 @@
 	})
 }
 
-func watch(t *testing.T, ps []*process, forced bool, done chan struct{}) {
+func watchInvariants(t *testing.T, ps []*process, forced bool, done chan struct{}) {
 	var newest ids.Fence
 	owner := -1
 	for {
@@ -113,7 +113,7 @@
 	}
 }
 
-func wait(t *testing.T, ps []*process, except *process) *process {
+func waitForHolder(t *testing.T, ps []*process, except *process) *process {
 	t.Helper()
 	for range 600 {
 		for _, p := range ps {
@@ -129,13 +129,13 @@
 
 // The holder is paused in the middle of a deed and wakes up after another node has taken the duty. Its own check fails;
 // the write that was under way is refused by the table, and its order by the slot's gate.
-func TestPausedHolderDoesNoHarm(t *testing.T) {
-	run(t, 1, false, func(s *standin.Store, ps []*process, _ *rand.Rand) {
-		old := wait(t, ps, nil)
+func TestPausedHolderIsFenced(t *testing.T) {
+	runProcesses(t, 1, false, func(s *standin.Store, ps []*process, _ *rand.Rand) {
+		old := waitForHolder(t, ps, nil)
 		before := old.held()
 		resume := make(chan struct{})
 		old.paused <- resume
-		next := wait(t, ps, old)
+		next := waitForHolder(t, ps, old)
 		after := next.held()
 		if before.ValidAt(time.Now()) {
 			t.Fatal("the old holder's check passes")
@@ -165,7 +165,7 @@
 // somebody holds the duty within a minute of the end.
 func TestOneHolderUnderFaults(t *testing.T) {
 	for seed := range uint64(8) {
-		run(t, 10+seed, false, func(s *standin.Store, ps []*process, rng *rand.Rand) {
+		runProcesses(t, 10+seed, false, func(s *standin.Store, ps []*process, rng *rand.Rand) {
 			for range 60 {
 				f := standin.Faults{Delay: time.Duration(rng.IntN(400)) * time.Millisecond}
 				f.Outage = rng.IntN(5) == 0
@@ -181,16 +181,16 @@
 			for _, p := range ps {
 				p.client.SetCut(false)
 			}
-			wait(t, ps, nil)
+			waitForHolder(t, ps, nil)
 		})
 	}
 }
 
 // The table is down for long: the holder's duty lapses and nobody takes it, so control decisions wait while traffic
 // goes on. After the outage one node has it again.
-func TestLeaseLapsesDuringOutage(t *testing.T) {
-	run(t, 2, false, func(s *standin.Store, ps []*process, _ *rand.Rand) {
-		wait(t, ps, nil)
+func TestLeaseExpiresDuringTableOutage(t *testing.T) {
+	runProcesses(t, 2, false, func(s *standin.Store, ps []*process, _ *rand.Rand) {
+		waitForHolder(t, ps, nil)
 		s.SetFaults(standin.PartTable, standin.Faults{Outage: true})
 		time.Sleep(time.Minute)
 		for _, p := range ps {
@@ -199,20 +199,20 @@
 			}
 		}
 		s.SetFaults(standin.PartTable, standin.Faults{})
-		wait(t, ps, nil)
+		waitForHolder(t, ps, nil)
 	})
 }
 
 // An operator releases a duty by force while its holder is alive: the holder's number is old at once.
 func TestForcedReleaseRaisesFence(t *testing.T) {
-	run(t, 3, true, func(s *standin.Store, ps []*process, _ *rand.Rand) {
-		before := wait(t, ps, nil).held()
+	runProcesses(t, 3, true, func(s *standin.Store, ps []*process, _ *rand.Rand) {
+		before := waitForHolder(t, ps, nil).held()
 		fence, err := manager.Release(context.Background(), s, duty, "op-1")
 		if err != nil || fence <= before.Fence {
 			t.Fatalf("fence %d, err %v", fence, err)
 		}
 		time.Sleep(time.Minute)
-		if after := wait(t, ps, nil).held(); after.Fence <= fence {
+		if after := waitForHolder(t, ps, nil).held(); after.Fence <= fence {
 			t.Fatalf("fence %d after %d", after.Fence, fence)
 		}
 		list, err := manager.List(context.Background(), s)
@@ -224,7 +224,7 @@
 
 // Several gateways draw numbers at the same time, and one of them may have to lead while the table is away. Two leaders under
 // one number would give two maps the same version. No number may be drawn twice, and each is above those before it.
-func TestNumbersAreDrawnOnce(t *testing.T) {
+func TestFencesAreAllocatedOnce(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	seen := map[ids.Fence]bool{}
 	var mu sync.Mutex
@@ -259,7 +259,7 @@
 
 // A takeover takes effect and its answer is lost. The row names this node; that is no sign of a later holder, which would
 // make it give up a duty that nobody else has.
-func TestOwnLeaseIsNoOthers(t *testing.T) {
+func TestOwnTakeoverDoesNotCountAsOthers(t *testing.T) {
 	h := lease.NewHolder(duty, "a", "life-1", time.Second, rand.New(rand.NewPCG(1, 1)))
 	now := time.Unix(0, 0)
 	h.SetWanted(now, true)
