--- a/internal/state/lease/deadholder_test.go
+++ b/internal/state/lease/deadholder_test.go
@@ -14,13 +14,13 @@
 	testTick   = 50 * time.Millisecond
 )
 
-// row is the table's row of the duty.
+// row simulates the table's rows of the duty.
 type row struct {
 	lease.Row
 	next uint64
 }
 
-// execute answers the effects of a holder at once.
+// execute carries out the effects of a holder immediately.
 func (r *row) execute(now time.Time, h *lease.Holder, effects []lease.Effect) {
 	for len(effects) > 0 {
 		e := effects[0]
@@ -46,14 +46,15 @@
 	return lease.WriteResult{OK: true, Version: r.Version, Fence: r.Fence}
 }
 
-// holderSeeingOthersDead is a holder that takes all others for ended.
+// holderSeeingOthersDead returns a holder that considers all other holders dead.
 func holderSeeingOthersDead(name string, seed uint64) *lease.Holder {
 	h := lease.NewHolder("duty", name, ids.Incarnation(name), testLength, rand.New(rand.NewPCG(seed, 1)))
 	h.SetHolderDead(func(holder string, _ ids.Incarnation) bool { return holder != name })
 	return h
 }
 
-// Failure: two nodes that do not hear each other depose each other again and again while the table answers both.
+// Two nodes that do not reach each other, but both reach the table, consider each other dead. They must not depose each other
+// again and again.
 func TestPartitionedNodesDoNotDeposeEachOther(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := &row{}
@@ -76,7 +77,7 @@
 	}
 }
 
-// A holder that has ended is still replaced long before its lease is over.
+// A dead holder must be replaced long before its lease expires.
 func TestDeadHolderIsReplacedEarly(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := &row{}
--- a/internal/state/lease/doc.go
+++ b/internal/state/lease/doc.go
@@ -1,27 +1,28 @@
-// Package lease decides when a node holds a duty that only one node at a time may have.
+// Package lease decides when a node holds a duty: a task, such as the control of a model group's expert map, that at most
+// one node at a time may carry out. The holder of the duty's lease is that node.
 //
 // # Rows
 //
-// `leases/DUTY` is written by the holder at each renewal. `fences/DUTY` is written only by a new holder, in the same
-// transaction; its version is the fencing number, so numbers only grow, also if the lease row were lost.
+// The holder writes `leases/DUTY` at each renewal. Only a new holder writes `fences/DUTY`, in the same transaction; the
+// version of that row is the fencing token. Tokens therefore only grow, even if the lease row is lost.
 //
 // # Clocks
 //
-// No two clocks are compared. The holder counts from before it sent its last successful renewal, on its own monotonic
-// clock, and stops a margin before the length is over. Another node counts from when it first saw the row as it is, on
-// its own clock, and waits the length and a margin. So the holder has stopped first, unless clocks run at rates that
-// differ by more than the margins, or the holder is paused between its check and its deed.
+// The clocks of two nodes are never compared. The holder counts from before it sent its last successful renewal, on its own
+// monotonic clock, and stops a margin before the length of the lease has passed. Another node counts from when it first saw
+// the row in its present version, on its own clock, and waits for the length plus a margin. So the holder stops first,
+// unless the clock rates differ by more than the margins or the holder is paused between its check and its action.
 //
-// # What stops a holder that was paused and wakes up past its lease
+// # Fencing of a holder that resumes after its lease has expired
 //
-// Its check Held(now) fails as soon as it is made. A deed that was under way is stopped where it lands:
+// Its check HeldLease.ValidAt(now) fails as soon as it runs. An action that was in flight is rejected at its destination:
 //
-//   - a write of the table names FenceCheck, a check on the version of `fences/DUTY`: the table refuses it in the same
-//     transaction once there is a new holder;
-//   - an order to a slot carries the fencing number: FenceFilter refuses one that is lower than any seen; a restarted slot
-//     reads the row of its orders first, whose number is at least that of any order given out;
-//   - a proposal of an expert map needs every rank's acknowledgement, whatever the lease says (docs/design of the map);
-//   - an object is named by its content's number and never overwritten.
+//   - A table write includes FenceCheck, a condition on the version of `fences/DUTY`. The table rejects the transaction once
+//     there is a new holder.
+//   - An order to a slot carries the fencing token. FenceFilter rejects an order whose token is lower than any seen before. A
+//     restarted slot first reads the row of its orders, whose token is at least that of every order issued.
+//   - A proposal of an expert map needs every rank's acknowledgement, independently of the lease (docs/design of the map).
+//   - An object is named by the number of its content and never overwritten.
 //
 // Holder is pure; package manager runs it against the table.
 package lease
--- a/internal/state/lease/lease.go
+++ b/internal/state/lease/lease.go
@@ -33,35 +33,36 @@
 const (
 	prefixLease = "leases/"
 	prefixFence = "fences/"
-	// prefixNumber is that of rows whose versions are numbers drawn for a duty; see manager.AllocateFence.
-	prefixNumber = "numbers/"
-	// renewalsPerLength are the tries that fit into one length.
+	// prefixAllocation is the prefix of rows whose versions are fencing tokens allocated in advance; see
+	// manager.AllocateFence.
+	prefixAllocation = "numbers/"
+	// renewalsPerLength is the number of renewals that a holder attempts within the length of a lease.
 	renewalsPerLength = 3
-	// marginDivisor is the part of the length by which the holder stops early, and others wait longer.
+	// marginDivisor sets the margin, 1/8 of the length, by which the holder stops early and other nodes wait longer.
 	marginDivisor = 8
-	// callTimeoutDivisor is after which part of the length a call counts as lost.
+	// callTimeoutDivisor sets the timeout, 1/2 of the length, after which a call counts as lost.
 	callTimeoutDivisor = 2
 )
 
-// Duty names what is to be done by one node at a time.
+// Duty names a task that at most one node at a time carries out.
 type Duty string
 
 // Key returns the key of the lease's row.
 func (d Duty) Key() string { return prefixLease + string(d) }
 
-// FenceKey returns the key of the row whose version is the fencing number.
+// FenceKey returns the key of the row whose version is the fencing token.
 func (d Duty) FenceKey() string { return prefixFence + string(d) }
 
-// NumberKey returns the key of the row whose versions are the numbers drawn for the duty.
-func (d Duty) NumberKey() string { return prefixNumber + string(d) }
+// AllocationKey returns the key of the row whose versions are the fencing tokens allocated in advance for the duty.
+func (d Duty) AllocationKey() string { return prefixAllocation + string(d) }
 
-// FenceCheck returns the check that a table write of the duty must name: it fails once there is a later holder.
+// FenceCheck returns the condition that each table write of the duty must include. It fails once there is a later holder.
 func FenceCheck(d Duty, f ids.Fence) platform.Check {
 	return platform.Check{Key: d.FenceKey(), Version: uint64(f)}
 }
 
-// Candidates returns the n names that should want a duty, best first. Each node works it out for itself; they need not
-// agree, as only the table decides.
+// Candidates returns the n names that should contend for a duty, best first. Each node computes this by itself; the nodes
+// need not agree, since only the table decides.
 func Candidates(d Duty, names []string, n int) []string {
 	out := slices.Clone(names)
 	weight := func(name string) uint64 { return xxhash.Sum64String(string(d) + "/" + name) }
@@ -69,21 +70,22 @@
 	return out[:min(n, len(out))]
 }
 
-// Row is the lease as a read shows it. Version 0 of either row means that it does not exist.
+// Row is the state of a duty's rows: the lease, the version of its row, and the version of the fence row. A version of 0
+// means that the row does not exist.
 type Row struct {
 	Lease   *cardamomyokev1.Lease
 	Version uint64
 	Fence   uint64
 }
 
-// Effect is what the owner of a Holder must do; the pointer types below are all there are.
+// Effect is an action that the owner of a Holder must carry out. The pointer types below are the only effects.
 type Effect interface{ effect() }
 
 // Read reads both rows and calls OnRead.
 type Read struct{}
 
-// Write commits Lease on condition that the rows have these versions, and calls OnWrite. With NewFence it also writes
-// the row of the fencing number, whose new version is the number.
+// Write commits Lease on condition that the rows have these versions, and calls OnWrite. If NewFence is set it also writes
+// the fence row, whose new version is the new fencing token.
 type Write struct {
 	Lease    *cardamomyokev1.Lease
 	Version  uint64
@@ -94,7 +96,7 @@
 func (*Read) effect()  {}
 func (*Write) effect() {}
 
-// HeldLease is a duty that a node holds. The zero value is none.
+// HeldLease is a duty that a node holds. The zero value means that the node holds none.
 type HeldLease struct {
 	Duty  Duty
 	Fence ids.Fence
@@ -102,10 +104,11 @@
 	Until time.Time
 }
 
-// ValidAt reports whether the duty is held at the given time. It is asked before each deed.
+// ValidAt reports whether the duty is held at the given time. Callers check it before each action.
 func (h HeldLease) ValidAt(now time.Time) bool { return now.Before(h.Until) }
 
-// Holder is one node's part in one lease. It does no I/O, reads no clock, and is not safe for concurrent use.
+// Holder is the state machine of one node that contends for or holds one lease. It does no I/O, reads no clock, and is not
+// safe for concurrent use.
 type Holder struct {
 	duty        Duty
 	name        string
@@ -116,38 +119,39 @@
 	wanted      bool
 
 	row            Row
-	unchangedSince time.Time // when row was first seen as it is
+	unchangedSince time.Time // when the row was first seen in its present version; zero if not read
 	held           HeldLease
 	renewalCount   uint64
 
-	callStartedAt time.Time // when the call under way began; zero if none is
+	callStartedAt time.Time // when the call in flight began; zero if there is none
 	nextCallAt    time.Time
-	callID        uint64 // counts calls, so that an answer given up on is known
-	releasing     bool   // the call under way gives the duty back
-	// holderDead tells of a holder that is known to have ended; nil if that is never known.
-	holderDead func(holder string, life ids.Incarnation) bool
-	// readAt is when the row was known last, changedAt when another holder was last seen to have written it.
+	callID        uint64 // counts calls, so that the result of an abandoned call is ignored
+	releasing     bool   // set if the last write releases the duty
+	// holderDead reports whether a holder is known to be dead; nil if that is never known.
+	holderDead func(holder string, incarnation ids.Incarnation) bool
+	// readAt is when the row was last read or written, changedAt when another holder's write of it was last seen.
 	readAt, changedAt time.Time
 }
 
-// SetHolderDead lets the duty be taken over before the lease is over from a holder that is known to have ended. It is for
-// duties whose safety does not rest on the lease: a holder that only seems to have ended is doubled until it hears.
-func (h *Holder) SetHolderDead(ended func(holder string, life ids.Incarnation) bool) {
-	h.holderDead = ended
+// SetHolderDead sets the function that reports whether a holder is dead, so that the duty of a dead holder is acquired before
+// its lease expires. Use it only for duties whose safety does not depend on the lease: if a live holder is mistaken for dead,
+// two nodes carry out the duty until the old holder learns of the new one.
+func (h *Holder) SetHolderDead(dead func(holder string, incarnation ids.Incarnation) bool) {
+	h.holderDead = dead
 }
 
-// NewHolder returns a holder that does not want the duty yet.
-func NewHolder(d Duty, name string, life ids.Incarnation, length time.Duration, rng *rand.Rand) *Holder {
-	return &Holder{duty: d, name: name, incarnation: life, length: length, rng: rng, machine: chart.Start()}
+// NewHolder returns a holder that does not contend for the duty yet.
+func NewHolder(d Duty, name string, incarnation ids.Incarnation, length time.Duration, rng *rand.Rand) *Holder {
+	return &Holder{duty: d, name: name, incarnation: incarnation, length: length, rng: rng, machine: chart.Start()}
 }
 
-// Held returns what this node holds; ask its ValidAt with the time of each deed.
+// Held returns the lease that this node holds. Call its ValidAt with the time of each action.
 func (h *Holder) Held() HeldLease { return h.held }
 
-// NewestFence returns the newest fencing number that the rows were seen to have.
+// NewestFence returns the fencing token in the rows as last seen.
 func (h *Holder) NewestFence() ids.Fence { return ids.Fence(h.row.Fence) }
 
-// NewestFenceOfOthers is NewestFence unless the rows name this very life as the holder; then it is 0.
+// NewestFenceOfOthers returns NewestFence, or 0 if the rows name this incarnation as the holder.
 func (h *Holder) NewestFenceOfOthers() ids.Fence {
 	if h.isOwn(h.row.Lease) {
 		return 0
@@ -159,7 +163,7 @@
 	return l.GetHolder() == h.name && l.GetIncarnation() == string(h.incarnation)
 }
 
-// PendingFor returns for how long the call under way has waited for its answer; 0 if there is none.
+// PendingFor returns how long the call in flight has waited for its response; 0 if there is none.
 func (h *Holder) PendingFor(now time.Time) time.Duration {
 	if h.callStartedAt.IsZero() {
 		return 0
@@ -175,7 +179,7 @@
 	_, _ = h.machine.Fire(ev)
 }
 
-// SetWanted says whether this node wants the duty. A duty that is held is given back at once.
+// SetWanted sets whether this node contends for the duty. If it stops contending, it releases a held duty immediately.
 func (h *Holder) SetWanted(now time.Time, want bool) []Effect {
 	if want == h.wanted {
 		return nil
@@ -194,7 +198,7 @@
 	return h.write(now, &Write{Lease: &cardamomyokev1.Lease{LengthMs: h.length.Milliseconds()}, Version: h.row.Version, Fence: h.row.Fence})
 }
 
-// Tick lets time pass.
+// Tick advances the state machine to now.
 func (h *Holder) Tick(now time.Time) []Effect {
 	if h.machine.State() == stateHeld && !h.held.ValidAt(now) {
 		h.lapse()
@@ -202,8 +206,8 @@
 	if !h.callStartedAt.IsZero() && now.Sub(h.callStartedAt) < h.length/callTimeoutDivisor {
 		return nil
 	}
-	takeNow := h.machine.State() == stateWatching && h.expired(now)
-	if now.Before(h.nextCallAt) && !takeNow {
+	acquireNow := h.machine.State() == stateWatching && h.expired(now)
+	if now.Before(h.nextCallAt) && !acquireNow {
 		return nil
 	}
 	switch h.machine.State() {
@@ -218,7 +222,7 @@
 		}
 		return h.read(now)
 	case stateAcquiring:
-		return h.read(now) // the answer is lost: the row tells
+		return h.read(now) // the response to the write is lost; the row shows the outcome
 	}
 	return nil
 }
@@ -235,7 +239,8 @@
 	}
 }
 
-// expired reports whether the holder that the row names has stopped, by this node's own clock.
+// expired reports whether the duty may be acquired: the row names no holder, its holder is known to be dead, or the lease
+// has expired by this node's own clock.
 func (h *Holder) expired(now time.Time) bool {
 	if h.unchangedSince.IsZero() {
 		return false // not read yet
@@ -250,18 +255,18 @@
 	return now.Sub(h.unchangedSince) > length+length/marginDivisor
 }
 
-// renewedRecently reports whether the holder has written the row within the time of a renewal.
+// renewedRecently reports whether the holder has written the row within renewalTimeout.
 //
-// Two nodes that do not hear each other, and that the table answers, would take each other for ended and depose each other
-// again and again. A row that changes proves that its holder lives.
+// Two nodes that do not reach each other but both reach the table would mistake each other for dead and depose each other
+// again and again. A row that changes proves that its holder is alive.
 func (h *Holder) renewedRecently(now time.Time) bool {
 	return !h.changedAt.IsZero() && now.Sub(h.changedAt) < h.renewalTimeout()
 }
 
-// renewalTimeout is within which time a holder that lives renews.
+// renewalTimeout returns the time within which a live holder renews its lease.
 func (h *Holder) renewalTimeout() time.Duration { return h.length / renewalsPerLength * 3 / 2 }
 
-// recordRow takes in the row as it is now.
+// recordRow records the present state of the rows.
 func (h *Holder) recordRow(now time.Time, row Row) {
 	if row.Version != h.row.Version && now.Sub(h.readAt) < h.renewalTimeout() && !h.isOwn(row.Lease) {
 		h.changedAt = now
@@ -286,10 +291,10 @@
 	return []Effect{w}
 }
 
-// CallID identifies the call that the last effect asked for; its answer must bring it back.
+// CallID identifies the call that the last effect requested. The owner passes it to OnRead or OnWrite with the result.
 func (h *Holder) CallID() uint64 { return h.callID }
 
-// OnRead takes the rows; ok is false if they could not be read.
+// OnRead processes the result of a Read; ok is false if the rows could not be read.
 func (h *Holder) OnRead(now time.Time, call uint64, row Row, ok bool) []Effect {
 	if call != h.callID {
 		return nil
@@ -304,8 +309,8 @@
 	h.recordRow(now, row)
 	switch h.machine.State() {
 	case stateAcquiring:
-		// A takeover whose answer was lost counts as refused, even if the row names this very life: it is not known
-		// when the write took effect. The row expires like any other's, and is taken over again.
+		// A takeover whose response was lost counts as refused, even if the row names this incarnation, because it is not
+		// known when the write took effect. The lease expires like that of another node and is then acquired again.
 		h.fire(evRefused)
 	case stateHeld:
 		h.verifyHolder()
@@ -318,7 +323,7 @@
 	return nil
 }
 
-// verifyHolder gives the duty up if the rows name another holder.
+// verifyHolder drops the held duty unless the rows name this incarnation with the held fencing token.
 func (h *Holder) verifyHolder() {
 	if h.isOwn(h.row.Lease) && h.row.Fence == uint64(h.held.Fence) {
 		return
@@ -329,14 +334,15 @@
 
 // WriteResult is the outcome of Write.
 type WriteResult struct {
-	// OK: the write took effect, and these are the versions of the rows now.
-	OK             bool
+	// OK is set if the write took effect.
+	OK bool
+	// Version and Fence are the new versions of the rows if OK is set.
 	Version, Fence uint64
-	// Conflict: it did not and never will, as the rows have changed.
+	// Conflict is set if the write did not and never will take effect, because the rows have changed.
 	Conflict bool
 }
 
-// OnWrite takes the outcome of a Write. Neither OK nor Conflict means that it is not known.
+// OnWrite processes the outcome of a Write. The outcome is unknown if neither OK nor Conflict is set.
 func (h *Holder) OnWrite(now time.Time, call uint64, w WriteResult) []Effect {
 	if call != h.callID {
 		return nil
@@ -351,14 +357,14 @@
 		h.recordRow(now, Row{h.ownLease(), w.Version, w.Fence})
 		h.unchangedSince = now
 		h.fire(evAcquired)
-		// From before the write was sent: the others count from when they see it, which is later.
+		// The lease counts from before the write was sent; other nodes count from when they see it, which is later.
 		h.held = HeldLease{h.duty, ids.Fence(w.Fence), started.Add(h.length - h.length/marginDivisor)}
 		if !h.held.ValidAt(now) {
 			h.lapse()
 		}
 	case h.machine.State() == stateHeld:
-		// Whether it conflicts or is not known, an earlier write of this node may be what changed the row. What is held
-		// stays held until its deadline, which rests on the last write that is known; a read tells who holds it now.
+		// After a conflict or an unknown outcome, an earlier write of this node may have changed the row. The node keeps the
+		// duty until its deadline, which depends on the last write with a known outcome. A read shows the present holder.
 		return h.read(now)
 	case w.Conflict:
 		h.unchangedSince = time.Time{}
--- a/internal/state/lease/manager/fence.go
+++ b/internal/state/lease/manager/fence.go
@@ -9,19 +9,19 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// AllocateFence returns a number for the duty that nobody else gets and that is larger than each one drawn before. A node may draw
-// one before it holds the duty. Errors: *AllocationConflictError, or the table's.
+// AllocateFence allocates a fencing token for the duty that no other call returns and that is larger than every one allocated
+// before. A node may allocate one before it holds the duty. Errors: *AllocationConflictError, or the table's.
 func AllocateFence(ctx context.Context, table platform.Table, d lease.Duty) (ids.Fence, error) {
 	op := ids.NewOperation()
-	key := d.NumberKey()
+	key := d.AllocationKey()
 	_, err := table.Commit(ctx, platform.Txn{Operation: op, Puts: []platform.Put{{Key: key, Value: []byte(op)}}})
 	if err != nil {
-		return 0, fmt.Errorf("draw a number: %w", err)
+		return 0, fmt.Errorf("allocate fencing token: %w", err)
 	}
-	// The row is read back, since only its own version is certain to be no other draw's.
+	// The row is read back to obtain a version that certainly belongs to this allocation and to no other.
 	rows, err := table.Get(ctx, key)
 	if err != nil {
-		return 0, fmt.Errorf("read the drawn number: %w", err)
+		return 0, fmt.Errorf("read allocated fencing token: %w", err)
 	}
 	if string(rows[0].Value) != string(op) {
 		return 0, &AllocationConflictError{d}
@@ -29,10 +29,11 @@
 	return ids.Fence(rows[0].Version), nil
 }
 
-// AllocationConflictError says that another node has drawn a number before this one's could be read. It may be tried again.
+// AllocationConflictError reports that another node allocated a fencing token before this node's could be read back. The
+// allocation may be retried.
 type AllocationConflictError struct{ Duty lease.Duty }
 
 // Error implements error.
 func (e *AllocationConflictError) Error() string {
-	return "another node has drawn a later number for " + string(e.Duty)
+	return "another node has allocated a later fencing token for " + string(e.Duty)
 }
--- a/internal/state/lease/manager/manager.go
+++ b/internal/state/lease/manager/manager.go
@@ -1,4 +1,5 @@
-// Package manager runs lease holders against the platform's table.
+// Package manager runs the lease holders of one process against the platform's table, and provides the operators' actions on
+// leases.
 package manager
 
 import (
@@ -19,12 +20,12 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// DefaultLength is the length of a lease: a lost holder is replaced after it and an eighth.
+// DefaultLength is the default length of a lease. A dead holder is replaced after this length plus an eighth.
 const DefaultLength = 10 * time.Second
 
 const listLimit = 1000
 
-// Config is what a Manager is built from.
+// Config configures a Manager.
 type Config struct {
 	Name        string
 	Incarnation ids.Incarnation
@@ -33,20 +34,21 @@
 	Loop        *control.Loop
 	Rand        *rand.Rand
 	Logger      log.Logger
-	// HolderDead reports whether a holder is known to have ended; see lease.Holder.SetHolderDead. It may be nil.
-	HolderDead func(holder string, life ids.Incarnation) bool
-	// OnAcquired is called on the loop when this node has taken a duty, for the audit; it may be nil.
+	// HolderDead reports whether a holder is known to be dead; see lease.Holder.SetHolderDead. It may be nil.
+	HolderDead func(holder string, incarnation ids.Incarnation) bool
+	// OnAcquired is called on the control loop when this node has acquired a duty, for the audit log. It may be nil.
 	OnAcquired func(now time.Time, h lease.HeldLease)
 }
 
-// Manager holds duties for one process. SetWanted and Tick are called on the control loop; Held from anywhere.
+// Manager acquires and renews the duties of one process. SetWanted, Tick, NewestFenceOfOthers and PendingFor must be called
+// on the control loop; Held is safe for concurrent use.
 type Manager struct {
 	config  Config
 	holders map[lease.Duty]*lease.Holder
 	view    atomic.Pointer[map[lease.Duty]lease.HeldLease]
 }
 
-// New returns a manager that wants nothing yet.
+// New returns a manager that contends for no duty yet.
 func New(c Config) *Manager {
 	if c.Length == 0 {
 		c.Length = DefaultLength
@@ -59,11 +61,12 @@
 	return m
 }
 
-// Held returns what this node holds of a duty. Ask its ValidAt before each deed, and name lease.FenceCheck in each write.
+// Held returns the lease of a duty that this node holds. Check its ValidAt before each action, and include lease.FenceCheck
+// in each write.
 func (m *Manager) Held(d lease.Duty) lease.HeldLease { return (*m.view.Load())[d] }
 
-// NewestFenceOfOthers returns the newest fencing number of a duty that this node has read; 0 if the duty's holder is this node, or
-// none was read. It is called on the control loop.
+// NewestFenceOfOthers returns the fencing token of a duty as last read, or 0 if this node holds the duty or has not read the
+// token.
 func (m *Manager) NewestFenceOfOthers(d lease.Duty) ids.Fence {
 	if h := m.holders[d]; h != nil {
 		return h.NewestFenceOfOthers()
@@ -71,8 +74,7 @@
 	return 0
 }
 
-// PendingFor returns for how long the table has not answered the present call for a duty; 0 if there is none. It is called
-// on the control loop.
+// PendingFor returns how long the call in flight for a duty has waited for the table's response; 0 if there is none.
 func (m *Manager) PendingFor(now time.Time, d lease.Duty) time.Duration {
 	if h := m.holders[d]; h != nil {
 		return h.PendingFor(now)
@@ -80,7 +82,7 @@
 	return 0
 }
 
-// SetWanted says whether this node wants a duty; see lease.Candidates.
+// SetWanted sets whether this node contends for a duty; see lease.Candidates.
 func (m *Manager) SetWanted(now time.Time, d lease.Duty, want bool) {
 	h := m.holders[d]
 	if h == nil {
@@ -91,7 +93,7 @@
 	m.execute(now, d, h, h.SetWanted(now, want))
 }
 
-// Tick lets time pass; the control loop calls it.
+// Tick advances all holders to now; the control loop calls it.
 func (m *Manager) Tick(now time.Time) {
 	for d, h := range m.holders {
 		m.execute(now, d, h, h.Tick(now))
@@ -149,7 +151,7 @@
 	return lease.Row{Lease: l, Version: rows[0].Version, Fence: rows[1].Version}, nil
 }
 
-// RowError says that the row of a duty cannot be read.
+// RowError reports that the row of a duty cannot be decoded or encoded.
 type RowError struct {
 	Duty  lease.Duty
 	Cause error
@@ -196,8 +198,8 @@
 	return out
 }
 
-// Release lets another node take a duty at once, on an operator's word. The fencing number is raised, so that the old
-// holder's writes and orders are refused from then on, even if it is alive and does not know.
+// Release lets another node acquire a duty immediately, at an operator's request. It raises the fencing token, so that the
+// old holder's writes and orders are rejected from then on, even if the holder is alive and not aware of the release.
 func Release(ctx context.Context, table platform.Table, d lease.Duty, op ids.Operation) (ids.Fence, error) {
 	row, err := readRow(ctx, table, d)
 	if err != nil {
@@ -218,7 +220,7 @@
 	return ids.Fence(res.Versions[1]), nil
 }
 
-// List returns the state of all duties for operators.
+// List returns the lease status of all duties, for operators.
 func List(ctx context.Context, table platform.Table) ([]*cardamomyokev1.LeaseStatus, error) {
 	rows, err := table.List(ctx, lease.Duty("").Key(), "", listLimit)
 	if err != nil {
--- a/internal/state/lease/manager/manager_test.go
+++ b/internal/state/lease/manager/manager_test.go
@@ -56,10 +56,10 @@
 
 func (p *process) held() lease.HeldLease { return p.manager.Held(duty) }
 
-// runProcesses lets three processes want one duty while f makes trouble. At each moment at most one holds it, and its fencing
-// number is larger than that of each other holder before.
-// With forced, an operator takes the duty from a live holder, which may believe for one renewal that it still holds it;
-// then only the numbers' growth is checked, as its deeds are refused by them.
+// runProcesses runs three processes that contend for one duty while f injects faults. It checks that at each moment at most
+// one process holds the duty, and that its fencing token is larger than that of every earlier holder.
+// If forced is set, f releases the duty of a live holder, which may consider itself the holder until its next renewal. Then
+// only the growth of the fencing tokens is checked, since they cause the old holder's actions to be rejected.
 func runProcesses(t *testing.T, seed uint64, forced bool, f func(s *standin.Store, ps []*process, rng *rand.Rand)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore(standin.Limits{})
@@ -123,12 +123,12 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Fatal("nobody holds the duty after a minute")
+	t.Fatal("no process holds the duty after a minute")
 	return nil
 }
 
-// The holder is paused in the middle of a deed and wakes up after another node has taken the duty. Its own check fails;
-// the write that was under way is refused by the table, and its order by the slot's gate.
+// A holder is paused in the middle of an action and resumes after another node has acquired the duty. Its own check must
+// fail, the table must reject its write in flight, and the slot's fence filter must reject its order.
 func TestPausedHolderIsFenced(t *testing.T) {
 	runProcesses(t, 1, false, func(s *standin.Store, ps []*process, _ *rand.Rand) {
 		old := waitForHolder(t, ps, nil)
@@ -146,23 +146,23 @@
 			Puts: []platform.Put{{Key: "maps/1", Value: []byte("old")}},
 		})
 		if !errors.As(err, &conflict) {
-			t.Fatalf("the table takes the old holder's write: %v", err)
+			t.Fatalf("the table accepts the old holder's write: %v", err)
 		}
 		var filter lease.FenceFilter
-		var late *lease.StaleFenceError
+		var stale *lease.StaleFenceError
 		if err := filter.Admit(after.Fence); err != nil {
 			t.Fatal(err)
 		}
-		if err := filter.Admit(before.Fence); !errors.As(err, &late) {
-			t.Fatalf("the gate takes the old holder's order: %v", err)
+		if err := filter.Admit(before.Fence); !errors.As(err, &stale) {
+			t.Fatalf("the filter admits the old holder's order: %v", err)
 		}
 		close(resume)
 		time.Sleep(time.Minute)
 	})
 }
 
-// Answers are lost, writes land late, nodes are cut off and the table goes down, again and again: never two holders, and
-// somebody holds the duty within a minute of the end.
+// Responses are lost, writes take effect late, nodes are partitioned and the table goes down, repeatedly. There must never be
+// two holders, and one process must hold the duty within a minute after the last fault.
 func TestOneHolderUnderFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		runProcesses(t, 10+seed, false, func(s *standin.Store, ps []*process, rng *rand.Rand) {
@@ -186,8 +186,8 @@
 	}
 }
 
-// The table is down for long: the holder's duty lapses and nobody takes it, so control decisions wait while traffic
-// goes on. After the outage one node has it again.
+// During a long outage of the table the holder's lease expires and no node acquires it, so control decisions wait while
+// traffic continues. After the outage one node must acquire it again.
 func TestLeaseExpiresDuringTableOutage(t *testing.T) {
 	runProcesses(t, 2, false, func(s *standin.Store, ps []*process, _ *rand.Rand) {
 		waitForHolder(t, ps, nil)
@@ -203,7 +203,7 @@
 	})
 }
 
-// An operator releases a duty by force while its holder is alive: the holder's number is old at once.
+// An operator releases a duty while its holder is alive. The holder's fencing token must be outdated immediately.
 func TestForcedReleaseRaisesFence(t *testing.T) {
 	runProcesses(t, 3, true, func(s *standin.Store, ps []*process, _ *rand.Rand) {
 		before := waitForHolder(t, ps, nil).held()
@@ -222,59 +222,60 @@
 	})
 }
 
-// Several gateways draw numbers at the same time, and one of them may have to lead while the table is away. Two leaders under
-// one number would give two maps the same version. No number may be drawn twice, and each is above those before it.
+// Several gateways allocate fencing tokens concurrently, for the case that one of them has to lead while the table is down.
+// Two leaders with the same token would give two maps the same version, so no token may be allocated twice, and each must be
+// larger than those before it.
 func TestFencesAreAllocatedOnce(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	seen := map[ids.Fence]bool{}
 	var mu sync.Mutex
 	last := ids.Fence(0)
 	for range 20 {
-		var wait sync.WaitGroup
+		var wg sync.WaitGroup
 		for i := range 4 {
 			client := s.Client(fmt.Sprint("gateway-", i))
-			wait.Go(func() {
+			wg.Go(func() {
 				n, err := manager.AllocateFence(context.Background(), client, duty)
-				var drawn *manager.AllocationConflictError
-				if errors.As(err, &drawn) {
+				var conflict *manager.AllocationConflictError
+				if errors.As(err, &conflict) {
 					return
 				}
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil || seen[n] || n <= last {
-					t.Errorf("drew %d after %d, seen before: %t, err %v", n, last, seen[n], err)
+					t.Errorf("allocated %d after %d, seen before: %t, err %v", n, last, seen[n], err)
 				}
 				seen[n] = true
 			})
 		}
-		wait.Wait()
+		wg.Wait()
 		for n := range seen {
 			last = max(last, n)
 		}
 	}
 	if len(seen) < 20 {
-		t.Fatalf("%d numbers were drawn in 20 rounds", len(seen))
+		t.Fatalf("%d fencing tokens were allocated in 20 rounds", len(seen))
 	}
 }
 
-// A takeover takes effect and its answer is lost. The row names this node; that is no sign of a later holder, which would
-// make it give up a duty that nobody else has.
+// A takeover takes effect but its response is lost, so the row names this incarnation. That is not evidence of a later holder,
+// which would make this node drop a duty that no other node holds.
 func TestOwnTakeoverDoesNotCountAsOthers(t *testing.T) {
 	h := lease.NewHolder(duty, "a", "life-1", time.Second, rand.New(rand.NewPCG(1, 1)))
 	now := time.Unix(0, 0)
 	h.SetWanted(now, true)
-	read := func(name, life string, fence uint64) {
+	read := func(name, incarnation string, fence uint64) {
 		h.Tick(now)
-		row := lease.Row{Lease: &cardamomyokev1.Lease{Holder: name, Incarnation: life, LengthMs: 1000}, Version: fence, Fence: fence}
+		row := lease.Row{Lease: &cardamomyokev1.Lease{Holder: name, Incarnation: incarnation, LengthMs: 1000}, Version: fence, Fence: fence}
 		h.OnRead(now, h.CallID(), row, true)
 		now = now.Add(400 * time.Millisecond)
 	}
 	read("a", "life-1", 7)
 	if got := h.NewestFenceOfOthers(); got != 0 || h.NewestFence() != 7 {
-		t.Fatalf("saw %d of others, %d in all", got, h.NewestFence())
+		t.Fatalf("newest fence of others %d, newest fence %d", got, h.NewestFence())
 	}
 	read("a", "life-0", 8)
 	if got := h.NewestFenceOfOthers(); got != 8 {
-		t.Fatalf("saw %d of an earlier life, want 8", got)
+		t.Fatalf("newest fence of others %d, want 8 of an earlier incarnation", got)
 	}
 }
