--- a/internal/gen/cardamomyoke/v1/cardamomyokev1connect/agent.connect.go
+++ b/internal/gen/cardamomyoke/v1/cardamomyokev1connect/agent.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: cardamomyoke/v1/agent.proto
 
-// How the gateway that places experts reaches the ranks of a group through the agent beside each of them.
+// The gateway that leads the placement of experts reaches the ranks of a group through an agent on each rank's host.
 package cardamomyokev1connect
 
 import (
@@ -46,13 +46,13 @@
 
 // AgentServiceClient is a client for the cardamomyoke.v1.AgentService service.
 type AgentServiceClient interface {
-	// Report reads what the rank says of itself, fresh.
+	// RankReport reads the rank's current report.
 	RankReport(context.Context, *v1.RankReportRequest) (*v1.RankReportResponse, error)
-	// Counts reads how often the rank's requests chose each expert since it started.
+	// RankCounts reads how often the rank's requests have chosen each expert since the rank started.
 	RankCounts(context.Context, *v1.RankCountsRequest) (*v1.RankCountsResponse, error)
-	// Held reads the rank's part of the map in use.
+	// RankHeld reads the experts that the rank holds in the map in use.
 	RankHeld(context.Context, *v1.RankHeldRequest) (*v1.RankHeldResponse, error)
-	// Order gives the rank an order.
+	// RankOrder sends an order to the rank.
 	RankOrder(context.Context, *v1.RankOrderRequest) (*v1.RankOrderResponse, error)
 }
 
@@ -140,13 +140,13 @@
 
 // AgentServiceHandler is an implementation of the cardamomyoke.v1.AgentService service.
 type AgentServiceHandler interface {
-	// Report reads what the rank says of itself, fresh.
+	// RankReport reads the rank's current report.
 	RankReport(context.Context, *v1.RankReportRequest) (*v1.RankReportResponse, error)
-	// Counts reads how often the rank's requests chose each expert since it started.
+	// RankCounts reads how often the rank's requests have chosen each expert since the rank started.
 	RankCounts(context.Context, *v1.RankCountsRequest) (*v1.RankCountsResponse, error)
-	// Held reads the rank's part of the map in use.
+	// RankHeld reads the experts that the rank holds in the map in use.
 	RankHeld(context.Context, *v1.RankHeldRequest) (*v1.RankHeldResponse, error)
-	// Order gives the rank an order.
+	// RankOrder sends an order to the rank.
 	RankOrder(context.Context, *v1.RankOrderRequest) (*v1.RankOrderResponse, error)
 }
 
--- a/internal/gen/cardamomyoke/v1/cardamomyokev1connect/expertmap.connect.go
+++ b/internal/gen/cardamomyoke/v1/cardamomyokev1connect/expertmap.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: cardamomyoke/v1/expertmap.proto
 
-// The switch of a group's expert map: messages between slots and the proposer, and what operators see of a slot.
+// The switch of a group's expert map: messages between slots and the proposer, and the status of a slot for operators.
 package cardamomyokev1connect
 
 import (
@@ -44,9 +44,9 @@
 
 // ExpertMapServiceClient is a client for the cardamomyoke.v1.ExpertMapService service.
 type ExpertMapServiceClient interface {
-	// DeliverMapMessages hands over messages one way; the answers come as messages of their own.
+	// DeliverMapMessages delivers messages in one direction; replies are sent as separate messages.
 	DeliverMapMessages(context.Context, *v1.DeliverMapMessagesRequest) (*v1.DeliverMapMessagesResponse, error)
-	// GetMapStatus tells where the slot of a group stands.
+	// GetMapStatus returns the state of the group's slot at the receiver.
 	GetMapStatus(context.Context, *v1.GetMapStatusRequest) (*v1.GetMapStatusResponse, error)
 }
 
@@ -102,9 +102,9 @@
 
 // ExpertMapServiceHandler is an implementation of the cardamomyoke.v1.ExpertMapService service.
 type ExpertMapServiceHandler interface {
-	// DeliverMapMessages hands over messages one way; the answers come as messages of their own.
+	// DeliverMapMessages delivers messages in one direction; replies are sent as separate messages.
 	DeliverMapMessages(context.Context, *v1.DeliverMapMessagesRequest) (*v1.DeliverMapMessagesResponse, error)
-	// GetMapStatus tells where the slot of a group stands.
+	// GetMapStatus returns the state of the group's slot at the receiver.
 	GetMapStatus(context.Context, *v1.GetMapStatusRequest) (*v1.GetMapStatusResponse, error)
 }
 
--- a/internal/gen/cardamomyoke/v1/cardamomyokev1connect/operator.connect.go
+++ b/internal/gen/cardamomyoke/v1/cardamomyokev1connect/operator.connect.go
@@ -2,8 +2,8 @@
 //
 // Source: cardamomyoke/v1/operator.proto
 
-// What operators can do. Every change names its operator, reason, operation id and base revision; input that cannot be
-// accepted is refused as a whole, with a FieldViolation as detail of the error.
+// The operators' interface. Every change names its operator, reason, operation id and base revision. Invalid input is refused
+// as a whole, with a FieldViolation as detail of the error.
 package cardamomyokev1connect
 
 import (
@@ -70,23 +70,23 @@
 	Change(context.Context, *v1.ChangeRequest) (*v1.ChangeResponse, error)
 	// RollForward commits a new revision with the content of an older one.
 	RollForward(context.Context, *v1.RollForwardRequest) (*v1.RollForwardResponse, error)
-	// Diff returns the edits that lead from one configuration to another, and changes nothing.
+	// Diff returns the edits that turn the committed configuration into the wanted one. It changes nothing.
 	Diff(context.Context, *v1.DiffRequest) (*v1.DiffResponse, error)
 	// List returns the objects of one kind, or all, at a revision.
 	List(context.Context, *v1.ListRequest) (*v1.ListResponse, error)
-	// GetOperation tells what became of a change whose answer was lost.
+	// GetOperation returns the outcome of a change whose response was lost.
 	GetOperation(context.Context, *v1.GetOperationRequest) (*v1.GetOperationResponse, error)
 	// ListRevisions returns the log, newest first.
 	ListRevisions(context.Context, *v1.ListRevisionsRequest) (*v1.ListRevisionsResponse, error)
-	// GetStatus returns nodes, leases and the state of acceptance, as this entry knows them.
+	// GetStatus returns this entry's view of the nodes, the leases and the state of acceptance.
 	GetStatus(context.Context, *v1.GetStatusRequest) (*v1.GetStatusResponse, error)
-	// Order has an upstream load or unload something or change its role.
+	// Order makes an upstream load a model version, load or unload an adapter, or change its role.
 	Order(context.Context, *v1.OrderRequest) (*v1.OrderResponse, error)
-	// Act pauses, drains or forces something.
+	// Act pauses rebalancing, drains an upstream, removes nodes or releases a lease.
 	Act(context.Context, *v1.ActRequest) (*v1.ActResponse, error)
-	// Watch sends the state of acceptance at once and after each change of it.
+	// Watch sends the state of acceptance immediately and after each of its changes.
 	Watch(context.Context, *v1.WatchRequest) (*connect.ServerStreamForClient[v1.WatchResponse], error)
-	// ListAudit returns audit rows in the order of their keys.
+	// ListAudit returns audit rows sorted by key.
 	ListAudit(context.Context, *v1.ListAuditRequest) (*v1.ListAuditResponse, error)
 }
 
@@ -286,23 +286,23 @@
 	Change(context.Context, *v1.ChangeRequest) (*v1.ChangeResponse, error)
 	// RollForward commits a new revision with the content of an older one.
 	RollForward(context.Context, *v1.RollForwardRequest) (*v1.RollForwardResponse, error)
-	// Diff returns the edits that lead from one configuration to another, and changes nothing.
+	// Diff returns the edits that turn the committed configuration into the wanted one. It changes nothing.
 	Diff(context.Context, *v1.DiffRequest) (*v1.DiffResponse, error)
 	// List returns the objects of one kind, or all, at a revision.
 	List(context.Context, *v1.ListRequest) (*v1.ListResponse, error)
-	// GetOperation tells what became of a change whose answer was lost.
+	// GetOperation returns the outcome of a change whose response was lost.
 	GetOperation(context.Context, *v1.GetOperationRequest) (*v1.GetOperationResponse, error)
 	// ListRevisions returns the log, newest first.
 	ListRevisions(context.Context, *v1.ListRevisionsRequest) (*v1.ListRevisionsResponse, error)
-	// GetStatus returns nodes, leases and the state of acceptance, as this entry knows them.
+	// GetStatus returns this entry's view of the nodes, the leases and the state of acceptance.
 	GetStatus(context.Context, *v1.GetStatusRequest) (*v1.GetStatusResponse, error)
-	// Order has an upstream load or unload something or change its role.
+	// Order makes an upstream load a model version, load or unload an adapter, or change its role.
 	Order(context.Context, *v1.OrderRequest) (*v1.OrderResponse, error)
-	// Act pauses, drains or forces something.
+	// Act pauses rebalancing, drains an upstream, removes nodes or releases a lease.
 	Act(context.Context, *v1.ActRequest) (*v1.ActResponse, error)
-	// Watch sends the state of acceptance at once and after each change of it.
+	// Watch sends the state of acceptance immediately and after each of its changes.
 	Watch(context.Context, *v1.WatchRequest, *connect.ServerStream[v1.WatchResponse]) error
-	// ListAudit returns audit rows in the order of their keys.
+	// ListAudit returns audit rows sorted by key.
 	ListAudit(context.Context, *v1.ListAuditRequest) (*v1.ListAuditResponse, error)
 }
 
--- a/internal/gen/cardamomyoke/v1/cardamomyokev1connect/peer.connect.go
+++ b/internal/gen/cardamomyoke/v1/cardamomyokev1connect/peer.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: cardamomyoke/v1/peer.proto
 
-// What gateways give each other of the platform's store while it answers some of them only.
+// The exchange of table copies between gateways, for times when the platform's store responds only to some of them.
 package cardamomyokev1connect
 
 import (
@@ -40,7 +40,7 @@
 
 // PeerServiceClient is a client for the cardamomyoke.v1.PeerService service.
 type PeerServiceClient interface {
-	// Pull returns what the receiver knows of a table beyond a version.
+	// Pull returns the changes of a table after a version, from the receiver's copy.
 	Pull(context.Context, *v1.PullRequest) (*v1.PullResponse, error)
 }
 
@@ -80,7 +80,7 @@
 
 // PeerServiceHandler is an implementation of the cardamomyoke.v1.PeerService service.
 type PeerServiceHandler interface {
-	// Pull returns what the receiver knows of a table beyond a version.
+	// Pull returns the changes of a table after a version, from the receiver's copy.
 	Pull(context.Context, *v1.PullRequest) (*v1.PullResponse, error)
 }
 
--- a/internal/gen/cardamomyoke/v1/cardamomyokev1connect/rank.connect.go
+++ b/internal/gen/cardamomyoke/v1/cardamomyokev1connect/rank.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: cardamomyoke/v1/rank.proto
 
-// What the holder of a group's lease asks each rank's slot, to decide on the expert map.
+// The reports that the holder of a group's lease requests from each rank's slot, to decide on the expert map.
 package cardamomyokev1connect
 
 import (
@@ -41,7 +41,7 @@
 
 // RankServiceClient is a client for the cardamomyoke.v1.RankService service.
 type RankServiceClient interface {
-	// GetRankReport returns what the rank did in its last whole window.
+	// GetRankReport returns the rank's work in its last complete window of time.
 	GetRankReport(context.Context, *v1.GetRankReportRequest) (*v1.GetRankReportResponse, error)
 }
 
@@ -81,7 +81,7 @@
 
 // RankServiceHandler is an implementation of the cardamomyoke.v1.RankService service.
 type RankServiceHandler interface {
-	// GetRankReport returns what the rank did in its last whole window.
+	// GetRankReport returns the rank's work in its last complete window of time.
 	GetRankReport(context.Context, *v1.GetRankReportRequest) (*v1.GetRankReportResponse, error)
 }
 
--- a/internal/gen/cardamomyoke/v1/cardamomyokev1connect/revision.connect.go
+++ b/internal/gen/cardamomyoke/v1/cardamomyokev1connect/revision.connect.go
@@ -2,7 +2,7 @@
 //
 // Source: cardamomyoke/v1/revision.proto
 
-// How a committed change reaches every node and is accepted. See docs/design/configuration.md.
+// The messages and rows by which a committed change reaches every node and is accepted. See docs/design/configuration.md.
 package cardamomyokev1connect
 
 import (
@@ -45,11 +45,11 @@
 
 // RevisionServiceClient is a client for the cardamomyoke.v1.RevisionService service.
 type RevisionServiceClient interface {
-	// Push takes a beat from the node that this one hears from.
+	// Push delivers a heartbeat from a parent to its child.
 	Push(context.Context, *v1.PushRequest) (*v1.PushResponse, error)
-	// Acknowledge takes the answer of a node that hears from this one.
+	// Acknowledge delivers an acknowledgement from a child to its parent.
 	Acknowledge(context.Context, *v1.AcknowledgeRequest) (*v1.AcknowledgeResponse, error)
-	// CatchUp returns the whole state, for a node that lacks too many entries.
+	// CatchUp returns the full state, for a node that lacks too many entries.
 	CatchUp(context.Context, *v1.CatchUpRequest) (*v1.CatchUpResponse, error)
 }
 
@@ -121,11 +121,11 @@
 
 // RevisionServiceHandler is an implementation of the cardamomyoke.v1.RevisionService service.
 type RevisionServiceHandler interface {
-	// Push takes a beat from the node that this one hears from.
+	// Push delivers a heartbeat from a parent to its child.
 	Push(context.Context, *v1.PushRequest) (*v1.PushResponse, error)
-	// Acknowledge takes the answer of a node that hears from this one.
+	// Acknowledge delivers an acknowledgement from a child to its parent.
 	Acknowledge(context.Context, *v1.AcknowledgeRequest) (*v1.AcknowledgeResponse, error)
-	// CatchUp returns the whole state, for a node that lacks too many entries.
+	// CatchUp returns the full state, for a node that lacks too many entries.
 	CatchUp(context.Context, *v1.CatchUpRequest) (*v1.CatchUpResponse, error)
 }
 
