--- a/internal/state/revision/accept.go
+++ b/internal/state/revision/accept.go
@@ -22,13 +22,13 @@
 	silent []*Member
 }
 
-// holders returns the members that held the entry at the time since and have acknowledged it again within the last ackTTL.
+// holders returns the members known to have held the entry at the given time whose latest acknowledgement is within ackTTL.
 // An older acknowledgement does not count, because a member that restarts after it has lost the entry. If several members
 // restart before the rest receive the entry, they could form a majority that never learns of it.
-func (p *pending) holders(since, now time.Time) bitset {
+func (p *pending) holders(at, now time.Time) bitset {
 	out := newBitset(len(p.state.Roster.members))
 	for i, first := range p.heldSince {
-		if !first.After(since) && now.Sub(p.lastAck[i]) <= ackTTL {
+		if !first.After(at) && now.Sub(p.lastAck[i]) <= ackTTL {
 			out.set(i)
 		}
 	}
--- a/internal/state/revision/agent/agent.go
+++ b/internal/state/revision/agent/agent.go
@@ -3,7 +3,9 @@
 //
 // An entry and a slot wire it in the same way:
 //
-//	a := agent.New(agent.Config{Self: member, Incarnation: inc, Seeds: peers, Platform: client, Transport: agent.NewRPC(), Loop: loop, ...})
+//	a := agent.New(agent.Config{
+//		Self: member, Incarnation: inc, Seeds: peers, Platform: client, Transport: agent.NewRPC(httpClient, "https"), Loop: loop, ...
+//	})
 //	mux.Handle(agent.Handler(a))          // revision service, on the address that member names
 //	loop.Run(ctx, 50*time.Millisecond, a.Tick)
 //	v := a.View()                          // for each request: v.Fresh(now), v.Current(), v.Admits(rev, now)
--- a/internal/state/revision/node.go
+++ b/internal/state/revision/node.go
@@ -41,10 +41,10 @@
 	committed   uint64
 	accepted    uint64
 	floors      []floor
-	missing     []string // as reported by the last heartbeat
-	tableReadAt time.Time
-	newestCert  quorumCert
-	certBasis   time.Time
+	missing     []string   // as reported by the last heartbeat
+	tableReadAt time.Time  // start of the newest table read of which this node holds all committed entries
+	newestCert  quorumCert // forwarded to the children
+	certBasis   time.Time  // basis of the newest certificate that applies to this node
 
 	parent       string
 	parentAt     time.Time
@@ -380,8 +380,8 @@
 // recover ends the recovery of a restarted node, which has lost its record of the entries that it acknowledged. The basis
 // must be later than the node's start: an entry that the previous incarnation acknowledged was committed before that, so a
 // read of the table shows it, and every majority contains a node that acknowledged it too. A majority counts only once the
-// acknowledgements of the previous incarnation have expired everywhere (restartQuarantine). Until then they may be added to
-// those of nodes that received the entry after they answered the heartbeat for this certificate.
+// acknowledgements of the previous incarnation have expired everywhere (restartQuarantine). Until then, they may be combined
+// with those of nodes that received the entry only after they had answered the heartbeat behind this certificate.
 func (n *Node) recover(basis time.Time) {
 	if basis.Before(n.startedAt) {
 		return
--- a/internal/state/revision/options.go
+++ b/internal/state/revision/options.go
@@ -62,9 +62,9 @@
 	maxNonces       = 64
 	// ackTTL is how long an acknowledgement counts if no later heartbeat repeats it.
 	ackTTL = 4 * time.Second
-	// restartQuarantine is how long a restarted node neither relies on a majority nor counts in one. It must exceed the time
-	// for which an acknowledgement of the previous incarnation can count: up to childTimeout at each of up to seven nodes on
-	// its way up the tree, then ackTTL.
+	// restartQuarantine is how long a restarted node that receives no table read neither relies on a majority nor counts in
+	// one. It must exceed the time for which an acknowledgement of the previous incarnation can count: up to childTimeout at
+	// each of up to seven nodes on its way up the tree, then ackTTL.
 	restartQuarantine = 30 * time.Second
 	maxFloors         = 8
 	maxRounds         = 4
--- a/internal/state/revision/table.go
+++ b/internal/state/revision/table.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// poll reads the table at each heartbeat if this node is one of the first Pollers members of its data centre, or is aware
-// of no read within the last two heartbeats. An origin reads it pollLead before its own heartbeat.
+// poll reads the table once per HeartbeatInterval if this node is one of the first Pollers members of its data centre, an
+// origin, no member or without state, or if it is aware of no read within the last two intervals. An origin reads the table
+// pollLead before its own heartbeat.
 func (n *Node) poll() {
 	if !n.readStartedAt.IsZero() && n.now.Sub(n.readStartedAt) < readTimeout {
 		return
