--- a/internal/state/lease/manager/manager_test.go
+++ b/internal/state/lease/manager/manager_test.go
@@ -59,7 +59,8 @@
 // runProcesses runs three processes that contend for one duty while f injects faults. It checks that at each moment at most
 // one process holds the duty, and that its fencing token is larger than that of every earlier holder.
 // If forced is set, f releases the duty of a live holder, which may consider itself the holder until its next renewal. Then
-// only the growth of the fencing tokens is checked, since they cause the old holder's actions to be rejected.
+// it only checks that no two processes hold the same fencing token, since the tokens cause the old holder's actions to be
+// rejected.
 func runProcesses(t *testing.T, seed uint64, forced bool, f func(s *standin.Store, ps []*process, rng *rand.Rand)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore(standin.Limits{})
