--- a/internal/state/revision/agent/agent_test.go
+++ b/internal/state/revision/agent/agent_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-func TestChangeIsInForceEverywhere(t *testing.T) {
+// A change must be accepted within a second while all nodes and the table are healthy, and be in force on every node.
+func TestChangeIsInForceOnAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
 		defer c.stop()
