--- a/internal/testing/faulttest/addresses.go
+++ b/internal/testing/faulttest/addresses.go
@@ -6,35 +6,35 @@
 	"sync/atomic"
 )
 
-// Every cluster has loopback addresses of its own, which also differ between test processes. The ports lie below those
-// that the system gives to outgoing connections.
+// Each cluster has its own loopback addresses, which also differ between test processes. The ports are below the range
+// that the system uses for outgoing connections.
 const (
 	firstPort   = 20000
-	ports       = 10000
+	portCount   = 10000
 	firstOctet  = 20
-	octets      = 200
-	hostsPerNet = 250
+	octetCount  = 200
+	thirdOctets = 250
 )
 
-var clusters atomic.Int64
+var clusterCount atomic.Int64
 
-// addresses deals out the loopback addresses of one cluster.
+// addresses allocates the loopback addresses of one cluster.
 type addresses struct {
-	net  string
-	port int
-	next int
+	prefix    string
+	port      int
+	allocated int
 }
 
 func newAddresses() *addresses {
-	n := int(clusters.Add(1))
+	n := int(clusterCount.Add(1))
 	pid := os.Getpid()
 	return &addresses{
-		net:  fmt.Sprintf("127.%d.%d", firstOctet+pid%octets, (pid/octets)%hostsPerNet),
-		port: firstPort + n%ports,
+		prefix: fmt.Sprintf("127.%d.%d", firstOctet+pid%octetCount, (pid/octetCount)%thirdOctets),
+		port:   firstPort + n%portCount,
 	}
 }
 
-func (a *addresses) take() string {
-	a.next++
-	return fmt.Sprintf("%s.%d:%d", a.net, a.next, a.port)
+func (a *addresses) allocate() string {
+	a.allocated++
+	return fmt.Sprintf("%s.%d:%d", a.prefix, a.allocated, a.port)
 }
--- a/internal/testing/faulttest/caller.go
+++ b/internal/testing/faulttest/caller.go
@@ -21,11 +21,11 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/standin/plain"
 )
 
-// callerPatience is for how long a caller waits; it is longer than any deadline of the deployment.
-const callerPatience = 2 * modelDeadline * time.Millisecond
+// callerTimeout bounds one call. It is longer than any deadline of the deployment.
+const callerTimeout = 2 * modelDeadline * time.Millisecond
 
-// caller sends one request at a time over connections that it never uses twice, so that nothing of one answer can be
-// taken for the next by the caller itself.
+// caller sends one request at a time and never reuses a connection, so that the caller itself cannot mistake bytes of one
+// response for the next.
 type caller struct {
 	client *httpclient.Client
 }
@@ -43,9 +43,9 @@
 	return req
 }
 
-// chat asks the model for a streamed answer. It returns false if no connection could be made.
-func (c *caller) chat(entry, mark string, tokens int) (Send, bool) {
-	s := Send{Mark: mark, Class: Unknown}
+// chat sends a streaming chat request to the model. It returns false if no connection could be made.
+func (c *caller) chat(entry, mark string, tokens int) (Call, bool) {
+	s := Call{Mark: mark, Class: Unknown}
 	messages, err := json.Marshal([]map[string]string{{"role": "user", "content": mark + " two bodies, a set of primes"}})
 	if err != nil {
 		return s, false
@@ -55,11 +55,11 @@
 	return c.send(entry, newRequest("/v1/chat/completions", body), s, readStream)
 }
 
-// slip asks the plain service to print a slip, which may happen at most once. The mark goes into the target's query,
-// which the service and the claim ignore.
-func (c *caller) slip(entry, key, mark string) (Send, bool) {
+// slip asks the plain service to print a slip, which must be printed at most once. The mark goes into the query of the
+// request target, which the service and the claim ignore.
+func (c *caller) slip(entry, key, mark string) (Call, bool) {
 	body := []byte(`{"slip":"` + key + `"}`)
-	s := Send{Mark: mark, Key: key, Class: Unknown}
+	s := Call{Mark: mark, Key: key, Class: Unknown}
 	want, err := json.Marshal(plain.Answer{Key: key, Path: "/slips", Echo: plain.Echo(body)})
 	if err != nil {
 		return s, false
@@ -67,11 +67,11 @@
 	s.Want = want
 	req := newRequest("/v1/services/"+plainService+"/slips?"+mark, body)
 	req.Header.Set(attempt.HeaderKey, key)
-	return c.send(entry, req, s, readWhole)
+	return c.send(entry, req, s, readDocument)
 }
 
-func (c *caller) send(entry string, req *fasthttp.Request, s Send, read func(io.Reader, *Send)) (Send, bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), callerPatience)
+func (c *caller) send(entry string, req *fasthttp.Request, s Call, read func(io.Reader, *Call)) (Call, bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	res, err := c.client.Do(ctx, entry, req)
 	var dial *httpclient.DialError
@@ -90,24 +90,24 @@
 	return s, true
 }
 
-func (s *Send) failed(d httpserver.FailureDetail) {
+func (s *Call) recordFailure(d httpserver.FailureDetail) {
 	s.Code = d.Code
 	if d.NotRun && d.Proof != failure.ProofNone {
 		s.Class = NotRun
 	}
 }
 
-func readFailure(body io.Reader, s *Send) {
+func readFailure(body io.Reader, s *Call) {
 	var in httpserver.FailureBody
 	if err := json.NewDecoder(body).Decode(&in); err == nil {
-		s.failed(in.Error)
+		s.recordFailure(in.Error)
 	}
 }
 
-func readWhole(body io.Reader, s *Send) {
+func readDocument(body io.Reader, s *Call) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		s.Want = nil // A part of a document is no answer and is not compared.
+		s.Want = nil // A truncated document is not a response and is not compared.
 		return
 	}
 	s.Body = bytes.TrimSpace(data)
@@ -123,19 +123,19 @@
 	Error *httpserver.FailureDetail `json:"error"`
 }
 
-// readStream reads to the end of the body, also past the end marker: nothing may follow it.
-func readStream(body io.Reader, s *Send) {
+// readStream reads to the end of the body, past the end marker as well, to detect data that follows the marker.
+func readStream(body io.Reader, s *Call) {
 	var text strings.Builder
-	ended := false
+	done := false
 	for ev, err := range sse.Read(body, nil) {
 		if err != nil {
 			break
 		}
-		if ended {
+		if done {
 			s.Trailing = true
 		}
 		if ev.Data == "[DONE]" {
-			ended = true
+			done = true
 			continue
 		}
 		var in streamEvent
@@ -144,8 +144,8 @@
 			break
 		}
 		if in.Error != nil {
-			s.failed(*in.Error)
-			ended = true
+			s.recordFailure(*in.Error)
+			done = true
 			continue
 		}
 		for _, c := range in.Choices {
@@ -153,7 +153,7 @@
 		}
 	}
 	s.Body = []byte(text.String())
-	if ended && s.Code == "" {
+	if done && s.Code == "" {
 		s.Class = Answered
 	}
 }
--- a/internal/testing/faulttest/cluster.go
+++ b/internal/testing/faulttest/cluster.go
@@ -18,7 +18,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/standin/plain"
 )
 
-// Sizes and times of a cluster.
+// Sizes and timings of a cluster. The deadlines are in milliseconds.
 const (
 	entries       = 2
 	modelSlots    = 3
@@ -35,13 +35,13 @@
 	clientName   = "arriaga"
 )
 
-// Sabotage turns safeguards off, to show that the checks can fail.
-type Sabotage struct {
-	// OwnTables gives each slot a table of its own, so that claims do not bind the others.
-	OwnTables bool
+// DisabledSafeguards selects safeguards to turn off, to show that the checks can fail.
+type DisabledSafeguards struct {
+	// SeparateTables gives each slot its own platform table, so that no slot sees the claims of another.
+	SeparateTables bool
 }
 
-// Host is an upstream host: a slot with an engine or a plain service beside it, and the relay between the two.
+// Host is an upstream host: a slot, its engine or plain service, and the relay between the two.
 type Host struct {
 	name     string
 	set      slot.Settings
@@ -54,7 +54,7 @@
 	links    []*Link
 }
 
-// EntryHost is an entry with the addresses of its links.
+// EntryHost is an entry and its links to the slots.
 type EntryHost struct {
 	set   entry.Settings
 	deps  entry.Deps
@@ -69,15 +69,15 @@
 	Plains  []*Host
 	Table   *memtable.Table
 	tracer  *tracing.Tracer
-	// control is held while a fault begins or ends.
-	control sync.Mutex
+	// faultMu is held while a fault is injected or reverted.
+	faultMu sync.Mutex
 	mu      sync.Mutex
 	reached map[string]bool
-	// past are plain services that were stopped; their runs still count.
-	past []*plain.Service
+	// stoppedServices holds the plain services that were stopped; their runs still count.
+	stoppedServices []*plain.Service
 }
 
-// Configuration is what operators of the small deployment decided.
+// configuration returns the operators' configuration of the deployment.
 func configuration() (*config.Snapshot, error) {
 	return config.NewSnapshot(&cardamomyokev1.Configuration{
 		Revision: 1,
@@ -97,8 +97,8 @@
 	})
 }
 
-// NewCluster starts everything; Close stops it.
-func NewCluster(sab Sabotage) (*Cluster, error) {
+// NewCluster starts all entries, slots, stand-ins and relays; Close stops them.
+func NewCluster(disabled DisabledSafeguards) (*Cluster, error) {
 	snap, err := configuration()
 	if err != nil {
 		return nil, err
@@ -108,41 +108,41 @@
 		return nil, fmt.Errorf("tracer: %w", err)
 	}
 	c := &Cluster{Table: memtable.New(nil), tracer: tracer, reached: map[string]bool{}}
-	at := newAddresses()
+	alloc := newAddresses()
 	source := config.Static{Snapshot: snap}
 	for i := range entries {
 		e := &EntryHost{deps: entry.Deps{Config: source, Logger: log.NewNopLogger(), Tracer: tracer}}
 		e.set.Name = fmt.Sprintf("entry-%d", i)
 		e.set.DataCentre = "churubusco"
-		e.set.HTTP.Address = at.take()
-		e.set.Control.Address = at.take()
-		e.set.Digests.Address = at.take()
+		e.set.HTTP.Address = alloc.allocate()
+		e.set.Control.Address = alloc.allocate()
+		e.set.Digests.Address = alloc.allocate()
 		c.Entries = append(c.Entries, e)
 	}
 	c.Entries[0].set.Digests.Seeds = []string{c.Entries[1].set.Digests.Address}
 	c.Entries[1].set.Digests.Seeds = []string{c.Entries[0].set.Digests.Address}
 	for i := range modelSlots + plainSlots {
-		if err := c.addHost(at, i, source, sab); err != nil {
+		if err := c.addHost(alloc, i, source, disabled); err != nil {
 			return nil, err
 		}
 	}
 	return c, c.startAll()
 }
 
-func (c *Cluster) addHost(at *addresses, i int, source config.Source, sab Sabotage) error {
-	h := &Host{name: fmt.Sprintf("host-%d", i), address: at.take()}
+func (c *Cluster) addHost(alloc *addresses, i int, source config.Source, disabled DisabledSafeguards) error {
+	h := &Host{name: fmt.Sprintf("host-%d", i), address: alloc.allocate()}
 	h.deps = slot.Deps{Config: source, Table: c.Table, Logger: log.NewNopLogger(), Tracer: c.tracer}
-	if sab.OwnTables {
+	if disabled.SeparateTables {
 		h.deps.Table = memtable.New(nil)
 	}
 	h.set.Name = h.name
 	h.set.DataCentre = "churubusco"
-	h.set.HTTP.Address = at.take()
-	h.set.Control.Address = at.take()
-	h.set.Digests.Address = at.take()
-	h.set.Upstream.Address = at.take()
+	h.set.HTTP.Address = alloc.allocate()
+	h.set.Control.Address = alloc.allocate()
+	h.set.Digests.Address = alloc.allocate()
+	h.set.Upstream.Address = alloc.allocate()
 	h.set.Upstream.Batch = engineBatch
-	h.set.Upstream.StopAfter = setting(stopAfter)
+	h.set.Upstream.StopAfter = settingsDuration(stopAfter)
 	if i < modelSlots {
 		h.set.Service = modelService
 		h.set.Upstream.Kind = slot.KindModel
@@ -153,28 +153,28 @@
 		c.Plains = append(c.Plains, h)
 	}
 	var err error
-	h.upstream, err = NewRelay(h.set.Upstream.Address, h.address, c.noteReached)
+	h.upstream, err = NewRelay(h.set.Upstream.Address, h.address, c.recordReached)
 	if err != nil {
 		return err
 	}
-	return c.addLinks(at, h)
+	return c.addLinks(alloc, h)
 }
 
-func (c *Cluster) addLinks(at *addresses, h *Host) error {
+func (c *Cluster) addLinks(alloc *addresses, h *Host) error {
 	for _, e := range c.Entries {
 		a := linkAddresses{
-			work:       at.take(),
-			slotWork:   h.set.HTTP.Address,
-			fromSlot:   at.take(),
-			fromEntry:  at.take(),
-			slotDigest: h.set.Digests.Address,
-			entDigst:   e.set.Digests.Address,
+			requests:         alloc.allocate(),
+			slotHTTP:         h.set.HTTP.Address,
+			digestsFromSlot:  alloc.allocate(),
+			digestsFromEntry: alloc.allocate(),
+			slotDigest:       h.set.Digests.Address,
+			entryDigest:      e.set.Digests.Address,
 		}
 		l, err := newLink(a)
 		if err != nil {
 			return err
 		}
-		h.set.Digests.Seeds = append(h.set.Digests.Seeds, a.fromSlot)
+		h.set.Digests.Seeds = append(h.set.Digests.Seeds, a.digestsFromSlot)
 		h.links = append(h.links, l)
 		e.links = append(e.links, l)
 	}
@@ -200,13 +200,13 @@
 
 func (c *Cluster) hosts() []*Host { return append(append([]*Host{}, c.Models...), c.Plains...) }
 
-func (c *Cluster) noteReached(mark string) {
+func (c *Cluster) recordReached(mark string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reached[mark] = true
 }
 
-// Evidence returns what the stand-ins know.
+// Evidence returns what the stand-ins and relays have recorded.
 func (c *Cluster) Evidence() Evidence {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -214,7 +214,7 @@
 	for m := range c.reached {
 		ev.Reached[m] = true
 	}
-	services := c.past
+	services := c.stoppedServices
 	for _, h := range c.Plains {
 		if h.plain != nil {
 			services = append(services, h.plain)
@@ -228,7 +228,7 @@
 	return ev
 }
 
-// Close stops everything, side by side, since each listener takes half a second to end.
+// Close stops all components in parallel, since each listener takes half a second to close.
 func (c *Cluster) Close() {
 	var wg sync.WaitGroup
 	for _, e := range c.Entries {
--- a/internal/testing/faulttest/doc.go
+++ b/internal/testing/faulttest/doc.go
@@ -1,8 +1,8 @@
-// Package faulttest is the harness of the joint tests of failures: real entries and slots in one process over loopback,
-// with stand-ins for engines and plain services, a table in memory, and relays between them that freeze, cut, double or
-// cross what passes.
+// Package faulttest runs entries and slots together under injected faults. They run in one process over loopback, with
+// stand-ins for engines and plain services, an in-memory platform table, and relays between them that pause, break,
+// duplicate or swap traffic.
 //
-// A Scenario sends requests while one or two faults come and go, and then checks the history of what each caller saw
-// against what the stand-ins ran. The checks are of safety only: which requests are answered and which refused depends
-// on the moment, whether one of them breaks a promise must not. Nothing is judged by a clock.
+// A Scenario sends requests while one or two faults are injected and reverted. It then compares the responses that each
+// caller received with the runs that the stand-ins recorded. Only safety is checked: timing decides which requests are
+// answered or refused, but no timing may violate a guarantee. No check depends on a clock.
 package faulttest
--- a/internal/testing/faulttest/faults.go
+++ b/internal/testing/faulttest/faults.go
@@ -7,49 +7,49 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/faulttest/memtable"
 )
 
-// Heal ends a fault.
-type Heal func() error
+// Revert undoes a fault.
+type Revert func() error
 
-// Fault is something that goes wrong. Strike begins it somewhere and returns what ends it, or nil if it is over by
-// itself. Both run while nothing else begins or ends.
+// Fault is one kind of failure. Inject applies it to a component chosen with rng and returns the function that reverts
+// it, or nil if there is nothing to revert. No other fault is injected or reverted while either of them runs.
 type Fault struct {
 	Name   string
-	Strike func(c *Cluster, rng *rand.Rand) Heal
+	Inject func(c *Cluster, rng *rand.Rand) Revert
 }
 
-// Faults returns every fault that the harness knows.
+// Faults returns the faults that are tested one by one and in the random pairs of the seeds.
 func Faults() []Fault {
 	return []Fault{
 		{"entry-killed", entryKilled},
-		{"entry-leaves", entryLeaves},
+		{"entry-leaves", entryShutDown},
 		{"entry-paused", entryPaused},
-		{"model-slot-killed", func(c *Cluster, rng *rand.Rand) Heal { return slotKilled(pick(c.Models, rng)) }},
-		{"plain-slot-killed", func(c *Cluster, rng *rand.Rand) Heal { return slotKilled(pick(c.Plains, rng)) }},
-		{"slot-leaves", slotLeaves},
-		{"engine-killed", func(c *Cluster, rng *rand.Rand) Heal { return upstreamKilled(c, pick(c.Models, rng)) }},
-		{"plain-killed", func(c *Cluster, rng *rand.Rand) Heal { return upstreamKilled(c, pick(c.Plains, rng)) }},
+		{"model-slot-killed", func(c *Cluster, rng *rand.Rand) Revert { return slotKilled(pick(c.Models, rng)) }},
+		{"plain-slot-killed", func(c *Cluster, rng *rand.Rand) Revert { return slotKilled(pick(c.Plains, rng)) }},
+		{"slot-leaves", slotShutDown},
+		{"engine-killed", func(c *Cluster, rng *rand.Rand) Revert { return upstreamKilled(c, pick(c.Models, rng)) }},
+		{"plain-killed", func(c *Cluster, rng *rand.Rand) Revert { return upstreamKilled(c, pick(c.Plains, rng)) }},
 		{"host-paused", hostPaused},
-		{"peer-cut-off", peerCutOff},
+		{"peer-cut-off", peerPartitioned},
 		{"engine-stalled", engineStalled},
-		{"engine-crossed", engineCrossed},
-		{"engine-cut", engineCut},
-		{"answers-doubled", answers(Double)},
-		{"answers-crossed", answers(Cross)},
-		{"answers-truncated", answers(Truncate)},
-		{"answers-late", answers(Slow)},
-		{"all-engines-killed", func(c *Cluster, _ *rand.Rand) Heal { return allKilled(c, c.Models) }},
-		{"all-plain-killed", func(c *Cluster, _ *rand.Rand) Heal { return allKilled(c, c.Plains) }},
-		{"all-answers-truncated", allAnswers(Truncate)},
-		{"all-answers-crossed", allAnswers(Cross)},
-		{"entry-cut-off", entryCutOff},
+		{"engine-crossed", engineMismatched},
+		{"engine-cut", engineTruncated},
+		{"answers-doubled", responses(Double)},
+		{"answers-crossed", responses(Cross)},
+		{"answers-truncated", responses(Truncate)},
+		{"answers-late", responses(Slow)},
+		{"all-engines-killed", func(c *Cluster, _ *rand.Rand) Revert { return allUpstreamsKilled(c, c.Models) }},
+		{"all-plain-killed", func(c *Cluster, _ *rand.Rand) Revert { return allUpstreamsKilled(c, c.Plains) }},
+		{"all-answers-truncated", allResponses(Truncate)},
+		{"all-answers-crossed", allResponses(Cross)},
+		{"entry-cut-off", entryPartitioned},
 		{"table-down", tableDown},
 		{"table-slow", tableSlow},
-		{"table-loses-answers", tableLoses},
+		{"table-loses-answers", tableLosesResponses},
 		{"table-late", tableLate},
 	}
 }
 
-// FaultByName returns one of Faults; it panics for a name that is none.
+// FaultByName returns the fault of Faults with that name; it panics if there is none.
 func FaultByName(name string) Fault {
 	for _, f := range Faults() {
 		if f.Name == name {
@@ -61,9 +61,9 @@
 
 func pick[T any](list []T, rng *rand.Rand) T { return list[rng.IntN(len(list))] }
 
-// entryKilled: callers in mid-stream see their connection break and send elsewhere; a slip that the dead entry had sent
-// on may have run, and its resend finds the claim.
-func entryKilled(c *Cluster, rng *rand.Rand) Heal {
+// entryKilled stops an entry as a crash would. The connections of callers in mid-stream break, and the callers resend
+// through the other entry. A slip that the dead entry had forwarded may have run; its resend finds the claim.
+func entryKilled(c *Cluster, rng *rand.Rand) Revert {
 	e := pick(c.Entries, rng)
 	if !e.kill() {
 		return nil
@@ -71,18 +71,19 @@
 	return e.start
 }
 
-// entryLeaves: callers notice nothing, or are refused as not run and sent to the other address.
-func entryLeaves(c *Cluster, rng *rand.Rand) Heal {
+// entryShutDown shuts an entry down gracefully. Its callers see no failure, or are refused as not run and use the other
+// entry.
+func entryShutDown(c *Cluster, rng *rand.Rand) Revert {
 	e := pick(c.Entries, rng)
-	if !e.leave() {
+	if !e.shutDown() {
 		return nil
 	}
 	return e.start
 }
 
-// entryPaused: callers wait until the entry's connections move again, or until their deadline; what it had sent arrives
-// late at slots that have gone on.
-func entryPaused(c *Cluster, rng *rand.Rand) Heal {
+// entryPaused holds back all traffic between an entry and the slots. Callers wait until it flows again or until their
+// deadline. Requests that the entry had sent arrive late, at slots that have moved on.
+func entryPaused(c *Cluster, rng *rand.Rand) Revert {
 	e := pick(c.Entries, rng)
 	e.setLinks(Freeze)
 	return func() error {
@@ -91,46 +92,51 @@
 	}
 }
 
-// slotKilled: streams go on from another slot after the last token; the outcome of a slip in mid-run is unknown. The new
-// slot process has forgotten every attempt, and refuses those meant for the old one.
-func slotKilled(h *Host) Heal {
+// slotKilled stops a slot as a crash would. Streams continue on another slot after the last token that the caller
+// received; the outcome of a slip that was running is unknown. The restarted slot has no state for any attempt and
+// refuses those addressed to its predecessor.
+func slotKilled(h *Host) Revert {
 	if !h.killSlot() {
 		return nil
 	}
 	return h.restartSlot
 }
 
-// slotLeaves: callers notice nothing; what ran is finished, what comes is refused as not run and tried elsewhere.
-func slotLeaves(c *Cluster, rng *rand.Rand) Heal {
+// slotShutDown shuts a slot down gracefully. Callers see no failure: running requests finish, and new ones are refused as
+// not run and retried on another slot.
+func slotShutDown(c *Cluster, rng *rand.Rand) Revert {
 	h := pick(c.hosts(), rng)
-	if !h.leave() {
+	if !h.shutDownSlot() {
 		return nil
 	}
 	return h.restartSlot
 }
 
-// upstreamKilled: streams go on from another upstream; the outcome of a slip in mid-run is unknown, and one that was not
-// yet sent is given back and tried elsewhere, since the dial is refused.
-func upstreamKilled(c *Cluster, h *Host) Heal {
+// upstreamKilled stops an engine or a plain service as a crash would. Streams continue on another upstream. The outcome of
+// a slip that was running is unknown; a slip that was not yet sent is returned as not run and retried on another
+// upstream, since the connection is refused.
+func upstreamKilled(c *Cluster, h *Host) Revert {
 	if !c.killUpstream(h) {
 		return nil
 	}
 	return h.restartUpstream
 }
 
-// hostPaused: callers of that host wait or are served elsewhere; when it wakes up, everything held back arrives late, in
-// both directions: requests past their deadline, and answers that nobody waits for.
-func hostPaused(c *Cluster, rng *rand.Rand) Heal {
+// hostPaused holds back all traffic of an upstream host. Its callers wait or are served by other hosts. When the host
+// resumes, everything held back arrives late in both directions: requests past their deadline, and responses that no
+// caller waits for.
+func hostPaused(c *Cluster, rng *rand.Rand) Revert {
 	h := pick(c.hosts(), rng)
-	h.setHost(Freeze)
+	h.setMode(Freeze)
 	return func() error {
-		h.setHost(Pass)
+		h.setMode(Pass)
 		return nil
 	}
 }
 
-// peerCutOff: callers of one entry are served by the other hosts; the entry asks in vain what became of its attempts.
-func peerCutOff(c *Cluster, rng *rand.Rand) Heal {
+// peerPartitioned partitions one entry from one slot. The entry's callers are served by the other hosts; the entry cannot
+// query the outcome of its attempts on that slot.
+func peerPartitioned(c *Cluster, rng *rand.Rand) Revert {
 	l := pick(pick(c.hosts(), rng).links, rng)
 	l.Set(Cut)
 	return func() error {
@@ -139,8 +145,9 @@
 	}
 }
 
-// engineStalled: callers in mid-stream wait until the slot gives the engine up, and get the rest from another one.
-func engineStalled(c *Cluster, rng *rand.Rand) Heal {
+// engineStalled makes an engine hang. Callers in mid-stream wait until the slot abandons the engine, and receive the
+// remaining tokens from another one.
+func engineStalled(c *Cluster, rng *rand.Rand) Revert {
 	e := pick(c.Models, rng).engine
 	if e == nil {
 		return nil
@@ -152,51 +159,52 @@
 	}
 }
 
-// engineCrossed: the engine's answers carry another request's id; no caller may see a token of them.
-func engineCrossed(c *Cluster, rng *rand.Rand) Heal {
+// engineMismatched makes an engine's responses carry another request's id. No caller may see a token of them.
+func engineMismatched(c *Cluster, rng *rand.Rand) Revert {
 	e := pick(c.Models, rng).engine
 	if e == nil {
 		return nil
 	}
-	e.SetCrossed(true)
+	e.SetMismatchedIDs(true)
 	return func() error {
-		e.SetCrossed(false)
+		e.SetMismatchedIDs(false)
 		return nil
 	}
 }
 
-// engineCutBeforeEnd: each answer breaks off between its last token and the event that says so. Callers notice nothing:
-// as many tokens as they asked for are there, and another engine, asked to go on, would add one more.
-func engineCutBeforeEnd(c *Cluster, rng *rand.Rand) Heal {
+// engineTruncatedBeforeEnd truncates each response between its last token and the end event. Callers see no failure: they
+// have all the tokens that they asked for, and an engine asked to resume the response would add one more.
+func engineTruncatedBeforeEnd(c *Cluster, rng *rand.Rand) Revert {
 	e := pick(c.Models, rng).engine
 	if e == nil {
 		return nil
 	}
-	e.SetCutBeforeEnd(true)
+	e.SetTruncateBeforeEnd(true)
 	return func() error {
-		e.SetCutBeforeEnd(false)
+		e.SetTruncateBeforeEnd(false)
 		return nil
 	}
 }
 
-// engineCut: each answer breaks off after five tokens; callers get the rest from another engine, none lost or doubled.
-func engineCut(c *Cluster, rng *rand.Rand) Heal {
+// engineTruncated truncates each response after five tokens. Callers receive the remaining tokens from another engine,
+// with none lost or duplicated.
+func engineTruncated(c *Cluster, rng *rand.Rand) Revert {
 	const tokens = 5
 	e := pick(c.Models, rng).engine
 	if e == nil {
 		return nil
 	}
-	e.SetCutAfter(tokens)
+	e.SetTruncateAfter(tokens)
 	return func() error {
-		e.SetCutAfter(0)
+		e.SetTruncateAfter(0)
 		return nil
 	}
 }
 
-// answers is a fault of the connections between a slot and its upstream: callers must never see what was doubled,
-// crossed, cut off or late.
-func answers(m Mode) func(c *Cluster, rng *rand.Rand) Heal {
-	return func(c *Cluster, rng *rand.Rand) Heal {
+// responses returns a fault that sets the relay between a slot and its upstream to a mode. Callers must never see
+// duplicated, swapped, truncated or late data.
+func responses(m Mode) func(c *Cluster, rng *rand.Rand) Revert {
+	return func(c *Cluster, rng *rand.Rand) Revert {
 		h := pick(c.hosts(), rng)
 		h.upstream.Set(m)
 		return func() error {
@@ -206,18 +214,19 @@
 	}
 }
 
-// allKilled: there is no other upstream to go on; callers are refused as not run only if no attempt of theirs had begun.
-func allKilled(c *Cluster, hosts []*Host) Heal {
-	var heals []Heal
+// allUpstreamsKilled stops every upstream of the hosts, so that no other upstream can continue a request. A caller may be
+// refused as not run only if none of its attempts had started.
+func allUpstreamsKilled(c *Cluster, hosts []*Host) Revert {
+	var reverts []Revert
 	for _, h := range hosts {
-		heals = append(heals, upstreamKilled(c, h))
+		reverts = append(reverts, upstreamKilled(c, h))
 	}
 	return func() error {
-		for _, heal := range heals {
-			if heal == nil {
+		for _, revert := range reverts {
+			if revert == nil {
 				continue
 			}
-			if err := heal(); err != nil {
+			if err := revert(); err != nil {
 				return err
 			}
 		}
@@ -225,14 +234,15 @@
 	}
 }
 
-// allAnswers: every attempt fails after it has begun; callers must not be told that their request did not run.
-func allAnswers(m Mode) func(c *Cluster, rng *rand.Rand) Heal {
+// allResponses sets the relays of all upstreams to a mode, so that every attempt fails after it has started. Callers must
+// not be told that their request did not run.
+func allResponses(m Mode) func(c *Cluster, rng *rand.Rand) Revert {
 	set := func(c *Cluster, m Mode) {
 		for _, h := range c.hosts() {
 			h.upstream.Set(m)
 		}
 	}
-	return func(c *Cluster, _ *rand.Rand) Heal {
+	return func(c *Cluster, _ *rand.Rand) Revert {
 		set(c, m)
 		return func() error {
 			set(c, Pass)
@@ -241,8 +251,9 @@
 	}
 }
 
-// entryCutOff: callers of the entry get no answer to what it had sent; it cannot ask any slot what became of that.
-func entryCutOff(c *Cluster, rng *rand.Rand) Heal {
+// entryPartitioned partitions an entry from all slots. Its callers get no response to requests that it had forwarded, and
+// it cannot query their outcome from any slot.
+func entryPartitioned(c *Cluster, rng *rand.Rand) Revert {
 	e := pick(c.Entries, rng)
 	e.setLinks(Cut)
 	return func() error {
@@ -251,8 +262,8 @@
 	}
 }
 
-// table is a fault of the platform's table.
-func table(c *Cluster, plan memtable.Plan) Heal {
+// tableFault sets the fault plan of the platform's table.
+func tableFault(c *Cluster, plan memtable.Plan) Revert {
 	c.Table.SetPlan(plan)
 	return func() error {
 		c.Table.SetPlan(nil)
@@ -261,33 +272,34 @@
 	}
 }
 
-// tableDown: slips are refused as not run; streams go on as if nothing were.
-func tableDown(c *Cluster, _ *rand.Rand) Heal {
-	return table(c, func() (memtable.Fault, time.Duration) { return memtable.Unavailable, 0 })
+// tableDown makes the platform's table unavailable. Slips are refused as not run; streams continue normally.
+func tableDown(c *Cluster, _ *rand.Rand) Revert {
+	return tableFault(c, func() (memtable.Fault, time.Duration) { return memtable.Unavailable, 0 })
 }
 
-// tableSlow: slips wait, and those whose claim is not confirmed by the deadline are refused as not run; the write may
-// take effect after that.
-func tableSlow(c *Cluster, rng *rand.Rand) Heal {
-	const longest = 900
+// tableSlow delays each call to the table. Slips wait, and those whose claim is not confirmed by the deadline are refused
+// as not run; the write may take effect after that.
+func tableSlow(c *Cluster, rng *rand.Rand) Revert {
+	const maxDelayMS = 900
 	r := rand.New(rand.NewPCG(rng.Uint64(), 1))
-	return table(c, func() (memtable.Fault, time.Duration) {
-		return memtable.None, time.Duration(r.IntN(longest)) * time.Millisecond
+	return tableFault(c, func() (memtable.Fault, time.Duration) {
+		return memtable.None, time.Duration(r.IntN(maxDelayMS)) * time.Millisecond
 	})
 }
 
-// tableLoses: claims take effect without an answer, or get lost; the slot settles them before a slip starts.
-func tableLoses(c *Cluster, rng *rand.Rand) Heal {
+// tableLosesResponses loses writes, or the responses to writes that took effect. The slot resolves the outcome of a claim
+// before its slip starts.
+func tableLosesResponses(c *Cluster, rng *rand.Rand) Revert {
 	r := rand.New(rand.NewPCG(rng.Uint64(), 2))
-	return table(c, func() (memtable.Fault, time.Duration) {
+	return tableFault(c, func() (memtable.Fault, time.Duration) {
 		return pick([]memtable.Fault{memtable.None, memtable.AnswerLost, memtable.AnswerLost, memtable.RequestLost}, r), 0
 	})
 }
 
-// tableLate: claims and outcomes arrive at the table after the slot has sent them again, or has given them up.
-func tableLate(c *Cluster, rng *rand.Rand) Heal {
+// tableLate delivers claims and outcomes to the table after the slot has resent or abandoned them.
+func tableLate(c *Cluster, rng *rand.Rand) Revert {
 	r := rand.New(rand.NewPCG(rng.Uint64(), 3))
-	return table(c, func() (memtable.Fault, time.Duration) {
+	return tableFault(c, func() (memtable.Fault, time.Duration) {
 		return pick([]memtable.Fault{memtable.None, memtable.Late, memtable.AnswerLost}, r), 0
 	})
 }
--- a/internal/testing/faulttest/faults_test.go
+++ b/internal/testing/faulttest/faults_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// Each scenario sleeps most of its time, so that a few run side by side without much load.
-const sideBySide = 6
+// maxParallel bounds the scenarios that run concurrently. Each one sleeps most of the time, so a few add little load.
+const maxParallel = 6
 
 var seeds = flag.Int("faults.seeds", 12, "seeds of random pairs of faults")
 
-// named are the pairs that are worth a name.
-var named = [][2]string{
+// namedPairs holds the pairs of faults that always run, whatever the number of seeds.
+var namedPairs = [][2]string{
 	{"entry-killed", "engine-killed"},
 	{"entry-killed", "plain-slot-killed"},
 	{"plain-slot-killed", "table-loses-answers"},
@@ -37,12 +37,12 @@
 	for _, f := range Faults() {
 		list = append(list, Scenario{Faults: []Fault{f}})
 	}
-	for _, n := range named {
+	for _, n := range namedPairs {
 		list = append(list, Scenario{Faults: []Fault{FaultByName(n[0]), FaultByName(n[1])}})
 	}
-	// Not among Faults, so that the pairs of each seed stay as they were.
-	list = append(list, Scenario{Faults: []Fault{{"engine-cut-before-end", engineCutBeforeEnd}}})
-	// These seeds find an entry that takes every question about a lost attempt for answered with "never started".
+	// Not part of Faults, so that each seed keeps its pair of faults.
+	list = append(list, Scenario{Faults: []Fault{{"engine-cut-before-end", engineTruncatedBeforeEnd}}})
+	// These seeds detect an entry that treats every query about a lost attempt as answered with "never started".
 	for _, seed := range []uint64{2, 3} {
 		list = append(list, Scenario{Seed: seed, Faults: []Fault{FaultByName("entry-cut-off")}})
 	}
@@ -54,44 +54,45 @@
 	return list
 }
 
-// What callers see while one or two things fail at once: each request is answered once, whole and with its own answer,
-// or fails; what was refused as "not run" did not run; a slip is printed at most once, however often it is sent.
-func TestPromisesHoldUnderFaults(t *testing.T) {
+// Guards the guarantees to callers while one or two faults are active: each request fails or gets its own complete
+// response exactly once, a request refused as not run did not run, and a slip is printed at most once, however often it
+// is sent.
+func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	list := scenarios()
-	lines := make([]Line, len(list))
-	places := make(chan struct{}, sideBySide)
+	results := make([]Result, len(list))
+	running := make(chan struct{}, maxParallel)
 	var wg sync.WaitGroup
 	for i, sc := range list {
 		wg.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
-			line, err := Run(sc)
+			running <- struct{}{}
+			defer func() { <-running }()
+			res, err := Run(sc)
 			if err != nil {
 				t.Errorf("%s seed %d: %v", sc.Name(), sc.Seed, err)
 			}
-			lines[i] = line
+			results[i] = res
 		})
 	}
 	wg.Wait()
 	total := 0
-	for _, l := range lines {
-		fmt.Println(l)
-		for _, v := range l.Violations {
-			t.Errorf("%s seed %d: %s", l.Name, l.Seed, v)
+	for _, r := range results {
+		fmt.Println(r)
+		for _, v := range r.Violations {
+			t.Errorf("%s seed %d: %s", r.Name, r.Seed, v)
 		}
-		total += len(l.Violations)
+		total += len(r.Violations)
 	}
 	fmt.Println("violations:", total)
 }
 
-// The check above can fail: with a table for each slot the claims bind nobody else, and a slip that is sent through two
-// entries at once is printed twice.
-func TestWithoutSharedClaimsSlipsRunTwice(t *testing.T) {
-	line, err := Run(Scenario{Seed: 1, Sabotage: Sabotage{OwnTables: true}})
+// Shows that the test above can fail. With a separate table for each slot, no slot sees the claims of another, and a slip
+// that is sent through two entries concurrently is printed twice.
+func TestSlipsRunTwiceWithoutSharedClaims(t *testing.T) {
+	res, err := Run(Scenario{Seed: 1, Disabled: DisabledSafeguards{SeparateTables: true}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(line.Violations) == 0 {
+	if len(res.Violations) == 0 {
 		t.Fatal("no violation without shared claims")
 	}
 }
--- a/internal/testing/faulttest/history.go
+++ b/internal/testing/faulttest/history.go
@@ -9,60 +9,61 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/failure"
 )
 
-// Class is what one send came to, as its caller sees it.
+// Class is the outcome of a call from its caller's perspective.
 type Class string
 
-// The classes of a send.
+// The classes of a call.
 const (
-	// Answered: a whole answer.
+	// Answered is a complete response.
 	Answered Class = "answered"
-	// NotRun: a refusal that promises that this send did not run.
+	// NotRun is a refusal which guarantees that the call did not run.
 	NotRun Class = "not-run"
-	// Unknown: any other failure, or a connection that broke.
+	// Unknown is any other failure, including a broken connection.
 	Unknown Class = "unknown"
 )
 
-// Send is one request as it went over the wire; a resend is another Send.
-type Send struct {
-	// Mark names this send; it stands in the body or in the target, so that the relays see where it goes.
+// Call is one request as sent to an entry; a resend is another Call.
+type Call struct {
+	// Mark identifies the call. It is in the body or in the request target, so that the relays can detect when the call
+	// reaches an upstream.
 	Mark string
-	// Key is the idempotency key of a request that may not be repeated, and else empty.
+	// Key is the idempotency key of a request that must not be repeated; empty for others.
 	Key   string
 	Class Class
 	Code  failure.Code
-	// Body is the answer, or the part of one that came before it broke off.
+	// Body is the response, or the part received before the connection broke.
 	Body []byte
-	// Want is the only right answer; nil if the caller cannot know it.
+	// Want is the only correct response; nil if the response is not compared.
 	Want []byte
-	// Trailing is set if something followed the end of the answer.
+	// Trailing is set if data followed the end of the response or an event of it could not be parsed.
 	Trailing bool
 }
 
-// Evidence is what the stand-ins know.
+// Evidence is what the stand-ins and relays recorded.
 type Evidence struct {
 	// Ran counts the runs of each idempotency key.
 	Ran map[string]int
-	// Reached holds the marks of sends of which a byte went to an upstream.
+	// Reached holds the marks that a relay found in requests to an upstream.
 	Reached map[string]bool
 }
 
-// Violation is a promise that was broken.
+// Violation describes a guarantee that was not kept. Mark is the mark of the call or its idempotency key.
 type Violation struct {
-	Mark string
-	What string
+	Mark        string
+	Description string
 }
 
 // String formats the violation on one line.
-func (v Violation) String() string { return v.Mark + ": " + v.What }
+func (v Violation) String() string { return v.Mark + ": " + v.Description }
 
-// Check compares what callers saw with what ran.
-func Check(sends []Send, ev Evidence) []Violation {
+// Check compares the responses that callers received with the recorded runs and returns the violations, sorted by text.
+func Check(calls []Call, ev Evidence) []Violation {
 	var out []Violation
 	add := func(mark, format string, args ...any) {
 		out = append(out, Violation{mark, fmt.Sprintf(format, args...)})
 	}
-	byKey := map[string][]Send{}
-	for _, s := range sends {
+	byKey := map[string][]Call{}
+	for _, s := range calls {
 		checkAnswer(s, add)
 		if s.Key != "" {
 			byKey[s.Key] = append(byKey[s.Key], s)
@@ -83,10 +84,10 @@
 	return out
 }
 
-type adder func(mark, format string, args ...any)
+type addViolation func(mark, format string, args ...any)
 
-// differsAt returns the first byte at which two answers differ, or the length of the shorter one.
-func differsAt(a, b []byte) int {
+// firstDifference returns the index of the first byte at which two responses differ, or the length of the shorter one.
+func firstDifference(a, b []byte) int {
 	n := min(len(a), len(b))
 	for i := range n {
 		if a[i] != b[i] {
@@ -96,8 +97,8 @@
 	return n
 }
 
-// checkAnswer checks that a caller got its own answer, whole if it was said to be whole, and once.
-func checkAnswer(s Send, add adder) {
+// checkAnswer checks that a caller got its own response, exactly once, and complete if it was reported as complete.
+func checkAnswer(s Call, add addViolation) {
 	if s.Trailing {
 		add(s.Mark, "something follows the answer's end")
 	}
@@ -105,7 +106,7 @@
 		return
 	}
 	if s.Class == Answered && !bytes.Equal(s.Body, s.Want) {
-		at := differsAt(s.Body, s.Want)
+		at := firstDifference(s.Body, s.Want)
 		add(s.Mark, "answered with %.60q from byte %d of %d, want %.60q of %d", s.Body[at:], at, len(s.Body), s.Want[at:], len(s.Want))
 	}
 	if s.Class == Unknown && !bytes.HasPrefix(s.Want, s.Body) {
@@ -113,8 +114,8 @@
 	}
 }
 
-// checkKey checks all sends under one idempotency key together.
-func checkKey(key string, list []Send, ran int, add adder) {
+// checkKey checks all calls with one idempotency key against each other and against the number of runs.
+func checkKey(key string, list []Call, ran int, add addViolation) {
 	refused := 0
 	var answer []byte
 	for _, s := range list {
--- a/internal/testing/faulttest/host.go
+++ b/internal/testing/faulttest/host.go
@@ -11,7 +11,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/standin/plain"
 )
 
-func setting(d time.Duration) settings.Duration { return settings.Duration(d) }
+func settingsDuration(d time.Duration) settings.Duration { return settings.Duration(d) }
 
 func (e *EntryHost) start() error {
 	set := e.set
@@ -20,7 +20,7 @@
 	return err
 }
 
-// kill ends the entry as a crash would; it reports whether it was up.
+// kill stops the entry as a crash would and reports whether it was running.
 func (e *EntryHost) kill() bool {
 	if e.entry == nil {
 		return false
@@ -30,19 +30,19 @@
 	return true
 }
 
-// leave ends the entry in order; it reports whether it was up.
-func (e *EntryHost) leave() bool {
+// shutDown stops the entry gracefully and reports whether it was running.
+func (e *EntryHost) shutDown() bool {
 	if e.entry == nil {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), modelDeadline*time.Millisecond)
 	defer cancel()
-	_ = e.entry.Shutdown(ctx) // If it does not end in time it is cut off, which the callers' checks show.
+	_ = e.entry.Shutdown(ctx) // Past the deadline the entry is cut short, which the checks of the callers' history show.
 	e.entry = nil
 	return true
 }
 
-// setLinks changes the mode of all of the entry's links.
+// setLinks changes the mode of all links of the entry.
 func (e *EntryHost) setLinks(m Mode) {
 	for _, l := range e.links {
 		l.Set(m)
@@ -56,8 +56,8 @@
 	return err
 }
 
-// killSlot ends the slot as a crash would. Its goroutines live on in this process, so that its connections to the
-// upstream are cut as well. It reports whether the slot was up.
+// killSlot stops the slot as a crash would and reports whether it was running. The slot's goroutines stay alive in this
+// process, so its connections to the upstream are broken as well.
 func (h *Host) killSlot() bool {
 	if h.slot == nil {
 		return false
@@ -73,14 +73,14 @@
 	return h.startSlot()
 }
 
-// leave ends the slot in order; it reports whether it was up.
-func (h *Host) leave() bool {
+// shutDownSlot stops the slot gracefully and reports whether it was running.
+func (h *Host) shutDownSlot() bool {
 	if h.slot == nil {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), modelDeadline*time.Millisecond)
 	defer cancel()
-	_ = h.slot.Shutdown(ctx) // If it does not end in time it is cut off, which the callers' checks show.
+	_ = h.slot.Shutdown(ctx) // Past the deadline the slot is cut short, which the checks of the callers' history show.
 	h.slot = nil
 	return true
 }
@@ -95,7 +95,8 @@
 	return err
 }
 
-// killUpstream ends the engine or plain service; dialling it is refused from then on. It reports whether it was up.
+// killUpstream stops the engine or plain service as a crash would and reports whether it was running. Connections to it
+// are refused from then on.
 func (c *Cluster) killUpstream(h *Host) bool {
 	h.upstream.Close()
 	switch {
@@ -105,7 +106,7 @@
 	case h.plain != nil:
 		h.plain.Stop()
 		c.mu.Lock()
-		c.past = append(c.past, h.plain)
+		c.stoppedServices = append(c.stoppedServices, h.plain)
 		c.mu.Unlock()
 		h.plain = nil
 	default:
@@ -121,8 +122,8 @@
 	return h.upstream.Open()
 }
 
-// setHost changes the mode of everything that goes in or out of a host.
-func (h *Host) setHost(m Mode) {
+// setMode changes the mode of all traffic of the host: to its upstream and to the entries.
+func (h *Host) setMode(m Mode) {
 	h.upstream.Set(m)
 	for _, l := range h.links {
 		l.Set(m)
--- a/internal/testing/faulttest/link.go
+++ b/internal/testing/faulttest/link.go
@@ -13,58 +13,59 @@
 )
 
 const (
-	datagramBytes = 2048
-	heldDatagrams = 64
+	maxDatagramBytes = 2048
+	maxHeldDatagrams = 64
 )
 
-// Link is everything between one entry and one slot: a relay for work and two sockets for digests, which are rewritten
-// so that each side knows the other only by the link's addresses.
+// Link carries all traffic between one entry and one slot: a relay for requests, and a relay for the digests of each
+// direction. The addresses in the digests are rewritten, so that each side uses only the link's addresses for the other.
 type Link struct {
 	*Relay
 	toEntry, toSlot *digestRelay
 }
 
-// linkAddresses are the addresses of a link and of its two ends.
+// linkAddresses holds the addresses of a link and of its two ends. The link listens on requests, digestsFromSlot and
+// digestsFromEntry.
 type linkAddresses struct {
-	work, slotWork       string
-	fromSlot, fromEntry  string
-	slotDigest, entDigst string
+	requests, slotHTTP                string
+	digestsFromSlot, digestsFromEntry string
+	slotDigest, entryDigest           string
 }
 
 func newLink(a linkAddresses) (*Link, error) {
-	work, err := NewRelay(a.work, a.slotWork, nil)
+	work, err := NewRelay(a.requests, a.slotHTTP, nil)
 	if err != nil {
 		return nil, err
 	}
 	l := &Link{Relay: work}
-	l.toEntry, err = newDigestRelay(a.fromSlot, a.entDigst, func(d *cardamomyokev1.Digest) {
-		d.HttpAddress = a.work
-		d.DigestAddress = a.fromEntry
+	l.toEntry, err = newDigestRelay(a.digestsFromSlot, a.entryDigest, func(d *cardamomyokev1.Digest) {
+		d.HttpAddress = a.requests
+		d.DigestAddress = a.digestsFromEntry
 	})
 	if err != nil {
 		return nil, err
 	}
-	l.toSlot, err = newDigestRelay(a.fromEntry, a.slotDigest, func(d *cardamomyokev1.Digest) {
-		d.DigestAddress = a.fromSlot
+	l.toSlot, err = newDigestRelay(a.digestsFromEntry, a.slotDigest, func(d *cardamomyokev1.Digest) {
+		d.DigestAddress = a.digestsFromSlot
 	})
 	return l, err
 }
 
-// Set changes what happens to work and to digests.
+// Set changes the mode for requests and digests.
 func (l *Link) Set(m Mode) {
 	l.Relay.Set(m)
 	l.toEntry.set(m)
 	l.toSlot.set(m)
 }
 
-// Close ends the link.
+// Close closes the link's sockets and connections.
 func (l *Link) Close() {
 	l.Relay.Close()
 	_ = l.toEntry.conn.Close()
 	_ = l.toSlot.conn.Close()
 }
 
-// digestRelay forwards datagrams to one address.
+// digestRelay forwards digests to one address, each changed by rewrite.
 type digestRelay struct {
 	conn    *net.UDPConn
 	target  netip.AddrPort
@@ -75,11 +76,11 @@
 }
 
 func newDigestRelay(listen, target string, rewrite func(*cardamomyokev1.Digest)) (*digestRelay, error) {
-	at, err := net.ResolveUDPAddr("udp", listen)
+	address, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("digest relay: %w", err)
 	}
-	conn, err := net.ListenUDP("udp", at)
+	conn, err := net.ListenUDP("udp", address)
 	if err != nil {
 		return nil, fmt.Errorf("digest relay: %w", err)
 	}
@@ -88,7 +89,7 @@
 	return r, nil
 }
 
-// set changes the mode; what was held back while frozen arrives late.
+// set changes the mode. Leaving Freeze sends the datagrams that were held back.
 func (r *digestRelay) set(m Mode) {
 	r.mode.Store(int32(m))
 	if m == Freeze {
@@ -104,24 +105,24 @@
 }
 
 func (r *digestRelay) run() {
-	buf := make([]byte, datagramBytes)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := r.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			return
 		}
-		r.take(append([]byte(nil), buf[:n]...))
+		r.receive(append([]byte(nil), buf[:n]...))
 	}
 }
 
-func (r *digestRelay) take(data []byte) {
+func (r *digestRelay) receive(data []byte) {
 	switch Mode(r.mode.Load()) {
 	case Cut:
 		return
 	case Freeze:
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if len(r.held) < heldDatagrams {
+		if len(r.held) < maxHeldDatagrams {
 			r.held = append(r.held, data)
 		}
 	default:
@@ -139,5 +140,5 @@
 	if err != nil {
 		return
 	}
-	_, _ = r.conn.WriteToUDPAddrPort(out, r.target) // A datagram may be lost.
+	_, _ = r.conn.WriteToUDPAddrPort(out, r.target) // Datagrams may be lost anyway.
 }
--- a/internal/testing/faulttest/memtable/memtable.go
+++ b/internal/testing/faulttest/memtable/memtable.go
@@ -1,7 +1,7 @@
-// Package memtable is a platform table in memory, for tests of failures and for experiments.
+// Package memtable is an in-memory platform table for fault tests and simulations.
 //
-// Apply is the table itself: whole transactions, versions, operations that are applied at most once. Table puts faults
-// between it and its caller: outages, slowness, and answers that are lost before or after the write took effect.
+// Memory implements the table: atomic transactions, row versions, and operations that are applied at most once. Table adds
+// faults between a Memory and its caller: outages, delays, and writes whose request or response is lost.
 package memtable
 
 import (
@@ -20,7 +20,7 @@
 type Memory struct {
 	rows    map[string]platform.Row
 	applied map[ids.Operation]platform.Result
-	// Writes counts transactions that were applied, RowsWritten the rows in them.
+	// Writes is the number of applied transactions, RowsWritten the number of rows in them.
 	Writes, RowsWritten int
 }
 
@@ -29,7 +29,7 @@
 	return &Memory{rows: map[string]platform.Row{}, applied: map[ids.Operation]platform.Result{}}
 }
 
-// Row returns one row; an absent one has version 0.
+// Row returns one row; its version is 0 if the row does not exist.
 func (m *Memory) Row(key string) platform.Row {
 	row, ok := m.rows[key]
 	if !ok || row.Value == nil {
@@ -38,7 +38,7 @@
 	return platform.Row{Key: key, Version: row.Version, Value: bytes.Clone(row.Value)}
 }
 
-// List returns up to limit rows with the prefix and a key larger than after, in key order.
+// List returns up to limit rows with the prefix and a key greater than after, sorted by key.
 func (m *Memory) List(prefix, after string, limit int) []platform.Row {
 	var keys []string
 	for k, row := range m.rows {
@@ -59,14 +59,14 @@
 	if res, ok := m.applied[t.Operation]; ok {
 		return res, nil
 	}
-	var taken []platform.Row
+	var conflicts []platform.Row
 	for _, c := range t.Checks {
 		if row := m.Row(c.Key); row.Version != c.Version {
-			taken = append(taken, row)
+			conflicts = append(conflicts, row)
 		}
 	}
-	if len(taken) > 0 {
-		return platform.Result{}, &platform.ConflictError{Rows: taken}
+	if len(conflicts) > 0 {
+		return platform.Result{}, &platform.ConflictError{Rows: conflicts}
 	}
 	res := platform.Result{}
 	for _, p := range t.Puts {
@@ -78,34 +78,35 @@
 	return res, nil
 }
 
-// put keeps the version of a deleted row, so that a new row of that key never repeats a version.
+// put writes a row and returns its version. The version of a deleted row is retained, so that a new row with that key never
+// repeats a version.
 func (m *Memory) put(p platform.Put) uint64 {
 	version := m.rows[p.Key].Version + 1
 	m.rows[p.Key] = platform.Row{Key: p.Key, Version: version, Value: bytes.Clone(p.Value)}
 	return version
 }
 
-// Fault is what happens to one call.
+// Fault is the failure injected into one call.
 type Fault int
 
 // The faults of a call.
 const (
-	// None lets the call through.
+	// None executes the call normally.
 	None Fault = iota
 	// Unavailable refuses the call; a write is not applied.
 	Unavailable
-	// AnswerLost applies a write and loses the answer. A read is refused.
+	// ResponseLost applies a write and loses the response. A read is refused.
 	AnswerLost
-	// RequestLost loses a write before it was applied; the caller cannot tell. A read is refused.
+	// RequestLost loses a write before it is applied; to the caller this looks like ResponseLost. A read is refused.
 	RequestLost
-	// Late is RequestLost, but the write arrives at the next ReleaseLate.
+	// Late is RequestLost, except that the write is applied at the next ReleaseLate.
 	Late
 )
 
-// Plan decides over the next call: its fault, and how long it takes. It is called with the table's lock held.
+// Plan returns the fault and the delay of the next call. It is called with the table's lock held.
 type Plan func() (Fault, time.Duration)
 
-// Table is a Memory with faults. It is safe for concurrent use.
+// Table is a Memory with injected faults. It is safe for concurrent use.
 type Table struct {
 	mu   sync.Mutex
 	mem  *Memory
@@ -113,34 +114,34 @@
 	late []platform.Txn
 }
 
-// New returns an empty table; a nil plan means no fault.
+// New returns an empty table; a nil plan injects no faults.
 func New(plan Plan) *Table { return &Table{mem: NewMemory(), plan: plan} }
 
-// SetPlan replaces the plan.
+// SetPlan replaces the plan; nil injects no faults.
 func (t *Table) SetPlan(p Plan) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.plan = p
 }
 
-// Memory calls f with the rows, under the lock.
+// Memory calls f with the underlying Memory while it holds the lock.
 func (t *Table) Memory(f func(m *Memory)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(t.mem)
 }
 
-// ReleaseLate delivers the writes that were held back as Late.
+// ReleaseLate applies the delayed writes: those of fault Late and those whose context ended during their delay.
 func (t *Table) ReleaseLate() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, txn := range t.late {
-		_, _ = t.mem.Apply(txn) // A late write that conflicts simply does not take effect; nobody waits for it.
+		_, _ = t.mem.Apply(txn) // A late write that conflicts has no effect, and no caller waits for its result.
 	}
 	t.late = nil
 }
 
-func (t *Table) next() (Fault, time.Duration) {
+func (t *Table) nextFault() (Fault, time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.plan == nil {
@@ -149,13 +150,13 @@
 	return t.plan()
 }
 
-// CutError is the cause of the faults that Table injects.
-type CutError struct{ Fault Fault }
+// InjectedFaultError is the cause in the errors of injected faults.
+type InjectedFaultError struct{ Fault Fault }
 
 // Error implements error.
-func (e *CutError) Error() string { return "memtable: injected fault" }
+func (e *InjectedFaultError) Error() string { return "memtable: injected fault" }
 
-// wait sleeps for the call's delay or until ctx ends.
+// wait sleeps for d or until ctx is done, and then returns the error of ctx.
 func wait(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
@@ -195,45 +196,46 @@
 }
 
 func (t *Table) read(ctx context.Context) error {
-	fault, delay := t.next()
+	fault, delay := t.nextFault()
 	if err := wait(ctx, delay); err != nil {
 		return &platform.UnavailableError{Op: "read", Cause: err}
 	}
 	if fault != None {
-		return &platform.UnavailableError{Op: "read", Cause: &CutError{fault}}
+		return &platform.UnavailableError{Op: "read", Cause: &InjectedFaultError{fault}}
 	}
 	return nil
 }
 
-// Commit implements platform.Table. A write that ctx cuts off while it is slow is applied later, at its time.
+// Commit implements platform.Table. If ctx is done during the injected delay, the write is applied at the next
+// ReleaseLate.
 func (t *Table) Commit(ctx context.Context, txn platform.Txn) (platform.Result, error) {
-	fault, delay := t.next()
-	cut := &platform.UnknownOutcomeError{Operation: txn.Operation, Cause: &CutError{fault}}
+	fault, delay := t.nextFault()
+	unknown := &platform.UnknownOutcomeError{Operation: txn.Operation, Cause: &InjectedFaultError{fault}}
 	if fault == Unavailable {
-		return platform.Result{}, &platform.UnavailableError{Op: "commit", Cause: &CutError{fault}}
+		return platform.Result{}, &platform.UnavailableError{Op: "commit", Cause: &InjectedFaultError{fault}}
 	}
 	if err := wait(ctx, delay); err != nil {
-		t.hold(txn)
-		cut.Cause = err
-		return platform.Result{}, cut
+		t.applyLate(txn)
+		unknown.Cause = err
+		return platform.Result{}, unknown
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch fault {
 	case RequestLost:
-		return platform.Result{}, cut
+		return platform.Result{}, unknown
 	case Late:
 		t.late = append(t.late, txn)
-		return platform.Result{}, cut
+		return platform.Result{}, unknown
 	}
 	res, err := t.mem.Apply(txn)
 	if fault == AnswerLost {
-		return platform.Result{}, cut
+		return platform.Result{}, unknown
 	}
 	return res, err
 }
 
-func (t *Table) hold(txn platform.Txn) {
+func (t *Table) applyLate(txn platform.Txn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.late = append(t.late, txn)
--- a/internal/testing/faulttest/relay.go
+++ b/internal/testing/faulttest/relay.go
@@ -12,35 +12,35 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/loopback"
 )
 
-// Mode is what a relay does to what passes.
+// Mode selects what a relay does to its traffic.
 type Mode int32
 
 // The modes of a relay.
 const (
-	// Pass: forward everything.
+	// Forward forwards everything unchanged.
 	Pass Mode = iota
-	// Freeze: hold everything back, in both directions, until the mode changes.
+	// Freeze holds back everything in both directions until the mode changes.
 	Freeze
-	// Cut: break every connection, also new ones.
+	// Disconnect breaks every connection, including new ones.
 	Cut
-	// Double: send every piece of an answer twice.
+	// Duplicate sends each chunk of a response twice.
 	Double
-	// Truncate: break a connection in the middle of an answer.
+	// Truncate breaks the connection at the next chunk of a response.
 	Truncate
-	// Slow: hold each piece of an answer back for a while.
+	// Slow delays each chunk of a response by slowDelay.
 	Slow
-	// Mute: let requests pass and hold answers back until the mode changes.
+	// HoldResponses forwards requests and holds back responses until the mode changes.
 	Mute
-	// Cross: swap pieces of answers between connections.
+	// SwapResponses swaps chunks of responses between connections.
 	Cross
 )
 
 const (
-	relayPoll  = 2 * time.Millisecond
-	slowDelay  = 60 * time.Millisecond
-	crossWait  = 5 * time.Millisecond
-	relayBuf   = 16 << 10
-	longestTag = 64
+	relayPoll        = 2 * time.Millisecond
+	slowDelay        = 60 * time.Millisecond
+	maxSwapWait      = 5 * time.Millisecond
+	relayBufferBytes = 16 << 10
+	maxMarkBytes     = 64
 )
 
 var markPattern = regexp.MustCompile(`mark-[0-9]+-[0-9]+\.`)
@@ -52,19 +52,20 @@
 	mu             sync.Mutex
 	listener       net.Listener
 	conns          map[net.Conn]bool
-	// held is a piece of an answer that waits to be swapped with one of another connection.
-	held chan []byte
-	// seen notes marks of requests on their way to the target; nil to note none.
-	seen func(mark string)
+	// swapped exchanges chunks of responses between two connections in mode SwapResponses.
+	swapped chan []byte
+	// onMark is called with each mark found in requests to the target; nil disables the search.
+	onMark func(mark string)
 }
 
-// NewRelay listens and forwards to target.
-func NewRelay(listen, target string, seen func(string)) (*Relay, error) {
-	r := &Relay{listen: listen, target: target, conns: map[net.Conn]bool{}, held: make(chan []byte), seen: seen}
+// NewRelay listens on an address and forwards its connections to target. onMark, if not nil, is called with each mark
+// found in the requests.
+func NewRelay(listen, target string, onMark func(string)) (*Relay, error) {
+	r := &Relay{listen: listen, target: target, conns: map[net.Conn]bool{}, swapped: make(chan []byte), onMark: onMark}
 	return r, r.Open()
 }
 
-// Open begins to listen.
+// Open starts listening.
 func (r *Relay) Open() error {
 	l, err := loopback.Listen(r.listen)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// Close stops listening, so that a dial is refused, and breaks every connection.
+// Close stops listening, so that new connections are refused, and breaks the existing ones.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	l := r.listener
@@ -119,7 +120,7 @@
 
 func (r *Relay) forward(c net.Conn) {
 	defer func() { _ = c.Close() }()
-	r.thaw()
+	r.waitWhileFrozen()
 	if r.is(Cut) {
 		return
 	}
@@ -131,10 +132,10 @@
 	r.track(c, t)
 	defer r.untrack(c, t)
 	go func() {
-		r.pump(t, c, r.request())
+		r.pump(t, c, r.newMarkScanner())
 		_ = t.(*net.TCPConn).CloseWrite()
 	}()
-	r.pump(c, t, r.answer)
+	r.pump(c, t, r.changeResponse)
 }
 
 func (r *Relay) track(conns ...net.Conn) {
@@ -153,22 +154,22 @@
 	}
 }
 
-// thaw waits while the relay is frozen.
-func (r *Relay) thaw() {
+// waitWhileFrozen blocks while the mode is Freeze.
+func (r *Relay) waitWhileFrozen() {
 	for r.is(Freeze) {
 		time.Sleep(relayPoll)
 	}
 }
 
-// pump copies from one connection to another, each piece through change; a nil piece ends it.
+// pump copies from one connection to another and passes each chunk through change. It stops if change returns nil.
 func (r *Relay) pump(to, from net.Conn, change func([]byte) []byte) {
-	buf := make([]byte, relayBuf)
+	buf := make([]byte, relayBufferBytes)
 	for {
 		n, err := from.Read(buf)
-		r.thaw()
+		r.waitWhileFrozen()
 		if n > 0 {
-			piece := change(buf[:n])
-			if _, werr := to.Write(piece); werr != nil || piece == nil {
+			chunk := change(buf[:n])
+			if _, werr := to.Write(chunk); werr != nil || chunk == nil {
 				return
 			}
 		}
@@ -178,27 +179,28 @@
 	}
 }
 
-// request returns the change for one connection's requests: none, but marks are noted, also across pieces.
-func (r *Relay) request() func([]byte) []byte {
+// newMarkScanner returns the change function for the requests of one connection. It forwards them unchanged and reports
+// their marks to onMark, including marks that span two chunks.
+func (r *Relay) newMarkScanner() func([]byte) []byte {
 	var tail []byte
-	return func(piece []byte) []byte {
-		if r.seen == nil {
-			return piece
+	return func(chunk []byte) []byte {
+		if r.onMark == nil {
+			return chunk
 		}
-		text := append(tail, piece...)
+		text := append(tail, chunk...)
 		for _, m := range markPattern.FindAll(text, -1) {
-			r.seen(string(m))
+			r.onMark(string(m))
 		}
-		tail = bytes.Clone(text[max(0, len(text)-longestTag):])
-		return piece
+		tail = bytes.Clone(text[max(0, len(text)-maxMarkBytes):])
+		return chunk
 	}
 }
 
-// answer is the change for answers.
-func (r *Relay) answer(piece []byte) []byte {
+// changeResponse applies the mode to a chunk of a response; nil breaks the connection.
+func (r *Relay) changeResponse(chunk []byte) []byte {
 	switch Mode(r.mode.Load()) {
 	case Double:
-		return append(bytes.Clone(piece), piece...)
+		return append(bytes.Clone(chunk), chunk...)
 	case Truncate:
 		return nil
 	case Slow:
@@ -208,20 +210,20 @@
 			time.Sleep(relayPoll)
 		}
 	case Cross:
-		return r.swap(bytes.Clone(piece))
+		return r.swap(bytes.Clone(chunk))
 	}
-	return piece
+	return chunk
 }
 
-// swap exchanges a piece with one of another connection, if one comes soon.
-func (r *Relay) swap(piece []byte) []byte {
+// swap exchanges a chunk with one of another connection, or returns it unchanged if none arrives within maxSwapWait.
+func (r *Relay) swap(chunk []byte) []byte {
 	select {
-	case r.held <- piece:
-		return <-r.held
-	case other := <-r.held:
-		r.held <- piece
+	case r.swapped <- chunk:
+		return <-r.swapped
+	case other := <-r.swapped:
+		r.swapped <- chunk
 		return other
-	case <-time.After(crossWait):
-		return piece
+	case <-time.After(maxSwapWait):
+		return chunk
 	}
 }
--- a/internal/testing/faulttest/scenario.go
+++ b/internal/testing/faulttest/scenario.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// The load of a scenario and the times of its faults.
+// The load of a scenario and the timing of its faults.
 const (
-	chats        = 40
-	burst        = 5
-	slips        = 25
-	loadTime     = 800 * time.Millisecond
-	maxTokens    = 40
-	maxSends     = 4
-	resendPause  = 60 * time.Millisecond
-	strikeWithin = 400 * time.Millisecond
-	shortest     = 150 * time.Millisecond
-	longest      = 700 * time.Millisecond
-	readyTries   = 400
-	readyPause   = 25 * time.Millisecond
-	readyInRow   = 3
+	chatCount        = 40
+	burstSize        = 5
+	slipCount        = 25
+	loadDuration     = 800 * time.Millisecond
+	maxTokens        = 40
+	maxCalls         = 4
+	resendPause      = 60 * time.Millisecond
+	maxFaultDelay    = 400 * time.Millisecond
+	minFaultTime     = 150 * time.Millisecond
+	maxFaultTime     = 700 * time.Millisecond
+	maxReadyAttempts = 400
+	readyPause       = 25 * time.Millisecond
+	readyConsecutive = 3
 )
 
-// Scenario is one run: requests while faults come and go.
+// Scenario configures one run: requests are sent while the faults are injected and reverted.
 type Scenario struct {
 	Seed     uint64
 	Faults   []Fault
-	Sabotage Sabotage
+	Disabled DisabledSafeguards
 }
 
-// Name names the faults.
+// Name returns the names of the faults, joined by "+", or "no-fault".
 func (s Scenario) Name() string {
 	if len(s.Faults) == 0 {
 		return "no-fault"
@@ -45,98 +45,99 @@
 	return strings.Join(names, "+")
 }
 
-// Line is the outcome of one scenario.
-type Line struct {
+// Result is the outcome of one scenario.
+type Result struct {
 	Name string
 	Seed uint64
-	// Sends counts requests as sent, resends among them.
-	Sends, Answered, NotRun, Unknown int
+	// Calls is the number of calls, including resends; the other counts are those of each class.
+	Calls, Answered, NotRun, Unknown int
 	Violations                       []Violation
 }
 
-// String formats the line for make test-faults.
-func (l Line) String() string {
+// String formats the result as the line that make test-faults prints.
+func (r Result) String() string {
 	return fmt.Sprintf("%-46s seed %-4d requests %-4d answered %-4d refused-as-not-run %-4d outcome-unknown %-4d violations %d",
-		l.Name, l.Seed, l.Sends, l.Answered, l.NotRun, l.Unknown, len(l.Violations))
+		r.Name, r.Seed, r.Calls, r.Answered, r.NotRun, r.Unknown, len(r.Violations))
 }
 
-// NotReadyError says that a deployment without faults did not begin to serve.
+// NotReadyError reports that an entry did not start to serve before any fault was injected.
 type NotReadyError struct{ Entry string }
 
 // Error implements error.
 func (e *NotReadyError) Error() string { return "faulttest: " + e.Entry + " does not serve" }
 
-// run is one scenario under way.
+// run is the state of a running scenario.
 type run struct {
 	c     *Cluster
 	seed  uint64
 	marks atomic.Int64
 	mu    sync.Mutex
-	sends []Send
+	calls []Call
 }
 
-// mark names one send.
-func (r *run) mark() string { return fmt.Sprintf("mark-%d-%d.", r.seed+1, r.marks.Add(1)) }
+// newMark returns a unique mark for a call.
+func (r *run) newMark() string { return fmt.Sprintf("mark-%d-%d.", r.seed+1, r.marks.Add(1)) }
 
-// Run plays a scenario. An error means that the harness could not play it, not that a promise was broken.
-func Run(sc Scenario) (Line, error) {
-	c, err := NewCluster(sc.Sabotage)
+// Run runs a scenario. An error means that the harness could not run it, not that a guarantee was violated.
+func Run(sc Scenario) (Result, error) {
+	c, err := NewCluster(sc.Disabled)
 	if err != nil {
-		return Line{}, err
+		return Result{}, err
 	}
 	defer c.Close()
 	r := &run{c: c, seed: sc.Seed}
 	if err := r.waitReady(); err != nil {
-		return Line{}, err
+		return Result{}, err
 	}
 	rng := rand.New(rand.NewPCG(sc.Seed, 11))
 	var load, faults sync.WaitGroup
-	r.begin(&load, rng)
+	r.startLoad(&load, rng)
 	errs := make([]error, len(sc.Faults))
 	for i, f := range sc.Faults {
 		own := rand.New(rand.NewPCG(sc.Seed, uint64(100+i)))
-		faults.Go(func() { errs[i] = r.strike(f, own) })
+		faults.Go(func() { errs[i] = r.injectFault(f, own) })
 	}
 	faults.Wait()
 	load.Wait()
 	for _, err := range errs {
 		if err != nil {
-			return Line{}, err
+			return Result{}, err
 		}
 	}
 	r.resendAll()
-	return r.line(sc), nil
+	return r.result(sc), nil
 }
 
-// waitReady sends requests through every entry until each service has answered a few times in a row.
+// waitReady sends requests through each entry until both services have answered readyConsecutive times in a row. It
+// returns *NotReadyError after maxReadyAttempts.
 func (r *run) waitReady() error {
 	call := newCaller()
 	for i, e := range r.c.Entries {
-		good := 0
-		for try := 0; good < readyInRow; try++ {
-			if try >= readyTries {
+		consecutive := 0
+		for try := 0; consecutive < readyConsecutive; try++ {
+			if try >= maxReadyAttempts {
 				return &NotReadyError{e.set.Name}
 			}
-			chat, _ := call.chat(e.set.HTTP.Address, r.mark(), 1)
-			slip, _ := call.slip(e.set.HTTP.Address, fmt.Sprintf("ready-%d-%d", i, try), r.mark())
+			chat, _ := call.chat(e.set.HTTP.Address, r.newMark(), 1)
+			slip, _ := call.slip(e.set.HTTP.Address, fmt.Sprintf("ready-%d-%d", i, try), r.newMark())
 			if chat.Class != Answered || slip.Class != Answered {
-				good = 0
+				consecutive = 0
 				time.Sleep(readyPause)
 				continue
 			}
-			good++
+			consecutive++
 		}
 	}
 	return nil
 }
 
-// begin starts the load: requests spread over loadTime, each through an entry drawn at random. Chats come in bursts, so
-// that tokens of the same place in different answers pass the relays together.
-func (r *run) begin(wg *sync.WaitGroup, rng *rand.Rand) {
+// startLoad starts the load: requests spread over loadDuration, each through a random entry. Chats come in bursts, so that
+// tokens at the same position in different responses reach the relays at about the same time.
+func (r *run) startLoad(wg *sync.WaitGroup, rng *rand.Rand) {
 	var at time.Duration
-	for i := range chats {
-		if i%burst == 0 {
-			at = time.Duration(rng.Int64N(int64(loadTime)))
+	for i := range chatCount {
+		if i%burstSize == 0 {
+			at = time.Duration(rng.Int64N(int64(loadDuration)))
 		}
 		at := at
 		tokens := 1 + rng.IntN(maxTokens)
@@ -146,15 +147,15 @@
 			r.chat(tokens, first)
 		})
 	}
-	for i := range slips {
-		at := time.Duration(rng.Int64N(int64(loadTime)))
+	for i := range slipCount {
+		at := time.Duration(rng.Int64N(int64(loadDuration)))
 		key := r.key(i)
 		first := rng.IntN(entries)
 		wg.Go(func() {
 			time.Sleep(at)
 			r.slip(key, first)
 		})
-		if rng.IntN(4) == 0 { // An impatient caller sends it through the other entry at the same time.
+		if rng.IntN(4) == 0 { // The caller also sends the slip through the other entry, at the same time.
 			wg.Go(func() {
 				time.Sleep(at)
 				r.slip(key, 1-first)
@@ -165,29 +166,29 @@
 
 func (r *run) key(i int) string { return fmt.Sprintf("slip-%d-%d", r.seed, i) }
 
-func (r *run) note(s Send) {
+func (r *run) recordCall(s Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sends = append(r.sends, s)
+	r.calls = append(r.calls, s)
 }
 
-// chat sends one request to the model, through the other entry if the first cannot be reached.
+// chat sends one request to the model, through the other entry if the first is unreachable.
 func (r *run) chat(tokens, first int) {
 	for i := range entries {
-		s, sent := newCaller().chat(r.address(first+i), r.mark(), tokens)
+		s, sent := newCaller().chat(r.address(first+i), r.newMark(), tokens)
 		if sent {
-			r.note(s)
+			r.recordCall(s)
 			return
 		}
 	}
 }
 
-// slip sends one slip, and sends it again through the other entry until it is answered.
+// slip sends one slip, alternating between the entries, until it is answered or maxCalls are made.
 func (r *run) slip(key string, first int) {
-	for i := range maxSends {
-		s, sent := newCaller().slip(r.address(first+i), key, r.mark())
+	for i := range maxCalls {
+		s, sent := newCaller().slip(r.address(first+i), key, r.newMark())
 		if sent {
-			r.note(s)
+			r.recordCall(s)
 		}
 		if s.Class == Answered {
 			return
@@ -198,45 +199,45 @@
 
 func (r *run) address(i int) string { return r.c.Entries[i%entries].set.HTTP.Address }
 
-// strike begins a fault at its time and ends it.
-func (r *run) strike(f Fault, rng *rand.Rand) error {
-	time.Sleep(time.Duration(rng.Int64N(int64(strikeWithin))))
-	r.c.control.Lock()
-	heal := f.Strike(r.c, rng)
-	r.c.control.Unlock()
-	time.Sleep(shortest + time.Duration(rng.Int64N(int64(longest-shortest))))
-	if heal == nil {
+// injectFault injects a fault after a random delay and reverts it after a random duration.
+func (r *run) injectFault(f Fault, rng *rand.Rand) error {
+	time.Sleep(time.Duration(rng.Int64N(int64(maxFaultDelay))))
+	r.c.faultMu.Lock()
+	revert := f.Inject(r.c, rng)
+	r.c.faultMu.Unlock()
+	time.Sleep(minFaultTime + time.Duration(rng.Int64N(int64(maxFaultTime-minFaultTime))))
+	if revert == nil {
 		return nil
 	}
-	r.c.control.Lock()
-	defer r.c.control.Unlock()
-	return heal()
+	r.c.faultMu.Lock()
+	defer r.c.faultMu.Unlock()
+	return revert()
 }
 
-// resendAll sends every slip once more when all faults are over: it must not run again.
+// resendAll sends every slip once more after all faults are reverted; none of them may run again.
 func (r *run) resendAll() {
 	var wg sync.WaitGroup
-	for i := range slips {
+	for i := range slipCount {
 		wg.Go(func() {
-			if s, sent := newCaller().slip(r.address(i), r.key(i), r.mark()); sent {
-				r.note(s)
+			if s, sent := newCaller().slip(r.address(i), r.key(i), r.newMark()); sent {
+				r.recordCall(s)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-func (r *run) line(sc Scenario) Line {
-	l := Line{Name: sc.Name(), Seed: sc.Seed, Sends: len(r.sends), Violations: Check(r.sends, r.c.Evidence())}
-	for _, s := range r.sends {
+func (r *run) result(sc Scenario) Result {
+	res := Result{Name: sc.Name(), Seed: sc.Seed, Calls: len(r.calls), Violations: Check(r.calls, r.c.Evidence())}
+	for _, s := range r.calls {
 		switch s.Class {
 		case Answered:
-			l.Answered++
+			res.Answered++
 		case NotRun:
-			l.NotRun++
+			res.NotRun++
 		default:
-			l.Unknown++
+			res.Unknown++
 		}
 	}
-	return l
+	return res
 }
--- a/internal/testing/standin/engine/batch.go
+++ b/internal/testing/standin/engine/batch.go
@@ -8,42 +8,43 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/routing/prefix"
 )
 
-// Options shape the engine.
+// Options configures an engine.
 type Options struct {
-	// Batch is how many requests run at once.
+	// Batch is the number of requests that run concurrently.
 	Batch int
-	// Step is the time of one step, in which each running request gets a token.
+	// Step is the duration of one step, in which each running request gets one token.
 	Step time.Duration
-	// PromptToken is the time that one prompt token costs that is not cached.
+	// PromptTokenTime is added to a step for each prompt token of a started request that is not cached.
 	PromptToken time.Duration
-	// CacheBlocks is how many prompt blocks the prefix cache holds.
+	// CacheBlocks is the number of prompt blocks that the prefix cache holds.
 	CacheBlocks int
-	// CacheLag is how late cache events are published; CacheGap drops one event in so many (0: none).
+	// CacheLag is the delay before a cache event is published. Every CacheGap-th event is dropped; 0 drops none.
 	CacheLag time.Duration
 	CacheGap int
-	// LoadLag is how old a load report is.
+	// LoadLag is the age of the load reports served.
 	LoadLag time.Duration
-	// HonourFence refuses an order whose fencing number is lower than one before; without it the engine obeys all.
+	// HonourFence refuses an order whose fencing token is lower than that of an earlier order. Without it the engine
+	// applies every order.
 	HonourFence bool
-	// Crash is a text in a prompt that takes the engine down; OnCrash is how it goes down.
+	// CrashText in a prompt crashes the engine, which calls OnCrash and does not respond; empty for never.
 	Crash   string
 	OnCrash func()
 }
 
 // sequence is one request in the engine.
 type sequence struct {
-	rank   int
-	order  uint64
-	blocks []uint64
-	prompt int
-	next   int
-	total  int
-	// tokens gets the index of each token as it is made; it is closed when the sequence leaves the engine.
-	tokens chan int
-	gone   bool
+	rank         int
+	arrival      uint64
+	blocks       []uint64
+	promptTokens int
+	next         int
+	total        int
+	// tokens receives the index of each token when it is generated; it is closed when the sequence leaves the engine.
+	tokens    chan int
+	cancelled bool
 }
 
-// waiting is a heap by rank, then by order of arrival.
+// waiting is a heap ordered by rank, lowest first, then by arrival.
 type waiting []*sequence
 
 func (w waiting) Len() int { return len(w) }
@@ -51,7 +52,7 @@
 	if w[i].rank != w[j].rank {
 		return w[i].rank < w[j].rank
 	}
-	return w[i].order < w[j].order
+	return w[i].arrival < w[j].arrival
 }
 func (w waiting) Swap(i, j int) { w[i], w[j] = w[j], w[i] }
 
@@ -66,16 +67,16 @@
 	return s
 }
 
-// batch runs sequences step by step.
+// batch runs sequences by continuous batching, one step at a time.
 type batch struct {
-	mu      sync.Mutex
-	opts    Options
-	waiting waiting
-	running []*sequence
-	cache   *prefix.Table
-	order   uint64
-	steps   uint64
-	wake    chan struct{}
+	mu       sync.Mutex
+	opts     Options
+	waiting  waiting
+	running  []*sequence
+	cache    *prefix.Table
+	arrivals uint64
+	steps    uint64
+	wake     chan struct{}
 }
 
 func newBatch(o Options) *batch {
@@ -85,8 +86,8 @@
 // add queues a sequence.
 func (b *batch) add(s *sequence) {
 	b.mu.Lock()
-	b.order++
-	s.order = b.order
+	b.arrivals++
+	s.arrival = b.arrivals
 	heap.Push(&b.waiting, s)
 	b.mu.Unlock()
 	select {
@@ -95,34 +96,34 @@
 	}
 }
 
-// cancel takes a sequence out; it gets no more tokens.
+// cancel marks a sequence, which is removed at the next step or before it starts; it gets no more tokens.
 func (b *batch) cancel(s *sequence) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s.gone = true
+	s.cancelled = true
 }
 
-// counts returns the waiting and running requests and the steps so far.
+// counts returns the numbers of waiting and running requests and of completed steps.
 func (b *batch) counts() (waiting, running int, steps uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.waiting), len(b.running), b.steps
 }
 
-// fill moves waiting sequences into the batch and returns the prompt tokens that must be computed for them, and the
-// blocks that enter the cache.
+// fill moves waiting sequences into the batch. It returns the number of uncached prompt tokens to compute for them and the
+// blocks added to the cache. The caller holds mu.
 func (b *batch) fill() (tokens int, stored []uint64) {
 	for len(b.running) < b.opts.Batch && len(b.waiting) > 0 {
 		s := heap.Pop(&b.waiting).(*sequence)
-		if s.gone {
+		if s.cancelled {
 			close(s.tokens)
 			continue
 		}
 		hit := b.cache.Match(s.blocks)
 		if len(s.blocks) > 0 {
-			tokens += s.prompt * (len(s.blocks) - hit) / len(s.blocks)
+			tokens += s.promptTokens * (len(s.blocks) - hit) / len(s.blocks)
 		} else {
-			tokens += s.prompt
+			tokens += s.promptTokens
 		}
 		b.cache.Add(s.blocks...)
 		stored = append(stored, s.blocks...)
@@ -131,12 +132,12 @@
 	return tokens, stored
 }
 
-// step gives each running sequence its next token and drops those that are done or cancelled.
+// step gives each running sequence its next token and removes those that are finished or cancelled. The caller holds mu.
 func (b *batch) step() {
 	b.steps++
-	kept := b.running[:0]
+	remaining := b.running[:0]
 	for _, s := range b.running {
-		if s.gone {
+		if s.cancelled {
 			close(s.tokens)
 			continue
 		}
@@ -146,8 +147,8 @@
 			close(s.tokens)
 			continue
 		}
-		kept = append(kept, s)
+		remaining = append(remaining, s)
 	}
-	clear(b.running[len(kept):])
-	b.running = kept
+	clear(b.running[len(remaining):])
+	b.running = remaining
 }
--- a/internal/testing/standin/engine/doc.go
+++ b/internal/testing/standin/engine/doc.go
@@ -1,6 +1,6 @@
-// Package engine is a small stand-in for a model engine: a continuous batch with a step time, a prefix cache with a
-// memory limit, late and gappy cache events, a lagging load report, priorities, resume and cancel.
+// Package engine is a small stand-in for a model engine. It has continuous batching with a fixed step time, a prefix cache
+// of limited size, cache events that are delayed and partly lost, load reports that lag, priorities, resume and cancel.
 //
-// Its answers are a function of the prompt alone (Token), so that a caller can tell a whole answer to its own request
-// from any other.
+// Its completions depend only on the prompt (see Token), so a caller can verify that a response is complete and belongs to
+// its own request.
 package engine
--- a/internal/testing/standin/engine/engine.go
+++ b/internal/testing/standin/engine/engine.go
@@ -25,46 +25,46 @@
 
 // Engine is one running stand-in.
 type Engine struct {
-	opts   Options
-	batch  *batch
-	start  string
-	server *httpserver.Server
-	cancel context.CancelFunc
-	// stalled holds every step back, as an engine that hangs does.
+	opts    Options
+	batch   *batch
+	startID string
+	server  *httpserver.Server
+	cancel  context.CancelFunc
+	// stalled stops all steps, as in a hung engine.
 	stalled atomic.Bool
-	// cutAfter breaks each answer off after so many tokens; 0 for never.
-	cutAfter     atomic.Int64
-	cutBeforeEnd atomic.Bool
-	// crossed makes each answer carry another request's id.
-	crossed atomic.Bool
-	runs    sync.Map // request id → *atomic.Int64
-	mu      sync.Mutex
-	fence   uint64
-	orders  []string
-	events  []cacheEvent
-	reports []load
+	// truncateAfter is the number of tokens after which each response is truncated; 0 for never.
+	truncateAfter     atomic.Int64
+	truncateBeforeEnd atomic.Bool
+	// mismatchedIDs makes each response carry another request's id.
+	mismatchedIDs atomic.Bool
+	runs          sync.Map // request id → *atomic.Int64
+	mu            sync.Mutex
+	fence         uint64
+	orders        []string
+	events        []cacheEvent
+	reports       []loadReport
 }
 
-// cacheEvent says that blocks were stored.
+// cacheEvent reports blocks that were added to the cache.
 type cacheEvent struct {
 	Seq    uint64   `json:"seq"`
 	Blocks []uint64 `json:"stored"`
 	at     time.Time
 }
 
-// load is one load report.
-type load struct {
+// loadReport is the engine's load at one time.
+type loadReport struct {
 	Waiting int    `json:"waiting"`
 	Running int    `json:"running"`
 	Steps   uint64 `json:"steps"`
-	// Start tells one process of the engine from the next.
-	Start string `json:"start"`
-	at    time.Time
+	// StartID identifies the engine process, so that a restart can be detected.
+	StartID string `json:"start"`
+	at      time.Time
 }
 
 // Start serves the engine on address (IP:PORT).
 func Start(address string, o Options) (*Engine, error) {
-	e := &Engine{opts: o, batch: newBatch(o), start: uuid.NewString()}
+	e := &Engine{opts: o, batch: newBatch(o), startID: uuid.NewString()}
 	server, err := httpserver.Start(address, 1, httpserver.Limits{}, e.serve)
 	if err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
@@ -76,25 +76,25 @@
 	return e, nil
 }
 
-// Stop ends the engine at once, as a crash would.
+// Stop stops the engine immediately, as a crash would.
 func (e *Engine) Stop() {
 	e.cancel()
 	_ = e.server.Stop(context.Background())
 }
 
-// SetStalled makes the engine hang, or go on.
+// SetStalled makes the engine hang or resume.
 func (e *Engine) SetStalled(on bool) { e.stalled.Store(on) }
 
-// SetCutAfter breaks each answer off after n tokens; 0 for never.
-func (e *Engine) SetCutAfter(n int) { e.cutAfter.Store(int64(n)) }
+// SetTruncateAfter truncates each response after n tokens; 0 for never.
+func (e *Engine) SetTruncateAfter(n int) { e.truncateAfter.Store(int64(n)) }
 
-// SetCutBeforeEnd makes answers break off after their last token, before the event that says that it was the last.
-func (e *Engine) SetCutBeforeEnd(cut bool) { e.cutBeforeEnd.Store(cut) }
+// SetTruncateBeforeEnd truncates each response after its last token, before the end event.
+func (e *Engine) SetTruncateBeforeEnd(on bool) { e.truncateBeforeEnd.Store(on) }
 
-// SetCrossed makes answers carry another request's id.
-func (e *Engine) SetCrossed(on bool) { e.crossed.Store(on) }
+// SetMismatchedIDs makes responses carry another request's id.
+func (e *Engine) SetMismatchedIDs(on bool) { e.mismatchedIDs.Store(on) }
 
-// Runs returns how often each request id was started.
+// Runs returns the number of times that each request id was started.
 func (e *Engine) Runs() map[string]int {
 	out := map[string]int{}
 	e.runs.Range(func(k, v any) bool {
@@ -104,7 +104,7 @@
 	return out
 }
 
-// run takes steps while there is work.
+// run executes steps while there are requests, until ctx is done.
 func (e *Engine) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		waiting, running, _ := e.batch.counts()
@@ -116,7 +116,7 @@
 	}
 }
 
-// idlePoll is how often an engine without work or one that hangs looks again.
+// idlePoll is the polling interval of an engine that is idle or stalled.
 const idlePoll = 5 * time.Millisecond
 
 func (e *Engine) idle(ctx context.Context) {
@@ -144,7 +144,7 @@
 	e.report()
 }
 
-// publish keeps a cache event, unless it falls into a gap.
+// publish records a cache event. An event that CacheGap drops keeps its sequence number but is not served.
 func (e *Engine) publish(stored []uint64) {
 	if len(stored) == 0 {
 		return
@@ -169,7 +169,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	e.reports = append(e.reports, load{waiting, running, steps, e.start, now})
+	e.reports = append(e.reports, loadReport{waiting, running, steps, e.startID, now})
 	for len(e.reports) > 1 && now.Sub(e.reports[1].at) >= e.opts.LoadLag {
 		e.reports = e.reports[1:]
 	}
@@ -184,7 +184,7 @@
 		reports := e.reports
 		e.mu.Unlock()
 		if len(reports) == 0 {
-			reports = []load{{Start: e.start}}
+			reports = []loadReport{{StartID: e.startID}}
 		}
 		respondJSON(x, reports[0])
 	case "/v1/orders":
@@ -247,21 +247,21 @@
 	n, _ := e.runs.LoadOrStore(id, &atomic.Int64{})
 	n.(*atomic.Int64).Add(1)
 	s := &sequence{
-		rank:   rank,
-		blocks: prefix.Hash(body.Messages, blockBytes),
-		prompt: len(body.Messages) / bytesPerToken,
-		next:   resume,
-		total:  max(body.MaxTokens, resume+1),
-		tokens: make(chan int, max(body.MaxTokens, resume+1)),
+		rank:         rank,
+		blocks:       prefix.Hash(body.Messages, blockBytes),
+		promptTokens: len(body.Messages) / bytesPerToken,
+		next:         resume,
+		total:        max(body.MaxTokens, resume+1),
+		tokens:       make(chan int, max(body.MaxTokens, resume+1)),
 	}
 	e.batch.add(s)
 	defer e.batch.cancel(s)
 	e.stream(ctx, x, id, body.Messages, s)
 }
 
-// stream writes the sequence's tokens as they are made.
+// stream writes the sequence's tokens as they are generated.
 func (e *Engine) stream(ctx context.Context, x *httpserver.Exchange, id string, prompt []byte, s *sequence) {
-	if e.crossed.Load() {
+	if e.mismatchedIDs.Load() {
 		id = "another/1"
 	}
 	if err := x.Stream(fasthttp.StatusOK, []httpserver.Header{{Name: "Content-Type", Value: "text/event-stream"}}); err != nil {
@@ -273,26 +273,26 @@
 			return
 		case i, ok := <-s.tokens:
 			if !ok {
-				if e.cutBeforeEnd.Load() {
+				if e.truncateBeforeEnd.Load() {
 					return
 				}
-				end := append(event(id, s.total, "", "length"), "data: [DONE]\n\n"...)
+				end := append(formatEvent(id, s.total, "", "length"), "data: [DONE]\n\n"...)
 				if err := x.Write(ctx, end); err == nil {
 					_ = x.End()
 				}
 				return
 			}
-			if cut := e.cutAfter.Load(); cut > 0 && int64(i) >= cut {
+			if limit := e.truncateAfter.Load(); limit > 0 && int64(i) >= limit {
 				return
 			}
-			if err := x.Write(ctx, event(id, i, Token(prompt, i), "")); err != nil {
+			if err := x.Write(ctx, formatEvent(id, i, Token(prompt, i), "")); err != nil {
 				return
 			}
 		}
 	}
 }
 
-func event(id string, i int, text, finish string) []byte {
+func formatEvent(id string, i int, text, finish string) []byte {
 	type delta struct {
 		Content string `json:"content"`
 	}
--- a/internal/testing/standin/engine/orders.go
+++ b/internal/testing/standin/engine/orders.go
@@ -10,14 +10,14 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// Orders returns the orders that the engine took, as NAME:VERSION or the role.
+// Orders returns the orders that the engine accepted: NAME:VERSION for a load, -NAME for an unload, or the new role.
 func (e *Engine) Orders() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.orders)
 }
 
-// serveOrder takes an order; loading takes no time here.
+// serveOrder records an order and accepts it immediately; nothing is loaded.
 func (e *Engine) serveOrder(x *httpserver.Exchange) {
 	o := &cardamomyokev1.EngineOrder{}
 	if err := protojson.Unmarshal(x.Req.Body(), o); err != nil {
@@ -31,11 +31,11 @@
 		return
 	}
 	e.fence = max(e.fence, o.GetFence())
-	e.orders = append(e.orders, describe(o))
+	e.orders = append(e.orders, formatOrder(o))
 	_ = x.Respond(fasthttp.StatusOK, nil, nil)
 }
 
-func describe(o *cardamomyokev1.EngineOrder) string {
+func formatOrder(o *cardamomyokev1.EngineOrder) string {
 	switch {
 	case o.GetLoadModel() != nil:
 		return o.GetLoadModel().GetModel() + ":" + o.GetLoadModel().GetVersion()
--- a/internal/testing/standin/group/group.go
+++ b/internal/testing/standin/group/group.go
@@ -1,7 +1,7 @@
-// Package group is a small stand-in for the ranks of a model group: they advance in lock-step, each under the expert map
-// that its engine has, and the stand-in notes every step in which two ranks used different maps.
+// Package group is a small stand-in for the ranks of a model group. The ranks advance in lockstep, each with the expert
+// map that its engine has, and the stand-in records every step in which two ranks used different maps.
 //
-// The ranks only step; they serve no requests. Their tokens follow a popularity that the test sets.
+// The ranks serve no requests. The test sets the token counts per expert that they report.
 package group
 
 import (
@@ -19,29 +19,29 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/node/rank"
 )
 
-// Options shape a group.
+// Options configures a group.
 type Options struct {
-	// Addresses of the ranks' engines, IP:PORT, by rank.
+	// Addresses holds the IP:PORT of each rank's engine, indexed by rank.
 	Addresses []string
-	// Step is the time of one step.
+	// Step is the duration of one step.
 	Step time.Duration
-	// Cells is the number of experts times layers; Window how many steps one window of counts has.
+	// Cells is the number of experts times the number of layers. Window is the number of steps in one window of counts.
 	Cells, Window int
 }
 
 // Group is one running group.
 type Group struct {
-	opts    Options
-	mu      sync.Mutex
-	ranks   []*expertmap.EngineModel
-	servers []*httpserver.Server
-	weights []uint32
-	mixed   []expertmap.Step
-	steps   expertmap.Step
-	cancel  context.CancelFunc
+	opts       Options
+	mu         sync.Mutex
+	ranks      []*expertmap.EngineModel
+	servers    []*httpserver.Server
+	weights    []uint32
+	mismatched []expertmap.Step
+	steps      expertmap.Step
+	cancel     context.CancelFunc
 }
 
-// Start serves all ranks.
+// Start serves all ranks and starts stepping.
 func Start(o Options) (*Group, error) {
 	g := &Group{opts: o, weights: make([]uint32, o.Cells)}
 	for i := range g.weights {
@@ -64,7 +64,7 @@
 	return g, nil
 }
 
-// Stop ends all ranks.
+// Stop stops all ranks.
 func (g *Group) Stop() {
 	g.cancel()
 	for _, s := range g.servers {
@@ -72,21 +72,21 @@
 	}
 }
 
-// SetWeights sets how many tokens go to each cell in a window.
+// SetWeights sets the number of tokens that each cell, one expert in one layer, gets in a window.
 func (g *Group) SetWeights(w []uint32) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	copy(g.weights, w)
 }
 
-// Mixed returns the steps in which two ranks used different maps; there must be none.
+// MismatchedSteps returns the steps in which two ranks used different maps; there must be none.
 func (g *Group) Mixed() []expertmap.Step {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]expertmap.Step(nil), g.mixed...)
+	return append([]expertmap.Step(nil), g.mismatched...)
 }
 
-// Steps returns how many steps the group has run, and the map of each rank.
+// Steps returns the number of steps that the group has run and the current map of each rank.
 func (g *Group) Steps() (expertmap.Step, []expertmap.MapID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// step advances all ranks by one step, if each of them may take it: in lock-step none can go alone.
+// step advances all ranks by one step, unless one of them may not start it: in lockstep no rank can advance alone.
 func (g *Group) step() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -119,10 +119,10 @@
 			return
 		}
 	}
-	first := g.ranks[0].At(g.ranks[0].Next)
+	expected := g.ranks[0].At(g.ranks[0].Next)
 	for _, r := range g.ranks {
-		if r.At(r.Next) != first {
-			g.mixed = append(g.mixed, r.Next)
+		if r.At(r.Next) != expected {
+			g.mismatched = append(g.mismatched, r.Next)
 		}
 		r.Next++
 		r.StepTime = g.opts.Step
--- a/internal/testing/standin/plain/plain.go
+++ b/internal/testing/standin/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain is a small stand-in for a plain service, such as a bridge to an old ledger. It counts how often each
-// idempotency key ran, so that a caller can tell whether a request that may not be repeated ran twice.
+// Package plain is a small stand-in for a plain service, such as a bridge to an old ledger. It counts the runs of each
+// idempotency key, so that a test can detect a non-repeatable request that ran twice.
 package plain
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/httpserver"
 )
 
-// PathRuns answers how often each key ran, as a JSON object.
+// PathRuns serves the number of runs of each key as a JSON object.
 const PathRuns = "/runs"
 
 // Service is one running stand-in.
@@ -27,14 +27,14 @@
 	runs   map[string]int
 }
 
-// Answer is the JSON body of each answer; Echo is the hash of the request's body.
+// Response is the JSON body of each response; Echo is the hash of the request's body.
 type Answer struct {
 	Key  string `json:"key"`
 	Path string `json:"path"`
 	Echo uint64 `json:"echo"`
 }
 
-// Echo returns the hash that Answer.Echo holds for a request's body.
+// Echo returns the hash that Response.Echo holds for a request's body.
 func Echo(body []byte) uint64 { return xxhash.Sum64(body) }
 
 // Start serves on address (IP:PORT); each request takes delay.
@@ -48,10 +48,10 @@
 	return s, nil
 }
 
-// Stop ends the service at once.
+// Stop stops the service immediately, as a crash would.
 func (s *Service) Stop() { _ = s.server.Stop(context.Background()) }
 
-// Runs returns how often each key ran.
+// Runs returns the number of runs of each key.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/standin/platform/faults.go
+++ b/internal/testing/standin/platform/faults.go
@@ -9,7 +9,7 @@
 // Part names one of the platform's services.
 type Part string
 
-// The parts that faults are set for.
+// The parts of the platform.
 const (
 	PartTable   Part = "table"
 	PartObjects Part = "objects"
@@ -17,36 +17,38 @@
 	PartWeights Part = "weights"
 )
 
-// Faults are the switches of one part.
+// Faults holds the fault switches of one part.
 type Faults struct {
-	// Outage refuses every call without doing anything.
+	// Outage refuses every call; no write takes effect.
 	Outage bool `json:"outage"`
-	// Delay is the time that each call takes; half of it passes before a write takes effect.
+	// Delay is the duration of each call. A write takes effect after half of it.
 	Delay time.Duration `json:"delay_ns"`
-	// LoseAnswers counts the next writes that take effect while their answer is lost.
+	// LoseResponses is the number of next writes that take effect but whose response is lost.
 	LoseAnswers int `json:"lose_answers"`
-	// LateWrites counts the next writes that take effect LateBy after their answer was lost.
+	// LateWrites is the number of next writes that take effect LateBy after their response was lost. They come before
+	// those of LoseResponses.
 	LateWrites int           `json:"late_writes"`
 	LateBy     time.Duration `json:"late_by_ns"`
 }
 
-// OutageError is the cause of calls refused by the Outage switch.
+// OutageError is the cause in the errors of calls refused by the Outage switch.
 type OutageError struct{ Part Part }
 
 // Error implements error.
 func (e *OutageError) Error() string { return fmt.Sprintf("%s is switched off", e.Part) }
 
-// LostAnswerError is the cause of a write whose answer was lost.
-type LostAnswerError struct{ Part Part }
+// LostResponseError is the cause in the error of a write whose response was lost.
+type LostResponseError struct{ Part Part }
 
 // Error implements error.
-func (e *LostAnswerError) Error() string { return fmt.Sprintf("the answer of %s was lost", e.Part) }
+func (e *LostResponseError) Error() string { return fmt.Sprintf("the answer of %s was lost", e.Part) }
 
-// fate is what the switches decide for one write.
-type fate struct {
-	delay time.Duration
-	lose  bool
-	late  time.Duration
+// writeFault holds the faults of one write. delay applies before the write takes effect and again before the response; if
+// applyAfter is not zero, the response is lost and the write takes effect after that time.
+type writeFault struct {
+	delay        time.Duration
+	loseResponse bool
+	applyAfter   time.Duration
 }
 
 // SetFaults replaces the switches of one part.
@@ -63,37 +65,37 @@
 	return s.faults[p]
 }
 
-// admitRead waits for half of the part's delay and returns the other half, to wait before the answer.
+// admitRead waits for half of the part's delay. It returns the other half, for which the caller waits before it responds.
 func (s *Store) admitRead(ctx context.Context, p Part) (time.Duration, error) {
 	f := s.FaultsOf(p)
 	if f.Outage {
 		return 0, &OutageError{p}
 	}
-	if err := s.pace(ctx, p, false); err != nil {
+	if err := s.throttle(ctx, p, false); err != nil {
 		return 0, err
 	}
 	return f.Delay / 2, sleep(ctx, f.Delay/2)
 }
 
-// admitWrite uses up one lost answer or late write.
-func (s *Store) admitWrite(ctx context.Context, p Part) (fate, error) {
+// admitWrite returns the faults of a write and consumes one late write or lost response.
+func (s *Store) admitWrite(ctx context.Context, p Part) (writeFault, error) {
 	if s.FaultsOf(p).Outage {
-		return fate{}, &OutageError{p}
+		return writeFault{}, &OutageError{p}
 	}
-	if err := s.pace(ctx, p, true); err != nil {
-		return fate{}, err
+	if err := s.throttle(ctx, p, true); err != nil {
+		return writeFault{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.faults[p]
-	out := fate{delay: f.Delay / 2}
+	out := writeFault{delay: f.Delay / 2}
 	switch {
 	case f.LateWrites > 0:
 		f.LateWrites--
-		out.late = f.LateBy
+		out.applyAfter = f.LateBy
 	case f.LoseAnswers > 0:
 		f.LoseAnswers--
-		out.lose = true
+		out.loseResponse = true
 	}
 	s.faults[p] = f
 	return out, nil
--- a/internal/testing/standin/platform/handler.go
+++ b/internal/testing/standin/platform/handler.go
@@ -11,26 +11,25 @@
 	api "github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// Paths of the control endpoint, which only tests and the demo use.
+// Paths of the control endpoint, which is for tests and the demo.
 const (
-	// PathFaults: GET answers the switches of all parts, POST replaces those of the parts named.
+	// PathFaults: GET returns the fault switches of all parts, POST replaces those of the parts in the body.
 	PathFaults = "/control/faults"
-	// PathSetHosts: POST replaces the host list by a HostsRequest.
+	// PathSetHosts: POST replaces the host list with that of a HostsRequest.
 	PathSetHosts = "/control/hosts"
-	// PathUsage: GET answers Usage.
+	// PathUsage: GET returns Usage.
 	PathUsage = "/control/usage"
 )
 
 const maxBody = 64 << 20
 
-// HostsRequest sets the host list; it shows after LagMS.
+// HostsRequest sets the host list, which is published after LagMS milliseconds.
 type HostsRequest struct {
 	Hosts []api.Host `json:"hosts"`
 	LagMS int64      `json:"lag_ms"`
 }
 
-// Handler serves the store over HTTP, together with its control endpoint. A lost answer is a connection closed
-// without a response.
+// Handler serves the store and its control endpoint over HTTP. For a lost response the connection is closed without one.
 func Handler(s *Store) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+api.PathGet, func(w http.ResponseWriter, r *http.Request) {
@@ -76,7 +75,7 @@
 func writeJSON(w http.ResponseWriter, status int, out any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(out) // the client has gone if this fails
+	_ = json.NewEncoder(w).Encode(out) // fails only if the client has disconnected
 }
 
 func writeError(w http.ResponseWriter, err error) {
@@ -87,7 +86,7 @@
 	case errors.As(err, &conflict):
 		writeJSON(w, http.StatusConflict, api.RowsResponse{Rows: conflict.Rows})
 	case errors.As(err, &unknown):
-		panic(http.ErrAbortHandler) // closes the connection without an answer, as a lost one looks to the client
+		panic(http.ErrAbortHandler) // closes the connection without a response, which the client sees as a lost one
 	case errors.As(err, &missing):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	default:
@@ -119,7 +118,7 @@
 		writeError(w, err)
 		return
 	}
-	_, _ = w.Write(data) // the client has gone if this fails
+	_, _ = w.Write(data) // fails only if the client has disconnected
 }
 
 func (s *Store) servePutObject(w http.ResponseWriter, r *http.Request) {
--- a/internal/testing/standin/platform/services.go
+++ b/internal/testing/standin/platform/services.go
@@ -10,23 +10,23 @@
 	api "github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// hostList keeps the published list and the newer truth that it lags behind.
+// hostList is the published host list. publishedAt is the time at which it was set, before the lag.
 type hostList struct {
 	published   []api.Host
 	publishedAt time.Time
 }
 
-// SetHosts makes hosts the truth; the list shows it after lag.
+// SetHosts publishes hosts after lag, unless a list that was set later has been published by then.
 func (s *Store) SetHosts(hosts []api.Host, lag time.Duration) {
 	hosts = slices.Clone(hosts)
-	born := time.Now()
+	setAt := time.Now()
 	publish := func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.hosts.publishedAt.After(born) {
+		if s.hosts.publishedAt.After(setAt) {
 			return
 		}
-		s.hosts = hostList{hosts, born}
+		s.hosts = hostList{hosts, setAt}
 	}
 	if lag <= 0 {
 		publish()
@@ -37,9 +37,9 @@
 
 // Hosts implements platform.HostList.
 func (s *Store) Hosts(ctx context.Context) ([]api.Host, time.Duration, error) {
-	rest, err := s.admitRead(ctx, PartHosts)
+	remaining, err := s.admitRead(ctx, PartHosts)
 	if err == nil {
-		err = sleep(ctx, rest)
+		err = sleep(ctx, remaining)
 	}
 	if err != nil {
 		return nil, 0, &api.UnavailableError{Op: "hosts", Cause: err}
@@ -55,9 +55,9 @@
 
 // Rate implements platform.Weights.
 func (s *Store) Rate(ctx context.Context, _ ids.Group) (uint64, error) {
-	rest, err := s.admitRead(ctx, PartWeights)
+	remaining, err := s.admitRead(ctx, PartWeights)
 	if err == nil {
-		err = sleep(ctx, rest)
+		err = sleep(ctx, remaining)
 	}
 	if err != nil {
 		return 0, &api.UnavailableError{Op: "rate", Cause: err}
@@ -75,17 +75,17 @@
 		return &api.UnknownOutcomeError{Operation: ids.Operation(name), Cause: cause}
 	}
 	data = bytes.Clone(data)
-	if f.late > 0 {
-		time.AfterFunc(f.late, func() { _ = s.storeObject(name, data) })
-		return unknown(&LostAnswerError{PartObjects})
+	if f.applyAfter > 0 {
+		time.AfterFunc(f.applyAfter, func() { _ = s.storeObject(name, data) })
+		return unknown(&LostResponseError{PartObjects})
 	}
 	if err := sleep(ctx, f.delay); err != nil {
 		time.AfterFunc(f.delay, func() { _ = s.storeObject(name, data) })
 		return unknown(err)
 	}
 	err = s.storeObject(name, data)
-	if f.lose {
-		return unknown(&LostAnswerError{PartObjects})
+	if f.loseResponse {
+		return unknown(&LostResponseError{PartObjects})
 	}
 	if late := sleep(ctx, f.delay); late != nil {
 		return unknown(late)
@@ -106,9 +106,9 @@
 
 // GetObject implements platform.Objects.
 func (s *Store) GetObject(ctx context.Context, name string) ([]byte, error) {
-	rest, err := s.admitRead(ctx, PartObjects)
+	remaining, err := s.admitRead(ctx, PartObjects)
 	if err == nil {
-		err = sleep(ctx, rest)
+		err = sleep(ctx, remaining)
 	}
 	if err != nil {
 		return nil, &api.UnavailableError{Op: "get object", Cause: err}
--- a/internal/testing/standin/platform/store.go
+++ b/internal/testing/standin/platform/store.go
@@ -14,21 +14,21 @@
 	api "github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// Limits are what the platform can carry; a call over the limit waits. Zero means no limit.
+// Limits bounds the load on the platform. A call over the limit waits. Zero means no limit.
 type Limits struct {
 	ReadsPerSecond  float64
 	WritesPerSecond float64
-	// WeightBytesPerSecond is shared by all groups that load weights.
+	// WeightBytesPerSecond is the total for all groups that load weights.
 	WeightBytesPerSecond uint64
 }
 
-// Usage counts calls since the start.
+// Usage is the number of calls since the start.
 type Usage struct {
 	Reads  uint64 `json:"reads"`
 	Writes uint64 `json:"writes"`
 }
 
-// Store is the platform in memory. It is safe for concurrent use and implements platform.Service.
+// Store is an in-memory platform. It is safe for concurrent use and implements platform.Service.
 type Store struct {
 	limits Limits
 	reads  *rate.Limiter
@@ -66,8 +66,8 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond/10)))
 }
 
-// pace counts a call and holds it back while the platform is at its limit.
-func (s *Store) pace(ctx context.Context, p Part, write bool) error {
+// throttle counts a call and waits while the platform is at its limit. Calls for hosts and weights are not limited.
+func (s *Store) throttle(ctx context.Context, p Part, write bool) error {
 	l := s.reads
 	s.mu.Lock()
 	if write {
@@ -92,18 +92,18 @@
 
 // Get implements platform.Table.
 func (s *Store) Get(ctx context.Context, keys ...string) ([]api.Row, error) {
-	rest, err := s.admitRead(ctx, PartTable)
+	remaining, err := s.admitRead(ctx, PartTable)
 	if err != nil {
 		return nil, &api.UnavailableError{Op: "get", Cause: err}
 	}
-	rows := s.snapshot(keys)
-	if err := sleep(ctx, rest); err != nil {
+	rows := s.readRows(keys)
+	if err := sleep(ctx, remaining); err != nil {
 		return nil, &api.UnavailableError{Op: "get", Cause: err}
 	}
 	return rows, nil
 }
 
-func (s *Store) snapshot(keys []string) []api.Row {
+func (s *Store) readRows(keys []string) []api.Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]api.Row, len(keys))
@@ -119,12 +119,12 @@
 
 // List implements platform.Table.
 func (s *Store) List(ctx context.Context, prefix, after string, limit int) ([]api.Row, error) {
-	rest, err := s.admitRead(ctx, PartTable)
+	remaining, err := s.admitRead(ctx, PartTable)
 	if err != nil {
 		return nil, &api.UnavailableError{Op: "list", Cause: err}
 	}
 	rows := s.scan(prefix, after, limit)
-	if err := sleep(ctx, rest); err != nil {
+	if err := sleep(ctx, remaining); err != nil {
 		return nil, &api.UnavailableError{Op: "list", Cause: err}
 	}
 	return rows, nil
@@ -157,18 +157,18 @@
 	unknown := func(cause error) (api.Result, error) {
 		return api.Result{}, &api.UnknownOutcomeError{Operation: t.Operation, Cause: cause}
 	}
-	if f.late > 0 {
-		time.AfterFunc(f.late, func() { _, _ = s.apply(t) })
-		return unknown(&LostAnswerError{PartTable})
+	if f.applyAfter > 0 {
+		time.AfterFunc(f.applyAfter, func() { _, _ = s.apply(t) })
+		return unknown(&LostResponseError{PartTable})
 	}
 	if err := sleep(ctx, f.delay); err != nil {
-		// The caller has gone but its message is on the way: the write takes effect all the same.
+		// The caller has disconnected, but its request is already on the network: the write still takes effect.
 		time.AfterFunc(f.delay, func() { _, _ = s.apply(t) })
 		return unknown(err)
 	}
 	res, err := s.apply(t)
-	if f.lose {
-		return unknown(&LostAnswerError{PartTable})
+	if f.loseResponse {
+		return unknown(&LostResponseError{PartTable})
 	}
 	if late := sleep(ctx, f.delay); late != nil {
 		return unknown(late)
@@ -185,21 +185,21 @@
 	return t
 }
 
-// apply does the whole transaction in one step. An operation that was applied before returns its first result.
+// apply applies a transaction atomically. For an operation that was applied before, it returns the first result.
 func (s *Store) apply(t api.Txn) (api.Result, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if res, done := s.applied[t.Operation]; done && t.Operation != "" {
 		return res, nil
 	}
-	var failed []api.Row
+	var conflicts []api.Row
 	for _, c := range t.Checks {
 		if s.rows[c.Key].Version != c.Version {
-			failed = append(failed, copyRow(c.Key, s.rows[c.Key]))
+			conflicts = append(conflicts, copyRow(c.Key, s.rows[c.Key]))
 		}
 	}
-	if len(failed) > 0 {
-		return api.Result{}, &api.ConflictError{Rows: failed}
+	if len(conflicts) > 0 {
+		return api.Result{}, &api.ConflictError{Rows: conflicts}
 	}
 	res := api.Result{Versions: make([]uint64, len(t.Puts))}
 	for i, p := range t.Puts {
@@ -228,5 +228,5 @@
 	return row.Version
 }
 
-// Peek returns a row past all faults and limits, for checks in tests.
-func (s *Store) Peek(key string) api.Row { return s.snapshot([]string{key})[0] }
+// Peek returns a row regardless of faults and limits, for checks in tests.
+func (s *Store) Peek(key string) api.Row { return s.readRows([]string{key})[0] }
