--- a/internal/testing/lint/layers.go
+++ b/internal/testing/lint/layers.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// Wings maps each folder of internal/ to those that it may import from; docs/architecture.md draws the same picture.
-var Wings = map[string][]string{
+// Layers maps each folder of internal/, a layer, to the layers that it may import. docs/architecture.md shows the same graph.
+var Layers = map[string][]string{
 	"gen":     {},
 	"base":    {"gen"},
 	"state":   {"base", "gen"},
@@ -22,24 +22,24 @@
 	"testing": {"node", "policy", "experts", "state", "base", "gen"},
 }
 
-// internalPath is what import paths of the project's own packages begin with.
+// internalPath is the prefix of the import paths of the project's internal packages.
 const internalPath = "github.com/cardamomyoke/cardamomyoke/internal/"
 
-// WingFinding is an import against the direction of the wings.
-type WingFinding struct {
+// LayerFinding is an import that Layers does not allow.
+type LayerFinding struct {
 	File     string
 	From, To string
 }
 
-// String formats the finding as linters do.
-func (f WingFinding) String() string {
+// String formats the finding as FILE: MESSAGE.
+func (f LayerFinding) String() string {
 	return fmt.Sprintf("%s: %s must not import from %s", f.File, f.From, f.To)
 }
 
-// CheckWings returns the imports below dir, which is internal/, that go against the direction. Tests may import helpers for
-// tests.
-func CheckWings(dir string) ([]WingFinding, error) {
-	var found []WingFinding
+// CheckLayers returns the imports below dir, the path of internal/, that Layers does not allow. Test files are not checked,
+// so that they may import test helpers.
+func CheckLayers(dir string) ([]LayerFinding, error) {
+	var found []LayerFinding
 	fset := token.NewFileSet()
 	err := filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || skipped(path) {
@@ -51,12 +51,12 @@
 		}
 		relative, err := filepath.Rel(dir, path)
 		if err != nil {
-			return fmt.Errorf("wing of %s: %w", path, err)
+			return fmt.Errorf("layer of %s: %w", path, err)
 		}
-		from := wingOf(filepath.ToSlash(relative))
+		from := layerOf(filepath.ToSlash(relative))
 		for _, spec := range file.Imports {
-			if to, ok := importedWing(spec.Path.Value); ok && !mayImport(from, to) {
-				found = append(found, WingFinding{path, from, to})
+			if to, ok := importedLayer(spec.Path.Value); ok && !mayImport(from, to) {
+				found = append(found, LayerFinding{path, from, to})
 			}
 		}
 		return nil
@@ -64,26 +64,26 @@
 	return found, err
 }
 
-func wingOf(path string) string {
-	wing, _, _ := strings.Cut(path, "/")
-	return wing
+func layerOf(path string) string {
+	layer, _, _ := strings.Cut(path, "/")
+	return layer
 }
 
-func importedWing(literal string) (string, bool) {
+func importedLayer(literal string) (string, bool) {
 	path, err := strconv.Unquote(literal)
 	if err != nil {
 		return "", false
 	}
 	rest, ok := strings.CutPrefix(path, internalPath)
-	return wingOf(rest), ok
+	return layerOf(rest), ok
 }
 
 func mayImport(from, to string) bool {
 	if from == to {
 		return true
 	}
-	for _, w := range Wings[from] {
-		if w == to {
+	for _, layer := range Layers[from] {
+		if layer == to {
 			return true
 		}
 	}
--- a/internal/testing/lint/lint.go
+++ b/internal/testing/lint/lint.go
@@ -1,7 +1,8 @@
-// Package lint checks a rule of the project that no ready-made linter knows: every failure has a type.
+// Package lint checks two rules of the project for which there is no linter: every error has a type, and the layers of
+// internal/ import each other in one direction only.
 //
-// An error made by errors.New or by fmt.Errorf without %w carries nothing but a string, so a caller can neither
-// tell it from another one nor answer it; such calls are reported outside test files.
+// An error made by errors.New, or by fmt.Errorf without %w, is only a string, so a caller cannot distinguish it from other
+// errors or handle it. Such calls are reported outside test files.
 package lint
 
 import (
@@ -15,13 +16,13 @@
 	"strings"
 )
 
-// Finding is one error without a type.
+// Finding is a call that makes an error without a type.
 type Finding struct {
 	Pos  token.Position
 	Call string
 }
 
-// String formats the finding as linters do.
+// String formats the finding as FILE:LINE:COLUMN: MESSAGE.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s: %s makes an error without a type", f.Pos, f.Call)
 }
--- a/internal/testing/lint/lint_test.go
+++ b/internal/testing/lint/lint_test.go
@@ -12,7 +12,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/lint"
 )
 
-func TestEveryFailureHasAType(t *testing.T) {
+// Guards against errors that a caller cannot distinguish from others.
+func TestEveryErrorHasAType(t *testing.T) {
 	found, err := lint.Tree("../../..")
 	if err != nil {
 		t.Fatal(err)
@@ -43,8 +44,8 @@
 	}
 }
 
-func TestWingsImportOneWay(t *testing.T) {
-	found, err := lint.CheckWings("../..")
+func TestLayersImportOneWay(t *testing.T) {
+	found, err := lint.CheckLayers("../..")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,8 +54,8 @@
 	}
 }
 
-// A decision that imported a process that it runs in could no longer be tested without that process.
-func TestCheckWingsFindsAnImportAgainstTheDirection(t *testing.T) {
+// Guards against a policy that imports the process which runs it: the policy could not be tested without that process.
+func TestCheckLayersFindsForbiddenImport(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "policy", "p.go")
 	if err := os.MkdirAll(filepath.Dir(file), 0o700); err != nil {
@@ -69,11 +70,11 @@
 	if err := os.WriteFile(file, []byte(src), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	found, err := lint.CheckWings(dir)
+	found, err := lint.CheckLayers(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []lint.WingFinding{{File: file, From: "policy", To: "node"}}
+	want := []lint.LayerFinding{{File: file, From: "policy", To: "node"}}
 	if diff := cmp.Diff(want, found); diff != "" {
 		t.Fatal(diff)
 	}
--- a/internal/testing/loopback/loopback_test.go
+++ b/internal/testing/loopback/loopback_test.go
@@ -8,10 +8,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/loopback"
 )
 
-// A relay is closed and opened again at its address while another goroutine starts processes. Between fork and exec a
-// child has a copy of the closed socket, so that the address is still taken: a run of the soak fails with "address
-// already in use".
-func TestAnAddressIsListenedOnAgainWhileProcessesStart(t *testing.T) {
+// Guards against "address already in use" when a relay is closed and reopened while another goroutine starts processes:
+// between fork and exec, a child has a copy of the closed socket, which keeps the address in use. Runs of the soak failed
+// this way.
+func TestListenReopensAddressWhileProcessesStart(t *testing.T) {
 	const rounds = 3000
 	stop := make(chan struct{})
 	var starters sync.WaitGroup
@@ -22,7 +22,7 @@
 				case <-stop:
 					return
 				default:
-					_ = exec.Command("true").Run() // only its start matters
+					_ = exec.Command("true").Run() // only the start of the process matters
 				}
 			}
 		})
@@ -41,13 +41,13 @@
 	}
 }
 
-// Addresses are handed out to seeds that run at the same time; two of the same would stop one of them.
-func TestNoAddressIsHandedOutTwice(t *testing.T) {
+// Guards against an address that is returned twice: seeds run concurrently, and one of the two would fail to listen.
+func TestAddressIsUnique(t *testing.T) {
 	seen := map[string]bool{}
 	for range 1000 {
 		a := loopback.Address()
 		if seen[a] {
-			t.Fatalf("%s was handed out twice", a)
+			t.Fatalf("%s was returned twice", a)
 		}
 		seen[a] = true
 	}
--- a/internal/testing/modelcheck/doc.go
+++ b/internal/testing/modelcheck/doc.go
@@ -1,5 +1,5 @@
-// Command modelcheck runs the specifications in spec/ and each of their mutants through Spin.
+// Command modelcheck checks the specifications in spec/ and each of their mutants with Spin.
 //
-// It is a developer's tool (make model) and no part of a product binary: it starts spin, gcc and the searches as
-// child processes, which no process of the product may do. spec/README.md has the convention for specifications.
+// It is a developer tool (make model) and not part of any product binary: it starts spin, gcc and the compiled searches as
+// child processes, which product processes must not do. spec/README.md describes the conventions for specifications.
 package main
--- a/internal/testing/modelcheck/main.go
+++ b/internal/testing/modelcheck/main.go
@@ -21,7 +21,7 @@
 	limits Limits
 }
 
-// FailedError says how many runs did not end as expected.
+// FailedError reports the number of runs whose verdict differs from the expected one.
 type FailedError struct{ Runs int }
 
 // Error implements error.
@@ -34,8 +34,8 @@
 	app.Flag("only", "Run only the specification of this name.").StringVar(&o.only)
 	app.Flag("traces", "Write each mutant's counterexample to this folder.").StringVar(&o.traces)
 	app.Flag("jobs", "Searches that run at the same time.").Default("3").IntVar(&o.jobs)
-	app.Flag("memory", "Most memory of one search, in MB.").Default("2048").IntVar(&o.limits.MemoryMB)
-	app.Flag("time", "Most processor time of one search.").Default("150s").DurationVar(&o.limits.Time)
+	app.Flag("memory", "Maximum memory of one search, in MB.").Default("2048").IntVar(&o.limits.MemoryMB)
+	app.Flag("time", "Maximum processor time of one search.").Default("150s").DurationVar(&o.limits.Time)
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if err := run(context.Background(), o, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -59,7 +59,7 @@
 		return fmt.Errorf("make a working folder: %w", err)
 	}
 	defer os.RemoveAll(tmp)
-	jobs := jobsOf(plans, o.only)
+	jobs := selectJobs(plans, o.only)
 	if len(jobs) == 0 {
 		return &PlanError{Plan: o.only, Reason: "no such specification"}
 	}
@@ -81,7 +81,7 @@
 	return report(w, jobs)
 }
 
-func jobsOf(plans []Plan, only string) []job {
+func selectJobs(plans []Plan, only string) []job {
 	var jobs []job
 	for _, p := range plans {
 		if only != "" && p.Name != only {
@@ -118,12 +118,12 @@
 	return nil
 }
 
-// tail keeps the last lines of a log.
+// tail returns the last lines of a log.
 func tail(text string) string {
-	const most = 60
+	const maxLines = 60
 	lines := strings.Split(text, "\n")
-	if len(lines) > most {
-		lines = lines[len(lines)-most:]
+	if len(lines) > maxLines {
+		lines = lines[len(lines)-maxLines:]
 	}
 	return strings.Join(lines, "\n")
 }
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// traceLines keeps the lines that the specification printed with the prefix "EV ".
+// traceLines returns the lines that the specification printed with the prefix "EV ", without the prefix.
 func traceLines(out string) string {
 	var b strings.Builder
 	for line := range strings.Lines(out) {
--- a/internal/testing/modelcheck/modelcheck_test.go
+++ b/internal/testing/modelcheck/modelcheck_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-func TestJudgeReadsTheSearchsOutput(t *testing.T) {
+// Guards against a wrong verdict from the output of a search, such as an incomplete search that counts as holding.
+func TestClassifySearchOutput(t *testing.T) {
 	tests := map[string]struct {
 		out  string
 		want Verdict
@@ -22,17 +23,19 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := judge(tc.out); got.Verdict != tc.want {
+			if got := classify(tc.out); got.Verdict != tc.want {
 				t.Fatalf("verdict %s, want %s", got.Verdict, tc.want)
 			}
 		})
 	}
-	if got := judge("   1234 states, stored (9 visited)\n").States; got != 1234 {
+	if got := classify("   1234 states, stored (9 visited)\n").States; got != 1234 {
 		t.Fatalf("states %d", got)
 	}
 }
 
-func TestPlanRefusesSpecificationsWithoutTeeth(t *testing.T) {
+// Guards against specifications whose run cannot fail: without mutants, with mutants that have no run or no macro in the
+// text, or with a mutant that is expected to hold.
+func TestPlanRejectsUncheckedMutants(t *testing.T) {
 	base := Run{Name: "base", Expect: VerdictHolds}
 	mutant := Run{Name: "m", Mutant: "MUTANT_A", Expect: VerdictAssertion}
 	tests := map[string]struct {
@@ -64,7 +67,7 @@
 	}
 }
 
-func TestReportFailsOnAVerdictThatDiffers(t *testing.T) {
+func TestReportFailsOnUnexpectedVerdict(t *testing.T) {
 	jobs := []job{{run: Run{Name: "m", Expect: VerdictAssertion}, res: Result{Verdict: VerdictHolds}}}
 	var out strings.Builder
 	var typed *FailedError
--- a/internal/testing/modelcheck/plan.go
+++ b/internal/testing/modelcheck/plan.go
@@ -16,15 +16,15 @@
 
 // The kinds of search.
 const (
-	// SearchSafety looks for a violated assertion or an end state that is not a valid one.
+	// SearchSafety searches for violated assertions and invalid end states.
 	SearchSafety Search = "safety"
-	// SearchProgress looks for a cycle that passes no progress label, with weak fairness.
+	// SearchProgress searches for cycles without a progress label, under weak fairness.
 	SearchProgress Search = "progress"
-	// SearchLTL looks for an acceptance cycle of the specification's ltl formula, with weak fairness.
+	// SearchLTL searches for acceptance cycles of the specification's LTL formula, under weak fairness.
 	SearchLTL Search = "ltl"
 )
 
-// Verdict is what a search found.
+// Verdict is the result of a search.
 type Verdict string
 
 // The verdicts.
@@ -33,9 +33,9 @@
 	VerdictAssertion Verdict = "assertion"
 	VerdictEndState  Verdict = "end-state"
 	VerdictCycle     Verdict = "cycle"
-	// VerdictTruncated means that depth, memory or time ran out before an error was found.
+	// VerdictTruncated means that the search reached its depth, memory or time limit before it found an error.
 	VerdictTruncated Verdict = "truncated"
-	// VerdictBroken means that spin, gcc or the search itself failed.
+	// VerdictBroken means that spin, gcc or the search itself failed to run.
 	VerdictBroken Verdict = "broken"
 )
 
@@ -43,25 +43,25 @@
 
 // Run is one search: a configuration of the specification, or a mutant of it.
 type Run struct {
-	// Name is printed; it is unique in its file.
+	// Name identifies the run in the report; it is unique in its file.
 	Name string `yaml:"name"`
 	// Search is safety (the default), progress or ltl.
 	Search Search `yaml:"search"`
-	// Mutant is the macro MUTANT_x that leaves out one safeguard; empty for the specification itself.
+	// Mutant is the macro MUTANT_x that removes one safeguard; empty for the specification itself.
 	Mutant string `yaml:"mutant"`
 	// Define lists further macros, as NAME or NAME=VALUE.
 	Define []string `yaml:"define"`
-	// Expect is the verdict: holds for the specification, anything else for a mutant.
+	// Expect is the expected verdict: holds for the specification, a violation for a mutant.
 	Expect Verdict `yaml:"expect"`
-	// Depth is the longest path searched; 0 means the default.
+	// Depth is the maximum length of a path; 0 means defaultDepth.
 	Depth int `yaml:"depth"`
-	// Why says in a sentence what the mutant leaves out.
+	// Why describes in one sentence the safeguard that the mutant removes.
 	Why string `yaml:"why"`
 }
 
-// Plan is the side file of one specification.
+// Plan lists the runs of one specification. It is read from the YAML file next to the Promela file.
 type Plan struct {
-	// Name is the file's name without its ending.
+	// Name is the file name without its extension.
 	Name string `yaml:"-"`
 	// Source is the path of the Promela file.
 	Source string `yaml:"-"`
@@ -69,7 +69,7 @@
 	Runs   []Run  `yaml:"runs"`
 }
 
-// PlanError says what is wrong with a specification's side file.
+// PlanError reports an invalid or missing plan of a specification.
 type PlanError struct {
 	Plan   string
 	Reason string
@@ -82,7 +82,8 @@
 // Unwrap returns the cause, if there is one.
 func (e *PlanError) Unwrap() error { return e.Cause }
 
-// LoadPlans reads every NAME.pml of a folder with its NAME.yaml; it returns *PlanError if one is not sound.
+// LoadPlans reads the plan NAME.yaml of each NAME.pml in dir and checks it against the specification. It returns
+// *PlanError if a plan is missing or invalid, or if dir contains no specification.
 func LoadPlans(dir string) ([]Plan, error) {
 	sources, err := filepath.Glob(filepath.Join(dir, "*.pml"))
 	if err != nil {
@@ -105,11 +106,11 @@
 func loadPlan(source string) (Plan, error) {
 	name := strings.TrimSuffix(filepath.Base(source), ".pml")
 	p := Plan{}
-	side, err := os.ReadFile(strings.TrimSuffix(source, ".pml") + ".yaml")
+	content, err := os.ReadFile(strings.TrimSuffix(source, ".pml") + ".yaml")
 	if err != nil {
-		return p, &PlanError{name, "has no side file " + name + ".yaml", err}
+		return p, &PlanError{name, "has no plan " + name + ".yaml", err}
 	}
-	if err := yaml.UnmarshalWithOptions(side, &p, yaml.Strict()); err != nil {
+	if err := yaml.UnmarshalWithOptions(content, &p, yaml.Strict()); err != nil {
 		return p, &PlanError{name, err.Error(), err}
 	}
 	p.Name, p.Source = name, source
@@ -122,13 +123,13 @@
 
 var mutantMacro = regexp.MustCompile(`\bMUTANT_\w+`)
 
-// check holds the side file against the specification's text: a mutant whose macro does not occur in the text would
-// be the specification itself, and a macro without a run would be a safeguard that nobody tries without.
+// check compares the plan with the specification's text. A mutant whose macro is not in the text would be the unchanged
+// specification, and a macro without a run would be a safeguard whose removal is never checked.
 func (p *Plan) check(text string) error {
 	inText := mutantMacro.FindAllString(text, -1)
 	declared := map[string]bool{}
 	names := map[string]bool{}
-	holds := false
+	hasBase := false
 	for i := range p.Runs {
 		r := &p.Runs[i]
 		if r.Search == "" {
@@ -142,11 +143,11 @@
 		}
 		names[r.Name] = true
 		declared[r.Mutant] = true
-		holds = holds || r.Mutant == ""
+		hasBase = hasBase || r.Mutant == ""
 	}
 	delete(declared, "")
-	if !holds || len(declared) == 0 {
-		return &PlanError{Plan: p.Name, Reason: "wants at least one run without a mutant and one mutant"}
+	if !hasBase || len(declared) == 0 {
+		return &PlanError{Plan: p.Name, Reason: "needs at least one run without a mutant and one mutant"}
 	}
 	for _, m := range inText {
 		if !declared[m] {
--- a/internal/testing/modelcheck/search.go
+++ b/internal/testing/modelcheck/search.go
@@ -16,28 +16,30 @@
 
 // Limits bound one search.
 type Limits struct {
-	// MemoryMB is the most memory that a search may take.
+	// MemoryMB is the maximum memory of a search.
 	MemoryMB int
-	// Time is the most processor time that a search may take, so that a verdict does not depend on what else the machine does.
+	// Time is the maximum processor time of a search. It is not wall time, so that the verdict does not depend on the load
+	// of the machine.
 	Time time.Duration
 }
 
-// defaultDepth is the longest path that a search follows unless its run says otherwise.
+// defaultDepth is the maximum length of a path for runs that set no Depth.
 const defaultDepth = 200_000
 
-// Result is what one search found.
+// Result is the outcome of one search.
 type Result struct {
 	Verdict Verdict
 	States  uint64
-	// Elapsed is the time of all three commands.
+	// Elapsed is the total wall time of spin, gcc and the search.
 	Elapsed time.Duration
-	// Log is what the commands printed, for a verdict that was not expected.
+	// Log is the output of spin, gcc or the search, whichever ran last; it is printed if the verdict was not expected.
 	Log string
-	// Trace is what the specification printed along the counterexample, empty if there is none.
+	// Trace is the output of the specification along the counterexample; empty if there is none.
 	Trace string
 }
 
-// Check runs one search in a folder of its own below tmp.
+// Check runs one search in a new directory below tmp. A search that fails to run is reported as VerdictBroken; an error
+// means that its files could not be prepared.
 func Check(ctx context.Context, p Plan, r Run, lim Limits, tmp string) (Result, error) {
 	dir, err := os.MkdirTemp(tmp, p.Name+"-")
 	if err != nil {
@@ -52,7 +54,7 @@
 	if err := os.WriteFile(filepath.Join(dir, file), text, 0o600); err != nil {
 		return Result{}, fmt.Errorf("copy %s: %w", p.Source, err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, hungAfter*lim.Time)
+	ctx, cancel := context.WithTimeout(ctx, wallTimeFactor*lim.Time)
 	defer cancel()
 	start := time.Now()
 	res := searchIn(ctx, dir, file, r, lim)
@@ -69,7 +71,7 @@
 	gcc := []string{"-O2", "-w", "-o", "pan", "pan.c", fmt.Sprintf("-DMEMLIM=%d", lim.MemoryMB)}
 	res := compileAndRun(ctx, dir, append(gcc, compileFlags(r, true)...), r, lim)
 	if res.Verdict == VerdictTruncated && r.Mutant != "" && r.Search == SearchSafety && ctx.Err() == nil {
-		// Breadth first finds the shortest counterexample but needs more memory than depth first does.
+		// Breadth-first search finds the shortest counterexample but needs more memory than depth-first search.
 		res = compileAndRun(ctx, dir, append(gcc, compileFlags(r, false)...), r, lim)
 	}
 	if _, err := os.Stat(filepath.Join(dir, file+".trail")); err == nil {
@@ -78,17 +80,17 @@
 	return res
 }
 
-// hungAfter times the processor time that a search may take is the time after which it is ended in any case.
-const hungAfter = 10
+// wallTimeFactor times Limits.Time is the wall time after which a search is killed, even if it used less processor time.
+const wallTimeFactor = 10
 
 func compileAndRun(ctx context.Context, dir string, gcc []string, r Run, lim Limits) Result {
 	built, err := command(ctx, dir, "gcc", gcc...)
 	if err != nil {
 		return Result{Verdict: VerdictBroken, Log: built}
 	}
-	bounded := fmt.Sprintf(`ulimit -t %d; exec ./pan "$@"`, int(lim.Time.Seconds()))
-	found, err := command(ctx, dir, "sh", append([]string{"-c", bounded, "pan"}, searchFlags(r)...)...)
-	res := judge(found)
+	script := fmt.Sprintf(`ulimit -t %d; exec ./pan "$@"`, int(lim.Time.Seconds()))
+	found, err := command(ctx, dir, "sh", append([]string{"-c", script, "pan"}, searchFlags(r)...)...)
+	res := classify(found)
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) || killed(err) {
 		res.Verdict = VerdictTruncated
 	} else if err != nil && res.Verdict == VerdictHolds {
@@ -98,7 +100,7 @@
 	return res
 }
 
-// killed reports whether a command was ended by a signal, as one is that is past its processor time.
+// killed reports whether a command was terminated by a signal, as happens when it exceeds its processor time.
 func killed(err error) bool {
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) {
@@ -129,15 +131,15 @@
 	return flags
 }
 
-// compileFlags picks the search: breadth first for the mutants' safety if it fits, since it gives the shortest
-// counterexample.
-func compileFlags(r Run, breadth bool) []string {
+// compileFlags returns the flags that select the kind of search. The safety search of a mutant is breadth-first if
+// breadthFirst is set, since that finds the shortest counterexample.
+func compileFlags(r Run, breadthFirst bool) []string {
 	switch {
 	case r.Search == SearchProgress:
 		return []string{"-DNP", "-DCOLLAPSE", "-DVECTORSZ=4096"}
 	case r.Search == SearchLTL:
 		return []string{"-DCOLLAPSE", "-DVECTORSZ=4096"}
-	case r.Mutant != "" && breadth:
+	case r.Mutant != "" && breadthFirst:
 		return []string{"-DSAFETY", "-DBFS", "-DVECTORSZ=4096"}
 	}
 	return []string{"-DSAFETY", "-DCOLLAPSE", "-DVECTORSZ=4096"}
@@ -163,14 +165,14 @@
 	errorCount   = regexp.MustCompile(`errors: (\d+)`)
 )
 
-// truncations are what the search prints when it gave up somewhere.
+// truncations holds the messages that a search prints when it was incomplete.
 var truncations = []string{
 	"max search depth too small", "out of memory", "MEMLIM bound", "memory exhausted", "hash table full", "VECTORSZ",
 }
 
-// judge reads a search's output. An error that was found counts even if the search gave up elsewhere; a search that
+// classify reads a search's output. An error that was found counts even if the search gave up elsewhere; a search that
 // found none counts as holding only if it was complete.
-func judge(out string) Result {
+func classify(out string) Result {
 	res := Result{Verdict: VerdictBroken}
 	if m := storedStates.FindStringSubmatch(out); m != nil {
 		res.States, _ = strconv.ParseUint(m[1], 10, 64)
