--- a/internal/tool/ctl/act.go
+++ b/internal/tool/ctl/act.go
@@ -54,47 +54,48 @@
 	})
 }
 
-// act does what can be repeated with the same operation id.
+// act sends an action that can be resent with the same operation id, and prints its outcome.
 func (s *session) act(ctx context.Context, f *changeFlags, r *cardamomyokev1.ActRequest) error {
-	base, err := s.committed(ctx)
+	base, err := s.committedRevision(ctx)
 	if err != nil {
 		return err
 	}
 	r.Meta, r.WaitMs = f.meta(base), f.waitMS()
-	var answer *cardamomyokev1.ActResponse
-	err = settle(ctx, f.operation, func(ctx context.Context) error {
+	var response *cardamomyokev1.ActResponse
+	err = sendWithRetry(ctx, f.operation, func(ctx context.Context) error {
 		var err error
-		answer, err = s.client.Act(ctx, r)
+		response, err = s.client.Act(ctx, r)
 		return err
 	})
 	if err != nil {
 		return fmt.Errorf("act: %w", err)
 	}
-	return s.printAct(f, answer)
+	return s.printAct(f, response)
 }
 
-// removeNodes is sent once only: sent again after it was done, its names are those of no members and are refused.
+// removeNodes removes nodes and prints the outcome. The request is sent only once: resent after it was applied, it would
+// be refused, since its names no longer belong to members.
 func (s *session) removeNodes(ctx context.Context, f *changeFlags, names []string) error {
-	base, err := s.committed(ctx)
+	base, err := s.committedRevision(ctx)
 	if err != nil {
 		return err
 	}
-	answer, err := s.client.Act(ctx, &cardamomyokev1.ActRequest{
+	response, err := s.client.Act(ctx, &cardamomyokev1.ActRequest{
 		Meta: f.meta(base), WaitMs: f.waitMS(),
 		Action: &cardamomyokev1.ActRequest_RemoveNodes{RemoveNodes: &cardamomyokev1.RemoveNodes{Names: names}},
 	})
-	if lost(err) {
-		return &UnknownError{f.operation, err}
+	if outcomeUnknown(err) {
+		return &UnknownOutcomeError{f.operation, err}
 	}
 	if err != nil {
 		return fmt.Errorf("remove nodes: %w", err)
 	}
-	return s.printAct(f, answer)
+	return s.printAct(f, response)
 }
 
-func (s *session) printAct(f *changeFlags, answer *cardamomyokev1.ActResponse) error {
-	if answer.GetOutcome() != nil {
-		return s.printOutcome(f.operation, answer.GetOutcome())
+func (s *session) printAct(f *changeFlags, response *cardamomyokev1.ActResponse) error {
+	if response.GetOutcome() != nil {
+		return s.printOutcome(f.operation, response.GetOutcome())
 	}
 	if s.output == outputJSON {
 		return s.printJSON(outcomeJSON{f.operation, rawJSON(nil)})
--- a/internal/tool/ctl/apply.go
+++ b/internal/tool/ctl/apply.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// diff prints and returns the edits that lead from what is committed to a file.
+// diff prints and returns the edits that turn the committed configuration into that of a file.
 func (s *session) diff(ctx context.Context, file string) (*cardamomyokev1.DiffResponse, error) {
 	wanted, err := readConfiguration(file)
 	if err != nil {
@@ -50,7 +50,7 @@
 		return nil, fmt.Errorf("diff: %w", err)
 	}
 	if s.output == outputJSON {
-		return diff, s.json(diff)
+		return diff, s.printProto(diff)
 	}
 	before, err := s.client.List(ctx, &cardamomyokev1.ListRequest{})
 	if err != nil {
@@ -62,19 +62,19 @@
 
 func (s *session) change(ctx context.Context, f *changeFlags, diff *cardamomyokev1.DiffResponse) error {
 	request := &cardamomyokev1.ChangeRequest{Meta: f.meta(diff.GetBaseRevision()), Edits: diff.GetEdits(), WaitMs: f.waitMS()}
-	var answer *cardamomyokev1.ChangeResponse
-	err := settle(ctx, f.operation, func(ctx context.Context) error {
+	var response *cardamomyokev1.ChangeResponse
+	err := sendWithRetry(ctx, f.operation, func(ctx context.Context) error {
 		var err error
-		answer, err = s.client.Change(ctx, request)
+		response, err = s.client.Change(ctx, request)
 		return err
 	})
 	if err != nil {
 		return fmt.Errorf("change: %w", err)
 	}
-	return s.printOutcome(f.operation, answer.GetOutcome())
+	return s.printOutcome(f.operation, response.GetOutcome())
 }
 
-// readConfiguration reads a configuration in YAML, of which JSON is a part.
+// readConfiguration reads a configuration in YAML or JSON, which is a subset of YAML. Errors: *FileError.
 func readConfiguration(file string) (*cardamomyokev1.Configuration, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/tool/ctl/audit.go
+++ b/internal/tool/ctl/audit.go
@@ -13,10 +13,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/audit"
 )
 
-// auditPage is how many rows one call brings.
-const auditPage = 1000
+// auditPageRows is the number of rows in one page.
+const auditPageRows = 1000
 
-// AuditError says that rows of the audit are missing or were changed.
+// AuditError reports that rows of the audit are missing or were changed.
 type AuditError struct{ Faults []*audit.Fault }
 
 // Error implements error.
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("the audit has %d faults, the first is: %v", len(e.Faults), e.Faults[0])
 }
 
-// TimeError says that a flag holds no time.
+// TimeError reports that the value of a flag is not a time in RFC 3339.
 type TimeError struct{ Flag, Text string }
 
 // Error implements error.
@@ -45,24 +45,24 @@
 	export.Flag("from", "Only rows from this time on (RFC 3339).").StringVar(&f.from)
 	export.Flag("to", "Only rows before this time (RFC 3339).").StringVar(&f.to)
 	export.Flag("verify", "Check the chains of the whole audit, whatever the span; prints a summary to standard error.").BoolVar(&f.verify)
-	// An export reads as long as it needs: a day at the target size is some two million rows.
+	// An export has no timeout: one day at the target size is about two million rows.
 	s.commands[export.FullCommand()] = func(ctx context.Context) error { return s.export(ctx, f) }
 }
 
-// span is a span of time, in milliseconds of Unix time; a zero end is open.
-type span struct{ from, to int64 }
+// timeRange is a time range in Unix milliseconds, from inclusive to exclusive. A zero from or to is no bound.
+type timeRange struct{ from, to int64 }
 
-func (s span) holds(unixMS int64) bool {
+func (s timeRange) contains(unixMS int64) bool {
 	return unixMS >= s.from && (s.to == 0 || unixMS < s.to)
 }
 
-func spanOf(f *exportFlags) (span, error) {
+func timeRangeOf(f *exportFlags) (timeRange, error) {
 	from, err := parseTime("--from", f.from)
 	if err != nil {
-		return span{}, err
+		return timeRange{}, err
 	}
 	to, err := parseTime("--to", f.to)
-	return span{from, to}, err
+	return timeRange{from, to}, err
 }
 
 func parseTime(flag, text string) (int64, error) {
@@ -76,16 +76,16 @@
 	return t.UnixMilli(), nil
 }
 
-// export prints the rows of a span. All rows are read, as their order is that of the chains and not of time.
+// export prints the rows of a time range. It reads all rows, since they are sorted by chain and not by time.
 func (s *session) export(ctx context.Context, f *exportFlags) error {
-	wanted, err := spanOf(f)
+	wanted, err := timeRangeOf(f)
 	if err != nil {
 		return err
 	}
 	v := audit.NewVerifier()
 	err = s.eachAuditRow(ctx, func(r *audit.Row) error {
 		v.Add(r)
-		if audit.IsHead(r) || !wanted.holds(r.GetUnixMs()) {
+		if audit.IsHead(r) || !wanted.contains(r.GetUnixMs()) {
 			return nil
 		}
 		return s.printRow(r)
@@ -93,13 +93,13 @@
 	if err != nil || !f.verify {
 		return err
 	}
-	return s.printVerdict(v)
+	return s.printVerification(v)
 }
 
 func (s *session) eachAuditRow(ctx context.Context, do func(*audit.Row) error) error {
 	after := ""
 	for {
-		page, err := s.client.ListAudit(ctx, &cardamomyokev1.ListAuditRequest{After: after, Limit: auditPage})
+		page, err := s.client.ListAudit(ctx, &cardamomyokev1.ListAuditRequest{After: after, Limit: auditPageRows})
 		if err != nil {
 			return fmt.Errorf("audit: %w", err)
 		}
@@ -109,13 +109,13 @@
 			}
 			after = r.GetKey()
 		}
-		if len(page.GetRows()) < auditPage {
+		if len(page.GetRows()) < auditPageRows {
 			return nil
 		}
 	}
 }
 
-// auditLine is a row with its own hash, as a line of an export.
+// auditLine is one line of an export: a row and its hash.
 type auditLine struct {
 	Row  json.RawMessage `json:"row"`
 	Hash []byte          `json:"hash"`
@@ -126,8 +126,9 @@
 	return s.printJSON(auditLine{json.RawMessage(text), audit.Hash(r)})
 }
 
-// printVerdict prints what was verified, on standard error, so that the lines of the export stay pure.
-func (s *session) printVerdict(v *audit.Verifier) error {
+// printVerification prints the result of the verification to standard error, so that standard output contains only rows.
+// It returns *AuditError if there are faults.
+func (s *session) printVerification(v *audit.Verifier) error {
 	faults := v.Faults()
 	for _, f := range faults {
 		fmt.Fprintln(s.errOut, f)
--- a/internal/tool/ctl/audit_test.go
+++ b/internal/tool/ctl/audit_test.go
@@ -12,8 +12,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/tool/ctl"
 )
 
-// Somebody with access to the table changes or removes a row of the audit. The export must end with its own exit code
-// and name the row, in place of showing the regulator a false story.
+// Guards against an export of a falsified audit. A row was changed or removed directly in the table; the export must report
+// the fault and exit with ExitAudit.
 func TestAuditExportFailsOnTampering(t *testing.T) {
 	changed := func(key string, value []byte) []byte {
 		r := &audit.Row{}
@@ -27,22 +27,22 @@
 		}
 		return value
 	}
-	gone := func(string, []byte) []byte { return nil }
+	removed := func(string, []byte) []byte { return nil }
 	for name, c := range map[string]struct {
 		key  string
 		edit func(string, []byte) []byte
 	}{
-		"a change's row is changed":  {audit.ChangesChain.RowKey(2), changed},
-		"a change's row is gone":     {audit.ChangesChain.RowKey(2), gone},
-		"the last row is gone":       {audit.ChangesChain.RowKey(3), gone},
-		"an order's row is gone":     {audit.Chain("life-1").RowKey(1), gone},
-		"the register's row is gone": {audit.RegisterChain.RowKey(1), gone},
+		"a change's row is changed":     {audit.ChangesChain.RowKey(2), changed},
+		"a change's row is removed":     {audit.ChangesChain.RowKey(2), removed},
+		"the last row is removed":       {audit.ChangesChain.RowKey(3), removed},
+		"an order's row is removed":     {audit.Chain("life-1").RowKey(1), removed},
+		"the register's row is removed": {audit.RegisterChain.RowKey(1), removed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := deploy(t)
-			check(t, step{}, run(t, d.address, first, strings.Fields("apply -f FILE"+why)...))
-			check(t, step{}, run(t, d.address, "", strings.Fields("drain u1"+why)...))
-			check(t, step{}, run(t, d.address, "", strings.Fields("order load-model u1 m v1"+why)...))
+			check(t, step{}, run(t, d.address, firstConfig, strings.Fields("apply -f FILE"+metaFlags)...))
+			check(t, step{}, run(t, d.address, "", strings.Fields("drain u1"+metaFlags)...))
+			check(t, step{}, run(t, d.address, "", strings.Fields("order load-model u1 m v1"+metaFlags)...))
 			check(t, step{err: []string{"verified:"}}, run(t, d.address, "", "audit", "export", "--verify"))
 			old := d.store.Peek(c.key)
 			if old.Version == 0 {
--- a/internal/tool/ctl/change.go
+++ b/internal/tool/ctl/change.go
@@ -15,7 +15,7 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// changeFlags are the flags of every command that changes something.
+// changeFlags holds the flags of every command that changes state.
 type changeFlags struct {
 	session   *session
 	operator  string
@@ -49,8 +49,8 @@
 	return &cardamomyokev1.ChangeMeta{Operator: cmp.Or(f.operator, f.session.operator, loginName()), Reason: f.reason, OperationId: f.operation, BaseRevision: base}
 }
 
-// committed returns the revision that is committed now.
-func (s *session) committed(ctx context.Context) (uint64, error) {
+// committedRevision returns the newest committed revision.
+func (s *session) committedRevision(ctx context.Context) (uint64, error) {
 	r, err := s.client.List(ctx, &cardamomyokev1.ListRequest{Kind: cardamomyokev1.ObjectKind_OBJECT_KIND_POLICIES})
 	if err != nil {
 		return 0, fmt.Errorf("committed revision: %w", err)
@@ -58,13 +58,13 @@
 	return r.GetConfiguration().GetRevision(), nil
 }
 
-// outcomeJSON is the output of a change as JSON.
+// outcomeJSON is the JSON output of a change.
 type outcomeJSON struct {
 	Operation string          `json:"operation"`
 	Outcome   json.RawMessage `json:"outcome"`
 }
 
-// printOutcome prints how far a change has come; it returns *PendingError if it is not accepted yet.
+// printOutcome prints the state of a change. It returns *PendingError if the change is not accepted yet.
 func (s *session) printOutcome(operation string, o *cardamomyokev1.Outcome) error {
 	accepted := o.GetState() == cardamomyokev1.ChangeState_CHANGE_STATE_ACCEPTED
 	if s.output == outputJSON {
@@ -89,12 +89,12 @@
 }
 
 func (s *session) rollForward(ctx context.Context, to uint64, f *changeFlags) error {
-	base, err := s.committed(ctx)
+	base, err := s.committedRevision(ctx)
 	if err != nil {
 		return err
 	}
 	var r *cardamomyokev1.RollForwardResponse
-	err = settle(ctx, f.operation, func(ctx context.Context) error {
+	err = sendWithRetry(ctx, f.operation, func(ctx context.Context) error {
 		var err error
 		r, err = s.client.RollForward(ctx, &cardamomyokev1.RollForwardRequest{Meta: f.meta(base), ToRevision: to, WaitMs: f.waitMS()})
 		return err
--- a/internal/tool/ctl/connect.go
+++ b/internal/tool/ctl/connect.go
@@ -17,11 +17,11 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// sends is how often a change with a lost answer is sent, always with the same operation id.
-	sends = 3
+	// maxSends bounds how often a change is sent if its response is lost, always with the same operation id.
+	maxSends = 3
 )
 
-// EntriesError says that no entry could be reached; nothing was sent.
+// EntriesError reports that no entry could be reached; nothing was sent.
 type EntriesError struct {
 	Entries []string
 	Cause   error
@@ -35,27 +35,27 @@
 // Unwrap returns the cause.
 func (e *EntriesError) Unwrap() error { return e.Cause }
 
-// UnknownError says that the answer to a change was lost: it may or may not have been applied.
-type UnknownError struct {
+// UnknownOutcomeError reports that the response to a change was lost, so that the change may or may not have been applied.
+type UnknownOutcomeError struct {
 	Operation string
 	Cause     error
 }
 
 // Error implements error.
-func (e *UnknownError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("the answer was lost; ask `cardamomyokectl operation %s` whether it was applied: %v", e.Operation, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *UnknownError) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// KeysError says that some flags of TLS are given and not all.
+// KeysError reports that some but not all of the TLS flags are set.
 type KeysError struct{}
 
 // Error implements error.
 func (*KeysError) Error() string { return "--ca, --certificate and --key go together" }
 
-// connect builds the client. The host of its URL is only a name: dial picks the entry.
+// connect creates the client. The host in its URL is a placeholder; dial selects the entry.
 func (s *session) connect() error {
 	if s.keys.Check() != nil {
 		return &KeysError{}
@@ -73,37 +73,37 @@
 	return nil
 }
 
-// dial connects to the first entry that answers. Only dialling moves on to the next entry: what was sent may have been
-// done, so it is never sent to a second entry without the same operation id.
+// dial connects to the first reachable entry. Only a failed dial moves on to the next entry: a request that was sent may
+// have been executed, so it goes to a second entry only with the same operation id.
 func (s *session) dial(ctx context.Context, network, _ string) (net.Conn, error) {
-	var last error
+	var lastErr error
 	for _, address := range s.entries {
 		conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, address)
 		if err == nil {
 			return conn, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, &EntriesError{s.entries, last}
+	return nil, &EntriesError{s.entries, lastErr}
 }
 
-// lost says whether a change that ended with err may have been applied.
-func lost(err error) bool {
-	var unreached *EntriesError
-	if err == nil || errors.As(err, &unreached) {
+// outcomeUnknown reports whether a change that failed with err may have been applied.
+func outcomeUnknown(err error) bool {
+	var unreachable *EntriesError
+	if err == nil || errors.As(err, &unreachable) {
 		return false
 	}
 	return !connect.IsWireError(err) || connect.CodeOf(err) == connect.CodeUnknown
 }
 
-// settle sends a change until its answer arrives. The operation id makes repeats harmless: the platform applies it
-// once and returns the first result.
-func settle(ctx context.Context, operation string, send func(context.Context) error) error {
+// sendWithRetry calls send, at most maxSends times, until a response arrives, and else returns *UnknownOutcomeError. Resending
+// is safe: the platform applies an operation id once and returns the first result.
+func sendWithRetry(ctx context.Context, operation string, send func(context.Context) error) error {
 	var err error
-	for range sends {
-		if err = send(ctx); !lost(err) {
+	for range maxSends {
+		if err = send(ctx); !outcomeUnknown(err) {
 			return err
 		}
 	}
-	return &UnknownError{operation, err}
+	return &UnknownOutcomeError{operation, err}
 }
--- a/internal/tool/ctl/ctl.go
+++ b/internal/tool/ctl/ctl.go
@@ -1,6 +1,7 @@
-// Package ctl is the operators' command line: cardamomyokectl.
+// Package ctl implements cardamomyokectl, the operators' command line. It sends changes to an entry, reports their outcome
+// by an exit code, and explains requests from logs.
 //
-// Each command is one register function, which adds its flags to the parser and its action to the session's commands.
+// Each command has a register function, which adds its flags to the parser and its action to the session's commands.
 package ctl
 
 import (
@@ -17,55 +18,58 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1/cardamomyokev1connect"
 )
 
-// Exit codes; scripts compare them.
+// Exit codes; scripts depend on them.
 const (
 	ExitOK = 0
-	// ExitFailed: the call failed.
+	// ExitFailed: the call failed for another reason.
 	ExitFailed = 1
 	// ExitUsage: the command line, a file or a field of the input is wrong; nothing was changed.
 	ExitUsage = 2
-	// ExitPending: the change is committed and not yet accepted.
+	// ExitPending: the change is committed but not yet accepted, or too many changes wait to be accepted and nothing was
+	// changed.
 	ExitPending = 3
-	// ExitConflict: the change lost a race and was not applied; look again and decide.
+	// ExitConflict: the change lost a race or conflicts with an earlier one, and was not applied; check the current state
+	// before a retry.
 	ExitConflict = 4
-	// ExitUnavailable: no entry answers or the platform's table is down; nothing was changed.
+	// ExitUnavailable: no entry is reachable, or the platform's table is down; nothing was changed.
 	ExitUnavailable = 5
-	// ExitUnknown: the answer was lost; `operation ID` tells what became of the change.
+	// ExitUnknown: the response was lost; `operation ID` reports the outcome of the change.
 	ExitUnknown = 6
-	// ExitNotFound: there is nothing of that name.
+	// ExitNotFound: the named object, operation or request does not exist.
 	ExitNotFound = 7
-	// ExitAudit: the audit has a gap or a changed row.
+	// ExitAudit: rows of the audit are missing or were changed.
 	ExitAudit = 8
-	// ExitRefused: the operator's role does not allow it.
+	// ExitRefused: the operator's role does not permit the call, or the operator is not authenticated.
 	ExitRefused = 9
 )
 
-// Forms of output.
+// Output formats.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 )
 
-// session is one run of the command line.
+// session is one invocation of the command line.
 type session struct {
 	out     io.Writer
 	errOut  io.Writer
 	entries []string
 	output  string
 	keys    keys.Settings
-	// operator is who the certificate names; empty without one.
+	// operator is the name in the certificate; empty without one.
 	operator string
 	client   cardamomyokev1connect.OperatorServiceClient
 	commands map[string]func(context.Context) error
 }
 
-// callTimeout bounds a command, but for watch; a change may wait for its acceptance for a minute.
+// callTimeout bounds every command that is registered with session.command. It exceeds the minute for which a change may
+// wait for its acceptance.
 const callTimeout = 75 * time.Second
 
-// defaultEntry is where the demo's first entry serves RPC.
+// defaultEntry is the RPC address of the demo's first entry.
 const defaultEntry = "127.0.0.1:21101"
 
-// Main runs the command line and returns the exit code.
+// Main runs a command line and returns its exit code.
 func Main(args []string, out, errOut io.Writer) int {
 	s := &session{out: out, errOut: errOut, commands: map[string]func(context.Context) error{}}
 	name, err := s.parser().Parse(args)
@@ -80,7 +84,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	if err := s.commands[name](ctx); err != nil {
-		fmt.Fprintln(errOut, "cardamomyokectl:", describe(err))
+		fmt.Fprintln(errOut, "cardamomyokectl:", describeError(err))
 		return exitCode(err)
 	}
 	return ExitOK
@@ -114,7 +118,7 @@
 	return app
 }
 
-// command adds a command whose action is bounded by callTimeout.
+// command registers the action of a command, bounded by callTimeout.
 func (s *session) command(c *kingpin.CmdClause, action func(context.Context) error) {
 	s.commands[c.FullCommand()] = func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
--- a/internal/tool/ctl/errors.go
+++ b/internal/tool/ctl/errors.go
@@ -8,7 +8,7 @@
 	"connectrpc.com/connect"
 )
 
-// PendingError says that a change is committed and these nodes do not hold it yet.
+// PendingError reports that a change is committed but Nodes do not hold it yet.
 type PendingError struct {
 	Revision uint64
 	Nodes    []string
@@ -20,7 +20,7 @@
 		e.Revision, strings.Join(e.Nodes, ", "))
 }
 
-// FileError says that an input file cannot be used.
+// FileError reports that an input file cannot be read or parsed.
 type FileError struct {
 	File  string
 	Cause error
@@ -32,7 +32,7 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// OperationError says that no change with an operation id is committed.
+// OperationError reports that no change with this operation id is committed.
 type OperationError struct{ Operation string }
 
 // Error implements error.
@@ -44,7 +44,7 @@
 	var (
 		pending *PendingError
 		file    *FileError
-		unknown *UnknownError
+		unknown *UnknownOutcomeError
 		absent  *OperationError
 		audit   *AuditError
 		span    *TimeError
@@ -62,11 +62,11 @@
 	case errors.As(err, &audit):
 		return ExitAudit
 	}
-	return codes[connect.CodeOf(err)]
+	return exitCodes[connect.CodeOf(err)]
 }
 
-// codes maps the codes of RPC errors (see internal/node/operator) to exit codes.
-var codes = map[connect.Code]int{
+// exitCodes maps the codes of RPC errors (see internal/node/operator) to exit codes.
+var exitCodes = map[connect.Code]int{
 	connect.CodeCanceled:           ExitFailed,
 	connect.CodeUnknown:            ExitFailed,
 	connect.CodeInvalidArgument:    ExitUsage,
@@ -85,7 +85,7 @@
 	connect.CodeUnauthenticated:    ExitRefused,
 }
 
-// hints say in an operator's words what an RPC error means.
+// hints explains the codes of RPC errors to operators.
 var hints = map[connect.Code]string{
 	connect.CodeInvalidArgument:   "the input was refused, nothing was changed",
 	connect.CodeAborted:           "another change was committed first, nothing was changed; look again and decide",
@@ -94,8 +94,8 @@
 	connect.CodeUnavailable:       "the platform's table is down, nothing was changed; traffic goes on with what is in force",
 }
 
-// describe adds the meaning and the typed detail of an RPC's error to its text.
-func describe(err error) string {
+// describeError returns the text of an error; to that of an RPC error it adds a hint and the typed details.
+func describeError(err error) string {
 	text := err.Error()
 	var ce *connect.Error
 	if !errors.As(err, &ce) || !connect.IsWireError(err) {
@@ -109,7 +109,7 @@
 		if err != nil {
 			continue
 		}
-		text += fmt.Sprintf(" (%s)", line(value.ProtoReflect()))
+		text += fmt.Sprintf(" (%s)", formatMessage(value.ProtoReflect()))
 	}
 	return text
 }
--- a/internal/tool/ctl/explain.go
+++ b/internal/tool/ctl/explain.go
@@ -14,26 +14,26 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/tool/explain"
 )
 
-// explainFlags are the flags and arguments of explain.
+// explainFlags holds the flags and arguments of explain.
 type explainFlags struct {
 	worst         bool
-	most          int
+	maxCauses     int
 	before, after time.Duration
-	// args are the request's id, unless worst is set, and the logs.
+	// args holds the request's id, unless worst is set, and the log files.
 	args []string
 }
 
 const (
-	// explainBefore reaches back to what a placement was decided by: digests are younger than a second, and an upstream is
-	// kept away from for some seconds.
+	// explainBefore covers the inputs of a placement: digests are less than a second old, and an upstream is avoided for a
+	// few seconds.
 	explainBefore = "3s"
-	// explainAfter covers what shows only later that an upstream had died.
+	// explainAfter covers lines that show only later that an upstream had crashed.
 	explainAfter = "1s"
-	// explainMost is how many causes fit on a screen.
-	explainMost = "20"
+	// explainMaxCauses is the number of causes that fit on a screen.
+	explainMaxCauses = "20"
 )
 
-// RequestError says that no log names a request.
+// RequestError reports that no log contains lines about a request, or that the command line names no request.
 type RequestError struct{ Request string }
 
 // Error implements error.
@@ -45,7 +45,7 @@
 	cmd := app.Command("explain", "Tell from logs what became of a request: explain ID [FILE...], or explain --worst [FILE...]; standard input if no file is named.")
 	f := &explainFlags{}
 	cmd.Flag("worst", "Instead of one request: count what was refused, failed or late, by cause.").BoolVar(&f.worst)
-	cmd.Flag("most", "The most causes to print.").Default(explainMost).IntVar(&f.most)
+	cmd.Flag("most", "The most causes to print.").Default(explainMaxCauses).IntVar(&f.maxCauses)
 	cmd.Flag("before", "How long before the request lines about its processes and upstreams count.").Default(explainBefore).DurationVar(&f.before)
 	cmd.Flag("after", "The same after it.").Default(explainAfter).DurationVar(&f.after)
 	cmd.Arg("id", "The request's id, then the logs' files.").StringsVar(&f.args)
@@ -66,16 +66,16 @@
 		return err
 	}
 	if f.worst {
-		return s.printCauses(explain.Worst(lines), f.most)
+		return s.printCauses(explain.FailuresByCause(lines), f.maxCauses)
 	}
-	own := explain.Of(lines, request, f.before, f.after)
+	own := explain.ForRequest(lines, request, f.before, f.after)
 	if len(own) == 0 {
 		return &RequestError{request}
 	}
 	return s.printExplanation(own)
 }
 
-// readLogs reads files, or in if there are none. Errors: *FileError.
+// readLogs reads the files, or in if there are none. Errors: *FileError.
 func readLogs(files []string, in io.Reader) ([]*explain.Line, error) {
 	if len(files) == 0 {
 		lines, err := explain.Read(in)
@@ -122,7 +122,7 @@
 		}
 		rows = append(rows, []string{l.At.UTC().Format("15:04:05.000"), l.Node, about, l.Message, strings.Join(details, " ")})
 	}
-	s.table([]string{"AT", "NODE", "ABOUT", "DECISION", "INPUTS AND OUTCOME"}, rows)
+	s.printTable([]string{"AT", "NODE", "ABOUT", "DECISION", "INPUTS AND OUTCOME"}, rows)
 	return nil
 }
 
@@ -136,6 +136,6 @@
 		span := c.First.UTC().Format("15:04:05") + "-" + c.Last.UTC().Format("15:04:05")
 		rows = append(rows, []string{strconv.Itoa(c.Count), c.Outcome, c.Code, c.Route, span, c.Example, c.Reason})
 	}
-	s.table([]string{"COUNT", "OUTCOME", "CODE", "ROUTE", "SPAN", "EXAMPLE", "REASON"}, rows)
+	s.printTable([]string{"COUNT", "OUTCOME", "CODE", "ROUTE", "SPAN", "EXAMPLE", "REASON"}, rows)
 	return nil
 }
--- a/internal/tool/ctl/keys_test.go
+++ b/internal/tool/ctl/keys_test.go
@@ -9,6 +9,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/tool/ctl"
 )
 
+// Guards the roles in certificates: an operator can neither call beyond the role nor act under another name, and unusable
+// keys are reported as such.
 func TestCommandsWithKeys(t *testing.T) {
 	ca := keystest.New(t)
 	d := deployWith(t, keystest.Load(t, ca.Issue("e1", keys.RoleNode)))
@@ -18,7 +20,7 @@
 		return run(t, d.address, text, append(all, "--ca", s.CA, "--certificate", s.Certificate, "--key", s.Key)...)
 	}
 	change, force := ca.Issue("ana", keys.RoleChange), ca.Issue("ben", keys.RoleForce)
-	check(t, step{out: []string{"revision 1 is accepted"}}, as(change, first, "apply -f FILE"))
+	check(t, step{out: []string{"revision 1 is accepted"}}, as(change, firstConfig, "apply -f FILE"))
 	check(t, step{code: ctl.ExitRefused, err: []string{`"read"`, `"change"`}}, as(ca.Issue("read", keys.RoleRead), "", "drain u1"))
 	check(t, step{code: ctl.ExitRefused, err: []string{"ben", "ana"}}, as(change, "", "drain u1 --operator ben"))
 	check(t, step{code: ctl.ExitRefused, err: []string{`"force"`}}, as(change, "", "force release-lease map/g"))
--- a/internal/tool/ctl/list.go
+++ b/internal/tool/ctl/list.go
@@ -13,26 +13,26 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// objectKey names an object of a configuration; the kind is that of ListRequest in lower case.
+// objectKey identifies an object of a configuration. kind is the ObjectKind of ListRequest in lower case.
 type objectKey struct{ kind, name string }
 
-// kindOfField gives the kind of the objects in a field of Configuration.
+// kindOfField maps the fields of Configuration to the kind of their objects.
 var kindOfField = map[protoreflect.Name]string{
 	"classes": "class", "services": "service", "groups": "group", "clients": "client", "policies": "policies", "upstreams": "upstream",
 }
 
-// kinds are the words for kinds of objects that the command line takes.
+// kinds holds the kinds of objects that the command line accepts, indexed by ObjectKind.
 var kinds = []string{"all", "class", "service", "group", "client", "policies", "upstream"}
 
-// row is one object of a configuration.
-type row struct {
+// namedObject is one object of a configuration and its key.
+type namedObject struct {
 	key    objectKey
 	object protoreflect.Message
 }
 
-// rowsOf returns the objects of a configuration in the order of the schema.
-func rowsOf(c *cardamomyokev1.Configuration) []row {
-	var out []row
+// objectsOf returns the objects of a configuration, in the field order of the schema.
+func objectsOf(c *cardamomyokev1.Configuration) []namedObject {
+	var out []namedObject
 	m := c.ProtoReflect()
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
@@ -42,20 +42,20 @@
 			continue
 		}
 		if !f.IsList() {
-			out = append(out, row{objectKey{kind, ""}, m.Get(f).Message()})
+			out = append(out, namedObject{objectKey{kind, ""}, m.Get(f).Message()})
 			continue
 		}
 		for j := range m.Get(f).List().Len() {
 			o := m.Get(f).List().Get(j).Message()
-			out = append(out, row{objectKey{kind, nameOf(o)}, o})
+			out = append(out, namedObject{objectKey{kind, nameOf(o)}, o})
 		}
 	}
 	return out
 }
 
-func objects(c *cardamomyokev1.Configuration) map[objectKey]protoreflect.Message {
+func objectsByKey(c *cardamomyokev1.Configuration) map[objectKey]protoreflect.Message {
 	out := map[objectKey]protoreflect.Message{}
-	for _, r := range rowsOf(c) {
+	for _, r := range objectsOf(c) {
 		out[r.key] = r.object
 	}
 	return out
@@ -69,20 +69,20 @@
 }
 
 func (s *session) list(ctx context.Context, kind string, inForce bool) error {
-	number := cardamomyokev1.ObjectKind(slices.Index(kinds, kind)) // kinds has the order of the schema
+	number := cardamomyokev1.ObjectKind(slices.Index(kinds, kind)) // kinds is indexed by ObjectKind
 	r, err := s.client.List(ctx, &cardamomyokev1.ListRequest{Kind: number, InForce: inForce})
 	if err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
 	if s.output == outputJSON {
-		return s.json(r.GetConfiguration())
+		return s.printProto(r.GetConfiguration())
 	}
 	var rows [][]string
-	for _, o := range rowsOf(r.GetConfiguration()) {
-		rows = append(rows, []string{o.key.kind, o.key.name, line(o.object)})
+	for _, o := range objectsOf(r.GetConfiguration()) {
+		rows = append(rows, []string{o.key.kind, o.key.name, formatMessage(o.object)})
 	}
 	fmt.Fprintf(s.out, "revision %d\n", r.GetConfiguration().GetRevision())
-	s.table([]string{"KIND", "NAME", "CONTENT"}, rows)
+	s.printTable([]string{"KIND", "NAME", "CONTENT"}, rows)
 	return nil
 }
 
@@ -99,7 +99,7 @@
 		return fmt.Errorf("history: %w", err)
 	}
 	if s.output == outputJSON {
-		return s.json(r)
+		return s.printProto(r)
 	}
 	var rows [][]string
 	for _, e := range r.GetEntries() {
@@ -109,16 +109,16 @@
 			m.GetOperator(), m.GetReason(), m.GetOperationId(), summary(e),
 		})
 	}
-	s.table([]string{"ENTRY", "REVISION", "COMMITTED", "OPERATOR", "REASON", "OPERATION", "WHAT"}, rows)
+	s.printTable([]string{"ENTRY", "REVISION", "COMMITTED", "OPERATOR", "REASON", "OPERATION", "WHAT"}, rows)
 	return nil
 }
 
-// summary says in short what an entry of the log does.
+// summary lists the edits and member changes of a log entry on one line.
 func summary(e *cardamomyokev1.LogEntry) string {
 	var parts []string
 	for _, edit := range e.GetEdits() {
 		kind, m := editObject(edit)
-		parts = append(parts, strings.TrimSpace(signs[edit.GetAction()]+" "+kind+" "+nameOf(m)))
+		parts = append(parts, strings.TrimSpace(editSigns[edit.GetAction()]+" "+kind+" "+nameOf(m)))
 	}
 	for _, m := range e.GetRoster().GetAdd() {
 		parts = append(parts, "+ node "+m.GetName())
--- a/internal/tool/ctl/order.go
+++ b/internal/tool/ctl/order.go
@@ -9,7 +9,7 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// roles are the roles of engines that the command line takes.
+// roles maps the role names on the command line to engine roles.
 var roles = map[string]cardamomyokev1.EngineRole{
 	"both":    cardamomyokev1.EngineRole_ENGINE_ROLE_BOTH,
 	"prefill": cardamomyokev1.EngineRole_ENGINE_ROLE_PREFILL,
@@ -68,20 +68,20 @@
 	return upstream, s.addChangeFlags(cmd)
 }
 
-// order writes an order; the upstream's slot hands it to the engine.
+// order submits an order and prints its fencing token. The upstream's slot forwards the order to the engine.
 func (s *session) order(ctx context.Context, f *changeFlags, o *cardamomyokev1.EngineOrder) error {
-	var answer *cardamomyokev1.OrderResponse
-	err := settle(ctx, f.operation, func(ctx context.Context) error {
+	var response *cardamomyokev1.OrderResponse
+	err := sendWithRetry(ctx, f.operation, func(ctx context.Context) error {
 		var err error
-		answer, err = s.client.Order(ctx, &cardamomyokev1.OrderRequest{Meta: f.meta(0), Order: o})
+		response, err = s.client.Order(ctx, &cardamomyokev1.OrderRequest{Meta: f.meta(0), Order: o})
 		return err
 	})
 	if err != nil {
 		return fmt.Errorf("order: %w", err)
 	}
 	if s.output == outputJSON {
-		return s.json(answer)
+		return s.printProto(response)
 	}
-	fmt.Fprintf(s.out, "ordered with fencing number %d; the upstream's slot hands it to the engine\n", answer.GetFence())
+	fmt.Fprintf(s.out, "ordered with fencing number %d; the upstream's slot hands it to the engine\n", response.GetFence())
 	return nil
 }
--- a/internal/tool/ctl/print.go
+++ b/internal/tool/ctl/print.go
@@ -14,8 +14,8 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// table prints rows under a header, aligned.
-func (s *session) table(header []string, rows [][]string) {
+// printTable prints a header and rows in aligned columns.
+func (s *session) printTable(header []string, rows [][]string) {
 	tw := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, strings.Join(header, "\t"))
 	for _, row := range rows {
@@ -24,8 +24,8 @@
 	_ = tw.Flush()
 }
 
-// json prints a message as one line of JSON.
-func (s *session) json(m proto.Message) error {
+// printProto prints a message as one line of JSON.
+func (s *session) printProto(m proto.Message) error {
 	text, err := protojson.MarshalOptions{EmitUnpopulated: true}.Marshal(m)
 	if err != nil {
 		return fmt.Errorf("print: %w", err)
@@ -41,26 +41,26 @@
 	return nil
 }
 
-// signs mark the lines of a diff.
-var signs = map[cardamomyokev1.EditAction]string{
+// editSigns maps edit actions to the signs at the start of the lines of a diff.
+var editSigns = map[cardamomyokev1.EditAction]string{
 	cardamomyokev1.EditAction_EDIT_ACTION_CREATE: "+",
 	cardamomyokev1.EditAction_EDIT_ACTION_CHANGE: "~",
 	cardamomyokev1.EditAction_EDIT_ACTION_DELETE: "-",
 }
 
-// printEdits prints what a change does, one line an object; of a changed object, one line more for each field that
-// differs from before, the configuration that it is applied to (nil: unknown).
+// printEdits prints the edits of a change, one line per object. For a changed object it adds a line for each field that
+// differs from before, the configuration to which the change applies; nil if that is unknown.
 func (s *session) printEdits(edits []*cardamomyokev1.Edit, before *cardamomyokev1.Configuration) {
 	if len(edits) == 0 {
 		fmt.Fprintln(s.out, "nothing to change")
 		return
 	}
-	old := objects(before)
+	old := objectsByKey(before)
 	for _, e := range edits {
 		kind, m := editObject(e)
 		was := old[objectKey{kind, nameOf(m)}]
 		if e.GetAction() != cardamomyokev1.EditAction_EDIT_ACTION_CHANGE || was == nil {
-			fmt.Fprintf(s.out, "%s %s %s\n", signs[e.GetAction()], kind, line(m))
+			fmt.Fprintf(s.out, "%s %s %s\n", editSigns[e.GetAction()], kind, formatMessage(m))
 			continue
 		}
 		fmt.Fprintf(s.out, "~ %s %s\n", kind, nameOf(m))
@@ -75,20 +75,21 @@
 		if was.Get(f).Equal(is.Get(f)) {
 			continue
 		}
-		fmt.Fprintf(s.out, "    %s: %s -> %s\n", f.Name(), value(was, f), value(is, f))
+		fmt.Fprintf(s.out, "    %s: %s -> %s\n", f.Name(), formatField(was, f), formatField(is, f))
 	}
 }
 
-func value(m protoreflect.Message, f protoreflect.FieldDescriptor) string {
+func formatField(m protoreflect.Message, f protoreflect.FieldDescriptor) string {
 	v := m.Get(f)
 	if f.Message() != nil && !f.IsList() {
-		return line(v.Message())
+		return formatMessage(v.Message())
 	}
 	return fmt.Sprint(v.Interface())
 }
 
-// line is a message as one line. protojson varies its spaces from build to build; scripts and tests see none.
-func line(m protoreflect.Message) string {
+// formatMessage returns a message as one line of JSON without spaces. protojson output varies its spaces from build to build,
+// which scripts and tests must not depend on.
+func formatMessage(m protoreflect.Message) string {
 	var out bytes.Buffer
 	text := protojson.MarshalOptions{UseProtoNames: true}.Format(m.Interface())
 	if err := json.Compact(&out, []byte(text)); err != nil {
@@ -97,7 +98,7 @@
 	return out.String()
 }
 
-// editObject returns the kind, as the schema's field is named, and the object of an edit.
+// editObject returns the kind of the object of an edit, which is the name of its field in the schema, and the object.
 func editObject(e *cardamomyokev1.Edit) (string, protoreflect.Message) {
 	m := e.ProtoReflect()
 	field := m.WhichOneof(m.Descriptor().Oneofs().ByName("object"))
@@ -107,7 +108,7 @@
 	return string(field.Name()), m.Get(field).Message()
 }
 
-// nameOf returns an object's name; policies, which exist once, have none.
+// nameOf returns an object's name. It is empty for the policies, of which there is only one object.
 func nameOf(m protoreflect.Message) string {
 	f := m.Descriptor().Fields().ByName("name")
 	if f == nil {
--- a/internal/tool/ctl/status.go
+++ b/internal/tool/ctl/status.go
@@ -20,7 +20,7 @@
 		return fmt.Errorf("status: %w", err)
 	}
 	if s.output == outputJSON {
-		return s.json(st)
+		return s.printProto(st)
 	}
 	s.printRevisions(st.GetNode(), st.GetRevisions())
 	s.printNodes(st.GetNodes())
@@ -33,7 +33,7 @@
 }
 
 func (s *session) printRevisions(node string, r *cardamomyokev1.RevisionStatus) {
-	s.table([]string{"ASKED", "IN FORCE", "ACCEPTED", "COMMITTED", "FRESH", "TABLE", "WAITING FOR"}, [][]string{{
+	s.printTable([]string{"ASKED", "IN FORCE", "ACCEPTED", "COMMITTED", "FRESH", "TABLE", "WAITING FOR"}, [][]string{{
 		node, fmt.Sprintf("revision %d", r.GetInForceRevision()), fmt.Sprintf("entry %d", r.GetAcceptedSeq()),
 		fmt.Sprintf("entry %d", r.GetCommittedSeq()), yesNo(r.GetFresh()), upDown(r.GetTableUp()),
 		strings.Join(r.GetPending(), ", "),
@@ -44,9 +44,9 @@
 	var rows [][]string
 	for _, n := range nodes {
 		m := n.GetMember()
-		rows = append(rows, []string{m.GetName(), role(m.GetRole()), m.GetDataCentre(), m.GetAddress(), yesNo(n.GetPending())})
+		rows = append(rows, []string{m.GetName(), formatRole(m.GetRole()), m.GetDataCentre(), m.GetAddress(), yesNo(n.GetPending())})
 	}
-	s.table([]string{"NODE", "ROLE", "DATA CENTRE", "RPC", "PENDING"}, rows)
+	s.printTable([]string{"NODE", "ROLE", "DATA CENTRE", "RPC", "PENDING"}, rows)
 }
 
 func (s *session) printUpstreams(list []*cardamomyokev1.UpstreamStatus) {
@@ -54,7 +54,7 @@
 	for _, u := range list {
 		rows = append(rows, []string{u.GetName(), u.GetService(), u.GetDataCentre(), u.GetState()})
 	}
-	s.table([]string{"UPSTREAM", "SERVICE", "DATA CENTRE", "STATE"}, rows)
+	s.printTable([]string{"UPSTREAM", "SERVICE", "DATA CENTRE", "STATE"}, rows)
 }
 
 func (s *session) printLeases(list []*cardamomyokev1.LeaseStatus) {
@@ -62,10 +62,10 @@
 	for _, l := range list {
 		rows = append(rows, []string{l.GetDuty(), l.GetHolder(), fmt.Sprint(l.GetFence())})
 	}
-	s.table([]string{"DUTY", "HOLDER", "FENCE"}, rows)
+	s.printTable([]string{"DUTY", "HOLDER", "FENCE"}, rows)
 }
 
-func role(r cardamomyokev1.NodeRole) string {
+func formatRole(r cardamomyokev1.NodeRole) string {
 	return strings.ToLower(strings.TrimPrefix(r.String(), "NODE_ROLE_"))
 }
 
--- a/internal/tool/ctl/watch.go
+++ b/internal/tool/ctl/watch.go
@@ -24,7 +24,7 @@
 	defer func() { _ = stream.Close() }()
 	for n := uint64(0); count == 0 || n < count; n++ {
 		if !stream.Receive() {
-			return s.watchEnd(ctx, stream.Err())
+			return s.watchError(ctx, stream.Err())
 		}
 		if err := s.printWatch(stream.Msg()); err != nil {
 			return err
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// watchEnd returns why a stream ended; an interrupt by the operator is no error.
-func (s *session) watchEnd(ctx context.Context, err error) error {
+// watchError returns the error that ended a stream. An interrupt by the operator is not an error.
+func (s *session) watchError(ctx context.Context, err error) error {
 	if ctx.Err() != nil || err == nil {
 		return nil
 	}
@@ -43,7 +43,7 @@
 
 func (s *session) printWatch(m *cardamomyokev1.WatchResponse) error {
 	if s.output == outputJSON {
-		return s.json(m)
+		return s.printProto(m)
 	}
 	r := m.GetRevisions()
 	_, err := fmt.Fprintf(s.out, "revision %d in force; entry %d accepted, %d committed; fresh %s; table %s; waiting for [%s]\n",
--- a/internal/tool/explain/explain.go
+++ b/internal/tool/explain/explain.go
@@ -1,4 +1,5 @@
-// Package explain finds in the logs of many processes what became of one request, and sums up what went wrong.
+// Package explain searches the logs of many processes for operators. It finds the lines that explain the outcome of one
+// request, and groups the failed, refused and late requests by cause.
 package explain
 
 import (
@@ -22,7 +23,7 @@
 	fieldLevel   = "level"
 )
 
-// Field is one field of a line, beside those that Line names.
+// Field is one field of a line that has no field of its own in Line.
 type Field struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
@@ -33,7 +34,7 @@
 	At      time.Time `json:"at"`
 	Node    string    `json:"node"`
 	Message string    `json:"message"`
-	// Request is the id of the request that the line is about; empty for lines about the process.
+	// Request is the id of the request that the line concerns; empty for lines about the process.
 	Request string  `json:"request,omitempty"`
 	Fields  []Field `json:"fields"`
 }
@@ -48,7 +49,7 @@
 	return ""
 }
 
-// ReadError says which line of a log cannot be read.
+// ReadError reports a line of a log that cannot be read. Line counts from 1.
 type ReadError struct {
 	Line  int
 	Cause error
@@ -60,15 +61,15 @@
 // Unwrap returns the cause.
 func (e *ReadError) Unwrap() error { return e.Cause }
 
-// maxLine is the longest line that is read, in bytes: a decision's line has some hundred.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a line; the line of a decision has a few hundred bytes.
+const maxLineBytes = 1 << 20
 
-// Read returns the lines of a log in logfmt. Whatever stands before the level, as collectors put there, is left out; lines
-// without a level are others' output and are passed over. Errors: *ReadError.
+// Read returns the lines of a log in logfmt. Text before the level, which log collectors add, is dropped. Lines without a
+// level are output of other programs and are skipped. Errors: *ReadError.
 func Read(r io.Reader) ([]*Line, error) {
 	var out []*Line
 	in := bufio.NewScanner(r)
-	in.Buffer(nil, maxLine)
+	in.Buffer(nil, maxLineBytes)
 	number := 0
 	for in.Scan() {
 		number++
@@ -94,7 +95,7 @@
 	d := logfmt.NewDecoder(bytes.NewReader(text))
 	for d.ScanRecord() {
 		for d.ScanKeyval() {
-			if err := l.set(string(d.Key()), string(d.Value())); err != nil {
+			if err := l.setField(string(d.Key()), string(d.Value())); err != nil {
 				return nil, err
 			}
 		}
@@ -102,7 +103,7 @@
 	return l, d.Err()
 }
 
-func (l *Line) set(key, value string) (err error) {
+func (l *Line) setField(key, value string) (err error) {
 	switch key {
 	case fieldTime:
 		l.At, err = time.Parse(time.RFC3339Nano, value)
@@ -119,9 +120,10 @@
 	return err
 }
 
-// Of returns the lines about a request, in order of time, with those about the processes, upstreams and services that took
-// part from some time before its first line to some time after its last.
-func Of(lines []*Line, request string, before, after time.Duration) []*Line {
+// ForRequest returns the lines about a request, sorted by time. It adds the lines about the processes and upstreams involved,
+// from before ahead of the request's first line until after past its last line. It returns nil if there is no line about
+// the request.
+func ForRequest(lines []*Line, request string, before, after time.Duration) []*Line {
 	var own []*Line
 	nodes, upstreams := map[string]bool{}, map[string]bool{}
 	for _, l := range lines {
@@ -140,7 +142,7 @@
 	sortByTime(own)
 	from, to := own[0].At.Add(-before), own[len(own)-1].At.Add(after)
 	for _, l := range lines {
-		if l.Request == "" && nodes[l.Node] && !l.At.Before(from) && !l.At.After(to) && concerns(l, upstreams) {
+		if l.Request == "" && nodes[l.Node] && !l.At.Before(from) && !l.At.After(to) && isRelevant(l, upstreams) {
 			own = append(own, l)
 		}
 	}
@@ -148,9 +150,9 @@
 	return own
 }
 
-// concerns reports whether a line about a process may bear on a request at these upstreams. Lines that name another upstream
-// do not.
-func concerns(l *Line, upstreams map[string]bool) bool {
+// isRelevant reports whether a line about a process may concern a request on these upstreams: it names one of them, or no
+// upstream at all.
+func isRelevant(l *Line, upstreams map[string]bool) bool {
 	u := l.Get("upstream")
 	return u == "" || upstreams[u]
 }
@@ -159,7 +161,7 @@
 	slices.SortStableFunc(lines, func(a, b *Line) int { return a.At.Compare(b.At) })
 }
 
-// Cause is a kind of failure with what shows it.
+// Cause is a group of requests with the same outcome, code, route and reason.
 type Cause struct {
 	Outcome string `json:"outcome"`
 	Code    string `json:"code"`
@@ -167,32 +169,32 @@
 	// Reason is the error's text without ids, addresses and numbers.
 	Reason string `json:"reason"`
 	Count  int    `json:"count"`
-	// Example is the id of one request, First and Last the times of the first and last.
+	// Example is the id of one of the requests. First and Last are the times of the earliest and latest one.
 	Example string    `json:"example"`
 	First   time.Time `json:"first"`
 	Last    time.Time `json:"last"`
 }
 
-// Worst sums up the requests that were refused, failed or late, the most frequent first.
-func Worst(lines []*Line) []*Cause {
+// FailuresByCause groups the requests that were refused, failed or late by cause, sorted by descending count.
+func FailuresByCause(lines []*Line) []*Cause {
 	found := map[string]*Cause{}
 	for _, l := range lines {
 		outcome := l.Get("outcome")
 		if l.Message != "request" || outcome == "answered" || outcome == "" {
 			continue
 		}
-		c := &Cause{Outcome: outcome, Code: l.Get("code"), Route: l.Get("route"), Reason: reasonOf(l.Get("err")), Example: l.Request, First: l.At, Last: l.At}
+		c := &Cause{Outcome: outcome, Code: l.Get("code"), Route: l.Get("route"), Reason: normalizeReason(l.Get("err")), Example: l.Request, First: l.At, Last: l.At}
 		key := strings.Join([]string{c.Outcome, c.Code, c.Route, c.Reason}, "\x00")
 		if found[key] == nil {
 			found[key] = c
 		}
-		known := found[key]
-		known.Count++
-		if l.At.Before(known.First) {
-			known.First = l.At
+		cause := found[key]
+		cause.Count++
+		if l.At.Before(cause.First) {
+			cause.First = l.At
 		}
-		if l.At.After(known.Last) {
-			known.Last = l.At
+		if l.At.After(cause.Last) {
+			cause.Last = l.At
 		}
 	}
 	out := make([]*Cause, 0, len(found))
@@ -208,8 +210,9 @@
 	return out
 }
 
-// reasonOf replaces each word with a digit by "#": ids, addresses, times and counts differ from request to request.
-func reasonOf(text string) string {
+// normalizeReason replaces each word that contains a digit with "#", since ids, addresses, times and counts differ between
+// requests with the same cause.
+func normalizeReason(text string) string {
 	words := strings.Fields(text)
 	for i, w := range words {
 		if strings.ContainsAny(w, "0123456789") {
--- a/internal/tool/explain/explain_test.go
+++ b/internal/tool/explain/explain_test.go
@@ -12,7 +12,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/tool/explain"
 )
 
-func day(t *testing.T) []*explain.Line {
+func readDayLog(t *testing.T) []*explain.Line {
 	t.Helper()
 	file, err := os.Open("testdata/day.log")
 	if err != nil {
@@ -26,10 +26,10 @@
 	return lines
 }
 
-// An operator has the id of a request that went wrong, and the logs of a day on which it happened. For each kind of failure
-// the story must hold the decision that explains it, with its inputs, and what the same process did around it.
-func TestFromAnIDToTheCause(t *testing.T) {
-	lines := day(t)
+// Guards against an explanation that lacks the cause. For each kind of failure, the lines for a request's id must include
+// the decision that explains it, with its inputs, and the events of the same processes around it.
+func TestForRequestFindsTheCause(t *testing.T) {
+	lines := readDayLog(t)
 	for _, c := range []struct {
 		name, id string
 		messages []string
@@ -41,7 +41,7 @@
 			map[string]string{"outcome": "failed", "code": "overloaded", "proof": "never-sent", "sent": "0", "retry_after_ms": "178"},
 		},
 		{
-			"ended as 502", "961ec035e9736b68", []string{"configuration in force", "configuration in force", "placed", "request", "configuration in force"},
+			"failed with 502", "961ec035e9736b68", []string{"configuration in force", "configuration in force", "placed", "request", "configuration in force"},
 			map[string]string{"outcome": "failed", "code": "upstream-failed", "upstream": "i-f145ede250", "sent": "1"},
 		},
 		{
@@ -52,7 +52,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var messages []string
 			var last *explain.Line
-			for _, l := range explain.Of(lines, c.id, 1500*time.Millisecond, time.Second) {
+			for _, l := range explain.ForRequest(lines, c.id, 1500*time.Millisecond, time.Second) {
 				messages = append(messages, l.Message)
 				if l.Request == c.id {
 					last = l
@@ -68,14 +68,14 @@
 			}
 		})
 	}
-	if got := explain.Of(lines, "unknown", time.Second, time.Second); got != nil {
-		t.Fatalf("a story of nothing: %v", got)
+	if got := explain.ForRequest(lines, "unknown", time.Second, time.Second); got != nil {
+		t.Fatalf("got lines for an unknown request: %v", got)
 	}
 }
 
-// Requests that failed alike are one cause, whatever their ids, addresses and times.
-func TestWorstCountsByCause(t *testing.T) {
-	causes := explain.Worst(day(t))
+// Guards against equal failures that are counted as different causes because their ids, addresses or times differ.
+func TestFailuresByCauseGroupsRequests(t *testing.T) {
+	causes := explain.FailuresByCause(readDayLog(t))
 	if causes[0].Code != "overloaded" || causes[0].Count < 2 || causes[0].Example == "" || causes[0].Last.Before(causes[0].First) {
 		t.Fatalf("got %+v", causes[0])
 	}
@@ -86,8 +86,9 @@
 	}
 }
 
-// A log that was cut off in the middle of a line is refused with the line's number, and nothing is told by halves.
-func TestALineThatCannotBeRead(t *testing.T) {
+// Guards against an incomplete explanation from a log that is truncated in the middle of a line: Read must fail with the
+// line's number.
+func TestReadRejectsTruncatedLine(t *testing.T) {
 	_, err := explain.Read(strings.NewReader("level=info msg=started\nlevel=info ts=yesterday msg=x\n"))
 	var bad *explain.ReadError
 	if !errors.As(err, &bad) || bad.Line != 2 {
