--- a/internal/testing/faulttest/caller.go
+++ b/internal/testing/faulttest/caller.go
@@ -45,73 +45,73 @@
 
 // chat sends a streaming chat request to the model. It returns false if no connection could be made.
 func (c *caller) chat(entry, mark string, tokens int) (Call, bool) {
-	s := Call{Mark: mark, Class: Unknown}
+	call := Call{Mark: mark, Class: Unknown}
 	messages, err := json.Marshal([]map[string]string{{"role": "user", "content": mark + " two bodies, a set of primes"}})
 	if err != nil {
-		return s, false
+		return call, false
 	}
-	s.Want = []byte(engine.Answer(messages, tokens))
+	call.Want = []byte(engine.Answer(messages, tokens))
 	body := fmt.Appendf(nil, `{"model":%q,"messages":%s,"max_tokens":%d,"stream":true}`, modelService, messages, tokens)
-	return c.send(entry, newRequest("/v1/chat/completions", body), s, readStream)
+	return c.send(entry, newRequest("/v1/chat/completions", body), call, readStream)
 }
 
 // slip asks the plain service to print a slip, which must be printed at most once. The mark goes into the query of the
 // request target, which the service and the claim ignore.
 func (c *caller) slip(entry, key, mark string) (Call, bool) {
 	body := []byte(`{"slip":"` + key + `"}`)
-	s := Call{Mark: mark, Key: key, Class: Unknown}
+	call := Call{Mark: mark, Key: key, Class: Unknown}
 	want, err := json.Marshal(plain.Answer{Key: key, Path: "/slips", Echo: plain.Echo(body)})
 	if err != nil {
-		return s, false
+		return call, false
 	}
-	s.Want = want
+	call.Want = want
 	req := newRequest("/v1/services/"+plainService+"/slips?"+mark, body)
 	req.Header.Set(attempt.HeaderKey, key)
-	return c.send(entry, req, s, readDocument)
+	return c.send(entry, req, call, readDocument)
 }
 
-func (c *caller) send(entry string, req *fasthttp.Request, s Call, read func(io.Reader, *Call)) (Call, bool) {
+func (c *caller) send(entry string, req *fasthttp.Request, call Call, read func(io.Reader, *Call)) (Call, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	res, err := c.client.Do(ctx, entry, req)
 	var dial *httpclient.DialError
 	if errors.As(err, &dial) {
-		return s, false
+		return call, false
 	}
 	if err != nil {
-		return s, true
+		return call, true
 	}
 	defer res.Release(false)
 	if len(res.Header.Peek(httpserver.HeaderFailure)) > 0 {
-		readFailure(res.Body, &s)
-		return s, true
+		readFailure(res.Body, &call)
+		return call, true
 	}
-	read(res.Body, &s)
-	return s, true
+	read(res.Body, &call)
+	return call, true
 }
 
-func (s *Call) recordFailure(d httpserver.FailureDetail) {
-	s.Code = d.Code
+func (call *Call) recordFailure(d httpserver.FailureDetail) {
+	call.Code = d.Code
 	if d.NotRun && d.Proof != failure.ProofNone {
-		s.Class = NotRun
+		call.Class = NotRun
 	}
 }
 
-func readFailure(body io.Reader, s *Call) {
+func readFailure(body io.Reader, call *Call) {
 	var in httpserver.FailureBody
 	if err := json.NewDecoder(body).Decode(&in); err == nil {
-		s.recordFailure(in.Error)
+		call.recordFailure(in.Error)
 	}
 }
 
-func readDocument(body io.Reader, s *Call) {
+func readDocument(body io.Reader, call *Call) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		s.Want = nil // A truncated document is not a response and is not compared.
+		call.Want = nil // A truncated document is not a response and is not compared.
 		return
 	}
-	s.Body = bytes.TrimSpace(data)
-	s.Class = Answered
+	call.Body = bytes.TrimSpace(data)
+	call.Class = Answered
 }
 
 type streamEvent struct {
@@ -124,7 +124,7 @@
 }
 
 // readStream reads to the end of the body, past the end marker as well, to detect data that follows the marker.
-func readStream(body io.Reader, s *Call) {
+func readStream(body io.Reader, call *Call) {
 	var text strings.Builder
 	done := false
 	for ev, err := range sse.Read(body, nil) {
@@ -132,7 +132,7 @@
 			break
 		}
 		if done {
-			s.Trailing = true
+			call.Trailing = true
 		}
 		if ev.Data == "[DONE]" {
 			done = true
@@ -140,11 +140,11 @@
 		}
 		var in streamEvent
 		if err := json.Unmarshal([]byte(ev.Data), &in); err != nil {
-			s.Trailing = true
+			call.Trailing = true
 			break
 		}
 		if in.Error != nil {
-			s.recordFailure(*in.Error)
+			call.recordFailure(*in.Error)
 			done = true
 			continue
 		}
@@ -152,8 +152,8 @@
 			text.WriteString(c.Delta.Content)
 		}
 	}
-	s.Body = []byte(text.String())
-	if done && s.Code == "" {
-		s.Class = Answered
+	call.Body = []byte(text.String())
+	if done && call.Code == "" {
+		call.Class = Answered
 	}
 }
--- a/internal/testing/faulttest/history.go
+++ b/internal/testing/faulttest/history.go
@@ -100,7 +100,7 @@
 // checkAnswer checks that a caller got its own response, exactly once, and complete if it was reported as complete.
 func checkAnswer(s Call, add addViolation) {
 	if s.Trailing {
-		add(s.Mark, "something follows the answer's end")
+		add(s.Mark, "data follows the end of the response")
 	}
 	if s.Want == nil || s.Class == NotRun {
 		return
@@ -110,7 +110,7 @@
 		add(s.Mark, "answered with %.60q from byte %d of %d, want %.60q of %d", s.Body[at:], at, len(s.Body), s.Want[at:], len(s.Want))
 	}
 	if s.Class == Unknown && !bytes.HasPrefix(s.Want, s.Body) {
-		add(s.Mark, "broke off after %.60q, which does not begin %.60q", s.Body, s.Want)
+		add(s.Mark, "broke off after %.60q, which is not a prefix of %.60q", s.Body, s.Want)
 	}
 }
 
--- a/internal/testing/faulttest/host.go
+++ b/internal/testing/faulttest/host.go
@@ -37,7 +37,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), modelDeadline*time.Millisecond)
 	defer cancel()
-	_ = e.entry.Shutdown(ctx) // Past the deadline the entry is cut short, which the checks of the callers' history show.
+	_ = e.entry.Shutdown(ctx) // A shutdown that exceeds its deadline breaks connections, which the checks of the calls detect.
 	e.entry = nil
 	return true
 }
@@ -80,7 +80,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), modelDeadline*time.Millisecond)
 	defer cancel()
-	_ = h.slot.Shutdown(ctx) // Past the deadline the slot is cut short, which the checks of the callers' history show.
+	_ = h.slot.Shutdown(ctx) // A shutdown that exceeds its deadline breaks connections, which the checks of the calls detect.
 	h.slot = nil
 	return true
 }
--- a/internal/testing/faulttest/scenario.go
+++ b/internal/testing/faulttest/scenario.go
@@ -111,15 +111,15 @@
 // waitReady sends requests through each entry until both services have answered readyConsecutive times in a row. It
 // returns *NotReadyError after maxReadyAttempts.
 func (r *run) waitReady() error {
-	call := newCaller()
+	client := newCaller()
 	for i, e := range r.c.Entries {
 		consecutive := 0
 		for try := 0; consecutive < readyConsecutive; try++ {
 			if try >= maxReadyAttempts {
 				return &NotReadyError{e.set.Name}
 			}
-			chat, _ := call.chat(e.set.HTTP.Address, r.newMark(), 1)
-			slip, _ := call.slip(e.set.HTTP.Address, fmt.Sprintf("ready-%d-%d", i, try), r.newMark())
+			chat, _ := client.chat(e.set.HTTP.Address, r.newMark(), 1)
+			slip, _ := client.slip(e.set.HTTP.Address, fmt.Sprintf("ready-%d-%d", i, try), r.newMark())
 			if chat.Class != Answered || slip.Class != Answered {
 				consecutive = 0
 				time.Sleep(readyPause)
--- a/internal/testing/modelcheck/search.go
+++ b/internal/testing/modelcheck/search.go
@@ -170,8 +170,8 @@
 	"max search depth too small", "out of memory", "MEMLIM bound", "memory exhausted", "hash table full", "VECTORSZ",
 }
 
-// classify reads a search's output. An error that was found counts even if the search gave up elsewhere; a search that
-// found none counts as holding only if it was complete.
+// classify derives the verdict from a search's output. An error that was found counts even if the search was incomplete.
+// Without an error, the specification holds only if the search was complete.
 func classify(out string) Result {
 	res := Result{Verdict: VerdictBroken}
 	if m := storedStates.FindStringSubmatch(out); m != nil {
--- a/internal/testing/standin/platform/faults.go
+++ b/internal/testing/standin/platform/faults.go
@@ -41,7 +41,7 @@
 type LostResponseError struct{ Part Part }
 
 // Error implements error.
-func (e *LostResponseError) Error() string { return fmt.Sprintf("the answer of %s was lost", e.Part) }
+func (e *LostResponseError) Error() string { return fmt.Sprintf("the response of %s was lost", e.Part) }
 
 // writeFault holds the faults of one write. delay applies before the write takes effect and again before the response; if
 // applyAfter is not zero, the response is lost and the write takes effect after that time.
--- a/internal/testing/standin/platform/services.go
+++ b/internal/testing/standin/platform/services.go
@@ -87,8 +87,8 @@
 	if f.loseResponse {
 		return unknown(&LostResponseError{PartObjects})
 	}
-	if late := sleep(ctx, f.delay); late != nil {
-		return unknown(late)
+	if waitErr := sleep(ctx, f.delay); waitErr != nil {
+		return unknown(waitErr)
 	}
 	return err
 }
--- a/internal/testing/standin/platform/store.go
+++ b/internal/testing/standin/platform/store.go
@@ -170,8 +170,8 @@
 	if f.loseResponse {
 		return unknown(&LostResponseError{PartTable})
 	}
-	if late := sleep(ctx, f.delay); late != nil {
-		return unknown(late)
+	if waitErr := sleep(ctx, f.delay); waitErr != nil {
+		return unknown(waitErr)
 	}
 	return res, err
 }
--- a/internal/tool/ctl/explain.go
+++ b/internal/tool/ctl/explain.go
@@ -68,11 +68,11 @@
 	if f.worst {
 		return s.printCauses(explain.FailuresByCause(lines), f.maxCauses)
 	}
-	own := explain.ForRequest(lines, request, f.before, f.after)
-	if len(own) == 0 {
+	relevant := explain.ForRequest(lines, request, f.before, f.after)
+	if len(relevant) == 0 {
 		return &RequestError{request}
 	}
-	return s.printExplanation(own)
+	return s.printExplanation(relevant)
 }
 
 // readLogs reads the files, or in if there are none. Errors: *FileError.
@@ -126,8 +126,8 @@
 	return nil
 }
 
-func (s *session) printCauses(causes []*explain.Cause, most int) error {
-	causes = causes[:min(max(0, most), len(causes))]
+func (s *session) printCauses(causes []*explain.Cause, maxCauses int) error {
+	causes = causes[:min(max(0, maxCauses), len(causes))]
 	if s.output == outputJSON {
 		return s.printJSON(causes)
 	}
--- a/internal/tool/ctl/keys_test.go
+++ b/internal/tool/ctl/keys_test.go
@@ -14,18 +14,18 @@
 func TestCommandsWithKeys(t *testing.T) {
 	ca := keystest.New(t)
 	d := deployWith(t, keystest.Load(t, ca.Issue("e1", keys.RoleNode)))
-	as := func(s keys.Settings, text, args string) result {
+	runAs := func(s keys.Settings, text, args string) result {
 		t.Helper()
 		all := strings.Fields(args + " --reason test --wait 1m")
 		return run(t, d.address, text, append(all, "--ca", s.CA, "--certificate", s.Certificate, "--key", s.Key)...)
 	}
 	change, force := ca.Issue("ana", keys.RoleChange), ca.Issue("ben", keys.RoleForce)
-	check(t, step{out: []string{"revision 1 is accepted"}}, as(change, firstConfig, "apply -f FILE"))
-	check(t, step{code: ctl.ExitRefused, err: []string{`"read"`, `"change"`}}, as(ca.Issue("read", keys.RoleRead), "", "drain u1"))
-	check(t, step{code: ctl.ExitRefused, err: []string{"ben", "ana"}}, as(change, "", "drain u1 --operator ben"))
-	check(t, step{code: ctl.ExitRefused, err: []string{`"force"`}}, as(change, "", "force release-lease map/g"))
-	check(t, step{out: []string{"done"}}, as(force, "", "force release-lease map/g"))
-	check(t, step{code: ctl.ExitUnavailable}, as(keystest.New(t).Issue("ana", keys.RoleForce), "", "drain u1"))
+	check(t, step{out: []string{"revision 1 is accepted"}}, runAs(change, firstConfig, "apply -f FILE"))
+	check(t, step{code: ctl.ExitRefused, err: []string{`"read"`, `"change"`}}, runAs(ca.Issue("read", keys.RoleRead), "", "drain u1"))
+	check(t, step{code: ctl.ExitRefused, err: []string{"ben", "ana"}}, runAs(change, "", "drain u1 --operator ben"))
+	check(t, step{code: ctl.ExitRefused, err: []string{`"force"`}}, runAs(change, "", "force release-lease map/g"))
+	check(t, step{out: []string{"done"}}, runAs(force, "", "force release-lease map/g"))
+	check(t, step{code: ctl.ExitUnavailable}, runAs(keystest.New(t).Issue("ana", keys.RoleForce), "", "drain u1"))
 	check(t, step{code: ctl.ExitUsage, err: []string{"go together"}}, run(t, d.address, "", "status", "--ca", change.CA))
-	check(t, step{code: ctl.ExitUsage, err: []string{"no certificate"}}, as(keys.Settings{CA: change.Key, Certificate: change.Certificate, Key: change.Key}, "", "drain u1"))
+	check(t, step{code: ctl.ExitUsage, err: []string{"no certificate"}}, runAs(keys.Settings{CA: change.Key, Certificate: change.Certificate, Key: change.Key}, "", "drain u1"))
 }
