--- a/internal/testing/faulttest/relay.go
+++ b/internal/testing/faulttest/relay.go
@@ -45,7 +45,7 @@
 
 var markPattern = regexp.MustCompile(`mark-[0-9]+-[0-9]+\.`)
 
-// Relay forwards connections from one address to another.
+// Relay forwards connections from one address to another and applies its mode to them.
 type Relay struct {
 	listen, target string
 	mode           atomic.Int32
--- a/internal/testing/modelcheck/search.go
+++ b/internal/testing/modelcheck/search.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Limits bound one search.
+// Limits bounds one search.
 type Limits struct {
 	// MemoryMB is the maximum memory of a search.
 	MemoryMB int
--- a/internal/tool/ctl/audit.go
+++ b/internal/tool/ctl/audit.go
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%s: got %q, want a time like 2026-01-31T15:04:05Z", e.Flag, e.Text)
 }
 
-// exportFlags are the flags of audit export.
+// exportFlags holds the flags of audit export.
 type exportFlags struct {
 	from, to string
 	verify   bool
--- a/internal/tool/ctl/ctl.go
+++ b/internal/tool/ctl/ctl.go
@@ -23,7 +23,7 @@
 	ExitOK = 0
 	// ExitFailed: the call failed for another reason.
 	ExitFailed = 1
-	// ExitUsage: the command line, a file or a field of the input is wrong; nothing was changed.
+	// ExitUsage: the command line, a file or a field of the input is invalid; nothing was changed.
 	ExitUsage = 2
 	// ExitPending: the change is committed but not yet accepted, or too many changes wait to be accepted and nothing was
 	// changed.
--- a/internal/tool/explain/explain.go
+++ b/internal/tool/explain/explain.go
@@ -166,7 +166,7 @@
 	Outcome string `json:"outcome"`
 	Code    string `json:"code"`
 	Route   string `json:"route"`
-	// Reason is the error's text without ids, addresses and numbers.
+	// Reason is the error's text, with each word that contains a digit replaced by "#".
 	Reason string `json:"reason"`
 	Count  int    `json:"count"`
 	// Example is the id of one of the requests. First and Last are the times of the earliest and latest one.
