--- a/internal/testing/modelcheck/search.go
+++ b/internal/testing/modelcheck/search.go
@@ -30,7 +30,7 @@
 type Result struct {
 	Verdict Verdict
 	States  uint64
-	// Elapsed is the total wall time of spin, gcc and the search.
+	// Elapsed is the total wall time of all commands.
 	Elapsed time.Duration
 	// Log is the output of spin, gcc or the search, whichever ran last; it is printed if the verdict was not expected.
 	Log string
@@ -80,7 +80,8 @@
 	return res
 }
 
-// wallTimeFactor times Limits.Time is the wall time after which a search is killed, even if it used less processor time.
+// wallTimeFactor times Limits.Time is the wall time after which the commands of a run are killed, even if the search used
+// less processor time.
 const wallTimeFactor = 10
 
 func compileAndRun(ctx context.Context, dir string, gcc []string, r Run, lim Limits) Result {
