--- a/internal/testing/faulttest/caller.go
+++ b/internal/testing/faulttest/caller.go
@@ -21,11 +21,11 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/standin/plain"
 )
 
-// callerPatience is for how long a caller waits; it is longer than any deadline of the deployment.
-const callerPatience = 2 * modelDeadline * time.Millisecond
+// callerTimeout bounds one call. It is longer than any deadline of the deployment.
+const callerTimeout = 2 * modelDeadline * time.Millisecond
 
-// caller sends one request at a time over connections that it never uses twice, so that nothing of one answer can be
-// taken for the next by the caller itself.
+// caller sends one request at a time and never reuses a connection, so that the caller itself cannot mistake bytes of one
+// response for the next.
 type caller struct {
 	client *httpclient.Client
 }
@@ -43,75 +43,75 @@
 	return req
 }
 
-// chat asks the model for a streamed answer. It returns false if no connection could be made.
-func (c *caller) chat(entry, mark string, tokens int) (Send, bool) {
-	s := Send{Mark: mark, Class: Unknown}
+// chat sends a streaming chat request to the model. It returns false if no connection could be made.
+func (c *caller) chat(entry, mark string, tokens int) (Call, bool) {
+	call := Call{Mark: mark, Class: Unknown}
 	messages, err := json.Marshal([]map[string]string{{"role": "user", "content": mark + " two bodies, a set of primes"}})
 	if err != nil {
-		return s, false
+		return call, false
 	}
-	s.Want = []byte(engine.Answer(messages, tokens))
+	call.Want = []byte(engine.Answer(messages, tokens))
 	body := fmt.Appendf(nil, `{"model":%q,"messages":%s,"max_tokens":%d,"stream":true}`, modelService, messages, tokens)
-	return c.send(entry, newRequest("/v1/chat/completions", body), s, readStream)
+	return c.send(entry, newRequest("/v1/chat/completions", body), call, readStream)
 }
 
-// slip asks the plain service to print a slip, which may happen at most once. The mark goes into the target's query,
-// which the service and the claim ignore.
-func (c *caller) slip(entry, key, mark string) (Send, bool) {
+// slip asks the plain service to print a slip, which must be printed at most once. The mark goes into the query of the
+// request target, which the service and the claim ignore.
+func (c *caller) slip(entry, key, mark string) (Call, bool) {
 	body := []byte(`{"slip":"` + key + `"}`)
-	s := Send{Mark: mark, Key: key, Class: Unknown}
+	call := Call{Mark: mark, Key: key, Class: Unknown}
 	want, err := json.Marshal(plain.Answer{Key: key, Path: "/slips", Echo: plain.Echo(body)})
 	if err != nil {
-		return s, false
+		return call, false
 	}
-	s.Want = want
+	call.Want = want
 	req := newRequest("/v1/services/"+plainService+"/slips?"+mark, body)
 	req.Header.Set(attempt.HeaderKey, key)
-	return c.send(entry, req, s, readWhole)
+	return c.send(entry, req, call, readDocument)
 }
 
-func (c *caller) send(entry string, req *fasthttp.Request, s Send, read func(io.Reader, *Send)) (Send, bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), callerPatience)
+func (c *caller) send(entry string, req *fasthttp.Request, call Call, read func(io.Reader, *Call)) (Call, bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	res, err := c.client.Do(ctx, entry, req)
 	var dial *httpclient.DialError
 	if errors.As(err, &dial) {
-		return s, false
+		return call, false
 	}
 	if err != nil {
-		return s, true
+		return call, true
 	}
 	defer res.Release(false)
 	if len(res.Header.Peek(httpserver.HeaderFailure)) > 0 {
-		readFailure(res.Body, &s)
-		return s, true
+		readFailure(res.Body, &call)
+		return call, true
 	}
-	read(res.Body, &s)
-	return s, true
+	read(res.Body, &call)
+	return call, true
 }
 
-func (s *Send) failed(d httpserver.FailureDetail) {
-	s.Code = d.Code
+func (call *Call) recordFailure(d httpserver.FailureDetail) {
+	call.Code = d.Code
 	if d.NotRun && d.Proof != failure.ProofNone {
-		s.Class = NotRun
+		call.Class = NotRun
 	}
 }
 
-func readFailure(body io.Reader, s *Send) {
+func readFailure(body io.Reader, call *Call) {
 	var in httpserver.FailureBody
 	if err := json.NewDecoder(body).Decode(&in); err == nil {
-		s.failed(in.Error)
+		call.recordFailure(in.Error)
 	}
 }
 
-func readWhole(body io.Reader, s *Send) {
+func readDocument(body io.Reader, call *Call) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		s.Want = nil // A part of a document is no answer and is not compared.
+		call.Want = nil // A truncated document is not a response and is not compared.
 		return
 	}
-	s.Body = bytes.TrimSpace(data)
-	s.Class = Answered
+	call.Body = bytes.TrimSpace(data)
+	call.Class = Answered
 }
 
 type streamEvent struct {
@@ -123,37 +123,37 @@
 	Error *httpserver.FailureDetail `json:"error"`
 }
 
-// readStream reads to the end of the body, also past the end marker: nothing may follow it.
-func readStream(body io.Reader, s *Send) {
+// readStream reads to the end of the body, past the end marker as well, to detect data that follows the marker.
+func readStream(body io.Reader, call *Call) {
 	var text strings.Builder
-	ended := false
+	done := false
 	for ev, err := range sse.Read(body, nil) {
 		if err != nil {
 			break
 		}
-		if ended {
-			s.Trailing = true
+		if done {
+			call.Trailing = true
 		}
 		if ev.Data == "[DONE]" {
-			ended = true
+			done = true
 			continue
 		}
 		var in streamEvent
 		if err := json.Unmarshal([]byte(ev.Data), &in); err != nil {
-			s.Trailing = true
+			call.Trailing = true
 			break
 		}
 		if in.Error != nil {
-			s.failed(*in.Error)
-			ended = true
+			call.recordFailure(*in.Error)
+			done = true
 			continue
 		}
 		for _, c := range in.Choices {
 			text.WriteString(c.Delta.Content)
 		}
 	}
-	s.Body = []byte(text.String())
-	if ended && s.Code == "" {
-		s.Class = Answered
+	call.Body = []byte(text.String())
+	if done && call.Code == "" {
+		call.Class = Answered
 	}
 }
