--- a/internal/testing/bench/eventqueue/eventqueue.go
+++ b/internal/testing/bench/eventqueue/eventqueue.go
@@ -8,33 +8,33 @@
 
 // Queue is what will happen, in order of time and then of planning. It is not safe for concurrent use.
 type Queue struct {
-	now   time.Time
-	items items
-	count int
+	now       time.Time
+	events    eventHeap
+	scheduled int
 }
 
-type item struct {
-	at    time.Time
-	order int
-	do    func()
+type event struct {
+	at       time.Time
+	sequence int
+	run      func()
 }
 
-type items []item
+type eventHeap []event
 
-func (s items) Len() int { return len(s) }
-func (s items) Less(i, j int) bool {
+func (s eventHeap) Len() int { return len(s) }
+func (s eventHeap) Less(i, j int) bool {
 	if s[i].at.Equal(s[j].at) {
-		return s[i].order < s[j].order
+		return s[i].sequence < s[j].sequence
 	}
 	return s[i].at.Before(s[j].at)
 }
-func (s items) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s eventHeap) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
 
 // Push implements heap.Interface.
-func (s *items) Push(x any) { *s = append(*s, x.(item)) }
+func (s *eventHeap) Push(x any) { *s = append(*s, x.(event)) }
 
 // Pop implements heap.Interface.
-func (s *items) Pop() any {
+func (s *eventHeap) Pop() any {
 	old := *s
 	last := old[len(old)-1]
 	*s = old[:len(old)-1]
@@ -49,16 +49,16 @@
 
 // In plans do after d.
 func (q *Queue) In(d time.Duration, do func()) {
-	q.count++
-	heap.Push(&q.items, item{q.now.Add(d), q.count, do})
+	q.scheduled++
+	heap.Push(&q.events, event{q.now.Add(d), q.scheduled, do})
 }
 
 // Run does what is planned before end.
 func (q *Queue) Run(end time.Time) {
-	for len(q.items) > 0 && q.items[0].at.Before(end) {
-		next := heap.Pop(&q.items).(item)
+	for len(q.events) > 0 && q.events[0].at.Before(end) {
+		next := heap.Pop(&q.events).(event)
 		q.now = next.at
-		next.do()
+		next.run()
 	}
 }
 
@@ -71,7 +71,7 @@
 
 // RunAll does all that is planned.
 func (q *Queue) RunAll() {
-	for len(q.items) > 0 {
-		q.Run(q.items[0].at.Add(1))
+	for len(q.events) > 0 {
+		q.Run(q.events[0].at.Add(1))
 	}
 }
--- a/internal/testing/bench/htmlreport/command.go
+++ b/internal/testing/bench/htmlreport/command.go
@@ -56,7 +56,7 @@
 
 var benchNames = []string{benchRebalance, benchPolicy, benchConfig, benchLoad, benchSlopes}
 
-func bench(name string, o Options, log io.Writer) (Section, error) {
+func runBench(name string, o Options, log io.Writer) (Section, error) {
 	switch name {
 	case benchRebalance:
 		return rebalanceSection(o)
@@ -74,14 +74,14 @@
 func Build(o Options, log io.Writer) Page {
 	p := Page{
 		Title: "cardamomyoke: what was measured",
-		Made: fmt.Sprintf("Made %s; seeds %d to %d. Times are of one machine.",
+		Provenance: fmt.Sprintf("Made %s; seeds %d to %d. Times are of one machine.",
 			time.Now().UTC().Format("2006-01-02 15:04 UTC"), o.Seed, o.Seed+uint64(o.Seeds)-1),
 	}
 	for _, name := range o.Benches {
 		began := time.Now()
-		s, err := bench(name, o, log)
+		s, err := runBench(name, o, log)
 		if err != nil {
-			s.Failed = err.Error()
+			s.Error = err.Error()
 		}
 		fmt.Fprintf(log, "%-30s %6.1fs\n", s.Title, time.Since(began).Seconds())
 		p.Sections = append(p.Sections, s)
@@ -100,24 +100,24 @@
 		return fmt.Errorf("report: %w", err)
 	}
 	p := Build(o, os.Stderr)
-	if err := toFile(filepath.Join(o.Out, "report.html"), p.WriteHTML); err != nil {
+	if err := writeFile(filepath.Join(o.Out, "report.html"), p.WriteHTML); err != nil {
 		return err
 	}
-	if err := toFile(filepath.Join(o.Out, "report.txt"), p.WriteText); err != nil {
+	if err := writeFile(filepath.Join(o.Out, "report.txt"), p.WriteText); err != nil {
 		return err
 	}
 	if err := p.WriteText(w); err != nil {
 		return err
 	}
 	for _, s := range p.Sections {
-		if s.Failed != "" {
-			return fmt.Errorf("report: %w", &FailedError{s.Title, s.Failed})
+		if s.Error != "" {
+			return fmt.Errorf("report: %w", &FailedError{s.Title, s.Error})
 		}
 	}
 	return nil
 }
 
-func toFile(name string, write func(io.Writer) error) error {
+func writeFile(name string, write func(io.Writer) error) error {
 	f, err := os.Create(name)
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
--- a/internal/testing/bench/htmlreport/page.go
+++ b/internal/testing/bench/htmlreport/page.go
@@ -22,28 +22,28 @@
 type Section struct {
 	ID, Title, Text string
 	// Command repeats the measurement.
-	Command string
-	Tables  []report.Table
-	Claims  []report.Claim
-	Plots   []Plot
+	Command  string
+	Tables   []report.Table
+	Criteria []report.Claim
+	Plots    []Plot
 	// Output is what a bench wrote as text, if it has no tables of its own.
 	Output string
-	// Failed is why the bench gave no result; empty if it did.
-	Failed string
+	// Error is why the bench gave no result; empty if it did.
+	Error string
 }
 
 // Page is the whole report.
 type Page struct {
-	Title, Made string
-	Sections    []Section
+	Title, Provenance string
+	Sections          []Section
 }
 
 //go:embed page.html
-var pageText string
+var pageTemplate string
 
 // WriteHTML writes the page with its plots inside, so that it can be moved as one file.
 func (p Page) WriteHTML(w io.Writer) error {
-	t, err := template.New("page").Funcs(template.FuncMap{"picture": picture, "numeric": numeric}).Parse(pageText)
+	t, err := template.New("page").Funcs(template.FuncMap{"picture": picture, "numeric": numeric}).Parse(pageTemplate)
 	if err != nil {
 		return fmt.Errorf("page: %w", err)
 	}
@@ -73,21 +73,21 @@
 
 // WriteText writes the summary: the verdicts of each section and what gave no result.
 func (p Page) WriteText(w io.Writer) error {
-	fmt.Fprintf(w, "%s, %s\n", p.Title, p.Made)
+	fmt.Fprintf(w, "%s, %s\n", p.Title, p.Provenance)
 	for _, s := range p.Sections {
 		fmt.Fprintf(w, "\n%s (%s)\n", s.Title, s.Command)
-		if s.Failed != "" {
-			fmt.Fprintf(w, "no result: %s\n", s.Failed)
+		if s.Error != "" {
+			fmt.Fprintf(w, "no result: %s\n", s.Error)
 			continue
 		}
 		if s.Output != "" {
 			fmt.Fprint(w, s.Output)
 			continue
 		}
-		if len(s.Claims) == 0 {
+		if len(s.Criteria) == 0 {
 			fmt.Fprintf(w, "%d tables, no limits to meet\n", len(s.Tables))
 		}
-		if _, err := report.WriteClaims(w, s.Claims); err != nil {
+		if _, err := report.WriteClaims(w, s.Criteria); err != nil {
 			return fmt.Errorf("summary: %w", err)
 		}
 	}
--- a/internal/testing/bench/htmlreport/page_test.go
+++ b/internal/testing/bench/htmlreport/page_test.go
@@ -10,7 +10,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/slopes"
 )
 
-func TestPageHoldsTablesVerdictsAndPlots(t *testing.T) {
+func TestPageHoldsTablesCriteriaAndPlots(t *testing.T) {
 	plots, err := slopePlots([]slopes.Series{{Name: "a", Driver: "entries", Unit: "B/s", Sizes: []float64{1, 2}, Values: []float64{3, 4}}}, t.TempDir())
 	if err != nil || len(plots) != 1 {
 		t.Fatalf("%d plots, %v", len(plots), err)
@@ -18,11 +18,11 @@
 	table := report.Table{Title: "T", Columns: []string{"policy", "skew"}}
 	table.Add("<ours>", 1.25)
 	p := Page{Title: "R", Sections: []Section{
-		{ID: "a", Title: "A", Command: "run a", Tables: []report.Table{table}, Plots: plots, Claims: []report.Claim{{Text: "skew", Reached: 2, Bound: report.AtMost, Limit: 1}}},
-		{ID: "b", Title: "B", Failed: "no engine"},
+		{ID: "a", Title: "A", Command: "run a", Tables: []report.Table{table}, Plots: plots, Criteria: []report.Claim{{Text: "skew", Reached: 2, Bound: report.AtMost, Limit: 1}}},
+		{ID: "b", Title: "B", Error: "no engine"},
 	}}
 	file := filepath.Join(t.TempDir(), "r.html")
-	if err := toFile(file, p.WriteHTML); err != nil {
+	if err := writeFile(file, p.WriteHTML); err != nil {
 		t.Fatal(err)
 	}
 	html, err := os.ReadFile(file)
--- a/internal/testing/bench/htmlreport/sections.go
+++ b/internal/testing/bench/htmlreport/sections.go
@@ -42,7 +42,7 @@
 			return s, err
 		}
 		s.Tables = append(s.Tables, results.Table(d))
-		s.Claims = append(s.Claims, results.Claims(d)...)
+		s.Criteria = append(s.Criteria, results.Criteria(d)...)
 		if err := results.Plots(d, o.Out); err != nil {
 			return s, err
 		}
@@ -71,7 +71,7 @@
 	for _, t := range results.Tables() {
 		s.Tables = append(s.Tables, *t)
 	}
-	s.Claims = results.Claims()
+	s.Criteria = results.Claims()
 	return s, nil
 }
 
--- a/internal/testing/bench/rebalance/bench.go
+++ b/internal/testing/bench/rebalance/bench.go
@@ -11,24 +11,24 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/report"
 )
 
-// contenders are the rows of each table, in order.
+// contenders lists the contenders in the row order of the tables.
 var contenders = []string{NameStatic, NameRepack, NameGreedy, NamePolicy, NameBound}
 
-// Settings say what to run.
+// Settings configures a run of the bench.
 type Settings struct {
 	Deployment Deployment
-	// Seed is the first seed; Seeds is their number.
+	// Seed is the first seed; Seeds is the number of consecutive seeds.
 	Seed  uint64
 	Seeds int
-	// Hours is the length of each trace.
+	// Hours is the length of each trace in hours.
 	Hours int
-	// Workers is the number of traces that run at once.
+	// Workers is the number of traces that run concurrently.
 	Workers int
-	// Out is the folder for tables and plots.
+	// Out is the folder for the plots.
 	Out string
 }
 
-// Results holds, for each scenario and contender, the results by seed.
+// Results holds the results of each scenario and contender, indexed by seed.
 type Results map[Scenario]map[string][]Result
 
 // RunAll runs all contenders through all scenarios and seeds.
@@ -52,24 +52,24 @@
 	return all, nil
 }
 
-func runTrace(s Settings, sc Scenario, i int, byName map[string][]Result) error {
-	t := NewTrace(s.Deployment, sc, s.Seed+uint64(i), time.Duration(s.Hours)*time.Hour)
+func runTrace(s Settings, sc Scenario, seedIndex int, byName map[string][]Result) error {
+	t := NewTrace(s.Deployment, sc, s.Seed+uint64(seedIndex), time.Duration(s.Hours)*time.Hour)
 	for _, name := range contenders {
 		if name == NameBound {
-			byName[name][i] = Bound(s.Deployment, t)
+			byName[name][seedIndex] = Bound(s.Deployment, t)
 			continue
 		}
 		res, err := Run(s.Deployment, t, name)
 		if err != nil {
 			return fmt.Errorf("%s seed %d, %s: %w", sc, t.Seed, name, err)
 		}
-		byName[name][i] = res
+		byName[name][seedIndex] = res
 	}
 	return nil
 }
 
-// over collects one figure of all seeds.
-func over(results []Result, pick func(figures) float64) []float64 {
+// figureBySeed returns the figure that pick selects, one value per seed.
+func figureBySeed(results []Result, pick func(figures) float64) []float64 {
 	out := make([]float64, len(results))
 	for i, r := range results {
 		out[i] = pick(r.figures())
@@ -77,7 +77,7 @@
 	return out
 }
 
-// Table returns mean and spread over seeds, one row for each scenario and contender.
+// Table returns the mean and spread over seeds, with one row per scenario and contender.
 func (r Results) Table(d Deployment) report.Table {
 	t := report.Table{
 		Title:   "rebalance --deployment " + d.Name,
@@ -85,18 +85,21 @@
 	}
 	for _, sc := range Scenarios() {
 		for _, name := range contenders {
-			of := func(pick func(figures) float64) report.Summary { return report.Summarize(over(r[sc][name], pick)) }
+			summarize := func(pick func(figures) float64) report.Summary {
+				return report.Summarize(figureBySeed(r[sc][name], pick))
+			}
 			t.Add(sc, name,
-				of(func(f figures) float64 { return f.p50 }), of(func(f figures) float64 { return f.p99 }),
-				of(func(f figures) float64 { return f.mean }), of(func(f figures) float64 { return f.gigabytes }),
-				of(func(f figures) float64 { return f.loads }), of(func(f figures) float64 { return f.switches }),
-				of(func(f figures) float64 { return f.waited }))
+				summarize(func(f figures) float64 { return f.p50 }), summarize(func(f figures) float64 { return f.p99 }),
+				summarize(func(f figures) float64 { return f.mean }), summarize(func(f figures) float64 { return f.gigabytes }),
+				summarize(func(f figures) float64 { return f.loads }), summarize(func(f figures) float64 { return f.switches }),
+				summarize(func(f figures) float64 { return f.delayedSteps }))
 		}
 	}
 	return t
 }
 
-// Plots writes the skew over the day of the first seed of each scenario, and the p99 of all contenders.
+// Plots writes one SVG file per scenario with the skew over time for the first seed, and one with the p99 skew of all
+// contenders.
 func (r Results) Plots(d Deployment, out string) error {
 	var categories []string
 	for _, sc := range Scenarios() {
@@ -109,7 +112,7 @@
 	for _, name := range contenders {
 		b := report.Bars{Name: name}
 		for _, sc := range Scenarios() {
-			b.Values = append(b.Values, report.Summarize(over(r[sc][name], func(f figures) float64 { return f.p99 })).Mean)
+			b.Values = append(b.Values, report.Summarize(figureBySeed(r[sc][name], func(f figures) float64 { return f.p99 })).Mean)
 		}
 		bars = append(bars, b)
 	}
@@ -117,19 +120,19 @@
 	return report.BarPlot(filepath.Join(out, "rebalance-"+d.Name+"-p99.svg"), labels, categories, bars...)
 }
 
-// plotPoints is the number of points of a line; each is the mean of the steps around it.
+// plotPoints is the approximate number of points of a line; each is the mean of equally many consecutive steps.
 const plotPoints = 96
 
 func (r Results) plotDay(d Deployment, sc Scenario, out string) error {
 	var lines []report.Series
 	for _, name := range contenders {
-		lines = append(lines, smooth(name, r[sc][name][0].Skew))
+		lines = append(lines, smoothed(name, r[sc][name][0].Skew))
 	}
 	labels := report.Labels{Title: fmt.Sprintf("%s, %s: step-time skew", d.Name, sc), X: "hour", Y: "slowest rank over mean"}
 	return report.LinePlot(filepath.Join(out, fmt.Sprintf("rebalance-%s-%s.svg", d.Name, sc)), labels, lines...)
 }
 
-func smooth(name string, skew []float64) report.Series {
+func smoothed(name string, skew []float64) report.Series {
 	s := report.Series{Name: name}
 	size := max(1, len(skew)/plotPoints)
 	for from := 0; from+size <= len(skew); from += size {
@@ -139,7 +142,7 @@
 	return s
 }
 
-// Write prints the table and the claims and reports whether all claims are met.
+// Write prints the table and the criteria, writes the plots and reports whether all criteria are met.
 func (r Results) Write(w io.Writer, s Settings) (bool, error) {
 	t := r.Table(s.Deployment)
 	if err := t.Text(w); err != nil {
@@ -148,5 +151,5 @@
 	if err := r.Plots(s.Deployment, s.Out); err != nil {
 		return false, err
 	}
-	return report.WriteClaims(w, r.Claims(s.Deployment))
+	return report.WriteClaims(w, r.Criteria(s.Deployment))
 }
--- a/internal/testing/bench/rebalance/command.go
+++ b/internal/testing/bench/rebalance/command.go
@@ -9,27 +9,29 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/report"
 )
 
-// ShortError says that a claim was not met.
-type ShortError struct{ Deployment string }
+// MissedCriterionError reports that a deployment misses at least one criterion.
+type MissedCriterionError struct{ Deployment string }
 
 // Error implements error.
-func (e *ShortError) Error() string { return "rebalance: a claim of " + e.Deployment + " is short" }
+func (e *MissedCriterionError) Error() string {
+	return "rebalance: deployment " + e.Deployment + " misses a criterion"
+}
 
 // Register adds the commands rebalance, rebalance-pieces and rebalance-cost to app.
 func Register(app *kingpin.Application) {
 	s := &Settings{}
-	traces := command(app, s, "rebalance", "Run the placement policy and its baselines on drift traces.", run)
+	traces := addCommand(app, s, "rebalance", "Run the placement policy and its baselines on drift traces.", runTraces)
 	traces.Flag("hours", "Length of each trace.").Default("24").IntVar(&s.Hours)
 	traces.Flag("workers", "Number of traces that run at once.").Default("4").IntVar(&s.Workers)
 	traces.Flag("out", "Folder for the plots.").Default("out").StringVar(&s.Out)
-	command(app, &Settings{}, "rebalance-pieces", "Compare ways to cut weights into pieces and plans into switches.", runPieces)
-	command(app, &Settings{}, "rebalance-cost", "Time one decision at several sizes of the group.", runCost)
+	addCommand(app, &Settings{}, "rebalance-pieces", "Compare ways to cut weights into pieces and plans into switches.", runPieces)
+	addCommand(app, &Settings{}, "rebalance-cost", "Time one decision at several sizes of the group.", runCost)
 }
 
-// command adds a command with the flags that all share; s must not be shared between commands.
-func command(app *kingpin.Application, s *Settings, name, help string, action func(Settings) error) *kingpin.CmdClause {
+// addCommand adds a command with the flags common to all three. Each command needs its own s.
+func addCommand(app *kingpin.Application, s *Settings, name, help string, action func(Settings) error) *kingpin.CmdClause {
 	cmd := app.Command(name, help)
-	deployment := cmd.Flag("deployment", "Whose settings and load to use.").Default(nameOfSkewDeployment).Enum(deploymentNames()...)
+	deployment := cmd.Flag("deployment", "Whose settings and load to use.").Default(skewDeployment).Enum(deploymentNames()...)
 	cmd.Flag("seed", "First seed of the traces.").Default("1").Uint64Var(&s.Seed)
 	cmd.Flag("seeds", "Number of seeds.").Default("10").IntVar(&s.Seeds)
 	cmd.Action(func(*kingpin.ParseContext) error {
@@ -64,7 +66,7 @@
 	return t.Text(os.Stdout)
 }
 
-func run(s Settings) error {
+func runTraces(s Settings) error {
 	results, err := RunAll(s)
 	if err != nil {
 		return err
@@ -74,7 +76,7 @@
 		return fmt.Errorf("write results: %w", err)
 	}
 	if !ok {
-		return &ShortError{s.Deployment.Name}
+		return &MissedCriterionError{s.Deployment.Name}
 	}
 	return nil
 }
--- a/internal/testing/bench/rebalance/contender.go
+++ b/internal/testing/bench/rebalance/contender.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/placement/expert"
 )
 
-// The names of the contenders in the tables.
+// Names of the contenders in the tables.
 const (
 	NameStatic = "static"
 	NameRepack = "full-repack"
@@ -18,33 +18,33 @@
 	NameBound  = "bound"
 )
 
-// contender is a way to decide on maps. It hears the reports of the group that runs on its own map.
+// contender is a placement strategy under comparison. It receives the reports of a group that runs on its maps.
 type contender interface {
 	observe(now time.Time, r placement.Report) error
-	// decide returns the next map and the moves to it, or nil to stay.
+	// decide returns the next map and the moves that lead to it, or nil to keep the current map.
 	decide(now time.Time, current *expert.Map) (*change, error)
 }
 
-// change is a new map on its way.
+// change is the transition to a new map.
 type change struct {
 	next  *expert.Map
 	moves []expert.Move
-	// paced says that loads keep to the slack of the steps; else they run at the store's rate.
+	// paced is set if loads are limited to the slack of the steps; otherwise they run at the store's rate.
 	paced bool
 }
 
-// group returns what the policy has to know of the deployment.
+// group returns the deployment as the placement policy's input.
 func (d Deployment) group() placement.Group {
 	return placement.Group{Shape: d.Shape, Slots: d.SlotsPerRank, ExpertBytes: d.ExpertBytes, StoreRate: d.StoreRate}
 }
 
-// static never moves anything.
+// static keeps the first map.
 type static struct{}
 
 func (static) observe(time.Time, placement.Report) error      { return nil }
 func (static) decide(time.Time, *expert.Map) (*change, error) { return nil, nil }
 
-// policy is the product's own.
+// policy is the placement policy of the product.
 type policy struct {
 	*placement.Policy
 	options placement.Options
@@ -60,7 +60,7 @@
 	return &change{plan.Map, plan.Moves, true}, nil
 }
 
-// repack packs all experts anew in each period, with the estimates of the product's policy.
+// repack packs a map from scratch at each decision, with the estimates of the product's policy.
 type repack struct {
 	*placement.Policy
 	d Deployment
@@ -80,7 +80,7 @@
 	return changeTo(current, next), nil
 }
 
-// greedy takes every improvement that it sees, whatever it costs and however small it is.
+// greedy applies every improvement, however small and whatever its cost.
 type greedy struct {
 	*placement.Policy
 	d Deployment
@@ -93,15 +93,15 @@
 	if pop == nil {
 		return nil, nil
 	}
-	free := placement.Options{Horizon: time.Hour, MaxBytesPerMinute: math.MaxUint64}
-	better, err := placement.Improve(p.d.group(), free, current, pop, p.Speeds(now))
+	unlimited := placement.Options{Horizon: time.Hour, MaxBytesPerMinute: math.MaxUint64}
+	plan, err := placement.Improve(p.d.group(), unlimited, current, pop, p.Speeds(now))
 	if err != nil {
 		return nil, fmt.Errorf("greedy: %w", err)
 	}
-	if better.After >= better.Before {
+	if plan.After >= plan.Before {
 		return nil, nil
 	}
-	return changeTo(current, better.Map), nil
+	return changeTo(current, plan.Map), nil
 }
 
 func changeTo(current, next *expert.Map) *change {
@@ -112,7 +112,7 @@
 	return &change{next, moves, false}
 }
 
-// newContender returns the contender of that name.
+// newContender returns the contender with the given name; static for any other name.
 func newContender(name string, d Deployment) contender {
 	switch name {
 	case NameRepack:
--- a/internal/testing/bench/rebalance/cost.go
+++ b/internal/testing/bench/rebalance/cost.go
@@ -12,17 +12,18 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/report"
 )
 
-// decisionRuns is how often each size is timed; the median is taken.
+// decisionRuns is the number of timed runs per size; the table shows their median.
 const decisionRuns = 7
 
-// costSizes double one of ranks, experts and layers at a time up to the size that the product is to carry.
+// costSizes vary the number of ranks, experts or layers by factors of 2 around the target size.
 var costSizes = []expert.Shape{
 	{Ranks: 16, Experts: 128, Layers: 60}, {Ranks: 32, Experts: 128, Layers: 60}, {Ranks: 64, Experts: 128, Layers: 60},
 	{Ranks: 64, Experts: 64, Layers: 60}, {Ranks: 64, Experts: 256, Layers: 60},
 	{Ranks: 64, Experts: 128, Layers: 15}, {Ranks: 64, Experts: 128, Layers: 30}, {Ranks: 64, Experts: 128, Layers: 120},
 }
 
-// Decision is a group in a state that calls for many moves: its popularity has shifted since the map was packed.
+// Decision is one decision to time: its group needs many moves because its popularity has shifted since the map was
+// packed.
 type Decision struct {
 	group      placement.Group
 	current    *expert.Map
@@ -37,26 +38,26 @@
 	d := Deployments()[0]
 	d.Shape, d.SlotsPerRank = shape, slots
 	rng := rand.New(rand.NewPCG(seed, 0))
-	top := newTopics(d, ScenarioSteady, rng)
+	t := newTopics(d, ScenarioSteady, rng)
 	speed := make([]float64, shape.Ranks)
 	floats.AddConst(1, speed)
-	m, err := placement.Pack(d.group(), perRank+shape.Layers, top.popularity(top.usualMix(0)), speed, 1)
+	current, err := placement.Pack(d.group(), perRank+shape.Layers, t.popularity(t.baselineMix(0)), speed, 1)
 	if err != nil {
 		return nil, fmt.Errorf("prepare a decision: %w", err)
 	}
-	return &Decision{d.group(), m, top.popularity(top.usualMix(12)), speed, d.Options}, nil
+	return &Decision{d.group(), current, t.popularity(t.baselineMix(12)), speed, d.Options}, nil
 }
 
-// Run takes the decision once and returns the number of loads that it asks for.
+// Run makes the decision once and returns the number of expert loads that it plans.
 func (d *Decision) Run() (int, error) {
-	better, err := placement.Improve(d.group, d.options, d.current, d.pop, d.speed)
+	plan, err := placement.Improve(d.group, d.options, d.current, d.pop, d.speed)
 	if err != nil {
 		return 0, fmt.Errorf("decide: %w", err)
 	}
-	return expert.Loads(better.Moves), nil
+	return expert.Loads(plan.Moves), nil
 }
 
-// CostTable times one decision at several sizes.
+// CostTable times one decision at each of several group sizes.
 func CostTable(seed uint64) (report.Table, error) {
 	t := report.Table{Title: "cost of one decision", Columns: []string{"ranks", "experts", "layers", "ms", "loads", "map bytes"}}
 	for _, shape := range costSizes {
@@ -67,11 +68,11 @@
 		var times []float64
 		loads := 0
 		for range decisionRuns {
-			begin := time.Now()
+			began := time.Now()
 			if loads, err = d.Run(); err != nil {
 				return t, err
 			}
-			times = append(times, float64(time.Since(begin).Microseconds())/1e3)
+			times = append(times, float64(time.Since(began).Microseconds())/1e3)
 		}
 		data, err := d.current.MarshalBinary()
 		if err != nil {
--- a/internal/testing/bench/rebalance/criteria.go
+++ b/internal/testing/bench/rebalance/criteria.go
@@ -6,18 +6,19 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/report"
 )
 
-// The limits that the users set; see docs/design/rebalancing.md.
+// Limits set by the users (see docs/design/rebalancing.md), and the deployments that they apply to. Names ending in
+// VsRepack or VsStatic are ratios to the full re-pack or to the static map.
 const (
-	skewOverRepack        = 1.10
-	bytesOverRepackSkew   = 1.0 / 5
-	bytesOverRepackCost   = 1.0 / 20
-	excessOverStatic      = 0.5
-	movesOnNoise          = 0
-	nameOfSkewDeployment  = "arriaga"
-	nameOfMovesDeployment = "sjodastofa"
+	maxSkewVsRepack          = 1.10
+	maxBytesVsRepackForSkew  = 1.0 / 5
+	maxBytesVsRepackForMoves = 1.0 / 20
+	maxExcessSkewVsStatic    = 0.5
+	maxMapsOnNoise           = 0
+	skewDeployment           = "arriaga"
+	movesDeployment          = "sjodastofa"
 )
 
-// pooled joins a contender's results over all scenarios and seeds.
+// pooled combines a contender's results from all scenarios and seeds.
 func (r Results) pooled(name string) Result {
 	var all Result
 	for _, sc := range Scenarios() {
@@ -26,40 +27,40 @@
 			all.Bytes += res.Bytes
 			all.Loads += res.Loads
 			all.Switches += res.Switches
-			all.Waited += res.Waited
+			all.DelayedSteps += res.DelayedSteps
 		}
 	}
 	return all
 }
 
-// Claims returns what the deployment's setting has to reach over all traces and seeds.
-func (r Results) Claims(d Deployment) []report.Claim {
-	ours, repack, still := r.pooled(NamePolicy).figures(), r.pooled(NameRepack).figures(), r.pooled(NameStatic).figures()
-	var claims []report.Claim
-	bytes := report.Claim{Text: d.Name + ": bytes moved over full re-pack's", Reached: ours.gigabytes / repack.gigabytes, Bound: report.AtMost}
+// Criteria returns the limits that the deployment's settings have to meet over all traces and seeds.
+func (r Results) Criteria(d Deployment) []report.Claim {
+	policyFigures, repackFigures, staticFigures := r.pooled(NamePolicy).figures(), r.pooled(NameRepack).figures(), r.pooled(NameStatic).figures()
+	var criteria []report.Claim
+	bytes := report.Claim{Text: d.Name + ": bytes moved over full re-pack's", Reached: policyFigures.gigabytes / repackFigures.gigabytes, Bound: report.AtMost}
 	switch d.Name {
-	case nameOfSkewDeployment:
-		claims = append(claims, report.Claim{
-			Text: d.Name + ": skew p99 over full re-pack's", Reached: ours.p99 / repack.p99,
-			Bound: report.AtMost, Limit: skewOverRepack,
-		}, r.worstClaim(d))
-		bytes.Limit = bytesOverRepackSkew
-	case nameOfMovesDeployment:
-		claims = append(claims, report.Claim{
-			Text: d.Name + ": mean skew's excess over 1, over static's", Reached: (ours.mean - 1) / (still.mean - 1),
-			Bound: report.AtMost, Limit: excessOverStatic,
+	case skewDeployment:
+		criteria = append(criteria, report.Claim{
+			Text: d.Name + ": skew p99 over full re-pack's", Reached: policyFigures.p99 / repackFigures.p99,
+			Bound: report.AtMost, Limit: maxSkewVsRepack,
+		}, r.worstScenarioCriterion(d))
+		bytes.Limit = maxBytesVsRepackForSkew
+	case movesDeployment:
+		criteria = append(criteria, report.Claim{
+			Text: d.Name + ": mean skew's excess over 1, over static's", Reached: (policyFigures.mean - 1) / (staticFigures.mean - 1),
+			Bound: report.AtMost, Limit: maxExcessSkewVsStatic,
 		})
-		bytes.Limit = bytesOverRepackCost
+		bytes.Limit = maxBytesVsRepackForMoves
 	}
-	return append(claims, bytes, r.noiseClaim(d))
+	return append(criteria, bytes, r.noiseCriterion(d))
 }
 
-// worstClaim holds each scenario by itself to the limit that is set for all of them together.
-func (r Results) worstClaim(d Deployment) report.Claim {
-	c := report.Claim{Bound: report.AtMost, Limit: skewOverRepack}
+// worstScenarioCriterion applies the p99 skew limit, which is set for all scenarios together, to the worst scenario alone.
+func (r Results) worstScenarioCriterion(d Deployment) report.Claim {
+	c := report.Claim{Bound: report.AtMost, Limit: maxSkewVsRepack}
 	for _, sc := range Scenarios() {
 		p99 := func(name string) float64 {
-			return report.Summarize(over(r[sc][name], func(f figures) float64 { return f.p99 })).Mean
+			return report.Summarize(figureBySeed(r[sc][name], func(f figures) float64 { return f.p99 })).Mean
 		}
 		if ratio := p99(NamePolicy) / p99(NameRepack); !(ratio <= c.Reached) {
 			c.Reached = ratio
@@ -69,11 +70,11 @@
 	return c
 }
 
-// noiseClaim counts new maps, whether they load weights or only change shares.
-func (r Results) noiseClaim(d Deployment) report.Claim {
+// noiseCriterion limits the new maps in the noise scenario, whether they load weights or only change shares.
+func (r Results) noiseCriterion(d Deployment) report.Claim {
 	switches := 0
 	for _, res := range r[ScenarioNoise][NamePolicy] {
 		switches += res.Switches
 	}
-	return report.Claim{Text: d.Name + ": new maps on noise only", Reached: float64(switches), Bound: report.AtMost, Limit: movesOnNoise}
+	return report.Claim{Text: d.Name + ": new maps on noise only", Reached: float64(switches), Bound: report.AtMost, Limit: maxMapsOnNoise}
 }
--- a/internal/testing/bench/rebalance/loader.go
+++ b/internal/testing/bench/rebalance/loader.go
@@ -10,119 +10,120 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/placement/staging"
 )
 
-// stage loads the weights of changes, step by step.
-type stage struct {
+// weightLoader simulates loading the weights of a change, step by step.
+type weightLoader struct {
 	d      Deployment
 	budget *staging.Budget
 }
 
-func newStage(d Deployment) *stage {
-	return &stage{d, staging.NewBudget(d.Options.MaxBytesPerMinute)}
+func newWeightLoader(d Deployment) *weightLoader {
+	return &weightLoader{d, staging.NewBudget(d.Options.MaxBytesPerMinute)}
 }
 
-// slacks returns how long each rank waits for the slowest in each of the window's sampled steps.
+// slacks returns the time that each rank waits for the slowest rank in each of the window's sampled steps.
 func (s *simulation) slacks(w int) [sampledSteps][]time.Duration {
 	tw := &s.trace.Windows[w]
-	var out [sampledSteps][]time.Duration
+	var perStep [sampledSteps][]time.Duration
 	for i, step := range tw.Steps {
-		out[i] = slack(s.d, rankLoads(s.d.Shape, s.current, step), tw)
+		perStep[i] = slack(s.d, rankLoads(s.d.Shape, s.current, step), tw)
 	}
-	return out
+	return perStep
 }
 
 func slack(d Deployment, loads []float64, tw *TraceWindow) []time.Duration {
-	wait := make([]float64, d.Shape.Ranks)
+	waits := make([]float64, d.Shape.Ranks)
 	for l := range d.Shape.Layers {
 		t := layerTimes(d.Shape, loads, tw.Speed, l)
 		slowest := floats.Max(t)
 		for r := range t {
-			wait[r] += slowest - t[r]
+			waits[r] += slowest - t[r]
 		}
 	}
-	// A step at full load and perfect balance, with all of its layers, has BatchPerRank tokens a rank in each of them.
+	// StepTime is the time of a perfectly balanced step at full load: BatchPerRank tokens per rank in each layer.
 	unit := float64(d.StepTime) / (d.BatchPerRank * float64(d.Shape.Layers))
-	out := make([]time.Duration, len(wait))
-	for r, v := range wait {
+	out := make([]time.Duration, len(waits))
+	for r, v := range waits {
 		out[r] = time.Duration(v * unit)
 	}
 	return out
 }
 
-// staged is what became of the loads of a change.
-type staged struct {
-	// took is how long they took, or until they were given up.
-	took time.Duration
-	// bytes were loaded, and waited steps were made longer by that.
-	bytes  uint64
-	waited int
-	done   bool
+// loadResult is the outcome of loading the weights of a change.
+type loadResult struct {
+	// duration is the time until the loads were complete or aborted.
+	duration time.Duration
+	// bytes counts weights loaded and delayedSteps the steps that loading made longer.
+	bytes        uint64
+	delayedSteps int
+	// complete is set if all weights were loaded. Paced loads are aborted after placement.PlanTimeout.
+	complete bool
 }
 
-// run carries out the loads of a change. The slack of a step is forecast by that of the step before.
-func (s *stage) run(now time.Time, ch *change, slacks [sampledSteps][]time.Duration) staged {
+// run simulates the loads of a change. The slack of the previous step is the forecast for the next one.
+func (l *weightLoader) run(now time.Time, ch *change, slacks [sampledSteps][]time.Duration) loadResult {
 	if ch.paced {
-		return s.paced(now, ch, slacks)
+		return l.paced(now, ch, slacks)
 	}
-	return s.unpaced(ch, slacks)
+	return l.unpaced(ch, slacks)
 }
 
-func (s *stage) paced(now time.Time, ch *change, slacks [sampledSteps][]time.Duration) staged {
+func (l *weightLoader) paced(now time.Time, ch *change, slacks [sampledSteps][]time.Duration) loadResult {
 	var loads []staging.Load
 	for _, mv := range ch.moves {
 		if mv.Op == expert.OpLoad {
-			loads = append(loads, staging.Load{Rank: mv.Rank, Bytes: s.d.ExpertBytes})
+			loads = append(loads, staging.Load{Rank: mv.Rank, Bytes: l.d.ExpertBytes})
 		}
 	}
-	limits := staging.Limits{StoreRate: s.d.StoreRate, CopyRate: s.d.CopyRate}
-	st := staging.New(limits, s.budget, loads)
-	var out staged
-	for i := 0; !st.Done() && out.took < placement.PlanTimeout; i++ {
-		forecast, real := slacks[i%sampledSteps], slacks[(i+1)%sampledSteps]
-		late := false
-		for _, p := range st.Step(now.Add(out.took), forecast) {
-			out.bytes += p.Bytes
-			late = late || s.copyTime(p.Bytes) > real[p.Rank]
+	limits := staging.Limits{StoreRate: l.d.StoreRate, CopyRate: l.d.CopyRate}
+	transfer := staging.New(limits, l.budget, loads)
+	var result loadResult
+	for i := 0; !transfer.Done() && result.duration < placement.PlanTimeout; i++ {
+		forecast, actual := slacks[i%sampledSteps], slacks[(i+1)%sampledSteps]
+		delayed := false
+		for _, p := range transfer.Step(now.Add(result.duration), forecast) {
+			result.bytes += p.Bytes
+			delayed = delayed || l.copyTime(p.Bytes) > actual[p.Rank]
 		}
-		if late {
-			out.waited++
+		if delayed {
+			result.delayedSteps++
 		}
-		out.took += s.d.StepTime
+		result.duration += l.d.StepTime
 	}
-	out.done = st.Done()
-	return out
+	result.complete = transfer.Done()
+	return result
 }
 
-func (s *stage) copyTime(bytes uint64) time.Duration {
-	return time.Duration(float64(bytes) / float64(s.d.CopyRate) * float64(time.Second))
+func (l *weightLoader) copyTime(bytes uint64) time.Duration {
+	return time.Duration(float64(bytes) / float64(l.d.CopyRate) * float64(time.Second))
 }
 
-// unpaced loads at the store's rate, which the ranks that still have something to load share evenly.
-func (s *stage) unpaced(ch *change, slacks [sampledSteps][]time.Duration) staged {
-	left := make([]float64, s.d.Shape.Ranks)
-	out := staged{done: true, bytes: uint64(expert.Loads(ch.moves)) * s.d.ExpertBytes}
+// unpaced loads at the store's rate, which is split evenly between the ranks that still have weights to load.
+func (l *weightLoader) unpaced(ch *change, slacks [sampledSteps][]time.Duration) loadResult {
+	remaining := make([]float64, l.d.Shape.Ranks)
+	result := loadResult{complete: true, bytes: uint64(expert.Loads(ch.moves)) * l.d.ExpertBytes}
 	for _, mv := range ch.moves {
 		if mv.Op == expert.OpLoad {
-			left[mv.Rank] += float64(s.d.ExpertBytes)
+			remaining[mv.Rank] += float64(l.d.ExpertBytes)
 		}
 	}
-	step := float64(s.d.StoreRate) * s.d.StepTime.Seconds()
+	bytesPerStep := float64(l.d.StoreRate) * l.d.StepTime.Seconds()
 	for i := 0; ; i++ {
-		active := floats.Count(func(v float64) bool { return v > 0 }, left)
+		active := floats.Count(func(v float64) bool { return v > 0 }, remaining)
 		if active == 0 {
-			return out
+			return result
 		}
-		late := false
-		for r := range left {
-			if left[r] <= 0 {
+		delayed := false
+		for r := range remaining {
+			if remaining[r] <= 0 {
 				continue
 			}
-			n := step / float64(active)
-			left[r] -= n
-			late = late || s.copyTime(uint64(n)) > slacks[i%sampledSteps][r]
+			n := bytesPerStep / float64(active)
+			remaining[r] -= n
+			delayed = delayed || l.copyTime(uint64(n)) > slacks[i%sampledSteps][r]
 		}
-		if late {
-			out.waited++
+		if delayed {
+			result.delayedSteps++
 		}
-		out.took += s.d.StepTime
+		result.duration += l.d.StepTime
 	}
 }
--- a/internal/testing/bench/rebalance/pieces.go
+++ b/internal/testing/bench/rebalance/pieces.go
@@ -12,83 +12,86 @@
 )
 
 const (
-	// requestTime is how long the weight store takes to answer a request for a piece before bytes come.
-	requestTime = 2 * time.Millisecond
-	// loadingRanks is the number of ranks that share the store while weights are loaded.
+	// requestLatency is the time between a request for a piece and the first byte from the weight store.
+	requestLatency = 2 * time.Millisecond
+	// loadingRanks is the number of ranks that share the store's rate while weights are loaded.
 	loadingRanks = 4
-	// pieceCount is the number of pieces of each partition, so that only their sizes differ.
+	// pieceCount is the number of pieces of each load method that splits the weights, so that only their sizes differ.
 	pieceCount = 16
-	// pieceGrowth is the ratio of neighbouring pieces of a geometric partition.
+	// pieceGrowth is the size ratio of consecutive pieces in a geometric split.
 	pieceGrowth = 1.3
-	// switchTime is what each further switch of the map costs before it is in force: the steps it has to lead by.
+	// switchTime is the delay that each switch of the map adds until it is in force, since it is announced some steps ahead.
 	switchTime = 50 * time.Millisecond
-	// slackTries is the number of ranks and windows whose slack one seed draws.
-	slackTries = 200
+	// slackSamples is the number of simulated loads per seed, each of a random rank with the slack of random windows.
+	slackSamples = 200
 )
 
-// geometric cuts total into n parts, each growth times the one before; 1 makes them equal.
+// geometric splits total into n pieces, each growth times as large as the previous one; growth 1 makes them equal.
 func geometric(total float64, n int, growth float64) []float64 {
 	sum := 0.0
 	for i := range n {
 		sum += math.Pow(growth, float64(i))
 	}
-	parts := make([]float64, n)
-	for i := range parts {
-		parts[i] = total / sum * math.Pow(growth, float64(i))
+	pieces := make([]float64, n)
+	for i := range pieces {
+		pieces[i] = total / sum * math.Pow(growth, float64(i))
 	}
-	return parts
+	return pieces
 }
 
-// pieceRun is what became of one expert's loading.
-type pieceRun struct {
-	// ready is when the expert is whole; waited counts steps that copying made longer, and lost is by how much.
-	ready, waited, lost float64
+// pieceResult is the outcome of loading one expert.
+type pieceResult struct {
+	// ready is the time in seconds until the weights are complete. delayedSteps counts the steps that copying made longer,
+	// and delay is their total extra time in seconds.
+	ready, delayedSteps, delay float64
 }
 
-// loadPieces fetches pieces one after another and copies each, once it is there, whole at the start of a step. While a
-// piece is copied the next one is fetched.
-func loadPieces(d Deployment, pieces []float64, slack func() time.Duration) pieceRun {
+// loadPieces fetches the pieces one after another. Each fetched piece is copied in full at the start of a step, while the
+// next one is being fetched.
+func loadPieces(d Deployment, pieces []float64, slack func() time.Duration) pieceResult {
 	rate := float64(d.StoreRate) / loadingRanks
-	var run pieceRun
+	var result pieceResult
 	fetched, copied := 0.0, 0.0
 	for _, p := range pieces {
-		fetched += requestTime.Seconds() + p/rate
-		at := math.Ceil(max(fetched, copied)/d.StepTime.Seconds()) * d.StepTime.Seconds()
+		fetched += requestLatency.Seconds() + p/rate
+		start := math.Ceil(max(fetched, copied)/d.StepTime.Seconds()) * d.StepTime.Seconds()
 		copying := p / float64(d.CopyRate)
-		copied = at + copying
-		if over := copying - slack().Seconds(); over > 0 {
-			run.waited++
-			run.lost += over
+		copied = start + copying
+		if excess := copying - slack().Seconds(); excess > 0 {
+			result.delayedSteps++
+			result.delay += excess
 		}
 	}
-	run.ready = copied
-	return run
+	result.ready = copied
+	return result
 }
 
-// loadBySlack copies in each step what half of its slack takes, as package staging does, from one stream of the store.
-func loadBySlack(d Deployment, slack func() time.Duration) pieceRun {
+// loadBySlack reads one continuous stream from the store and copies, in each step, as many bytes as fit in half of the
+// previous step's slack, as package staging does.
+func loadBySlack(d Deployment, slack func() time.Duration) pieceResult {
 	rate := float64(d.StoreRate) / loadingRanks
-	var run pieceRun
-	now, copied := requestTime.Seconds(), 0.0
+	var result pieceResult
+	now, copied := requestLatency.Seconds(), 0.0
 	forecast := slack()
 	for copied < float64(d.ExpertBytes) && now < placement.PlanTimeout.Seconds() {
 		now += d.StepTime.Seconds()
-		real := slack()
-		there := min(float64(d.ExpertBytes), rate*(now-requestTime.Seconds()))
-		n := min(there-copied, max(0, forecast.Seconds()/2*float64(d.CopyRate)))
+		actual := slack()
+		available := min(float64(d.ExpertBytes), rate*(now-requestLatency.Seconds()))
+		n := min(available-copied, max(0, forecast.Seconds()/2*float64(d.CopyRate)))
 		copied += n
-		if over := n/float64(d.CopyRate) - real.Seconds(); over > 0 {
-			run.waited++
-			run.lost += over
+		if excess := n/float64(d.CopyRate) - actual.Seconds(); excess > 0 {
+			result.delayedSteps++
+			result.delay += excess
 		}
-		forecast = real
+		forecast = actual
 	}
-	run.ready = now
-	return run
+	result.ready = now
+	return result
 }
 
-// slackDraws returns the slack of one rank in steps of a steady day on the first map.
-func slackDraws(d Deployment, seed uint64) (func(rng *rand.Rand) func() time.Duration, error) {
+// slackSampler returns a function that picks a random rank and returns a source of its slack in random steps of the
+// steady scenario on the first map.
+func slackSampler(d Deployment, seed uint64) (func(rng *rand.Rand) func() time.Duration, error) {
 	t := NewTrace(d, ScenarioSteady, seed, time.Hour)
 	s, err := newSimulation(d, t, static{})
 	if err != nil {
@@ -103,19 +106,19 @@
 	}, nil
 }
 
-// partition is one way to load an expert.
-type partition struct {
+// loadMethod is a method of loading one expert's weights.
+type loadMethod struct {
 	name string
-	load func(d Deployment, slack func() time.Duration) pieceRun
+	load func(d Deployment, slack func() time.Duration) pieceResult
 }
 
-func partitions() []partition {
-	inPieces := func(n int, growth float64) func(Deployment, func() time.Duration) pieceRun {
-		return func(d Deployment, slack func() time.Duration) pieceRun {
+func loadMethods() []loadMethod {
+	inPieces := func(n int, growth float64) func(Deployment, func() time.Duration) pieceResult {
+		return func(d Deployment, slack func() time.Duration) pieceResult {
 			return loadPieces(d, geometric(float64(d.ExpertBytes), n, growth), slack)
 		}
 	}
-	return []partition{
+	return []loadMethod{
 		{"whole", inPieces(1, 1)},
 		{"equal", inPieces(pieceCount, 1)},
 		{"geometric, growing", inPieces(pieceCount, pieceGrowth)},
@@ -124,63 +127,63 @@
 	}
 }
 
-// PiecesTable compares ways to cut one expert's weights into pieces; mean and spread over seeds.
+// PiecesTable compares methods of splitting one expert's weights into pieces, with mean and spread over seeds.
 func PiecesTable(s Settings) (report.Table, error) {
 	t := report.Table{
 		Title:   fmt.Sprintf("pieces of one expert's weights, %s, %d pieces, growth %.1f", s.Deployment.Name, pieceCount, pieceGrowth),
 		Columns: []string{"pieces", "ready after ms", "steps that waited", "ms waited"},
 	}
-	for _, p := range partitions() {
-		var ready, waited, lost []float64
+	for _, method := range loadMethods() {
+		var ready, delayedSteps, delay []float64
 		for i := range s.Seeds {
-			draws, err := slackDraws(s.Deployment, s.Seed+uint64(i))
+			sampler, err := slackSampler(s.Deployment, s.Seed+uint64(i))
 			if err != nil {
 				return t, err
 			}
 			rng := rand.New(rand.NewPCG(s.Seed+uint64(i), 0))
-			var sum pieceRun
-			for range slackTries {
-				run := p.load(s.Deployment, draws(rng))
-				sum.ready += run.ready / slackTries
-				sum.waited += run.waited / slackTries
-				sum.lost += run.lost / slackTries
+			var sum pieceResult
+			for range slackSamples {
+				run := method.load(s.Deployment, sampler(rng))
+				sum.ready += run.ready / slackSamples
+				sum.delayedSteps += run.delayedSteps / slackSamples
+				sum.delay += run.delay / slackSamples
 			}
-			ready, waited, lost = append(ready, 1e3*sum.ready), append(waited, sum.waited), append(lost, 1e3*sum.lost)
+			ready, delayedSteps, delay = append(ready, 1e3*sum.ready), append(delayedSteps, sum.delayedSteps), append(delay, 1e3*sum.delay)
 		}
-		t.Add(p.name, report.Summarize(ready), report.Summarize(waited), report.Summarize(lost))
+		t.Add(method.name, report.Summarize(ready), report.Summarize(delayedSteps), report.Summarize(delay))
 	}
 	return t, nil
 }
 
-// BatchTable compares ways to spread one plan's loads over several switches of the map. What counts is the skew that is
-// still suffered until the last one, in thousandths of a second of a balanced step.
+// BatchTable compares schemes that spread one plan's loads over several switches of the map. Its measure is the skew
+// above the plan's final skew, integrated over the milliseconds until the last switch.
 func BatchTable(s Settings) (report.Table, error) {
 	t := report.Table{
 		Title:   "switches of one plan after a shift of the mix, " + s.Deployment.Name,
 		Columns: []string{"batches", "loads", "skew·ms until all in force", "ms until the first", "ms until all"},
 	}
-	ways := []struct {
+	schemes := []struct {
 		name   string
 		n      int
 		growth float64
 	}{{"one", 1, 1}, {"2 equal", 2, 1}, {"2 growing", 2, 2}, {"4 equal", 4, 1}, {"4 growing", 4, 2}, {"4 shrinking", 4, 0.5}}
-	for _, way := range ways {
+	for _, scheme := range schemes {
 		var loads, cost, first, last []float64
 		for i := range s.Seeds {
 			curve, err := gainCurve(s.Deployment, s.Seed+uint64(i))
 			if err != nil {
 				return t, err
 			}
-			c, f, l := batchCost(s.Deployment, curve, geometric(float64(len(curve)-1), way.n, way.growth))
+			c, f, l := batchCost(s.Deployment, curve, geometric(float64(len(curve)-1), scheme.n, scheme.growth))
 			loads, cost = append(loads, float64(len(curve)-1)), append(cost, c)
 			first, last = append(first, f), append(last, l)
 		}
-		t.Add(way.name, report.Summarize(loads), report.Summarize(cost), report.Summarize(first), report.Summarize(last))
+		t.Add(scheme.name, report.Summarize(loads), report.Summarize(cost), report.Summarize(first), report.Summarize(last))
 	}
 	return t, nil
 }
 
-// gainCurve returns the skew after the first k loads of the plan that answers the mix shift, for each k.
+// gainCurve returns, for each k, the skew after the first k loads of the plan for the popularity after a mix shift.
 func gainCurve(d Deployment, seed uint64) ([]float64, error) {
 	t := NewTrace(d, ScenarioShift, seed, 2*time.Hour)
 	s, err := newSimulation(d, t, static{})
@@ -194,39 +197,39 @@
 		}
 	}
 	normalizeLayers(d.Shape, pop)
-	even := t.Windows[0].Speed
+	healthySpeeds := t.Windows[0].Speed
 	var curve []float64
 	for k := 0; ; k++ {
-		o := d.Options
-		o.MaxBytesPerMinute = (uint64(k)*d.ExpertBytes + 2) / 3
-		better, err := placement.Improve(d.group(), o, s.current, pop, even)
+		options := d.Options
+		options.MaxBytesPerMinute = (uint64(k)*d.ExpertBytes + 2) / 3
+		plan, err := placement.Improve(d.group(), options, s.current, pop, healthySpeeds)
 		if err != nil {
 			return nil, fmt.Errorf("first %d loads: %w", k, err)
 		}
-		if expert.Loads(better.Moves) < k {
+		if expert.Loads(plan.Moves) < k {
 			return curve, nil
 		}
-		curve = append(curve, better.After)
+		curve = append(curve, plan.After)
 	}
 }
 
-// batchCost returns the skew suffered until the last batch is in force, over the final skew, and when the first and the
-// last one are, in ms. A batch is in force once its loads are there and its switch is done; shares of existing replicas
-// go with the first.
+// batchCost returns the skew above the final skew, integrated over the time in ms until the last batch is in force, and
+// the times in ms at which the first and the last batch are in force. A batch is in force when its loads and its switch
+// are complete. New shares of existing replicas take effect with the first batch.
 func batchCost(d Deployment, curve, sizes []float64) (cost, first, last float64) {
 	perLoad := 1e3 * float64(d.ExpertBytes) / float64(d.StoreRate)
-	done, loaded := 0.0, 0.0
+	previous, loaded := 0.0, 0.0
 	final := curve[len(curve)-1]
-	now := curve[0]
+	skew := curve[0]
 	for i, size := range sizes {
 		loaded += size
-		at := perLoad*loaded + float64(i+1)*float64(switchTime.Milliseconds())
-		cost += (now - final) * (at - done)
-		done = at
-		now = curve[int(math.Round(loaded))]
+		inForce := perLoad*loaded + float64(i+1)*float64(switchTime.Milliseconds())
+		cost += (skew - final) * (inForce - previous)
+		previous = inForce
+		skew = curve[int(math.Round(loaded))]
 		if i == 0 {
-			first = at
+			first = inForce
 		}
 	}
-	return cost, first, done
+	return cost, first, previous
 }
--- a/internal/testing/bench/rebalance/run.go
+++ b/internal/testing/bench/rebalance/run.go
@@ -13,62 +13,64 @@
 )
 
 const (
-	// decidePeriod is how often, in windows, every contender decides.
-	decidePeriod = 5
+	// decisionInterval is the interval between a contender's decisions, in windows.
+	decisionInterval = 5
 	// speedNoise is the relative error of a rank's busy time in one window.
 	speedNoise = 0.02
-	// stepsPerWindow numbers the steps in reports.
+	// stepsPerWindow is the number of steps that a report covers.
 	stepsPerWindow = 10000
 )
 
-// start is the time of a trace's first window; only differences matter.
+// start is the time of a trace's first window; only times relative to it matter.
 var start = time.Unix(1_800_000_000, 0)
 
-// Result is what one contender reached on one trace.
+// Result is the result of one contender on one trace.
 type Result struct {
-	// Skew holds the slowest rank's time over the mean in each sampled step.
+	// Skew holds, for each sampled step, the ratio of the slowest rank's time to the mean.
 	Skew []float64
-	// Bytes counts weights loaded, Loads the experts loaded and Switches the new maps.
+	// Bytes counts the bytes of weights loaded, Loads the experts loaded and Switches the new maps.
 	Bytes           uint64
 	Loads, Switches int
-	// GivenUp counts plans whose weights could not be loaded in time.
-	GivenUp int
-	// Waited counts steps that loading made longer.
-	Waited int
+	// AbortedPlans counts plans whose weights were not loaded within placement.PlanTimeout.
+	AbortedPlans int
+	// DelayedSteps counts steps that loading made longer.
+	DelayedSteps int
 }
 
-// simulation is one contender on one trace.
+// simulation runs one contender on one trace.
 type simulation struct {
-	d       Deployment
-	trace   *Trace
-	c       contender
-	rng     *rand.Rand
-	current *expert.Map
-	pending *change
-	// due is the window from which the pending map, if its weights could be loaded, is in force.
-	due     int
-	mail    map[int][]placement.Report
-	staging *stage
-	result  Result
-}
-
-// newSimulation starts a contender on the map of the day before.
+	d         Deployment
+	trace     *Trace
+	contender contender
+	rng       *rand.Rand
+	current   *expert.Map
+	pending   *change
+	// dueWindow is the window in which the loads of the last plan end. The pending map, if any, is in force from then on,
+	// and the contender decides again.
+	dueWindow int
+	// inbox holds the reports by the window in which they arrive.
+	inbox  map[int][]placement.Report
+	loader *weightLoader
+	result Result
+}
+
+// newSimulation starts a contender on a map packed for the popularity of the previous day.
 func newSimulation(d Deployment, t *Trace, c contender) (*simulation, error) {
-	even := make([]float64, d.Shape.Ranks)
-	floats.AddConst(1, even)
-	first, err := placement.Pack(d.group(), d.MapSlotsPerRank, t.Before, even, 1)
+	equalSpeeds := make([]float64, d.Shape.Ranks)
+	floats.AddConst(1, equalSpeeds)
+	first, err := placement.Pack(d.group(), d.MapSlotsPerRank, t.PriorPopularity, equalSpeeds, 1)
 	if err != nil {
 		return nil, fmt.Errorf("pack the first map: %w", err)
 	}
 	return &simulation{
-		d: d, trace: t, c: c, current: first,
-		rng:     rand.New(rand.NewPCG(t.Seed, scenarioStream(t.Scenario)+100)),
-		mail:    map[int][]placement.Report{},
-		staging: newStage(d),
+		d: d, trace: t, contender: c, current: first,
+		rng:    rand.New(rand.NewPCG(t.Seed, scenarioStream(t.Scenario)+100)),
+		inbox:  map[int][]placement.Report{},
+		loader: newWeightLoader(d),
 	}, nil
 }
 
-// Run drives a contender through a trace from the map of the day before.
+// Run simulates the named contender on a trace, starting from the map of the previous day.
 func Run(d Deployment, t *Trace, name string) (Result, error) {
 	s, err := newSimulation(d, t, newContender(name, d))
 	if err != nil {
@@ -84,16 +86,16 @@
 
 func (s *simulation) window(w int) error {
 	now := start.Add(time.Duration(w) * Window)
-	for _, r := range s.mail[w] {
-		if err := s.c.observe(now, r); err != nil {
+	for _, r := range s.inbox[w] {
+		if err := s.contender.observe(now, r); err != nil {
 			return fmt.Errorf("window %d: %w", w, err)
 		}
 	}
-	delete(s.mail, w)
-	if s.pending != nil && w >= s.due {
+	delete(s.inbox, w)
+	if s.pending != nil && w >= s.dueWindow {
 		s.current, s.pending = s.pending.next, nil
 	}
-	if w >= s.due && w%decidePeriod == 0 {
+	if w >= s.dueWindow && w%decisionInterval == 0 {
 		if err := s.decide(now, w); err != nil {
 			return err
 		}
@@ -103,25 +105,25 @@
 }
 
 func (s *simulation) decide(now time.Time, w int) error {
-	ch, err := s.c.decide(now, s.current)
-	if err != nil || ch == nil {
+	next, err := s.contender.decide(now, s.current)
+	if err != nil || next == nil {
 		return err
 	}
-	st := s.staging.run(now, ch, s.slacks(w))
-	s.result.Bytes += st.bytes
-	s.result.Waited += st.waited
-	s.due = w + 1 + int(st.took/Window)
-	if !st.done {
-		s.result.GivenUp++
+	loaded := s.loader.run(now, next, s.slacks(w))
+	s.result.Bytes += loaded.bytes
+	s.result.DelayedSteps += loaded.delayedSteps
+	s.dueWindow = w + 1 + int(loaded.duration/Window)
+	if !loaded.complete {
+		s.result.AbortedPlans++
 		return nil
 	}
 	s.result.Switches++
-	s.result.Loads += expert.Loads(ch.moves)
-	s.pending = ch
+	s.result.Loads += expert.Loads(next.moves)
+	s.pending = next
 	return nil
 }
 
-// measure takes the skew of the window's sampled steps and sends the ranks' reports of the window.
+// measure records the skew of the window's sampled steps and sends the ranks' reports.
 func (s *simulation) measure(w int) {
 	tw := &s.trace.Windows[w]
 	var loads []float64
@@ -153,10 +155,11 @@
 	if delay == Lost {
 		return
 	}
-	s.mail[w+1+delay] = append(s.mail[w+1+delay], r)
+	s.inbox[w+1+delay] = append(s.inbox[w+1+delay], r)
 }
 
-// delay returns by how many windows the rank's report is late; ranks whose turn it is not are in time.
+// delay returns the number of windows by which the rank's report is late, or Lost. Ranks that send no token counts in
+// this window report on time.
 func (t *Trace) delay(w, rank int) int {
 	for _, r := range t.Windows[w].Reports {
 		if r.Rank == rank {
@@ -166,7 +169,7 @@
 	return 0
 }
 
-// tokens returns the rank's token counts, or nil if it was not its turn.
+// tokens returns the rank's token counts, or nil if the rank sends none in this window.
 func (tw *TraceWindow) tokens(rank int) []uint32 {
 	for _, r := range tw.Reports {
 		if r.Rank == rank {
@@ -176,7 +179,7 @@
 	return nil
 }
 
-// rankLoads returns the tokens that each rank takes in each layer.
+// rankLoads returns the number of tokens that each rank processes in each layer.
 func rankLoads(shape expert.Shape, m *expert.Map, cells []float64) []float64 {
 	loads := make([]float64, shape.Layers*shape.Ranks)
 	for c, n := range cells {
@@ -188,7 +191,7 @@
 	return loads
 }
 
-// stepSkew returns the slowest rank's time over the mean, where ranks meet in each layer.
+// stepSkew returns the ratio of the slowest rank's time to the mean, where ranks synchronize after each layer.
 func stepSkew(shape expert.Shape, loads, speed []float64) float64 {
 	slowest, mean := 0.0, 0.0
 	for l := range shape.Layers {
@@ -207,8 +210,8 @@
 	return t
 }
 
-// Bound returns the skew of steps whose expected load is perfectly balanced: what remains is the chance by which each
-// rank's tokens differ in one step, and no map that is fixed before the step removes it.
+// Bound returns the skew of steps whose expected load is perfectly balanced. The remaining skew is the random difference
+// between the ranks' tokens in one step, which no map chosen before the step can remove.
 func Bound(d Deployment, t *Trace) Result {
 	rng := rand.New(rand.NewPCG(t.Seed, scenarioStream(t.Scenario)+200))
 	g := &generator{d: d, rng: rng}
@@ -227,9 +230,9 @@
 	return res
 }
 
-// figures are what the tables show of one result.
+// figures are the columns of the tables for one result.
 type figures struct {
-	p50, p99, mean, gigabytes, loads, switches, waited float64
+	p50, p99, mean, gigabytes, loads, switches, delayedSteps float64
 }
 
 func (r Result) figures() figures {
@@ -237,6 +240,6 @@
 		p50: report.Quantile(0.5, r.Skew), p99: report.Quantile(0.99, r.Skew),
 		mean:      floats.Sum(r.Skew) / float64(len(r.Skew)),
 		gigabytes: float64(r.Bytes) / 1e9, loads: float64(r.Loads),
-		switches: float64(r.Switches), waited: float64(r.Waited),
+		switches: float64(r.Switches), delayedSteps: float64(r.DelayedSteps),
 	}
 }
--- a/internal/testing/bench/rebalance/trace.go
+++ b/internal/testing/bench/rebalance/trace.go
@@ -12,65 +12,69 @@
 )
 
 const (
-	// reportingRanks is how many ranks send their token counts in one window, in turns; see docs/design/rebalancing.md.
+	// reportingRanks is the number of ranks that send token counts in a window. Ranks take turns; see
+	// docs/design/rebalancing.md.
 	reportingRanks = 4
-	// sampledSteps is how many steps of each window are measured.
+	// sampledSteps is the number of measured steps per window.
 	sampledSteps = 2
+	// Shares of the reports that are lost, or arrive one or two windows late.
 	lostPercent  = 5
 	late1Percent = 20
 	late2Percent = 5
 	// Lost marks a report that never arrives.
 	Lost = -1
 
+	// stragglerSpeed is the speed of the slow rank in ScenarioStraggler; 1 is healthy.
 	stragglerSpeed = 0.65
-	shiftWeight    = 2.5
-	peakWeight     = 1.2
-	rareWeight     = -2.0
-	// manyTokens is the mean from which a Poisson count is drawn as a rounded normal value.
-	manyTokens = 50
+	// Logarithms of topic weights: the weights added at the shift and at the dawn peak, and the base weight of the rare topic.
+	shiftWeight = 2.5
+	peakWeight  = 1.2
+	rareWeight  = -2.0
+	// normalApproxMean is the mean from which a Poisson count is approximated by a rounded normal value.
+	normalApproxMean = 50
 )
 
-// Tokens is one rank's count of the tokens that it sent to each expert in a window.
-type Tokens struct {
+// TokenReport holds one rank's counts of the tokens that it sent to each expert in a window.
+type TokenReport struct {
 	Rank int
 	// Delay is the number of windows by which the report is late, or Lost.
 	Delay  int
 	Counts []uint32
 }
 
-// TraceWindow is what happens in one window.
+// TraceWindow is one window of a trace.
 type TraceWindow struct {
-	// Load is the share of full load, 0 to 1.
+	// Load is the load as a share of full load, 0 to 1.
 	Load float64
-	// Speed is the speed of each rank; 1 is healthy.
+	// Speed holds the speed of each rank; 1 is healthy.
 	Speed []float64
 	// Steps holds the tokens of each cell in each sampled step.
 	Steps [sampledSteps][]float64
-	// Reports are the token counts that ranks send of this window.
-	Reports []Tokens
+	// Reports holds the token counts that ranks send for this window.
+	Reports []TokenReport
 }
 
-// Trace is what a group meets from the first window to the last.
+// Trace is the simulated input of a group: load, rank speeds, tokens and reports for each window.
 type Trace struct {
 	Scenario Scenario
 	Seed     uint64
-	// Before is the expected popularity of each cell over the day before; it sums to 1 in each layer.
-	Before  []float64
-	Windows []TraceWindow
+	// PriorPopularity is the expected popularity of each cell over the previous day; each layer sums to 1.
+	PriorPopularity []float64
+	Windows         []TraceWindow
 }
 
-// generator holds the state of a trace that is being made.
+// generator holds the state of trace generation.
 type generator struct {
 	d        Deployment
 	scenario Scenario
 	rng      *rand.Rand
 	topics   *topics
-	// onset and end bound the event of a scenario, in windows.
+	// onset and end are the first window of the scenario's event and the first window after it.
 	onset, end int
 	slowRank   int
 }
 
-// NewTrace makes the trace of a scenario; equal arguments give equal traces.
+// NewTrace generates the trace of a scenario; equal arguments give equal traces.
 func NewTrace(d Deployment, sc Scenario, seed uint64, length time.Duration) *Trace {
 	n := int(length / Window)
 	rng := rand.New(rand.NewPCG(seed, scenarioStream(sc)))
@@ -81,7 +85,7 @@
 		g.onset, g.end = n/2, n
 	}
 	g.slowRank = rng.IntN(d.Shape.Ranks)
-	t := &Trace{Scenario: sc, Seed: seed, Before: g.before()}
+	t := &Trace{Scenario: sc, Seed: seed, PriorPopularity: g.priorPopularity()}
 	for w := range n {
 		t.Windows = append(t.Windows, g.window(w))
 	}
@@ -97,13 +101,13 @@
 	return math.MaxUint64
 }
 
-// before sums the tokens of a usual day, without this day's event, slow changes and noise.
-func (g *generator) before() []float64 {
+// priorPopularity returns the popularity over a baseline day, without the scenario's event, drift and noise.
+func (g *generator) priorPopularity() []float64 {
 	sum := make([]float64, g.d.Shape.Cells())
-	const perDay = int(24 * time.Hour / Window)
-	for w := 0; w < perDay; w += 10 {
+	const windowsPerDay = int(24 * time.Hour / Window)
+	for w := 0; w < windowsPerDay; w += 10 {
 		hour := hourOf(w)
-		floats.AddScaled(sum, g.load(hour), g.topics.popularity(g.topics.usualMix(hour)))
+		floats.AddScaled(sum, g.load(hour), g.topics.popularity(g.topics.baselineMix(hour)))
 	}
 	normalizeLayers(g.d.Shape, sum)
 	return sum
@@ -136,7 +140,7 @@
 		reporting[(first+i)%g.d.Shape.Ranks] = true
 	}
 	for rank := range g.d.Shape.Ranks {
-		pop := g.topics.popularity(g.requests(mix, tw.Load))
+		pop := g.topics.popularity(g.requestMix(mix, tw.Load))
 		floats.Add(total, pop)
 		if reporting[rank] {
 			tw.Reports = append(tw.Reports, g.report(rank, pop, tw.Load))
@@ -164,19 +168,19 @@
 	return speed
 }
 
-// requests draws the mix of the requests that one rank happens to serve.
-func (g *generator) requests(mix []float64, load float64) []float64 {
-	got := make([]float64, len(mix))
+// requestMix generates the random mix of topics in the requests that one rank serves.
+func (g *generator) requestMix(mix []float64, load float64) []float64 {
+	sampled := make([]float64, len(mix))
 	for k, p := range mix {
-		got[k] = distuv.Gamma{Alpha: p*g.d.RequestsPerRank*load + 1e-3, Beta: 1, Src: g.rng}.Rand()
+		sampled[k] = distuv.Gamma{Alpha: p*g.d.RequestsPerRank*load + 1e-3, Beta: 1, Src: g.rng}.Rand()
 	}
-	floats.Scale(1/floats.Sum(got), got)
-	return got
+	floats.Scale(1/floats.Sum(sampled), sampled)
+	return sampled
 }
 
-func (g *generator) report(rank int, pop []float64, load float64) Tokens {
+func (g *generator) report(rank int, pop []float64, load float64) TokenReport {
 	steps := float64(Window) / float64(g.d.StepTime)
-	t := Tokens{Rank: rank, Counts: make([]uint32, len(pop))}
+	t := TokenReport{Rank: rank, Counts: make([]uint32, len(pop))}
 	for c, p := range pop {
 		t.Counts[c] = uint32(g.poisson(p * g.d.BatchPerRank * load * steps))
 	}
@@ -192,13 +196,13 @@
 }
 
 func (g *generator) poisson(mean float64) float64 {
-	if mean < manyTokens {
+	if mean < normalApproxMean {
 		return distuv.Poisson{Lambda: mean + 1e-9, Src: g.rng}.Rand()
 	}
 	return math.Max(0, math.Round(mean+math.Sqrt(mean)*g.rng.NormFloat64()))
 }
 
-// normalizeLayers scales cells so that each layer sums to 1.
+// normalizeLayers scales cells in place so that each layer sums to 1.
 func normalizeLayers(shape expert.Shape, cells []float64) {
 	for l := range shape.Layers {
 		layer := cells[l*shape.Experts : (l+1)*shape.Experts]
--- a/internal/testing/bench/rebalance/trace_test.go
+++ b/internal/testing/bench/rebalance/trace_test.go
@@ -16,7 +16,7 @@
 	if diff := cmp.Diff(a, NewTrace(d, ScenarioDawn, 1, 20*time.Minute)); diff != "" {
 		t.Error("equal seeds give different traces")
 	}
-	if cmp.Equal(a.Before, NewTrace(d, ScenarioDawn, 2, 20*time.Minute).Before) {
+	if cmp.Equal(a.PriorPopularity, NewTrace(d, ScenarioDawn, 2, 20*time.Minute).PriorPopularity) {
 		t.Error("different seeds give equal traces")
 	}
 }
@@ -26,7 +26,7 @@
 	tr := NewTrace(d, ScenarioSteady, 1, 10*time.Minute)
 	n := d.Shape.Experts
 	for l := range d.Shape.Layers {
-		layer := tr.Before[l*n : (l+1)*n]
+		layer := tr.PriorPopularity[l*n : (l+1)*n]
 		if math.Abs(floats.Sum(layer)-1) > 1e-9 {
 			t.Errorf("layer %d sums to %v", l, floats.Sum(layer))
 		}
@@ -34,14 +34,14 @@
 			t.Errorf("layer %d: the hottest expert has %.1f times the mean", l, hottest)
 		}
 	}
-	if c := stat.Correlation(tr.Before[:n], tr.Before[n:2*n], nil); c < 0.2 || c > 0.95 {
+	if c := stat.Correlation(tr.PriorPopularity[:n], tr.PriorPopularity[n:2*n], nil); c < 0.2 || c > 0.95 {
 		t.Errorf("correlation of neighbouring layers is %.2f", c)
 	}
 }
 
-// total returns the sampled tokens of each cell over windows from to to.
-func total(tr *Trace, from, to int) []float64 {
-	sum := make([]float64, len(tr.Before))
+// tokenShares returns each cell's share of the sampled tokens in windows [from, to).
+func tokenShares(tr *Trace, from, to int) []float64 {
+	sum := make([]float64, len(tr.PriorPopularity))
 	for _, w := range tr.Windows[from:to] {
 		for _, step := range w.Steps {
 			floats.Add(sum, step)
@@ -51,19 +51,19 @@
 	return sum
 }
 
-func TestOnlyDriftingScenariosDrift(t *testing.T) {
+func TestOnlyNoiseScenarioHasNoDrift(t *testing.T) {
 	d := Deployments()[0]
 	for _, sc := range Scenarios() {
 		tr := NewTrace(d, sc, 3, 8*time.Hour)
 		n := len(tr.Windows)
-		moved := floats.Distance(total(tr, 0, n/4), total(tr, 3*n/4, n), 1) / 2
-		if still := sc == ScenarioNoise; still != (moved < 0.02) {
+		moved := floats.Distance(tokenShares(tr, 0, n/4), tokenShares(tr, 3*n/4, n), 1) / 2
+		if constant := sc == ScenarioNoise; constant != (moved < 0.02) {
 			t.Errorf("%s: %.3f of the tokens changed their expert", sc, moved)
 		}
 	}
 }
 
-func TestStragglerIsOneRankForHalfTheTime(t *testing.T) {
+func TestStragglerSlowsOneRankForHalfTheTrace(t *testing.T) {
 	d := Deployments()[0]
 	tr := NewTrace(d, ScenarioStraggler, 1, 4*time.Hour)
 	slow := 0
--- a/internal/testing/bench/report/report_test.go
+++ b/internal/testing/bench/report/report_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestClaims(t *testing.T) {
+func TestCriteria(t *testing.T) {
 	tests := []struct {
 		claim report.Claim
 		ok    bool
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestPlotsAreSVGWithTheirLabels(t *testing.T) {
+func TestPlotsAreSVGWithLegend(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "new")
 	labels := report.Labels{Title: "skew over time", X: "hour", Y: "skew"}
 	line := filepath.Join(dir, "line.svg")
--- a/internal/testing/bench/slopes/digests.go
+++ b/internal/testing/bench/slopes/digests.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// datagramHeader is what IP and UDP add to a digest.
-	datagramHeader = 28
-	incarnation    = "01k9zq3v5c8d7e6f4g2h1j0k" // as long as those of ids.NewIncarnation
+	// datagramHeaderBytes is what IP and UDP add to a digest.
+	datagramHeaderBytes = 28
+	incarnation         = "01k9zq3v5c8d7e6f4g2h1j0k" // as long as those of ids.NewIncarnation
 
 	exchangeStep   = 100 * time.Millisecond
 	exchangeWarmup = 60 * time.Second
 	exchangeSpan   = 20 * time.Second
 )
 
-// begin is the virtual time at which exchanges start; only differences matter.
-var begin = time.Unix(1_800_000_000, 0)
+// virtualStart is the virtual time at which exchanges start; only differences matter.
+var virtualStart = time.Unix(1_800_000_000, 0)
 
 // digestNode is one node of the exchange of digests.
 type digestNode struct {
-	id    membership.Identity
-	table *membership.MemberList
+	id      membership.Identity
+	members *membership.MemberList
 	// sent and received count messages and their bytes in the measured span.
 	sent, received, sentBytes, receivedBytes float64
 	sequence                                 uint64
@@ -51,8 +51,8 @@
 	return all
 }
 
-// digestOf is a digest as the processes fill it in.
-func digestOf(id membership.Identity, sequence uint64) *cardamomyokev1.Digest {
+// newDigest is a digest as the processes fill it in.
+func newDigest(id membership.Identity, sequence uint64) *cardamomyokev1.Digest {
 	d := &cardamomyokev1.Digest{
 		Node: string(id.Name), Incarnation: incarnation, Sequence: sequence, Role: id.Role,
 		State: cardamomyokev1.NodeState_NODE_STATE_LIVE, DataCentre: string(id.DataCentre),
@@ -68,23 +68,23 @@
 	return d
 }
 
-// exchange lets all nodes tell each other, on a virtual clock, until what is known is settled, and counts after that.
-func exchange(entries int) []*digestNode {
+// exchangeDigests lets all nodes tell each other, on a virtual clock, until what is known is settled, and counts after that.
+func exchangeDigests(entries int) []*digestNode {
 	list := identities(entries)
 	nodes := make([]*digestNode, len(list))
 	at := map[string]*digestNode{}
 	for i, id := range list {
-		nodes[i] = &digestNode{id: id, table: membership.New(id, membership.Defaults(), begin)}
-		nodes[i].table.SetRoster(list, begin)
+		nodes[i] = &digestNode{id: id, members: membership.New(id, membership.Defaults(), virtualStart)}
+		nodes[i].members.SetRoster(list, virtualStart)
 		at[id.Digests] = nodes[i]
 	}
 	due := make([][]membership.Target, len(nodes))
 	for step := 0; time.Duration(step)*exchangeStep < exchangeWarmup+exchangeSpan; step++ {
-		now := begin.Add(time.Duration(step) * exchangeStep)
+		now := virtualStart.Add(time.Duration(step) * exchangeStep)
 		counted := time.Duration(step)*exchangeStep >= exchangeWarmup
 		advance(nodes, due, step, now)
 		for i, n := range nodes {
-			n.tell(at, due[i], now, counted)
+			n.sendDigest(at, due[i], now, counted)
 		}
 	}
 	return nodes
@@ -99,24 +99,24 @@
 			for i := w; i < len(nodes); i += workers {
 				// Less than a second apart, else a table takes the time between two ticks for a pause of its process.
 				if (step+i)%5 == 0 {
-					nodes[i].table.Tick(now)
+					nodes[i].members.Tick(now)
 				}
-				due[i] = nodes[i].table.DueTargets(nil, now, false)
+				due[i] = nodes[i].members.DueTargets(nil, now, false)
 			}
 		})
 	}
 	wait.Wait()
 }
 
-func (n *digestNode) tell(at map[string]*digestNode, due []membership.Target, now time.Time, counted bool) {
+func (n *digestNode) sendDigest(at map[string]*digestNode, due []membership.Target, now time.Time, counted bool) {
 	if len(due) == 0 {
 		return
 	}
 	n.sequence++
-	d := digestOf(n.id, n.sequence)
-	size := float64(proto.Size(d) + datagramHeader)
+	d := newDigest(n.id, n.sequence)
+	size := float64(proto.Size(d) + datagramHeaderBytes)
 	for _, to := range due {
-		at[to.Address].table.Receive(d, now)
+		at[to.Address].members.Receive(d, now)
 		if counted {
 			n.sent++
 			n.sentBytes += size
@@ -128,8 +128,8 @@
 
 // exchangeFigures condenses one exchange.
 func exchangeFigures(entries int) ([]float64, error) {
-	nodes := exchange(entries)
-	end := begin.Add(exchangeWarmup + exchangeSpan)
+	nodes := exchangeDigests(entries)
+	end := virtualStart.Add(exchangeWarmup + exchangeSpan)
 	var f struct{ slotOut, slotIn, entryOut, entryIn, entryMost, heard, stale, others float64 }
 	slots := float64(len(nodes) - entries)
 	seconds := exchangeSpan.Seconds()
@@ -142,19 +142,19 @@
 		f.entryOut += n.sentBytes / seconds / float64(entries)
 		f.entryIn += n.receivedBytes / seconds / float64(entries)
 		f.entryMost = max(f.entryMost, (n.sentBytes+n.receivedBytes)/seconds)
-		heard, stale := n.slotsKnown(end)
+		heard, stale := n.countSlots(end)
 		f.heard += heard / float64(entries)
 		f.stale += stale / float64(entries)
-		f.others += float64(n.table.Entries()) / float64(entries)
+		f.others += float64(n.members.Entries()) / float64(entries)
 	}
 	return []float64{f.slotOut, f.slotIn, f.entryOut, f.entryIn, f.entryMost, f.heard, f.stale, f.others}, nil
 }
 
-// slotsKnown counts the slots that an entry routes to: those heard within three seconds, and those heard once that it
+// countSlots counts the slots that an entry routes to: those heard within three seconds, and those heard once that it
 // has not given up yet.
-func (n *digestNode) slotsKnown(now time.Time) (fresh, stale float64) {
+func (n *digestNode) countSlots(now time.Time) (fresh, stale float64) {
 	const newest = 3 * time.Second
-	for _, m := range n.table.Nodes() {
+	for _, m := range n.members.Nodes() {
 		if m.Role != cardamomyokev1.NodeRole_NODE_ROLE_SLOT || m.LastSeen.IsZero() || m.State == membership.StateDead {
 			continue
 		}
@@ -184,12 +184,12 @@
 			Driver: "versions and adapters at one engine", Sizes: []int{1, 2, 4, 8, 16}, Target: 3,
 			Metrics: []Metric{{"digests.slot.size", "slot", "B on the wire", Exact}},
 			Run: func(size int) ([]float64, error) {
-				d := digestOf(identities(6)[6], 1000)
+				d := newDigest(identities(6)[6], 1000)
 				d.Slot.Versions, d.Slot.Adapters = nil, nil
 				for i := range size {
 					d.Slot.Versions = append(d.Slot.Versions, fmt.Sprintf("language-model-%d@2026-11-30", i%10))
 				}
-				return []float64{float64(proto.Size(d) + datagramHeader)}, nil
+				return []float64{float64(proto.Size(d) + datagramHeaderBytes)}, nil
 			},
 		},
 	}
--- a/internal/testing/bench/slopes/duties.go
+++ b/internal/testing/bench/slopes/duties.go
@@ -38,7 +38,7 @@
 			rng := rand.New(rand.NewPCG(uint64(d), uint64(i)))
 			holders = append(holders, lease.NewHolder(duty, fmt.Sprint(i), incarnation, manager.DefaultLength, rng))
 		}
-		for now := begin; now.Sub(begin) < span; now = now.Add(50 * time.Millisecond) {
+		for now := virtualStart; now.Sub(virtualStart) < span; now = now.Add(50 * time.Millisecond) {
 			for _, h := range holders {
 				effects := append(h.SetWanted(now, true), h.Tick(now)...)
 				for len(effects) > 0 {
@@ -99,13 +99,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode map: %w", err)
 	}
-	held := heapOf(func() any { return policyThatHeard(group) })
+	held := heapBytesOf(func() any { return policyWithReports(group) })
 	d, err := rebalance.NewDecision(shape, 1)
 	if err != nil {
 		return nil, fmt.Errorf("decision: %w", err)
 	}
 	var failed error
-	took := timeOf(func() {
+	took := minCallMicros(func() {
 		if _, err := d.Run(); err != nil {
 			failed = err
 		}
@@ -113,8 +113,8 @@
 	return []float64{float64(len(data)), held, took / 1e3}, failed
 }
 
-// policyThatHeard is a policy that has taken in two windows of reports of all ranks.
-func policyThatHeard(group placement.Group) *placement.Policy {
+// policyWithReports is a policy that has taken in two windows of reports of all ranks.
+func policyWithReports(group placement.Group) *placement.Policy {
 	p := placement.NewPolicy(group)
 	tokens := make([]uint32, group.Shape.Cells())
 	for i := range tokens {
@@ -123,7 +123,7 @@
 	for w := range uint64(2) {
 		for r := range group.Shape.Ranks {
 			report := placement.Report{Rank: r, Window: w, Tokens: slices.Clone(tokens), Processed: 1, Busy: 1, Step: w}
-			_ = p.Observe(begin.Add(time.Duration(w)*time.Minute), report) // A report of a right shape is taken in.
+			_ = p.Observe(virtualStart.Add(time.Duration(w)*time.Minute), report) // A report of a right shape is taken in.
 		}
 	}
 	return p
--- a/internal/testing/bench/slopes/entry.go
+++ b/internal/testing/bench/slopes/entry.go
@@ -23,8 +23,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/meter"
 )
 
-// controlled is a real entry whose control loop this package drives: a tick runs only when it is asked for.
-type controlled struct {
+// drivenEntry is a real entry whose control loop this package drives: a tick runs only when it is asked for.
+type drivenEntry struct {
 	entry  *entry.Entry
 	loop   *control.Loop
 	sender *digest.Sender
@@ -32,13 +32,13 @@
 	cancel context.CancelFunc
 }
 
-// startControlled starts an entry that the log names among so many members.
-func startControlled(clients, memberCount int) (*controlled, error) {
+// startDrivenEntry starts an entry that the log names among so many members.
+func startDrivenEntry(clients, memberCount int) (*drivenEntry, error) {
 	snap, err := config.NewSnapshot(configuration(clients))
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	c := &controlled{loop: control.New(), set: &entry.Settings{Settings: host.Settings{Name: "entry-self", DataCentre: "centre-0"}}}
+	c := &drivenEntry{loop: control.New(), set: &entry.Settings{Settings: host.Settings{Name: "entry-self", DataCentre: "centre-0"}}}
 	for _, a := range []*string{&c.set.HTTP.Address, &c.set.Control.Address, &c.set.Digests.Address, &c.set.Platform} {
 		if *a, err = meter.FreePort(); err != nil {
 			return nil, err
@@ -74,14 +74,14 @@
 	return c, nil
 }
 
-func (c *controlled) stop() {
+func (c *drivenEntry) stop() {
 	c.entry.Kill()
 	c.cancel()
 	_ = c.sender.Close()
 }
 
-// on runs f on the control loop and waits for it.
-func (c *controlled) on(f func(now time.Time)) {
+// runOnLoop runs f on the control loop and waits for it.
+func (c *drivenEntry) runOnLoop(f func(now time.Time)) {
 	done := make(chan struct{})
 	c.loop.Post(func(now time.Time) {
 		f(now)
@@ -90,15 +90,15 @@
 	<-done
 }
 
-// hear sends the digests of so many slots to the entry, as slots do.
-func (c *controlled) hear(slots int, sequence uint64) error {
+// sendSlotDigests sends the digests of so many slots to the entry, as slots do.
+func (c *drivenEntry) sendSlotDigests(slots int, sequence uint64) error {
 	sink := c.set.Platform
 	for i := range slots {
 		id := membership.Identity{
 			Name: ids.Node(fmt.Sprintf("runner-%04d", i)), Role: cardamomyokev1.NodeRole_NODE_ROLE_SLOT,
 			DataCentre: "centre-0", Digests: sink,
 		}
-		d := digestOf(id, sequence)
+		d := newDigest(id, sequence)
 		d.Slot.Service = fmt.Sprintf("language-model-%d", i%3)
 		if _, err := c.sender.Send(c.set.Digests.Address, d); err != nil {
 			return fmt.Errorf("send digest: %w", err)
@@ -111,40 +111,40 @@
 
 // tickTime measures one tick of the entry's control loop.
 func tickTime(clients, memberCount, slots int) (micros, heap float64, err error) {
-	before := heapNow()
-	c, err := startControlled(clients, memberCount)
+	before := heapBytes()
+	c, err := startDrivenEntry(clients, memberCount)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer c.stop()
 	for sequence := range uint64(3) {
-		if err := c.hear(slots, sequence+1); err != nil {
+		if err := c.sendSlotDigests(slots, sequence+1); err != nil {
 			return 0, 0, err
 		}
-		c.on(c.entry.Tick)
+		c.runOnLoop(c.entry.Tick)
 	}
-	heap = heapNow() - before
-	c.on(func(now time.Time) { micros = c.ticks(now) })
+	heap = heapBytes() - before
+	c.runOnLoop(func(now time.Time) { micros = c.measureTicks(now) })
 	return micros, heap, nil
 }
 
 const (
 	tickPeriod    = 25 * time.Millisecond // that of the daemons
-	ticksTogether = 40                    // a second, with the views that are built in it
-	tickSeconds   = 7                     // less than it takes until a silent slot is suspect
+	ticksPerRound = 40                    // a second, with the views that are built in it
+	tickRounds    = 7                     // less than it takes until a silent slot is suspect
 )
 
-// ticks lets some seconds pass on a virtual clock and returns the mean time of a tick, in microseconds, in the least
+// measureTicks lets some seconds pass on a virtual clock and returns the mean time of a tick, in microseconds, in the least
 // disturbed of them.
-func (c *controlled) ticks(now time.Time) float64 {
+func (c *drivenEntry) measureTicks(now time.Time) float64 {
 	best := 0.0
-	for second := range tickSeconds {
+	for second := range tickRounds {
 		began := time.Now()
-		for range ticksTogether {
+		for range ticksPerRound {
 			now = now.Add(tickPeriod)
 			c.entry.Tick(now)
 		}
-		each := float64(time.Since(began).Nanoseconds()) / 1e3 / ticksTogether
+		each := float64(time.Since(began).Nanoseconds()) / 1e3 / ticksPerRound
 		if second == 0 || each < best {
 			best = each
 		}
@@ -157,15 +157,15 @@
 	for i := range upstreams {
 		list = append(list, &routing.Upstream{
 			ID: ids.Upstream(fmt.Sprint(i)), DataCentre: "centre-0", Address: "10.0.0.1:7100", Weight: 1, Batch: 64,
-			Load: routing.Load{TakenAt: begin, StepTime: 20 * time.Millisecond}, Work: &routing.Work{}, Cached: prefix.NewTable(1024),
+			Load: routing.Load{TakenAt: virtualStart, StepTime: 20 * time.Millisecond}, Work: &routing.Work{}, Cached: prefix.NewTable(1024),
 		})
 	}
 	p := expectedwait.New(list, expectedwait.Defaults())
 	var failed error
 	n := uint64(0)
-	took := timeOf(func() {
+	took := minCallMicros(func() {
 		n++
-		if _, err := p.Pick(&routing.Request{Rand: n}, begin); err != nil {
+		if _, err := p.Pick(&routing.Request{Rand: n}, virtualStart); err != nil {
 			failed = err
 		}
 	})
--- a/internal/testing/bench/slopes/fit.go
+++ b/internal/testing/bench/slopes/fit.go
@@ -84,7 +84,7 @@
 	Measured bool `json:"measured"`
 }
 
-func (s *Series) finish() {
+func (s *Series) setFit() {
 	s.Fit = fitLine(s.Sizes, s.Values)
 	s.AtTarget = s.Fit.at(s.Target)
 	for i, size := range s.Sizes {
--- a/internal/testing/bench/slopes/requests.go
+++ b/internal/testing/bench/slopes/requests.go
@@ -10,15 +10,15 @@
 
 const costWorkers = 8
 
-// shared starts the processes once for all experiments that send requests.
-var shared = sync.OnceValues(func() (*load.Coster, error) { return load.NewCoster(costWorkers) })
+// sharedCoster starts the processes once for all experiments that send requests.
+var sharedCoster = sync.OnceValues(func() (*load.Coster, error) { return load.NewCoster(costWorkers) })
 
 func micros(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1e3 }
 
 // modelFigures streams answers of the given length and returns what entry and slot add to one.
 func modelFigures(tokens int) ([]float64, error) {
 	const requests = 800
-	c, err := shared()
+	c, err := sharedCoster()
 	if err != nil {
 		return nil, fmt.Errorf("start: %w", err)
 	}
@@ -26,17 +26,17 @@
 	return []float64{micros(cost.Both - cost.Straight)}, err
 }
 
-// warmRequests go before a measurement of plain requests.
-const warmRequests = 1000
+// warmupRequests go before a measurement of plain requests.
+const warmupRequests = 1000
 
 // plainFigures sends so many plain requests and returns what they add in all.
 func plainFigures(requests int) ([]float64, error) {
-	c, err := shared()
+	c, err := sharedCoster()
 	if err != nil {
 		return nil, fmt.Errorf("start: %w", err)
 	}
 	// The first requests of a path make its connections and fill its pools, which would hide what one request takes.
-	if _, err := c.Plain(warmRequests); err != nil {
+	if _, err := c.Plain(warmupRequests); err != nil {
 		return nil, err
 	}
 	cost, err := c.Plain(requests)
@@ -45,7 +45,7 @@
 }
 
 func addressFigures(requests int) ([]float64, error) {
-	c, err := shared()
+	c, err := sharedCoster()
 	if err != nil {
 		return nil, fmt.Errorf("start: %w", err)
 	}
--- a/internal/testing/bench/slopes/revisions.go
+++ b/internal/testing/bench/slopes/revisions.go
@@ -25,25 +25,25 @@
 
 const (
 	agentTick   = 50 * time.Millisecond
-	joinLimit   = 30 * time.Second
-	agentSettle = 3 * time.Second // until what was lacking at the start has been sent
+	joinTimeout = 30 * time.Second
+	agentWarmup = 3 * time.Second // until what was lacking at the start has been sent
 	agentSpan   = 8 * time.Second
 	changeCount = 5
 )
 
-// agents are the nodes of a deployment in this process, with the stand-in of the platform and messages in memory.
-type agents struct {
+// cluster are the nodes of a deployment in this process, with the stand-in of the platform and messages in memory.
+type cluster struct {
 	store  *standin.Store
 	net    *memnet.Net
-	list   []*agent.Agent
+	agents []*agent.Agent
 	names  []string
 	cancel context.CancelFunc
 }
 
-// startAgents starts n nodes and waits until the log names all of them.
-func startAgents(n int) (*agents, error) {
+// startCluster starts n nodes and waits until the log names all of them.
+func startCluster(n int) (*cluster, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	a := &agents{store: standin.NewStore(standin.Limits{}), net: memnet.New(nil), cancel: cancel}
+	a := &cluster{store: standin.NewStore(standin.Limits{}), net: memnet.New(nil), cancel: cancel}
 	rng := rand.New(rand.NewPCG(1, uint64(n)))
 	all := members(n)
 	for i, m := range all {
@@ -54,11 +54,11 @@
 			Transport: a.net.Transport(m.GetName()), Loop: loop, Rand: rand.New(rand.NewPCG(rng.Uint64(), 2)),
 		})
 		go loop.Run(ctx, agentTick, ag.Tick)
-		a.list = append(a.list, ag)
+		a.agents = append(a.agents, ag)
 		a.names = append(a.names, m.GetName())
 		a.net.Attach(m.GetName(), ag)
 	}
-	deadline := time.Now().Add(joinLimit)
+	deadline := time.Now().Add(joinTimeout)
 	for !a.joined() {
 		if time.Now().After(deadline) {
 			a.stop()
@@ -80,25 +80,25 @@
 // Error implements error.
 func (e *NotJoinedError) Error() string { return fmt.Sprintf("%d nodes are not all members", e.Nodes) }
 
-func (a *agents) joined() bool {
-	for _, ag := range a.list {
+func (a *cluster) joined() bool {
+	for _, ag := range a.agents {
 		v := ag.View()
-		if v == nil || v.InForce == nil || len(v.InForce.Roster.Members()) != len(a.list) {
+		if v == nil || v.InForce == nil || len(v.InForce.Roster.Members()) != len(a.agents) {
 			return false
 		}
 	}
 	return true
 }
 
-func (a *agents) stop() {
-	for _, ag := range a.list {
+func (a *cluster) stop() {
+	for _, ag := range a.agents {
 		ag.Close()
 	}
 	a.cancel()
 }
 
 // traffic returns messages and bytes that all nodes sent so far, and the most bytes of one.
-func (a *agents) traffic() (messages, bytes float64, each []float64) {
+func (a *cluster) traffic() (messages, bytes float64, each []float64) {
 	for _, name := range a.names {
 		u := a.net.Usage(name)
 		messages += float64(u.Messages.Load())
@@ -111,12 +111,12 @@
 
 // revisionFigures measures a deployment in rest, and then a few changes one after the other.
 func revisionFigures(n int) ([]float64, error) {
-	a, err := startAgents(n)
+	a, err := startCluster(n)
 	if err != nil {
 		return nil, err
 	}
 	defer a.stop()
-	time.Sleep(agentSettle)
+	time.Sleep(agentWarmup)
 	messages, bytes, each := a.traffic()
 	usage, busy := a.store.Usage(), meter.ProcessorTime()
 	time.Sleep(agentSpan)
@@ -138,7 +138,7 @@
 
 // changes makes a few changes one after the other and returns the writes of the table that each cost, and the longest
 // time until one was accepted, in milliseconds.
-func (a *agents) changes() ([]float64, error) {
+func (a *cluster) changes() ([]float64, error) {
 	usage := a.store.Usage()
 	longest := time.Duration(0)
 	for i := range changeCount {
@@ -153,23 +153,23 @@
 }
 
 // change commits the change number i at the first node and waits until it is accepted there.
-func (a *agents) change(i int) error {
-	ctx, cancel := context.WithTimeout(context.Background(), joinLimit)
+func (a *cluster) change(i int) error {
+	ctx, cancel := context.WithTimeout(context.Background(), joinTimeout)
 	defer cancel()
 	meta := &cardamomyokev1.ChangeMeta{
 		Operator: "bench", Reason: "slopes", OperationId: fmt.Sprint("change-", i), BaseRevision: uint64(i),
 	}
-	e, err := a.list[0].Change(ctx, meta, keepFor(uint32(1000+i)))
+	e, err := a.agents[0].Change(ctx, meta, setAddressTTL(uint32(1000+i)))
 	if err != nil {
 		return fmt.Errorf("change: %w", err)
 	}
-	if a.list[0].Wait(ctx, e.GetSeq()).Accepted < e.GetSeq() {
-		return fmt.Errorf("accept: %w", &NotJoinedError{len(a.list)})
+	if a.agents[0].Wait(ctx, e.GetSeq()).Accepted < e.GetSeq() {
+		return fmt.Errorf("accept: %w", &NotJoinedError{len(a.agents)})
 	}
 	return nil
 }
 
-func keepFor(ms uint32) func(*revision.State) ([]*cardamomyokev1.Edit, error) {
+func setAddressTTL(ms uint32) func(*revision.State) ([]*cardamomyokev1.Edit, error) {
 	return func(*revision.State) ([]*cardamomyokev1.Edit, error) {
 		return []*cardamomyokev1.Edit{{
 			Action: cardamomyokev1.EditAction_EDIT_ACTION_CHANGE,
@@ -178,40 +178,40 @@
 	}
 }
 
-// counter counts the bytes of a connection.
-type counter struct {
+// countingConn counts the bytes of a connection.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
 // Read implements net.Conn.
-func (c counter) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c counter) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// quiet takes messages and does nothing with them.
-type quiet struct {
+// discardService takes messages and does nothing with them.
+type discardService struct {
 	cardamomyokev1connect.UnimplementedRevisionServiceHandler
 }
 
 // Push implements the RPC.
-func (quiet) Push(context.Context, *cardamomyokev1.PushRequest) (*cardamomyokev1.PushResponse, error) {
+func (discardService) Push(context.Context, *cardamomyokev1.PushRequest) (*cardamomyokev1.PushResponse, error) {
 	return &cardamomyokev1.PushResponse{}, nil
 }
 
 // pushFigures sends so many beats between two processes' worth of connect over loopback, in HTTP/2 as the agents do, and
 // returns the bytes both ways and the processor time of both ends.
 func pushFigures(calls int) ([]float64, error) {
-	server, address, err := serveQuiet()
+	server, address, err := serveDiscard()
 	if err != nil {
 		return nil, err
 	}
@@ -222,12 +222,12 @@
 		if err != nil {
 			return nil, fmt.Errorf("dial: %w", err)
 		}
-		return counter{c, &bytes}, nil
+		return countingConn{c, &bytes}, nil
 	}}
 	transport.Protocols.SetUnencryptedHTTP2(true)
 	rpc := agent.NewRPC(&http.Client{Transport: transport}, "http")
 	to := &revision.Member{Name: "to", Address: address}
-	push := beat(targetMembers)
+	push := newHeartbeat(targetMembers)
 	send := func(n int) error {
 		for range n {
 			if err := rpc.Push(context.Background(), to, push); err != nil {
@@ -247,8 +247,8 @@
 	return []float64{float64(bytes.Load() - before), float64((meter.ProcessorTime() - busy).Microseconds())}, nil
 }
 
-// beat is what a node sends when nothing changes, in a deployment of so many members of which some are missing.
-func beat(n int) *revision.Push {
+// newHeartbeat is what a node sends when nothing changes, in a deployment of so many members of which some are missing.
+func newHeartbeat(n int) *revision.Push {
 	return &revision.Push{
 		From: "entry-0001", Incarnation: incarnation, Origin: incarnation, Beat: 100_000, Committed: 700_000, Accepted: 700_000,
 		TableAgeUs: 700_000, Echo: 100_000, EchoAgeUs: 1_000_000, Staged: 700_000, Missing: make([]byte, (n+7)/8),
@@ -256,8 +256,8 @@
 	}
 }
 
-// answer is what a node sends up for itself and all nodes below.
-func answer(n int) *revision.Ack {
+// newHeartbeatAck is what a node sends up for itself and all nodes below.
+func newHeartbeatAck(n int) *revision.Ack {
 	bits := make([]byte, (n+7)/8)
 	return &revision.Ack{
 		From: "entry-0001", Incarnation: incarnation, Origin: incarnation, Beat: 100_000, Nonce: 100_000, Staged: 700_000,
@@ -265,14 +265,14 @@
 	}
 }
 
-// serveQuiet serves a revision service that takes everything and does nothing.
-func serveQuiet() (*http.Server, string, error) {
+// serveDiscard serves a revision service that takes everything and does nothing.
+func serveDiscard() (*http.Server, string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, "", fmt.Errorf("listen: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.Handle(cardamomyokev1connect.NewRevisionServiceHandler(quiet{}))
+	mux.Handle(cardamomyokev1connect.NewRevisionServiceHandler(discardService{}))
 	server := &http.Server{Handler: mux, Protocols: new(http.Protocols)}
 	server.Protocols.SetUnencryptedHTTP2(true)
 	go func() { _ = server.Serve(listener) }()
@@ -298,7 +298,7 @@
 				{"revision.push.size", "every node", "B encoded", Exact}, {"revision.ack.size", "every node", "B encoded", Exact},
 			},
 			Run: func(n int) ([]float64, error) {
-				return []float64{float64(proto.Size(beat(n))), float64(proto.Size(answer(n)))}, nil
+				return []float64{float64(proto.Size(newHeartbeat(n))), float64(proto.Size(newHeartbeatAck(n)))}, nil
 			},
 		},
 		{
--- a/internal/testing/bench/slopes/run.go
+++ b/internal/testing/bench/slopes/run.go
@@ -84,7 +84,7 @@
 		}
 	}
 	for i := range out {
-		out[i].finish()
+		out[i].setFit()
 	}
 	return out, nil
 }
@@ -100,13 +100,13 @@
 		if !s.Measured {
 			how = "W"
 		}
-		t.Add(s.Name, s.Role, s.Unit, s.Driver, list(s.Sizes), list(s.Values), s.Fit.Intercept, s.Fit.Slope,
+		t.Add(s.Name, s.Role, s.Unit, s.Driver, joinValues(s.Sizes), joinValues(s.Values), s.Fit.Intercept, s.Fit.Slope,
 			fmt.Sprintf("%.1f%%", 100*s.Fit.Residual), fmt.Sprintf("%.6g", s.Target), fmt.Sprintf("%.4g %s", s.AtTarget, how), s.Kind)
 	}
 	return t
 }
 
-func list(values []float64) string {
+func joinValues(values []float64) string {
 	out := ""
 	for i, v := range values {
 		if i > 0 {
@@ -117,16 +117,16 @@
 	return out
 }
 
-// heapOf returns the bytes that what build returns keeps on the heap.
-func heapOf(build func() any) float64 {
-	before := heapNow()
+// heapBytesOf returns the bytes that what build returns keeps on the heap.
+func heapBytesOf(build func() any) float64 {
+	before := heapBytes()
 	kept := build()
-	after := heapNow()
+	after := heapBytes()
 	runtime.KeepAlive(kept)
 	return max(0, after-before)
 }
 
-func heapNow() float64 {
+func heapBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -139,9 +139,9 @@
 	timingSpan = 15 * time.Millisecond
 )
 
-// timeOf returns the least time of one call in microseconds. The least is what other load on the machine disturbs
+// minCallMicros returns the least time of one call in microseconds. The least is what other load on the machine disturbs
 // least.
-func timeOf(f func()) float64 {
+func minCallMicros(f func()) float64 {
 	f()
 	best := 0.0
 	for run := range timingRuns {
--- a/internal/testing/bench/slopes/slopes_test.go
+++ b/internal/testing/bench/slopes/slopes_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestFitOfALineHasNoResidual(t *testing.T) {
+func TestResidualIsZeroOnlyForALine(t *testing.T) {
 	f := fitLine([]float64{1, 2, 4, 8}, []float64{5, 7, 11, 19})
 	if math.Abs(f.Slope-2) > 1e-9 || math.Abs(f.Intercept-3) > 1e-9 || f.Residual > 1e-9 {
 		t.Errorf("got %+v, want slope 2, intercept 3, residual 0", f)
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestCheckFindsWhatIsNotReproduced(t *testing.T) {
+func TestCheckReportsDifferences(t *testing.T) {
 	series := func(name string, k Kind, values ...float64) Series {
 		return Series{Name: name, Kind: k, Sizes: []float64{1, 2}, Values: values}
 	}
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestEveryNumberOfTheTargetHasARow(t *testing.T) {
+func TestCapacityPageHasARowForEachTargetFigure(t *testing.T) {
 	data, err := os.ReadFile("../../../../docs/capacity-entries.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testing/bench/slopes/state.go
+++ b/internal/testing/bench/slopes/state.go
@@ -57,13 +57,13 @@
 		}
 		return s
 	}
-	held := heapOf(func() any { return load() })
-	took := timeOf(func() { load() })
+	held := heapBytesOf(func() any { return load() })
+	took := minCallMicros(func() { load() })
 	return []float64{float64(len(data)), held, took}, failed
 }
 
-// limiterWith has heard from so many clients.
-func limiterWith(clients int) *limits.Limiter {
+// limiterWithDemand has heard from so many clients.
+func limiterWithDemand(clients int) *limits.Limiter {
 	l := limits.New(limits.Defaults(), targetEntries)
 	set := make(map[ids.Client]limits.Limit, clients)
 	for i := range clients {
@@ -71,21 +71,21 @@
 	}
 	l.SetLimits(set)
 	for i := range clients {
-		_ = l.Consume(ids.Client(clientName(i)), float64(10+i%500), begin)
+		_ = l.Consume(ids.Client(clientName(i)), float64(10+i%500), virtualStart)
 	}
 	return l
 }
 
 func limiterFigures(clients int) ([]float64, error) {
-	held := heapOf(func() any { return limiterWith(clients) })
-	l := limiterWith(clients)
+	held := heapBytesOf(func() any { return limiterWithDemand(clients) })
+	l := limiterWithDemand(clients)
 	i := 0
-	take := timeOf(func() {
+	take := minCallMicros(func() {
 		i++
-		_ = l.Consume(ids.Client(clientName(i%clients)), 200, begin)
+		_ = l.Consume(ids.Client(clientName(i%clients)), 200, virtualStart)
 	})
-	report := timeOf(func() { l.Report(begin) })
-	return []float64{held, take, report, float64(len(l.Report(begin)))}, nil
+	report := minCallMicros(func() { l.Report(virtualStart) })
+	return []float64{held, take, report, float64(len(l.Report(virtualStart)))}, nil
 }
 
 // members returns nodes in the target's proportion: 6 entries to 13 slots.
@@ -114,15 +114,15 @@
 	}
 	identities := membership.FromRevision(list)
 	build := func() *membership.MemberList {
-		l := membership.New(identities[0], membership.Defaults(), begin)
-		l.SetRoster(identities, begin)
+		l := membership.New(identities[0], membership.Defaults(), virtualStart)
+		l.SetRoster(identities, virtualStart)
 		return l
 	}
-	held := heapOf(func() any { return []any{build(), revision.NewRoster(members(n))} })
+	held := heapBytesOf(func() any { return []any{build(), revision.NewRoster(members(n))} })
 	l := build()
-	tick := timeOf(func() { l.Tick(begin) })
-	adopt := timeOf(func() { build() })
-	addresses := timeOf(func() { l.Addresses("") })
+	tick := minCallMicros(func() { l.Tick(virtualStart) })
+	adopt := minCallMicros(func() { build() })
+	addresses := minCallMicros(func() { l.Addresses("") })
 	return []float64{encoded, float64(proto.Size(status)), held, tick, addresses, adopt}, nil
 }
 
--- a/internal/testing/bench/slopes/usage.go
+++ b/internal/testing/bench/slopes/usage.go
@@ -28,7 +28,7 @@
 	}
 	rng := rand.New(rand.NewPCG(1, uint64(entries)))
 	requests := targetRequests / targetEntries * int(span/time.Second)
-	now := begin
+	now := virtualStart
 	for range requests {
 		now = now.Add(span / time.Duration(requests))
 		_ = l.Consume(ids.Client(clientName(rng.IntN(targetClients))), 207, now)
@@ -39,9 +39,9 @@
 		if node == names[0] {
 			continue
 		}
-		d := digestOf(identities(6)[0], 1_000_000)
+		d := newDigest(identities(6)[0], 1_000_000)
 		d.Usage = limits.Encode(records)
-		bytes += proto.Size(d) + datagramHeader
+		bytes += proto.Size(d) + datagramHeaderBytes
 	}
 	return []float64{float64(len(told)), float64(bytes)}, nil
 }
