--- a/internal/testing/bench/eventqueue/eventqueue.go
+++ b/internal/testing/bench/eventqueue/eventqueue.go
@@ -1,4 +1,4 @@
-// Package eventqueue runs what an experiment has planned, in the order of a virtual clock.
+// Package eventqueue runs the scheduled events of a simulation in the order of a virtual clock.
 package eventqueue
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Queue is what will happen, in order of time and then of planning. It is not safe for concurrent use.
+// Queue holds scheduled events, sorted by time and, for equal times, by the sequence in which they were scheduled. It is
+// not safe for concurrent use.
 type Queue struct {
 	now       time.Time
 	events    eventHeap
@@ -21,39 +22,39 @@
 
 type eventHeap []event
 
-func (s eventHeap) Len() int { return len(s) }
-func (s eventHeap) Less(i, j int) bool {
-	if s[i].at.Equal(s[j].at) {
-		return s[i].sequence < s[j].sequence
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
+	if h[i].at.Equal(h[j].at) {
+		return h[i].sequence < h[j].sequence
 	}
-	return s[i].at.Before(s[j].at)
+	return h[i].at.Before(h[j].at)
 }
-func (s eventHeap) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (s *eventHeap) Push(x any) { *s = append(*s, x.(event)) }
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
 // Pop implements heap.Interface.
-func (s *eventHeap) Pop() any {
-	old := *s
+func (h *eventHeap) Pop() any {
+	old := *h
 	last := old[len(old)-1]
-	*s = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return last
 }
 
-// New returns an empty queue whose clock shows start.
+// New returns an empty queue whose clock is at start.
 func New(start time.Time) *Queue { return &Queue{now: start} }
 
 // Now returns the virtual time.
 func (q *Queue) Now() time.Time { return q.now }
 
-// In plans do after d.
-func (q *Queue) In(d time.Duration, do func()) {
+// In schedules run for d after the current virtual time.
+func (q *Queue) In(d time.Duration, run func()) {
 	q.scheduled++
-	heap.Push(&q.events, event{q.now.Add(d), q.scheduled, do})
+	heap.Push(&q.events, event{q.now.Add(d), q.scheduled, run})
 }
 
-// Run does what is planned before end.
+// Run runs the events that are due before end and advances the clock to each of them.
 func (q *Queue) Run(end time.Time) {
 	for len(q.events) > 0 && q.events[0].at.Before(end) {
 		next := heap.Pop(&q.events).(event)
@@ -62,14 +63,14 @@
 	}
 }
 
-// RunFor does what is planned for the next d, and moves the clock by d.
+// RunFor runs the events that are due within the next d, including its end, and advances the clock by d.
 func (q *Queue) RunFor(d time.Duration) {
 	end := q.now.Add(d)
 	q.Run(end.Add(1))
 	q.now = end
 }
 
-// RunAll does all that is planned.
+// RunAll runs events until none is left, including those that events schedule.
 func (q *Queue) RunAll() {
 	for len(q.events) > 0 {
 		q.Run(q.events[0].at.Add(1))
--- a/internal/testing/bench/htmlreport/command.go
+++ b/internal/testing/bench/htmlreport/command.go
@@ -10,21 +10,21 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// Options say how long the benches run.
+// Options configures which benches run, how long, and where the results go.
 type Options struct {
 	// Out is the folder for the page, the summary and the plots.
 	Out string
-	// Seed is the first of Seeds seeds; Hours is the length of a trace of popularity.
+	// Seed is the first of Seeds consecutive seeds; Hours is the length of a popularity trace in hours.
 	Seed         uint64
 	Seeds, Hours int
-	// Requests are those of each path of the load; Workers is the number of runs at once.
+	// Requests is the number of requests for each path of the load bench; Workers is the number of concurrent runs.
 	Requests, Workers int
-	// Nodes are the sizes of the deployments in which changes are accepted, Changes their number for each.
+	// Nodes holds the sizes of the deployments in the configuration bench; Changes is the number of changes in each.
 	Nodes   []int
 	Changes int
-	// Slopes is a JSON file of slopes to show in place of measuring them.
+	// Slopes is a JSON file of slopes to show instead of measuring them; empty to measure.
 	Slopes string
-	// Benches are the sections to run, in this order.
+	// Benches are the names of the benches to run, in the order of their sections.
 	Benches []string
 }
 
@@ -45,7 +45,7 @@
 	cmd.Action(func(*kingpin.ParseContext) error { return run(o, os.Stdout) })
 }
 
-// The benches.
+// Names of the benches.
 const (
 	benchRebalance = "rebalance"
 	benchPolicy    = "policy"
@@ -70,26 +70,27 @@
 	return slopesSection(o, log)
 }
 
-// Build runs the benches. One that fails leaves a section that says so, and the others still run.
+// Build runs the benches and returns their page. The section of a bench that fails holds its error; the other benches
+// still run.
 func Build(o Options, log io.Writer) Page {
-	p := Page{
+	page := Page{
 		Title: "cardamomyoke: what was measured",
 		Provenance: fmt.Sprintf("Made %s; seeds %d to %d. Times are of one machine.",
 			time.Now().UTC().Format("2006-01-02 15:04 UTC"), o.Seed, o.Seed+uint64(o.Seeds)-1),
 	}
 	for _, name := range o.Benches {
 		began := time.Now()
-		s, err := runBench(name, o, log)
+		section, err := runBench(name, o, log)
 		if err != nil {
-			s.Error = err.Error()
+			section.Error = err.Error()
 		}
-		fmt.Fprintf(log, "%-30s %6.1fs\n", s.Title, time.Since(began).Seconds())
-		p.Sections = append(p.Sections, s)
+		fmt.Fprintf(log, "%-30s %6.1fs\n", section.Title, time.Since(began).Seconds())
+		page.Sections = append(page.Sections, section)
 	}
-	return p
+	return page
 }
 
-// FailedError says that a bench gave no result.
+// FailedError reports that a bench failed and has no result.
 type FailedError struct{ Section, Cause string }
 
 // Error implements error.
@@ -99,17 +100,17 @@
 	if err := os.MkdirAll(o.Out, 0o755); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	p := Build(o, os.Stderr)
-	if err := writeFile(filepath.Join(o.Out, "report.html"), p.WriteHTML); err != nil {
+	page := Build(o, os.Stderr)
+	if err := writeFile(filepath.Join(o.Out, "report.html"), page.WriteHTML); err != nil {
 		return err
 	}
-	if err := writeFile(filepath.Join(o.Out, "report.txt"), p.WriteText); err != nil {
+	if err := writeFile(filepath.Join(o.Out, "report.txt"), page.WriteText); err != nil {
 		return err
 	}
-	if err := p.WriteText(w); err != nil {
+	if err := page.WriteText(w); err != nil {
 		return err
 	}
-	for _, s := range p.Sections {
+	for _, s := range page.Sections {
 		if s.Error != "" {
 			return fmt.Errorf("report: %w", &FailedError{s.Title, s.Error})
 		}
--- a/internal/testing/bench/htmlreport/doc.go
+++ b/internal/testing/bench/htmlreport/doc.go
@@ -1,5 +1,5 @@
-// Package htmlreport runs the benches and writes all that they found as one HTML page and a text summary.
+// Package htmlreport runs the benches and writes all their results as one HTML page and a text summary.
 //
-// The benches run in this process, through their packages. Short runs, which are the default, show the shape of a
-// result and not the figures that docs/measurements.md records; the page says which run it was.
+// The benches run in this process, through their packages. The default runs are short: they show the trend of a result,
+// not the figures that docs/measurements.md records. The page states the seeds and commands of its run.
 package htmlreport
--- a/internal/testing/bench/htmlreport/page.go
+++ b/internal/testing/bench/htmlreport/page.go
@@ -11,28 +11,28 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/report"
 )
 
-// Plot is one picture with the words that stand below it.
+// Plot is an image with its caption.
 type Plot struct {
-	// File is an SVG file.
+	// File is the path of an SVG file.
 	File    string
 	Caption string
 }
 
-// Section is what one bench found.
+// Section holds the results of one bench.
 type Section struct {
 	ID, Title, Text string
-	// Command repeats the measurement.
+	// Command is the command line that repeats the measurement.
 	Command  string
 	Tables   []report.Table
 	Criteria []report.Claim
 	Plots    []Plot
-	// Output is what a bench wrote as text, if it has no tables of its own.
+	// Output is the text output of a bench that has no tables.
 	Output string
-	// Error is why the bench gave no result; empty if it did.
+	// Error is the reason why the bench has no result, or empty.
 	Error string
 }
 
-// Page is the whole report.
+// Page is the complete report. Provenance states the time and the seeds of the run.
 type Page struct {
 	Title, Provenance string
 	Sections          []Section
@@ -41,19 +41,19 @@
 //go:embed page.html
 var pageTemplate string
 
-// WriteHTML writes the page with its plots inside, so that it can be moved as one file.
+// WriteHTML writes the page as one self-contained file with the plots embedded.
 func (p Page) WriteHTML(w io.Writer) error {
-	t, err := template.New("page").Funcs(template.FuncMap{"picture": picture, "numeric": numeric}).Parse(pageTemplate)
+	page, err := template.New("page").Funcs(template.FuncMap{"picture": picture, "numeric": numeric}).Parse(pageTemplate)
 	if err != nil {
 		return fmt.Errorf("page: %w", err)
 	}
-	if err := t.Execute(w, p); err != nil {
+	if err := page.Execute(w, p); err != nil {
 		return fmt.Errorf("page: %w", err)
 	}
 	return nil
 }
 
-// picture returns the SVG file as a data URL.
+// picture returns the contents of an SVG file as a data URL.
 func picture(file string) (template.URL, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return template.URL("data:image/svg+xml;base64," + base64.StdEncoding.EncodeToString(data)), nil
 }
 
-// numeric reports whether a cell holds a figure, which is set flush right.
+// numeric reports whether a cell holds a number, which the page aligns right.
 func numeric(cell string) bool {
 	if cell == "" {
 		return false
@@ -71,7 +71,7 @@
 	return c >= '0' && c <= '9' || c == '-' || c == '+'
 }
 
-// WriteText writes the summary: the verdicts of each section and what gave no result.
+// WriteText writes the text summary: the criteria, text output or error of each section.
 func (p Page) WriteText(w io.Writer) error {
 	fmt.Fprintf(w, "%s, %s\n", p.Title, p.Provenance)
 	for _, s := range p.Sections {
--- a/internal/testing/bench/htmlreport/page_test.go
+++ b/internal/testing/bench/htmlreport/page_test.go
@@ -31,7 +31,7 @@
 	}
 	for _, want := range []string{"&lt;ours&gt;", `<td class="n">1.25</td>`, "data:image/svg&#43;xml;base64,", `<span class="short">short</span>`, "No result: no engine", `href="#b"`} {
 		if !strings.Contains(string(html), want) {
-			t.Errorf("the page lacks %q", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
 	var text strings.Builder
--- a/internal/testing/bench/htmlreport/sections.go
+++ b/internal/testing/bench/htmlreport/sections.go
@@ -15,19 +15,19 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/slopes"
 )
 
-// loadSection measures what entry and slot add to a request.
+// loadSection measures the overhead that entry and slot add to a request.
 func loadSection(o Options) (Section, error) {
-	lo := load.Options{Requests: o.Requests, Workers: 16, Tokens: 32, Rounds: 1}
+	options := load.Options{Requests: o.Requests, Workers: 16, Tokens: 32, Rounds: 1}
 	s := Section{
 		ID: "load", Title: "Load", Text: "What entry and slot add to a request, all parts in one process over loopback.",
-		Command: fmt.Sprintf("cardamomyoke-bench load --requests %d --rounds %d", lo.Requests, lo.Rounds),
+		Command: fmt.Sprintf("cardamomyoke-bench load --requests %d --rounds %d", options.Requests, options.Rounds),
 	}
-	t, err := load.Table(lo)
+	t, err := load.Table(options)
 	s.Tables = []report.Table{t}
 	return s, err
 }
 
-// rebalanceSection runs the placement policy for both deployments.
+// rebalanceSection runs the placement policy and its baselines for both deployments.
 func rebalanceSection(o Options) (Section, error) {
 	s := Section{
 		ID: "rebalance", Title: "Rebalancing",
@@ -36,8 +36,8 @@
 		Command: fmt.Sprintf("cardamomyoke-bench rebalance --seed %d --seeds %d --hours %d", o.Seed, o.Seeds, o.Hours),
 	}
 	for _, d := range rebalance.Deployments() {
-		set := rebalance.Settings{Deployment: d, Seed: o.Seed, Seeds: o.Seeds, Hours: o.Hours, Workers: o.Workers, Out: o.Out}
-		results, err := rebalance.RunAll(set)
+		settings := rebalance.Settings{Deployment: d, Seed: o.Seed, Seeds: o.Seeds, Hours: o.Hours, Workers: o.Workers, Out: o.Out}
+		results, err := rebalance.RunAll(settings)
 		if err != nil {
 			return s, err
 		}
@@ -58,7 +58,7 @@
 	return s, nil
 }
 
-// policySection runs routing, admission and retries.
+// policySection runs the policy bench: routing, admission and retries.
 func policySection(o Options) (Section, error) {
 	s := Section{
 		ID: "policy", Title: "Routing, admission, retries", Text: "Each policy beside its baselines on the same arrivals, in virtual time.",
@@ -75,7 +75,7 @@
 	return s, nil
 }
 
-// configSection measures acceptance of changes in deployments that grow.
+// configSection measures the acceptance of changes in deployments of each size in o.Nodes.
 func configSection(o Options) (Section, error) {
 	const idle = 5 * time.Second
 	s := Section{
@@ -91,7 +91,7 @@
 	return s, err
 }
 
-// slopesSection measures the slopes, or reads those of an earlier run.
+// slopesSection measures the slopes, or reads them from the file of an earlier run.
 func slopesSection(o Options, log io.Writer) (Section, error) {
 	s := Section{
 		ID: "slopes", Title: "Slopes", Text: "How state, messages and processor time of each role grow with what drives them. " +
--- a/internal/testing/bench/htmlreport/slopes.go
+++ b/internal/testing/bench/htmlreport/slopes.go
@@ -17,68 +17,69 @@
 const (
 	slopeWidth  = 16 * vg.Centimeter
 	slopeHeight = 10 * vg.Centimeter
-	// textSize makes words readable when three plots stand side by side.
+	// textSize, in points, keeps labels readable when the page shows three plots side by side.
 	textSize = 15
-	// headroom is the part of the plot above the highest value for each line of the legend.
+	// headroom is the extra height for each line of the legend, as a share of the highest value.
 	headroom = 0.12
 )
 
-// axes is what series must share to stand in one plot.
+// axes identifies a plot: all its series have the same driver and unit.
 type axes struct{ driver, unit string }
 
-// slopePlots draws the series that share driver and unit into one plot: points as measured, lines as fitted.
+// slopePlots writes one SVG file to out for each combination of driver and unit, with the measured points and fitted lines
+// of all its series.
 func slopePlots(series []slopes.Series, out string) ([]Plot, error) {
-	var order []axes
+	var keys []axes
 	groups := map[axes][]slopes.Series{}
 	for _, s := range series {
-		k := axes{s.Driver, s.Unit}
-		if groups[k] == nil {
-			order = append(order, k)
+		key := axes{s.Driver, s.Unit}
+		if groups[key] == nil {
+			keys = append(keys, key)
 		}
-		groups[k] = append(groups[k], s)
+		groups[key] = append(groups[key], s)
 	}
 	var plots []Plot
-	for i, k := range order {
+	for i, key := range keys {
 		file := filepath.Join(out, fmt.Sprintf("slopes-%02d.svg", i))
-		if err := slopePlot(file, k, groups[k]); err != nil {
+		if err := slopePlot(file, key, groups[key]); err != nil {
 			return nil, err
 		}
-		plots = append(plots, Plot{file, caption(k, groups[k])})
+		plots = append(plots, Plot{file, caption(key, groups[key])})
 	}
 	return plots, nil
 }
 
 func caption(k axes, group []slopes.Series) string {
-	var parts []string
+	var values []string
 	for _, s := range group {
-		parts = append(parts, fmt.Sprintf("%s: %.3g at %.6g", s.Name, s.AtTarget, s.Target))
+		values = append(values, fmt.Sprintf("%s: %.3g at %.6g", s.Name, s.AtTarget, s.Target))
 	}
-	return k.unit + " by " + k.driver + ". " + strings.Join(parts, "; ") + "."
+	return k.unit + " by " + k.driver + ". " + strings.Join(values, "; ") + "."
 }
 
 func slopePlot(file string, k axes, group []slopes.Series) error {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = k.driver, k.unit
-	for _, size := range []*plot.Axis{&p.X, &p.Y} {
-		size.Label.TextStyle.Font.Size = textSize
-		size.Tick.Label.Font.Size = textSize
+	for _, axis := range []*plot.Axis{&p.X, &p.Y} {
+		axis.Label.TextStyle.Font.Size = textSize
+		axis.Tick.Label.Font.Size = textSize
 	}
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Legend.TextStyle.Font.Size = textSize
 	p.Add(plotter.NewGrid())
-	most := 0.0
+	highest := 0.0
 	for i, s := range group {
 		if err := addSlope(p, s, i); err != nil {
 			return err
 		}
-		most = max(most, slices.Max(s.Values))
+		highest = max(highest, slices.Max(s.Values))
 	}
-	// From zero, so that noise about a flat figure does not look like growth.
+	// Axes start at zero so that noise in a constant figure does not look like growth.
 	p.X.Min, p.Y.Min = 0, 0
-	if most == 0 {
-		most = 1
+	if highest == 0 {
+		highest = 1
 	}
-	p.Y.Max = most * (1 + headroom*float64(1+len(group)))
+	p.Y.Max = highest * (1 + headroom*float64(1+len(group)))
 	if err := p.Save(slopeWidth, slopeHeight, file); err != nil {
 		return fmt.Errorf("plot %s: %w", k.unit, err)
 	}
@@ -90,13 +91,13 @@
 	for j := range s.Sizes {
 		points[j] = plotter.XY{X: s.Sizes[j], Y: s.Values[j]}
 	}
-	marks, err := plotter.NewScatter(points)
+	scatter, err := plotter.NewScatter(points)
 	if err != nil {
 		return fmt.Errorf("plot %s: %w", s.Name, err)
 	}
-	marks.Color = plotutil.Color(i)
-	marks.Shape = plotutil.Shape(i)
-	marks.Radius = vg.Points(4)
+	scatter.Color = plotutil.Color(i)
+	scatter.Shape = plotutil.Shape(i)
+	scatter.Radius = vg.Points(4)
 	last := s.Sizes[len(s.Sizes)-1]
 	line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: s.Fit.Intercept}, {X: last, Y: s.Fit.Intercept + s.Fit.Slope*last}})
 	if err != nil {
@@ -104,7 +105,7 @@
 	}
 	line.Color = plotutil.Color(i)
 	line.Width = vg.Points(1.5)
-	p.Add(line, marks)
-	p.Legend.Add(s.Name, line, marks)
+	p.Add(line, scatter)
+	p.Legend.Add(s.Name, line, scatter)
 	return nil
 }
--- a/internal/testing/bench/meter/meter.go
+++ b/internal/testing/bench/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter holds what benches need of the machine: processor time and free ports.
+// Package meter gives the benches access to resources of the machine: processor time and free ports.
 package meter
 
 import (
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// ProcessorTime is what this process has used so far, in user and system mode; 0 if the system does not tell.
+// ProcessorTime returns the processor time that this process has used in user and system mode, or 0 if the system does
+// not report it.
 func ProcessorTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -17,7 +18,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// FreePort finds a free port on loopback and returns it as IP:PORT.
+// FreePort returns the address of a TCP port on loopback that was free at the time of the call, as IP:PORT.
 func FreePort() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/testing/bench/report/criterion.go
+++ b/internal/testing/bench/report/criterion.go
@@ -5,19 +5,20 @@
 	"io"
 )
 
-// Bound tells which side of its limit a figure must be on.
+// Bound is the kind of a limit: upper or lower.
 type Bound string
 
-// The bounds of a claim.
+// Bounds of a criterion.
 const (
 	AtMost  Bound = "at most"
 	AtLeast Bound = "at least"
 )
 
-// Claim is a figure with the limit that it has to meet.
+// Criterion is a measured figure with the limit that it has to meet.
 type Claim struct {
-	// Text says what is measured, with its unit.
-	Text    string
+	// Text describes the figure and its unit.
+	Text string
+	// Reached is the measured value.
 	Reached float64
 	Bound   Bound
 	Limit   float64
@@ -31,7 +32,7 @@
 	return c.Reached <= c.Limit
 }
 
-// String formats the claim on one line that begins with its verdict, ok or short.
+// String formats the criterion on one line that begins with ok, or with short if the limit is missed.
 func (c Claim) String() string {
 	verdict := "short"
 	if c.OK() {
@@ -40,13 +41,13 @@
 	return fmt.Sprintf("%-5s %s: %.4g, %s %.4g", verdict, c.Text, c.Reached, c.Bound, c.Limit)
 }
 
-// WriteClaims writes one line for each claim and reports whether all are met.
-func WriteClaims(w io.Writer, claims []Claim) (bool, error) {
+// WriteCriteria writes one line for each criterion and reports whether all are met.
+func WriteClaims(w io.Writer, criteria []Claim) (bool, error) {
 	all := true
-	for _, c := range claims {
+	for _, c := range criteria {
 		all = all && c.OK()
 		if _, err := fmt.Fprintln(w, c); err != nil {
-			return all, fmt.Errorf("write claims: %w", err)
+			return all, fmt.Errorf("write criteria: %w", err)
 		}
 	}
 	return all, nil
--- a/internal/testing/bench/report/doc.go
+++ b/internal/testing/bench/report/doc.go
@@ -1,2 +1,3 @@
-// Package report writes what an experiment found: tables, plots, means with their spread, and verdicts.
+// Package report formats the results of experiments for the benches: tables, plots, means with their spread, and criteria
+// with their limits.
 package report
--- a/internal/testing/bench/report/plot.go
+++ b/internal/testing/bench/report/plot.go
@@ -17,7 +17,7 @@
 	barWidth   = 10 // points
 )
 
-// Labels are the words on a plot.
+// Labels are the title and the axis labels of a plot.
 type Labels struct {
 	Title, X, Y string
 }
@@ -28,13 +28,13 @@
 	X, Y []float64
 }
 
-// Bars is one colour of bars, with one value for each category of the plot.
+// Bars is a group of bars of one colour, with one value for each category of the plot.
 type Bars struct {
 	Name   string
 	Values []float64
 }
 
-// LinePlot writes an SVG file with one line for each series; it makes the folder if need be.
+// LinePlot writes an SVG file with one line for each series. It creates the folder if needed.
 func LinePlot(file string, l Labels, series ...Series) error {
 	p := newPlot(l)
 	for i, s := range series {
@@ -50,7 +50,7 @@
 	return save(p, file)
 }
 
-// BarPlot writes an SVG file with a group of bars for each category; it makes the folder if need be.
+// BarPlot writes an SVG file with, for each category, one bar from each of groups. It creates the folder if needed.
 func BarPlot(file string, l Labels, categories []string, groups ...Bars) error {
 	p := newPlot(l)
 	for i, g := range groups {
@@ -86,7 +86,7 @@
 
 func save(p *plot.Plot, file string) error {
 	if err := os.MkdirAll(filepath.Dir(file), 0o755); err != nil {
-		return fmt.Errorf("make folder for plot: %w", err)
+		return fmt.Errorf("create folder for plot: %w", err)
 	}
 	if err := p.Save(plotWidth, plotHeight, file); err != nil {
 		return fmt.Errorf("save plot: %w", err)
--- a/internal/testing/bench/report/report_test.go
+++ b/internal/testing/bench/report/report_test.go
@@ -13,14 +13,14 @@
 )
 
 func TestTable(t *testing.T) {
-	tab := report.Table{Title: "T", Columns: []string{"policy", "skew"}}
-	tab.Add("static", 1.23456)
-	tab.Add("ours", report.Summarize([]float64{1, 2, 3}))
+	table := report.Table{Title: "T", Columns: []string{"policy", "skew"}}
+	table.Add("static", 1.23456)
+	table.Add("ours", report.Summarize([]float64{1, 2, 3}))
 	var text, md strings.Builder
-	if err := tab.Text(&text); err != nil {
+	if err := table.Text(&text); err != nil {
 		t.Fatal(err)
 	}
-	if err := tab.Markdown(&md); err != nil {
+	if err := table.Markdown(&md); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff("T\npolicy  skew\nstatic  1.235\nours    2 ± 1\n", text.String()); diff != "" {
@@ -44,14 +44,14 @@
 		t.Errorf("p99 = %v", got)
 	}
 	if got := report.Quantile(0.5, nil); got != 0 {
-		t.Errorf("p50 of nothing = %v", got)
+		t.Errorf("p50 of no values = %v", got)
 	}
 }
 
 func TestCriteria(t *testing.T) {
 	tests := []struct {
-		claim report.Claim
-		ok    bool
+		criterion report.Claim
+		ok        bool
 	}{
 		{report.Claim{Text: "a", Reached: 1.1, Bound: report.AtMost, Limit: 1.1}, true},
 		{report.Claim{Text: "b", Reached: 1.2, Bound: report.AtMost, Limit: 1.1}, false},
@@ -60,9 +60,9 @@
 	}
 	for _, tc := range tests {
 		var out strings.Builder
-		all, err := report.WriteClaims(&out, []report.Claim{tc.claim})
+		all, err := report.WriteClaims(&out, []report.Claim{tc.criterion})
 		if err != nil || all != tc.ok || strings.HasPrefix(out.String(), "ok") != tc.ok {
-			t.Errorf("%v: all %v, err %v", tc.claim, all, err)
+			t.Errorf("%v: all %v, err %v", tc.criterion, all, err)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	for _, file := range []string{line, bar} {
 		text, err := os.ReadFile(file)
 		if err != nil || !strings.Contains(string(text), "<svg") || !strings.Contains(string(text), "ours") {
-			t.Errorf("%s is no plot with a legend (%v)", file, err)
+			t.Errorf("%s is not an SVG plot with a legend (%v)", file, err)
 		}
 	}
 }
--- a/internal/testing/bench/report/summary.go
+++ b/internal/testing/bench/report/summary.go
@@ -7,16 +7,16 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Summary is the mean of one figure over seeds, with its spread.
+// Summary holds the mean, spread and range of a figure, usually over seeds.
 type Summary struct {
 	N    int
 	Mean float64
-	// Spread is the sample standard deviation; 0 for fewer than two values.
+	// Spread is the sample standard deviation, or 0 for fewer than two values.
 	Spread   float64
 	Min, Max float64
 }
 
-// Summarize condenses values; the zero Summary stands for none.
+// Summarize returns the summary of values, or the zero Summary if there are none.
 func Summarize(values []float64) Summary {
 	if len(values) == 0 {
 		return Summary{}
@@ -33,7 +33,8 @@
 // String formats the summary as mean ± spread.
 func (s Summary) String() string { return fmt.Sprintf("%.4g ± %.2g", s.Mean, s.Spread) }
 
-// Quantile returns the smallest value that at least the share q (0 to 1) of values does not pass; 0 for no values.
+// Quantile returns the smallest value v such that at least a share q (0 to 1) of values is at most v. It returns 0 if
+// there are no values.
 func Quantile(q float64, values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/testing/bench/report/table.go
+++ b/internal/testing/bench/report/table.go
@@ -7,14 +7,14 @@
 	"text/tabwriter"
 )
 
-// Table is a titled grid of cells.
+// Table is a table of formatted cells with a title and column names.
 type Table struct {
 	Title   string
 	Columns []string
 	Rows    [][]string
 }
 
-// Add appends a row; each cell is formatted as by fmt.Sprint, floats with four significant digits.
+// Add appends a row. Cells are formatted with fmt.Sprint, but float64 values with four significant digits.
 func (t *Table) Add(cells ...any) {
 	row := make([]string, len(cells))
 	for i, c := range cells {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// Markdown writes the table in the form that docs/measurements.md uses.
+// Markdown writes the table as Markdown, in the format of docs/measurements.md.
 func (t *Table) Markdown(w io.Writer) error {
 	var b strings.Builder
 	if t.Title != "" {
--- a/internal/testing/bench/slopes/command.go
+++ b/internal/testing/bench/slopes/command.go
@@ -50,12 +50,12 @@
 	return errors.Join(errs...)
 }
 
-// selected returns the experiments whose first figure's name begins with prefix.
+// selected returns the experiments whose first figure's name starts with prefix.
 func selected(prefix string) []Experiment {
 	return slices.DeleteFunc(Experiments(), func(e Experiment) bool { return !strings.HasPrefix(e.Metrics[0].Name, prefix) })
 }
 
-// Save writes series as JSON; it makes the folder if need be.
+// Save writes series to file as JSON and creates its folder if needed.
 func Save(file string, series []Series) error {
 	data, err := json.MarshalIndent(series, "", " ")
 	if err != nil {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// Read reads what Save wrote.
+// Read returns the series in a file that Save wrote.
 func Read(file string) ([]Series, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/testing/bench/slopes/digests.go
+++ b/internal/testing/bench/slopes/digests.go
@@ -13,28 +13,29 @@
 )
 
 const (
-	// datagramHeaderBytes is what IP and UDP add to a digest.
+	// datagramHeaderBytes is the size of the IP and UDP headers of a digest.
 	datagramHeaderBytes = 28
-	incarnation         = "01k9zq3v5c8d7e6f4g2h1j0k" // as long as those of ids.NewIncarnation
+	incarnation         = "01k9zq3v5c8d7e6f4g2h1j0k" // has the length of an incarnation from ids.NewIncarnation
 
 	exchangeStep   = 100 * time.Millisecond
 	exchangeWarmup = 60 * time.Second
 	exchangeSpan   = 20 * time.Second
 )
 
-// virtualStart is the virtual time at which exchanges start; only differences matter.
+// virtualStart is the start of the virtual clock; only times relative to it matter.
 var virtualStart = time.Unix(1_800_000_000, 0)
 
-// digestNode is one node of the exchange of digests.
+// digestNode is a node that sends and receives digests.
 type digestNode struct {
 	id      membership.Identity
 	members *membership.MemberList
-	// sent and received count messages and their bytes in the measured span.
+	// Messages and bytes sent and received during exchangeSpan.
 	sent, received, sentBytes, receivedBytes float64
 	sequence                                 uint64
 }
 
-// identities returns so many entries and 13 slots for each 6 of them, over the target's data centres.
+// identities returns the given number of entries and 13 slots for every 6 entries, spread over the target's number of
+// data centres.
 func identities(entries int) []membership.Identity {
 	var all []membership.Identity
 	add := func(role cardamomyokev1.NodeRole, kind string, n int) {
@@ -51,7 +52,7 @@
 	return all
 }
 
-// newDigest is a digest as the processes fill it in.
+// newDigest returns a digest of the node with all fields filled in as by its process.
 func newDigest(id membership.Identity, sequence uint64) *cardamomyokev1.Digest {
 	d := &cardamomyokev1.Digest{
 		Node: string(id.Name), Incarnation: incarnation, Sequence: sequence, Role: id.Role,
@@ -68,36 +69,38 @@
 	return d
 }
 
-// exchangeDigests lets all nodes tell each other, on a virtual clock, until what is known is settled, and counts after that.
+// exchangeDigests simulates the digest exchange between all nodes on a virtual clock. It counts messages only after a
+// warm-up, when the nodes' state for each other has become stable.
 func exchangeDigests(entries int) []*digestNode {
-	list := identities(entries)
-	nodes := make([]*digestNode, len(list))
-	at := map[string]*digestNode{}
-	for i, id := range list {
+	identityList := identities(entries)
+	nodes := make([]*digestNode, len(identityList))
+	byAddress := map[string]*digestNode{}
+	for i, id := range identityList {
 		nodes[i] = &digestNode{id: id, members: membership.New(id, membership.Defaults(), virtualStart)}
-		nodes[i].members.SetRoster(list, virtualStart)
-		at[id.Digests] = nodes[i]
+		nodes[i].members.SetRoster(identityList, virtualStart)
+		byAddress[id.Digests] = nodes[i]
 	}
 	due := make([][]membership.Target, len(nodes))
 	for step := 0; time.Duration(step)*exchangeStep < exchangeWarmup+exchangeSpan; step++ {
 		now := virtualStart.Add(time.Duration(step) * exchangeStep)
-		counted := time.Duration(step)*exchangeStep >= exchangeWarmup
+		measuring := time.Duration(step)*exchangeStep >= exchangeWarmup
 		advance(nodes, due, step, now)
 		for i, n := range nodes {
-			n.sendDigest(at, due[i], now, counted)
+			n.sendDigest(byAddress, due[i], now, measuring)
 		}
 	}
 	return nodes
 }
 
-// advance lets each table tick and say whom it tells. Each touches only its own state, so they run side by side.
+// advance ticks the member lists and collects the targets to which each node has to send a digest. Each list changes only
+// its own state, so the workers run concurrently.
 func advance(nodes []*digestNode, due [][]membership.Target, step int, now time.Time) {
 	const workers = 4
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for w := range workers {
-		wait.Go(func() {
+		wg.Go(func() {
 			for i := w; i < len(nodes); i += workers {
-				// Less than a second apart, else a table takes the time between two ticks for a pause of its process.
+				// Ticks are less than a second apart; a longer gap would be mistaken for a pause of the process.
 				if (step+i)%5 == 0 {
 					nodes[i].members.Tick(now)
 				}
@@ -105,10 +108,10 @@
 			}
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 }
 
-func (n *digestNode) sendDigest(at map[string]*digestNode, due []membership.Target, now time.Time, counted bool) {
+func (n *digestNode) sendDigest(byAddress map[string]*digestNode, due []membership.Target, now time.Time, measuring bool) {
 	if len(due) == 0 {
 		return
 	}
@@ -116,21 +119,21 @@
 	d := newDigest(n.id, n.sequence)
 	size := float64(proto.Size(d) + datagramHeaderBytes)
 	for _, to := range due {
-		at[to.Address].members.Receive(d, now)
-		if counted {
+		byAddress[to.Address].members.Receive(d, now)
+		if measuring {
 			n.sent++
 			n.sentBytes += size
-			at[to.Address].received++
-			at[to.Address].receivedBytes += size
+			byAddress[to.Address].received++
+			byAddress[to.Address].receivedBytes += size
 		}
 	}
 }
 
-// exchangeFigures condenses one exchange.
+// exchangeFigures returns the figures of one exchange, in the order of its metrics.
 func exchangeFigures(entries int) ([]float64, error) {
 	nodes := exchangeDigests(entries)
 	end := virtualStart.Add(exchangeWarmup + exchangeSpan)
-	var f struct{ slotOut, slotIn, entryOut, entryIn, entryMost, heard, stale, others float64 }
+	var f struct{ slotOut, slotIn, entryOut, entryIn, entryBusiest, fresh, stale, entriesCounted float64 }
 	slots := float64(len(nodes) - entries)
 	seconds := exchangeSpan.Seconds()
 	for _, n := range nodes {
@@ -141,24 +144,24 @@
 		}
 		f.entryOut += n.sentBytes / seconds / float64(entries)
 		f.entryIn += n.receivedBytes / seconds / float64(entries)
-		f.entryMost = max(f.entryMost, (n.sentBytes+n.receivedBytes)/seconds)
-		heard, stale := n.countSlots(end)
-		f.heard += heard / float64(entries)
+		f.entryBusiest = max(f.entryBusiest, (n.sentBytes+n.receivedBytes)/seconds)
+		fresh, stale := n.countSlots(end)
+		f.fresh += fresh / float64(entries)
 		f.stale += stale / float64(entries)
-		f.others += float64(n.members.Entries()) / float64(entries)
+		f.entriesCounted += float64(n.members.Entries()) / float64(entries)
 	}
-	return []float64{f.slotOut, f.slotIn, f.entryOut, f.entryIn, f.entryMost, f.heard, f.stale, f.others}, nil
+	return []float64{f.slotOut, f.slotIn, f.entryOut, f.entryIn, f.entryBusiest, f.fresh, f.stale, f.entriesCounted}, nil
 }
 
-// countSlots counts the slots that an entry routes to: those heard within three seconds, and those heard once that it
-// has not given up yet.
+// countSlots counts the slots that an entry can route to: fresh ones, whose last digest is at most three seconds old, and
+// stale ones, whose last digest is older but which are not declared dead yet.
 func (n *digestNode) countSlots(now time.Time) (fresh, stale float64) {
-	const newest = 3 * time.Second
+	const maxFreshAge = 3 * time.Second
 	for _, m := range n.members.Nodes() {
 		if m.Role != cardamomyokev1.NodeRole_NODE_ROLE_SLOT || m.LastSeen.IsZero() || m.State == membership.StateDead {
 			continue
 		}
-		if now.Sub(m.LastSeen) <= newest {
+		if now.Sub(m.LastSeen) <= maxFreshAge {
 			fresh++
 		} else {
 			stale++
--- a/internal/testing/bench/slopes/doc.go
+++ b/internal/testing/bench/slopes/doc.go
@@ -1,10 +1,10 @@
-// Package slopes measures how what each role holds, sends and computes grows with what drives it.
+// Package slopes measures how the memory, messages and processor time of each role grow with the size of a deployment.
 //
-// An Experiment drives the code of the processes at four sizes or more and gives one or more figures for each. A line
-// is fitted to each figure; the fit, its residual and the value at the target's size are written as JSON. There is no
-// simulated network: messages are those that the packages make, encoded as on the wire, and the clock is either
-// virtual (membership, leases, claims) or that of this machine (agents, RPC, timings).
+// An Experiment runs code of the processes at four or more sizes of one driver and returns one or more figures for each
+// size. A line is fitted to each figure; the fit, its residual and the value at the target size are written as JSON.
+// There is no simulated network: the packages' own messages are encoded as on the wire. The clock is either virtual
+// (membership, leases, claims) or that of the machine (agents, RPC, timings).
 //
-// Check compares a new run with a committed one: counted figures must agree within a few percent, times within a
-// factor, since they depend on the machine and on what else runs there.
+// Check compares a new run with a committed one within a factor that depends on the Kind of a figure: a few percent for
+// exact counts, more for figures that depend on the machine and its other load.
 package slopes
--- a/internal/testing/bench/slopes/duties.go
+++ b/internal/testing/bench/slopes/duties.go
@@ -22,11 +22,12 @@
 
 const (
 	layers = 60
-	// leaseCandidates is how many entries want a group's lease (package rebalance).
+	// leaseCandidates is the number of entries that contend for a group's lease (see internal/experts/rebalance).
 	leaseCandidates = 3
 )
 
-// leaseFigures drives holders of so many duties, three candidates each, and counts calls of the table a second.
+// leaseFigures runs the lease holders of the given number of duties, with three candidates each, on a virtual clock. It
+// returns the reads and writes of the table per second.
 func leaseFigures(duties int) ([]float64, error) {
 	const span = 10 * time.Minute
 	var reads, writes float64
@@ -59,7 +60,7 @@
 	return []float64{reads / span.Seconds(), writes / span.Seconds()}, nil
 }
 
-// applyLease is the table's conditional write of the lease's two rows.
+// applyLease performs the conditional write of the lease's two rows, as the table does.
 func applyLease(row *lease.Row, w *lease.Write) lease.WriteResult {
 	if w.Version != row.Version || w.Fence != row.Fence {
 		return lease.WriteResult{Conflict: true}
@@ -72,7 +73,8 @@
 	return lease.WriteResult{OK: true, Version: row.Version, Fence: row.Fence}
 }
 
-// claimFigures runs the ledgers of 100 slots in virtual time.
+// claimFigures runs the claim ledgers of 100 slots in virtual time. It returns the writes and the rows written per second
+// for all slots.
 func claimFigures(perSecond int) ([]float64, error) {
 	const writesPerSecond, slots, seed = 300.0, 100, 1
 	f := claims.Run(claims.Scenario{
@@ -82,7 +84,8 @@
 	return []float64{float64(f.Writes) / 20, float64(f.Rows) / 20}, nil
 }
 
-// mapFigures packs a map, encodes it, and decides on one that popularity has drifted from.
+// mapFigures returns the size of an encoded map in bytes, the heap of a placement policy in bytes and the time in ms of one
+// decision after a shift of popularity.
 func mapFigures(shape expert.Shape) ([]float64, error) {
 	group := placement.Group{Shape: shape, Slots: shape.Cells()/shape.Ranks + 2*layers, ExpertBytes: 40 << 20, StoreRate: 1e9}
 	pop := make([]float64, shape.Cells())
@@ -91,29 +94,29 @@
 	}
 	speed := make([]float64, shape.Ranks)
 	floats.AddConst(1, speed)
-	m, err := placement.Pack(group, shape.Cells()/shape.Ranks+layers, pop, speed, 1)
+	packed, err := placement.Pack(group, shape.Cells()/shape.Ranks+layers, pop, speed, 1)
 	if err != nil {
 		return nil, fmt.Errorf("pack: %w", err)
 	}
-	data, err := m.MarshalBinary()
+	data, err := packed.MarshalBinary()
 	if err != nil {
 		return nil, fmt.Errorf("encode map: %w", err)
 	}
-	held := heapBytesOf(func() any { return policyWithReports(group) })
-	d, err := rebalance.NewDecision(shape, 1)
+	heap := heapBytesOf(func() any { return policyWithReports(group) })
+	decision, err := rebalance.NewDecision(shape, 1)
 	if err != nil {
 		return nil, fmt.Errorf("decision: %w", err)
 	}
-	var failed error
-	took := minCallMicros(func() {
-		if _, err := d.Run(); err != nil {
-			failed = err
+	var runErr error
+	micros := minCallMicros(func() {
+		if _, err := decision.Run(); err != nil {
+			runErr = err
 		}
 	})
-	return []float64{float64(len(data)), held, took / 1e3}, failed
+	return []float64{float64(len(data)), heap, micros / 1e3}, runErr
 }
 
-// policyWithReports is a policy that has taken in two windows of reports of all ranks.
+// policyWithReports returns a policy that has processed two windows of reports from all ranks.
 func policyWithReports(group placement.Group) *placement.Policy {
 	p := placement.NewPolicy(group)
 	tokens := make([]uint32, group.Shape.Cells())
@@ -123,7 +126,7 @@
 	for w := range uint64(2) {
 		for r := range group.Shape.Ranks {
 			report := placement.Report{Rank: r, Window: w, Tokens: slices.Clone(tokens), Processed: 1, Busy: 1, Step: w}
-			_ = p.Observe(virtualStart.Add(time.Duration(w)*time.Minute), report) // A report of a right shape is taken in.
+			_ = p.Observe(virtualStart.Add(time.Duration(w)*time.Minute), report) // Observe accepts any report of the right shape.
 		}
 	}
 	return p
@@ -136,7 +139,7 @@
 	}
 }
 
-// switchFigures switches a real group over loopback and counts messages.
+// switchFigures switches the map of a real group over loopback. It returns the messages and the time in ms of one switch.
 func switchFigures(ranks int) ([]float64, error) {
 	const switches = 3
 	f, err := mapswitch.Switches(ranks, switches, 6*time.Millisecond, 1)
--- a/internal/testing/bench/slopes/entry.go
+++ b/internal/testing/bench/slopes/entry.go
@@ -23,7 +23,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/meter"
 )
 
-// drivenEntry is a real entry whose control loop this package drives: a tick runs only when it is asked for.
+// drivenEntry is a real entry whose control loop is driven by the experiment: ticks run only on request.
 type drivenEntry struct {
 	entry  *entry.Entry
 	loop   *control.Loop
@@ -32,15 +32,15 @@
 	cancel context.CancelFunc
 }
 
-// startDrivenEntry starts an entry that the log names among so many members.
+// startDrivenEntry starts an entry with the given number of client accounts and a roster of memberCount other members.
 func startDrivenEntry(clients, memberCount int) (*drivenEntry, error) {
 	snap, err := config.NewSnapshot(configuration(clients))
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	c := &drivenEntry{loop: control.New(), set: &entry.Settings{Settings: host.Settings{Name: "entry-self", DataCentre: "centre-0"}}}
-	for _, a := range []*string{&c.set.HTTP.Address, &c.set.Control.Address, &c.set.Digests.Address, &c.set.Platform} {
-		if *a, err = meter.FreePort(); err != nil {
+	for _, address := range []*string{&c.set.HTTP.Address, &c.set.Control.Address, &c.set.Digests.Address, &c.set.Platform} {
+		if *address, err = meter.FreePort(); err != nil {
 			return nil, err
 		}
 	}
@@ -51,7 +51,7 @@
 	if c.sender, err = digest.NewSender(); err != nil {
 		return nil, fmt.Errorf("digests: %w", err)
 	}
-	// The members are nobody's: what the entry sends them goes to a port of its own that drops it.
+	// No processes run as these members: the entry's digests to them go to a free port on which nothing listens.
 	sink, err := meter.FreePort()
 	if err != nil {
 		return nil, err
@@ -80,7 +80,7 @@
 	_ = c.sender.Close()
 }
 
-// runOnLoop runs f on the control loop and waits for it.
+// runOnLoop runs f on the control loop and waits until it returns.
 func (c *drivenEntry) runOnLoop(f func(now time.Time)) {
 	done := make(chan struct{})
 	c.loop.Post(func(now time.Time) {
@@ -90,7 +90,7 @@
 	<-done
 }
 
-// sendSlotDigests sends the digests of so many slots to the entry, as slots do.
+// sendSlotDigests sends digests of the given number of slots to the entry and waits for their delivery.
 func (c *drivenEntry) sendSlotDigests(slots int, sequence uint64) error {
 	sink := c.set.Platform
 	for i := range slots {
@@ -104,12 +104,13 @@
 			return fmt.Errorf("send digest: %w", err)
 		}
 	}
-	const arrive = 30 * time.Millisecond // datagrams on loopback, then the mailbox
-	time.Sleep(arrive)
+	const deliveryTime = 30 * time.Millisecond // for datagrams on loopback and the control loop's mailbox
+	time.Sleep(deliveryTime)
 	return nil
 }
 
-// tickTime measures one tick of the entry's control loop.
+// tickTime returns the time of one tick of the entry's control loop in microseconds and the heap in bytes of an entry with
+// the given sizes.
 func tickTime(clients, memberCount, slots int) (micros, heap float64, err error) {
 	before := heapBytes()
 	c, err := startDrivenEntry(clients, memberCount)
@@ -129,23 +130,23 @@
 }
 
 const (
-	tickPeriod    = 25 * time.Millisecond // that of the daemons
-	ticksPerRound = 40                    // a second, with the views that are built in it
-	tickRounds    = 7                     // less than it takes until a silent slot is suspect
+	tickPeriod    = 25 * time.Millisecond // tick interval of the daemons
+	ticksPerRound = 40                    // one second of ticks, including the views built in it
+	tickRounds    = 7                     // in seconds; ends before slots without new digests become suspect
 )
 
-// measureTicks lets some seconds pass on a virtual clock and returns the mean time of a tick, in microseconds, in the least
-// disturbed of them.
+// measureTicks advances a virtual clock by tickRounds seconds and returns the mean time of a tick in microseconds, from the
+// second with the lowest mean, which other load on the machine disturbed least.
 func (c *drivenEntry) measureTicks(now time.Time) float64 {
 	best := 0.0
-	for second := range tickRounds {
+	for round := range tickRounds {
 		began := time.Now()
 		for range ticksPerRound {
 			now = now.Add(tickPeriod)
 			c.entry.Tick(now)
 		}
 		each := float64(time.Since(began).Nanoseconds()) / 1e3 / ticksPerRound
-		if second == 0 || each < best {
+		if round == 0 || each < best {
 			best = each
 		}
 	}
@@ -160,22 +161,22 @@
 			Load: routing.Load{TakenAt: virtualStart, StepTime: 20 * time.Millisecond}, Work: &routing.Work{}, Cached: prefix.NewTable(1024),
 		})
 	}
-	p := expectedwait.New(list, expectedwait.Defaults())
-	var failed error
+	picker := expectedwait.New(list, expectedwait.Defaults())
+	var pickErr error
 	n := uint64(0)
-	took := minCallMicros(func() {
+	micros := minCallMicros(func() {
 		n++
-		if _, err := p.Pick(&routing.Request{Rand: n}, virtualStart); err != nil {
-			failed = err
+		if _, err := picker.Pick(&routing.Request{Rand: n}, virtualStart); err != nil {
+			pickErr = err
 		}
 	})
-	return []float64{took}, failed
+	return []float64{micros}, pickErr
 }
 
 func entryExperiments() []Experiment {
-	tick := []Metric{{"entry.tick", "entry control", "µs a tick", Timed}, {"entry.heap", "entry control", "B of heap", Counted}}
-	by := func(driver string) []Metric {
-		out := append([]Metric{}, tick...)
+	base := []Metric{{"entry.tick", "entry control", "µs a tick", Timed}, {"entry.heap", "entry control", "B of heap", Counted}}
+	tickMetrics := func(driver string) []Metric {
+		out := append([]Metric{}, base...)
 		for i := range out {
 			out[i].Name += ".by-" + driver
 		}
@@ -185,17 +186,17 @@
 	return []Experiment{
 		{
 			Driver: "members, 17 slots heard, 1,000 clients", Sizes: []int{19, 142, 285, 570, 1140}, Target: targetMembers,
-			Metrics: by("members"),
+			Metrics: tickMetrics("members"),
 			Run:     func(n int) ([]float64, error) { return figures(tickTime(1000, n, 17)) },
 		},
 		{
 			Driver: "slots heard, 19 members, 1,000 clients", Sizes: []int{4, 8, 16, 32, 64}, Target: 64,
-			Metrics: by("slots"),
+			Metrics: tickMetrics("slots"),
 			Run:     func(n int) ([]float64, error) { return figures(tickTime(1000, 19, n)) },
 		},
 		{
 			Driver: "client accounts, 19 members, 17 slots", Sizes: []int{10, 1000, 10_000, 30_000}, Target: targetClients,
-			Metrics: by("clients"),
+			Metrics: tickMetrics("clients"),
 			Run:     func(n int) ([]float64, error) { return figures(tickTime(n, 19, 17)) },
 		},
 		{
--- a/internal/testing/bench/slopes/fit.go
+++ b/internal/testing/bench/slopes/fit.go
@@ -7,26 +7,26 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Kind tells how well a figure can be reproduced, and so how tightly Check compares it.
+// Kind is the reproducibility class of a figure. It sets the tolerance of Check.
 type Kind string
 
 // The kinds of figures.
 const (
 	// Exact figures are sizes and counts that do not depend on the machine.
 	Exact Kind = "exact"
-	// Counted figures are counts that depend a little on how a run goes, or heap sizes.
+	// Counted figures are heap sizes, and counts that vary slightly between runs.
 	Counted Kind = "counted"
-	// Paced figures are counts over some seconds of real time; a busy machine loses beats, and who is the busiest node
-	// differs from run to run.
+	// Paced figures are counts over some seconds of real time. A busy machine skips heartbeats, and the busiest node differs
+	// between runs.
 	Paced Kind = "paced"
 	// Timed figures are processor times.
 	Timed Kind = "timed"
-	// Waited figures are times by the clock on the wall of many goroutines that wait for each other. On a busy machine one
-	// took seven times as long as on a quiet one, so only a change of kind is found here.
+	// Waited figures are wall-clock times of many goroutines that wait for each other. A busy machine took seven times as
+	// long as an idle one, so Check finds only changes of an order of magnitude.
 	Waited Kind = "waited"
 )
 
-// tolerance returns by which factor two runs may differ.
+// tolerance returns the factor by which two runs may differ.
 func (k Kind) tolerance() float64 {
 	switch k {
 	case Exact:
@@ -45,11 +45,11 @@
 type Fit struct {
 	Intercept float64 `json:"intercept"`
 	Slope     float64 `json:"slope"`
-	// Residual is the largest distance of a value from the line, as a part of the largest value.
+	// Residual is the largest distance of a value from the line, relative to the largest value.
 	Residual float64 `json:"residual"`
 }
 
-// fitLine fits a line by least squares.
+// fitLine fits a line through the points by least squares.
 func fitLine(x, y []float64) Fit {
 	f := Fit{}
 	f.Intercept, f.Slope = stat.LinearRegression(x, y, nil, false)
@@ -66,7 +66,7 @@
 
 func (f Fit) at(x float64) float64 { return f.Intercept + f.Slope*x }
 
-// Series is one figure over the sizes of its driver.
+// Series is one figure at several sizes of its driver.
 type Series struct {
 	Name   string    `json:"name"`
 	Role   string    `json:"role"`
@@ -76,11 +76,11 @@
 	Sizes  []float64 `json:"sizes"`
 	Values []float64 `json:"values"`
 	Fit    Fit       `json:"fit"`
-	// Target is the driver at the size that the product is to carry; AtTarget is the value measured there, or that of
-	// the line if no size reaches it.
+	// Target is the driver's size that the product has to support. AtTarget is the value measured at that size, or the
+	// value of the fitted line if that size was not measured.
 	Target   float64 `json:"target"`
 	AtTarget float64 `json:"at_target"`
-	// Measured says that AtTarget is a measured value and not one of the line.
+	// Measured is set if AtTarget is a measured value and not one of the fitted line.
 	Measured bool `json:"measured"`
 }
 
@@ -95,11 +95,11 @@
 	}
 }
 
-// DifferenceError says that a run does not reproduce the committed one.
+// DifferenceError reports that a value differs from the committed one by more than the tolerance.
 type DifferenceError struct {
 	Series string
 	Size   float64
-	// Want is the committed value, Got that of the run; Factor is by how much they may differ.
+	// Want is the committed value and Got that of the run; they may differ by Factor.
 	Want, Got, Factor float64
 }
 
@@ -108,13 +108,14 @@
 	return fmt.Sprintf("%s at %.6g: got %.4g, committed %.4g, allowed factor %.2f", e.Series, e.Size, e.Got, e.Want, e.Factor)
 }
 
-// MissingError says that a committed series or size was not measured, or the other way round.
+// MissingError reports that a series is missing from one of the two runs, or that its number of sizes differs.
 type MissingError struct{ Series string }
 
 // Error implements error.
 func (e *MissingError) Error() string { return e.Series + ": not in both runs" }
 
-// Check returns an error for each committed series that the run does not reproduce: *DifferenceError or *MissingError.
+// Check compares a run with the committed one. It returns a *DifferenceError for each value that is not reproduced and a
+// *MissingError for each series that is not in both runs with the same number of sizes.
 func Check(committed, run []Series) []error {
 	var errs []error
 	byName := map[string]Series{}
--- a/internal/testing/bench/slopes/requests.go
+++ b/internal/testing/bench/slopes/requests.go
@@ -10,12 +10,13 @@
 
 const costWorkers = 8
 
-// sharedCoster starts the processes once for all experiments that send requests.
+// sharedCoster starts the processes on first use and shares them between all experiments that send requests.
 var sharedCoster = sync.OnceValues(func() (*load.Coster, error) { return load.NewCoster(costWorkers) })
 
 func micros(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1e3 }
 
-// modelFigures streams answers of the given length and returns what entry and slot add to one.
+// modelFigures streams responses of the given length and returns the processor time that entry and slot add to a request,
+// in microseconds.
 func modelFigures(tokens int) ([]float64, error) {
 	const requests = 800
 	c, err := sharedCoster()
@@ -26,16 +27,17 @@
 	return []float64{micros(cost.Both - cost.Straight)}, err
 }
 
-// warmupRequests go before a measurement of plain requests.
+// warmupRequests is the number of plain requests sent before a measurement.
 const warmupRequests = 1000
 
-// plainFigures sends so many plain requests and returns what they add in all.
+// plainFigures sends the given number of plain requests and returns the total processor time in ms that entry and slot
+// add to them.
 func plainFigures(requests int) ([]float64, error) {
 	c, err := sharedCoster()
 	if err != nil {
 		return nil, fmt.Errorf("start: %w", err)
 	}
-	// The first requests of a path make its connections and fill its pools, which would hide what one request takes.
+	// The first requests of a path open connections and fill pools, which would distort the cost of a request.
 	if _, err := c.Plain(warmupRequests); err != nil {
 		return nil, err
 	}
@@ -44,6 +46,8 @@
 	return []float64{n * micros(cost.Entry-cost.Straight), n * micros(cost.Both-cost.Entry)}, err
 }
 
+// addressFigures sends the given number of requests for addresses and returns their total processor time in ms and the
+// size of one response body in bytes.
 func addressFigures(requests int) ([]float64, error) {
 	c, err := sharedCoster()
 	if err != nil {
--- a/internal/testing/bench/slopes/revisions.go
+++ b/internal/testing/bench/slopes/revisions.go
@@ -26,12 +26,12 @@
 const (
 	agentTick   = 50 * time.Millisecond
 	joinTimeout = 30 * time.Second
-	agentWarmup = 3 * time.Second // until what was lacking at the start has been sent
+	agentWarmup = 3 * time.Second // until nodes have received what they lacked at the start
 	agentSpan   = 8 * time.Second
 	changeCount = 5
 )
 
-// cluster are the nodes of a deployment in this process, with the stand-in of the platform and messages in memory.
+// cluster is a deployment whose nodes run in this process, with a stand-in for the platform and an in-memory network.
 type cluster struct {
 	store  *standin.Store
 	net    *memnet.Net
@@ -40,41 +40,41 @@
 	cancel context.CancelFunc
 }
 
-// startCluster starts n nodes and waits until the log names all of them.
+// startCluster starts n nodes and waits until all of them are in the roster in force at every node.
 func startCluster(n int) (*cluster, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	a := &cluster{store: standin.NewStore(standin.Limits{}), net: memnet.New(nil), cancel: cancel}
+	c := &cluster{store: standin.NewStore(standin.Limits{}), net: memnet.New(nil), cancel: cancel}
 	rng := rand.New(rand.NewPCG(1, uint64(n)))
 	all := members(n)
 	for i, m := range all {
-		client := a.store.Client(m.GetName())
+		client := c.store.Client(m.GetName())
 		loop := control.New()
-		ag := agent.New(agent.Config{
+		node := agent.New(agent.Config{
 			Self: m, Incarnation: ids.NewIncarnation(), Seeds: all[:min(i, 6)], Platform: platform.NewClient(client, platform.Options{}),
-			Transport: a.net.Transport(m.GetName()), Loop: loop, Rand: rand.New(rand.NewPCG(rng.Uint64(), 2)),
+			Transport: c.net.Transport(m.GetName()), Loop: loop, Rand: rand.New(rand.NewPCG(rng.Uint64(), 2)),
 		})
-		go loop.Run(ctx, agentTick, ag.Tick)
-		a.agents = append(a.agents, ag)
-		a.names = append(a.names, m.GetName())
-		a.net.Attach(m.GetName(), ag)
+		go loop.Run(ctx, agentTick, node.Tick)
+		c.agents = append(c.agents, node)
+		c.names = append(c.names, m.GetName())
+		c.net.Attach(m.GetName(), node)
 	}
 	deadline := time.Now().Add(joinTimeout)
-	for !a.joined() {
+	for !c.joined() {
 		if time.Now().After(deadline) {
-			a.stop()
+			c.stop()
 			return nil, fmt.Errorf("join: %w", &NotJoinedError{n})
 		}
 		time.Sleep(agentTick)
 	}
-	// A node takes no work, and vouches for none, before there is a configuration.
-	if err := a.change(0); err != nil {
-		a.stop()
+	// Before there is a configuration, a node accepts no work and sends no vouch.
+	if err := c.change(0); err != nil {
+		c.stop()
 		return nil, err
 	}
-	return a, nil
+	return c, nil
 }
 
-// NotJoinedError says that a deployment did not come together in time.
+// NotJoinedError reports that a deployment did not reach a common state in time.
 type NotJoinedError struct{ Nodes int }
 
 // Error implements error.
@@ -97,7 +97,7 @@
 	a.cancel()
 }
 
-// traffic returns messages and bytes that all nodes sent so far, and the most bytes of one.
+// traffic returns the total messages and bytes that the nodes have sent so far, and the bytes of each node.
 func (a *cluster) traffic() (messages, bytes float64, each []float64) {
 	for _, name := range a.names {
 		u := a.net.Usage(name)
@@ -109,7 +109,7 @@
 	return messages, bytes, each
 }
 
-// revisionFigures measures a deployment in rest, and then a few changes one after the other.
+// revisionFigures measures an idle deployment, and then a few consecutive changes.
 func revisionFigures(n int) ([]float64, error) {
 	a, err := startCluster(n)
 	if err != nil {
@@ -123,12 +123,12 @@
 	messages2, bytes2, each2 := a.traffic()
 	usage2, busy2 := a.store.Usage(), meter.ProcessorTime()
 	seconds, nodes := agentSpan.Seconds(), float64(n)
-	most := 0.0
+	busiest := 0.0
 	for i := range each {
-		most = max(most, (each2[i]-each[i])/seconds)
+		busiest = max(busiest, (each2[i]-each[i])/seconds)
 	}
 	out := []float64{
-		(messages2 - messages) / seconds / nodes, (bytes2 - bytes) / seconds / nodes, most,
+		(messages2 - messages) / seconds / nodes, (bytes2 - bytes) / seconds / nodes, busiest,
 		float64(usage2.Reads-usage.Reads) / seconds, float64(usage2.Writes-usage.Writes) / seconds,
 		float64((busy2 - busy).Microseconds()) / seconds / nodes,
 	}
@@ -136,8 +136,8 @@
 	return append(out, changes...), err
 }
 
-// changes makes a few changes one after the other and returns the writes of the table that each cost, and the longest
-// time until one was accepted, in milliseconds.
+// changes makes changeCount consecutive changes and returns the mean number of table writes per change and the longest
+// time in ms until a change was accepted.
 func (a *cluster) changes() ([]float64, error) {
 	usage := a.store.Usage()
 	longest := time.Duration(0)
@@ -152,7 +152,7 @@
 	return []float64{float64(usage2.Writes-usage.Writes) / changeCount, float64(longest.Microseconds()) / 1e3}, nil
 }
 
-// change commits the change number i at the first node and waits until it is accepted there.
+// change commits change number i at the first node and waits until it is accepted there.
 func (a *cluster) change(i int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), joinTimeout)
 	defer cancel()
@@ -169,6 +169,7 @@
 	return nil
 }
 
+// setAddressTTL returns an edit that sets the policies, with ms as the time that callers keep addresses.
 func setAddressTTL(ms uint32) func(*revision.State) ([]*cardamomyokev1.Edit, error) {
 	return func(*revision.State) ([]*cardamomyokev1.Edit, error) {
 		return []*cardamomyokev1.Edit{{
@@ -178,7 +179,7 @@
 	}
 }
 
-// countingConn counts the bytes of a connection.
+// countingConn counts the bytes read from and written to a connection.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -198,7 +199,7 @@
 	return n, err
 }
 
-// discardService takes messages and does nothing with them.
+// discardService accepts pushes and discards them.
 type discardService struct {
 	cardamomyokev1connect.UnimplementedRevisionServiceHandler
 }
@@ -208,8 +209,8 @@
 	return &cardamomyokev1.PushResponse{}, nil
 }
 
-// pushFigures sends so many beats between two processes' worth of connect over loopback, in HTTP/2 as the agents do, and
-// returns the bytes both ways and the processor time of both ends.
+// pushFigures sends the given number of heartbeats through a Connect client and server over loopback, with HTTP/2 like the
+// agents. It returns the bytes in both directions and the processor time of both ends in microseconds.
 func pushFigures(calls int) ([]float64, error) {
 	server, address, err := serveDiscard()
 	if err != nil {
@@ -236,8 +237,8 @@
 		}
 		return nil
 	}
-	const warm = 20
-	if err := send(warm); err != nil {
+	const warmupCalls = 20
+	if err := send(warmupCalls); err != nil {
 		return nil, err
 	}
 	before, busy := bytes.Load(), meter.ProcessorTime()
@@ -247,7 +248,8 @@
 	return []float64{float64(bytes.Load() - before), float64((meter.ProcessorTime() - busy).Microseconds())}, nil
 }
 
-// newHeartbeat is what a node sends when nothing changes, in a deployment of so many members of which some are missing.
+// newHeartbeat returns the push that a node sends when nothing changes, in a deployment of n members. It includes the
+// bitmap of missing members.
 func newHeartbeat(n int) *revision.Push {
 	return &revision.Push{
 		From: "entry-0001", Incarnation: incarnation, Origin: incarnation, Beat: 100_000, Committed: 700_000, Accepted: 700_000,
@@ -256,7 +258,7 @@
 	}
 }
 
-// newHeartbeatAck is what a node sends up for itself and all nodes below.
+// newHeartbeatAck returns the acknowledgement that a node sends to its parent for itself and all nodes below it.
 func newHeartbeatAck(n int) *revision.Ack {
 	bits := make([]byte, (n+7)/8)
 	return &revision.Ack{
@@ -265,7 +267,7 @@
 	}
 }
 
-// serveDiscard serves a revision service that takes everything and does nothing.
+// serveDiscard starts a server for discardService on loopback and returns it with its address.
 func serveDiscard() (*http.Server, string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/testing/bench/slopes/run.go
+++ b/internal/testing/bench/slopes/run.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/report"
 )
 
-// The target's size.
+// The target size: the deployment that the product has to support.
 const (
 	targetEntries  = 360
 	targetSlots    = 780
@@ -19,27 +19,28 @@
 	targetRanks    = 64
 	targetExperts  = 128
 	targetRequests = 8_200
-	// targetDuties are the model groups that 3,100 accelerators in groups of 64 ranks make, and one more duty.
+	// targetDuties is one duty for each model group (3,100 accelerators in groups of 64 ranks) and one further duty.
 	targetDuties = 3100/targetRanks + 1
 )
 
-// Metric is one figure of an experiment.
+// Metric describes one figure of an experiment.
 type Metric struct {
 	Name, Role, Unit string
 	Kind             Kind
 }
 
-// Experiment measures the same figures at several sizes of one driver.
+// Experiment measures the same figures at several sizes of one driver. Target is the driver's size that the product
+// has to support.
 type Experiment struct {
 	Driver  string
 	Sizes   []int
 	Target  int
 	Metrics []Metric
-	// Run returns one value for each of Metrics.
+	// Run measures at one size and returns one value for each of Metrics.
 	Run func(size int) ([]float64, error)
 }
 
-// Experiments returns all there are, in the order in which they are run.
+// Experiments returns all experiments in the order in which they run.
 func Experiments() []Experiment {
 	var all []Experiment
 	all = append(all, digestExperiments()...)
@@ -48,12 +49,12 @@
 	all = append(all, entryExperiments()...)
 	all = append(all, dutyExperiments()...)
 	all = append(all, revisionExperiments()...)
-	// Last, as its processes go on running.
+	// These are last because their processes keep running afterwards.
 	all = append(all, requestExperiments()...)
 	return all
 }
 
-// Measure runs the experiments one after the other and writes their progress to log.
+// Measure runs the experiments one after another and writes the time that each took to log.
 func Measure(experiments []Experiment, log io.Writer) ([]Series, error) {
 	var out []Series
 	for _, e := range experiments {
@@ -89,19 +90,20 @@
 	return out, nil
 }
 
-// Table lists the series.
+// Table returns a table with one row per series. The suffix of the value at the target's size is M if it was measured and
+// W if it is the value of the fitted line.
 func Table(series []Series) report.Table {
 	t := report.Table{
 		Title:   "Slopes: value = intercept + slope * driver",
 		Columns: []string{"figure", "role", "unit", "driver", "sizes", "values", "intercept", "slope", "residual", "target", "at target", "kind"},
 	}
 	for _, s := range series {
-		how := "M"
+		source := "M"
 		if !s.Measured {
-			how = "W"
+			source = "W"
 		}
 		t.Add(s.Name, s.Role, s.Unit, s.Driver, joinValues(s.Sizes), joinValues(s.Values), s.Fit.Intercept, s.Fit.Slope,
-			fmt.Sprintf("%.1f%%", 100*s.Fit.Residual), fmt.Sprintf("%.6g", s.Target), fmt.Sprintf("%.4g %s", s.AtTarget, how), s.Kind)
+			fmt.Sprintf("%.1f%%", 100*s.Fit.Residual), fmt.Sprintf("%.6g", s.Target), fmt.Sprintf("%.4g %s", s.AtTarget, source), s.Kind)
 	}
 	return t
 }
@@ -117,12 +119,12 @@
 	return out
 }
 
-// heapBytesOf returns the bytes that what build returns keeps on the heap.
+// heapBytesOf returns the heap bytes retained by the value that build returns.
 func heapBytesOf(build func() any) float64 {
 	before := heapBytes()
-	kept := build()
+	value := build()
 	after := heapBytes()
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(value)
 	return max(0, after-before)
 }
 
@@ -139,8 +141,8 @@
 	timingSpan = 15 * time.Millisecond
 )
 
-// minCallMicros returns the least time of one call in microseconds. The least is what other load on the machine disturbs
-// least.
+// minCallMicros returns the time of one call of f in microseconds, as the minimum over several runs, since other load on
+// the machine disturbs the minimum least.
 func minCallMicros(f func()) float64 {
 	f()
 	best := 0.0
--- a/internal/testing/bench/slopes/slopes_test.go
+++ b/internal/testing/bench/slopes/slopes_test.go
@@ -26,13 +26,13 @@
 		run  []Series
 		want int
 	}{
-		"same":           {committed, 0},
-		"bytes grew":     {[]Series{series("bytes", Exact, 100, 210), series("time", Timed, 10, 20)}, 1},
-		"machine slower": {[]Series{series("bytes", Exact, 100, 200), series("time", Timed, 25, 50)}, 0},
-		"time shot up":   {[]Series{series("bytes", Exact, 100, 200), series("time", Timed, 10, 200)}, 1},
-		"became nothing": {[]Series{series("bytes", Exact, 0, 200), series("time", Timed, 10, 20)}, 1},
-		"series is gone": {[]Series{series("bytes", Exact, 100, 200)}, 1},
-		"series is new":  {append([]Series{series("other", Exact, 1, 1)}, committed...), 1},
+		"same run":                    {committed, 0},
+		"count grew":                  {[]Series{series("bytes", Exact, 100, 210), series("time", Timed, 10, 20)}, 1},
+		"machine is slower":           {[]Series{series("bytes", Exact, 100, 200), series("time", Timed, 25, 50)}, 0},
+		"time grew beyond the factor": {[]Series{series("bytes", Exact, 100, 200), series("time", Timed, 10, 200)}, 1},
+		"count became zero":           {[]Series{series("bytes", Exact, 0, 200), series("time", Timed, 10, 20)}, 1},
+		"series is missing":           {[]Series{series("bytes", Exact, 100, 200)}, 1},
+		"series is new":               {append([]Series{series("other", Exact, 1, 1)}, committed...), 1},
 	}
 	for name, tc := range tests {
 		if got := Check(committed, tc.run); len(got) != tc.want {
@@ -59,7 +59,8 @@
 	}
 }
 
-// The committed fit must have at least four sizes for each figure, else its residual says nothing.
+// Guards against fits with fewer than four sizes, whose residual does not show whether growth is linear, and against
+// committed series that differ from the measured ones.
 func TestCommittedSlopesHaveFourSizes(t *testing.T) {
 	series, err := Read("../../../../docs/slopes.json")
 	if err != nil {
--- a/internal/testing/bench/slopes/state.go
+++ b/internal/testing/bench/slopes/state.go
@@ -14,7 +14,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision"
 )
 
-// configuration has three models, two plain services and so many client accounts.
+// configuration returns a configuration with three models and the given number of client accounts.
 func configuration(clients int) *cardamomyokev1.Configuration {
 	c := &cardamomyokev1.Configuration{
 		Revision: 657_000,
@@ -38,31 +38,32 @@
 
 func clientName(i int) string { return fmt.Sprintf("client-%06d", i) }
 
-// configurationFigures measures one configuration: encoded, held in memory, decoded and checked, and its limits.
+// configurationFigures returns the encoded size and the heap of a configuration in bytes, and the time in microseconds to
+// decode and check it.
 func configurationFigures(clients int) ([]float64, error) {
 	data, err := proto.Marshal(configuration(clients))
 	if err != nil {
 		return nil, fmt.Errorf("encode configuration: %w", err)
 	}
-	var failed error
+	var loadErr error
 	load := func() *config.Snapshot {
 		c := &cardamomyokev1.Configuration{}
 		if err := proto.Unmarshal(data, c); err != nil {
-			failed = err
+			loadErr = err
 			return nil
 		}
 		s, err := config.NewSnapshot(c)
 		if err != nil {
-			failed = err
+			loadErr = err
 		}
 		return s
 	}
-	held := heapBytesOf(func() any { return load() })
-	took := minCallMicros(func() { load() })
-	return []float64{float64(len(data)), held, took}, failed
+	heap := heapBytesOf(func() any { return load() })
+	micros := minCallMicros(func() { load() })
+	return []float64{float64(len(data)), heap, micros}, loadErr
 }
 
-// limiterWithDemand has heard from so many clients.
+// limiterWithDemand returns a limiter with recorded demand of the given number of clients.
 func limiterWithDemand(clients int) *limits.Limiter {
 	l := limits.New(limits.Defaults(), targetEntries)
 	set := make(map[ids.Client]limits.Limit, clients)
@@ -76,19 +77,21 @@
 	return l
 }
 
+// limiterFigures returns the heap of a limiter in bytes, the times in microseconds of consuming an allowance and of a
+// report, and the number of records in a report.
 func limiterFigures(clients int) ([]float64, error) {
-	held := heapBytesOf(func() any { return limiterWithDemand(clients) })
+	heap := heapBytesOf(func() any { return limiterWithDemand(clients) })
 	l := limiterWithDemand(clients)
 	i := 0
-	take := minCallMicros(func() {
+	consume := minCallMicros(func() {
 		i++
 		_ = l.Consume(ids.Client(clientName(i%clients)), 200, virtualStart)
 	})
 	report := minCallMicros(func() { l.Report(virtualStart) })
-	return []float64{held, take, report, float64(len(l.Report(virtualStart)))}, nil
+	return []float64{heap, consume, report, float64(len(l.Report(virtualStart)))}, nil
 }
 
-// members returns nodes in the target's proportion: 6 entries to 13 slots.
+// members returns n members in the target's ratio of 6 entries to 13 slots.
 func members(n int) []*revision.Member {
 	var out []*revision.Member
 	for i := range n {
@@ -104,7 +107,8 @@
 	return out
 }
 
-// memberFigures measures the roster as it is kept, and the table of members that digests refresh.
+// memberFigures measures the roster and the member list that digests refresh: encoded sizes and heap in bytes, and the times
+// in microseconds of a tick, of a view of the addresses and of a change of the roster.
 func memberFigures(n int) ([]float64, error) {
 	list := members(n)
 	encoded := float64(proto.Size(&cardamomyokev1.State{Seq: 1, Members: list}))
@@ -118,12 +122,12 @@
 		l.SetRoster(identities, virtualStart)
 		return l
 	}
-	held := heapBytesOf(func() any { return []any{build(), revision.NewRoster(members(n))} })
+	heap := heapBytesOf(func() any { return []any{build(), revision.NewRoster(members(n))} })
 	l := build()
 	tick := minCallMicros(func() { l.Tick(virtualStart) })
 	adopt := minCallMicros(func() { build() })
 	addresses := minCallMicros(func() { l.Addresses("") })
-	return []float64{encoded, float64(proto.Size(status)), held, tick, addresses, adopt}, nil
+	return []float64{encoded, float64(proto.Size(status)), heap, tick, addresses, adopt}, nil
 }
 
 func stateExperiments() []Experiment {
--- a/internal/testing/bench/slopes/usage.go
+++ b/internal/testing/bench/slopes/usage.go
@@ -11,9 +11,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/admission/limits"
 )
 
-// usageFigures lets one of so many entries take its part of the target's requests, from clients drawn evenly, and returns
-// the datagrams and bytes of what it then tells the entries that add demand up. As much comes in as goes out, and beyond
-// limits.FullExchangeUpTo each datagram is answered by one of the same size.
+// usageFigures lets one of the given number of entries consume its share of the target's requests, from uniformly random
+// clients. It returns the number and the bytes of the datagrams that the entry then sends to the entries that sum up
+// demand. An entry receives as much as it sends. Beyond limits.FullExchangeUpTo entries, each datagram gets a reply of the
+// same size.
 func usageFigures(entries int) ([]float64, error) {
 	const span = 20 * time.Second
 	l := limits.New(limits.Defaults(), entries)
@@ -33,9 +34,9 @@
 		now = now.Add(span / time.Duration(requests))
 		_ = l.Consume(ids.Client(clientName(rng.IntN(targetClients))), 207, now)
 	}
-	told := limits.NewRing(names).Address(names[0], l.Report(now))
+	byRecipient := limits.NewRing(names).Address(names[0], l.Report(now))
 	bytes := 0
-	for node, records := range told {
+	for node, records := range byRecipient {
 		if node == names[0] {
 			continue
 		}
@@ -43,7 +44,7 @@
 		d.Usage = limits.Encode(records)
 		bytes += proto.Size(d) + datagramHeaderBytes
 	}
-	return []float64{float64(len(told)), float64(bytes)}, nil
+	return []float64{float64(len(byRecipient)), float64(bytes)}, nil
 }
 
 func usageExperiments() []Experiment {
