--- a/internal/testing/bench/htmlreport/page.go
+++ b/internal/testing/bench/htmlreport/page.go
@@ -45,10 +45,10 @@
 func (p Page) WriteHTML(w io.Writer) error {
 	page, err := template.New("page").Funcs(template.FuncMap{"picture": picture, "numeric": numeric}).Parse(pageTemplate)
 	if err != nil {
-		return fmt.Errorf("page: %w", err)
+		return fmt.Errorf("render page: %w", err)
 	}
 	if err := page.Execute(w, p); err != nil {
-		return fmt.Errorf("page: %w", err)
+		return fmt.Errorf("render page: %w", err)
 	}
 	return nil
 }
@@ -57,7 +57,7 @@
 func picture(file string) (template.URL, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return "", fmt.Errorf("plot: %w", err)
+		return "", fmt.Errorf("read plot: %w", err)
 	}
 	return template.URL("data:image/svg+xml;base64," + base64.StdEncoding.EncodeToString(data)), nil
 }
@@ -88,7 +88,7 @@
 			fmt.Fprintf(w, "%d tables, no limits to meet\n", len(s.Tables))
 		}
 		if _, err := report.WriteClaims(w, s.Criteria); err != nil {
-			return fmt.Errorf("summary: %w", err)
+			return fmt.Errorf("write summary: %w", err)
 		}
 	}
 	return nil
--- a/internal/testing/bench/htmlreport/sections.go
+++ b/internal/testing/bench/htmlreport/sections.go
@@ -48,7 +48,7 @@
 		}
 		files, err := filepath.Glob(filepath.Join(o.Out, "rebalance-"+d.Name+"-*.svg"))
 		if err != nil {
-			return s, fmt.Errorf("plots: %w", err)
+			return s, fmt.Errorf("list plots: %w", err)
 		}
 		for _, f := range files {
 			name := strings.TrimSuffix(filepath.Base(f), ".svg")
--- a/internal/testing/bench/meter/meter.go
+++ b/internal/testing/bench/meter/meter.go
@@ -22,7 +22,7 @@
 func FreePort() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("free port: %w", err)
+		return "", fmt.Errorf("find a free port: %w", err)
 	}
 	defer func() { _ = l.Close() }()
 	return l.Addr().String(), nil
--- a/internal/testing/bench/rebalance/cost.go
+++ b/internal/testing/bench/rebalance/cost.go
@@ -76,7 +76,7 @@
 		}
 		data, err := d.current.MarshalBinary()
 		if err != nil {
-			return t, fmt.Errorf("encode: %w", err)
+			return t, fmt.Errorf("encode map: %w", err)
 		}
 		t.Add(shape.Ranks, shape.Experts, shape.Layers, report.Quantile(0.5, times), loads, len(data))
 	}
--- a/internal/testing/bench/rebalance/pieces.go
+++ b/internal/testing/bench/rebalance/pieces.go
@@ -204,7 +204,7 @@
 		options.MaxBytesPerMinute = (uint64(k)*d.ExpertBytes + 2) / 3
 		plan, err := placement.Improve(d.group(), options, s.current, pop, healthySpeeds)
 		if err != nil {
-			return nil, fmt.Errorf("first %d loads: %w", k, err)
+			return nil, fmt.Errorf("plan the first %d loads: %w", k, err)
 		}
 		if expert.Loads(plan.Moves) < k {
 			return curve, nil
--- a/internal/testing/bench/rebalance/run.go
+++ b/internal/testing/bench/rebalance/run.go
@@ -88,7 +88,7 @@
 	now := start.Add(time.Duration(w) * Window)
 	for _, r := range s.inbox[w] {
 		if err := s.contender.observe(now, r); err != nil {
-			return fmt.Errorf("window %d: %w", w, err)
+			return fmt.Errorf("observe reports in window %d: %w", w, err)
 		}
 	}
 	delete(s.inbox, w)
--- a/internal/testing/bench/slopes/duties.go
+++ b/internal/testing/bench/slopes/duties.go
@@ -96,7 +96,7 @@
 	floats.AddConst(1, speed)
 	packed, err := placement.Pack(group, shape.Cells()/shape.Ranks+layers, pop, speed, 1)
 	if err != nil {
-		return nil, fmt.Errorf("pack: %w", err)
+		return nil, fmt.Errorf("pack map: %w", err)
 	}
 	data, err := packed.MarshalBinary()
 	if err != nil {
@@ -144,7 +144,7 @@
 	const switches = 3
 	f, err := mapswitch.Switches(ranks, switches, 6*time.Millisecond, 1)
 	if err != nil {
-		return nil, fmt.Errorf("switch: %w", err)
+		return nil, fmt.Errorf("switch maps: %w", err)
 	}
 	return []float64{f.Messages, f.Milliseconds}, nil
 }
--- a/internal/testing/bench/slopes/entry.go
+++ b/internal/testing/bench/slopes/entry.go
@@ -36,7 +36,7 @@
 func startDrivenEntry(clients, memberCount int) (*drivenEntry, error) {
 	snap, err := config.NewSnapshot(configuration(clients))
 	if err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+		return nil, fmt.Errorf("validate configuration: %w", err)
 	}
 	c := &drivenEntry{loop: control.New(), set: &entry.Settings{Settings: host.Settings{Name: "entry-self", DataCentre: "centre-0"}}}
 	for _, address := range []*string{&c.set.HTTP.Address, &c.set.Control.Address, &c.set.Digests.Address, &c.set.Platform} {
@@ -46,10 +46,10 @@
 	}
 	tracer, err := tracing.New(context.Background(), "slopes", tracing.Options{})
 	if err != nil {
-		return nil, fmt.Errorf("tracing: %w", err)
+		return nil, fmt.Errorf("create tracer: %w", err)
 	}
 	if c.sender, err = digest.NewSender(); err != nil {
-		return nil, fmt.Errorf("digests: %w", err)
+		return nil, fmt.Errorf("create digest sender: %w", err)
 	}
 	// No processes run as these members: the entry's digests to them go to a free port on which nothing listens.
 	sink, err := meter.FreePort()
--- a/internal/testing/bench/slopes/fit.go
+++ b/internal/testing/bench/slopes/fit.go
@@ -112,7 +112,9 @@
 type MissingError struct{ Series string }
 
 // Error implements error.
-func (e *MissingError) Error() string { return e.Series + ": not in both runs" }
+func (e *MissingError) Error() string {
+	return e.Series + ": missing in one run, or a different number of sizes"
+}
 
 // Check compares a run with the committed one. It returns a *DifferenceError for each value that is not reproduced and a
 // *MissingError for each series that is not in both runs with the same number of sizes.
--- a/internal/testing/bench/slopes/requests.go
+++ b/internal/testing/bench/slopes/requests.go
@@ -21,7 +21,7 @@
 	const requests = 800
 	c, err := sharedCoster()
 	if err != nil {
-		return nil, fmt.Errorf("start: %w", err)
+		return nil, fmt.Errorf("start processes: %w", err)
 	}
 	cost, err := c.Model(requests, tokens)
 	return []float64{micros(cost.Both - cost.Straight)}, err
@@ -35,7 +35,7 @@
 func plainFigures(requests int) ([]float64, error) {
 	c, err := sharedCoster()
 	if err != nil {
-		return nil, fmt.Errorf("start: %w", err)
+		return nil, fmt.Errorf("start processes: %w", err)
 	}
 	// The first requests of a path open connections and fill pools, which would distort the cost of a request.
 	if _, err := c.Plain(warmupRequests); err != nil {
@@ -51,7 +51,7 @@
 func addressFigures(requests int) ([]float64, error) {
 	c, err := sharedCoster()
 	if err != nil {
-		return nil, fmt.Errorf("start: %w", err)
+		return nil, fmt.Errorf("start processes: %w", err)
 	}
 	each, size, err := c.Addresses(requests)
 	return []float64{float64(requests) / 1e3 * micros(each), float64(size)}, err
--- a/internal/testing/bench/slopes/revisions.go
+++ b/internal/testing/bench/slopes/revisions.go
@@ -62,7 +62,7 @@
 	for !c.joined() {
 		if time.Now().After(deadline) {
 			c.stop()
-			return nil, fmt.Errorf("join: %w", &NotJoinedError{n})
+			return nil, fmt.Errorf("join: %w", &ClusterTimeoutError{n})
 		}
 		time.Sleep(agentTick)
 	}
@@ -74,11 +74,13 @@
 	return c, nil
 }
 
-// NotJoinedError reports that a deployment did not reach a common state in time.
-type NotJoinedError struct{ Nodes int }
+// ClusterTimeoutError reports that not all nodes joined within joinTimeout, or that a change was not accepted within it.
+type ClusterTimeoutError struct{ Nodes int }
 
 // Error implements error.
-func (e *NotJoinedError) Error() string { return fmt.Sprintf("%d nodes are not all members", e.Nodes) }
+func (e *ClusterTimeoutError) Error() string {
+	return fmt.Sprintf("cluster of %d nodes timed out", e.Nodes)
+}
 
 func (a *cluster) joined() bool {
 	for _, ag := range a.agents {
@@ -161,10 +163,10 @@
 	}
 	e, err := a.agents[0].Change(ctx, meta, setAddressTTL(uint32(1000+i)))
 	if err != nil {
-		return fmt.Errorf("change: %w", err)
+		return fmt.Errorf("commit change: %w", err)
 	}
 	if a.agents[0].Wait(ctx, e.GetSeq()).Accepted < e.GetSeq() {
-		return fmt.Errorf("accept: %w", &NotJoinedError{len(a.agents)})
+		return fmt.Errorf("wait for acceptance: %w", &ClusterTimeoutError{len(a.agents)})
 	}
 	return nil
 }
