--- a/internal/testing/bench/rebalance/trace.go
+++ b/internal/testing/bench/rebalance/trace.go
@@ -17,7 +17,7 @@
 	reportingRanks = 4
 	// sampledSteps is the number of measured steps per window.
 	sampledSteps = 2
-	// Shares of the reports that are lost, or arrive one or two windows late.
+	// Percentages of the reports that are lost, or arrive one or two windows late.
 	lostPercent  = 5
 	late1Percent = 20
 	late2Percent = 5
--- a/internal/testing/bench/slopes/revisions.go
+++ b/internal/testing/bench/slopes/revisions.go
@@ -82,27 +82,27 @@
 	return fmt.Sprintf("cluster of %d nodes timed out", e.Nodes)
 }
 
-func (a *cluster) joined() bool {
-	for _, ag := range a.agents {
-		v := ag.View()
-		if v == nil || v.InForce == nil || len(v.InForce.Roster.Members()) != len(a.agents) {
+func (c *cluster) joined() bool {
+	for _, node := range c.agents {
+		v := node.View()
+		if v == nil || v.InForce == nil || len(v.InForce.Roster.Members()) != len(c.agents) {
 			return false
 		}
 	}
 	return true
 }
 
-func (a *cluster) stop() {
-	for _, ag := range a.agents {
-		ag.Close()
+func (c *cluster) stop() {
+	for _, node := range c.agents {
+		node.Close()
 	}
-	a.cancel()
+	c.cancel()
 }
 
 // traffic returns the total messages and bytes that the nodes have sent so far, and the bytes of each node.
-func (a *cluster) traffic() (messages, bytes float64, each []float64) {
-	for _, name := range a.names {
-		u := a.net.Usage(name)
+func (c *cluster) traffic() (messages, bytes float64, each []float64) {
+	for _, name := range c.names {
+		u := c.net.Usage(name)
 		messages += float64(u.Messages.Load())
 		b := float64(u.Bytes.Load())
 		bytes += b
@@ -113,17 +113,17 @@
 
 // revisionFigures measures an idle deployment, and then a few consecutive changes.
 func revisionFigures(n int) ([]float64, error) {
-	a, err := startCluster(n)
+	c, err := startCluster(n)
 	if err != nil {
 		return nil, err
 	}
-	defer a.stop()
+	defer c.stop()
 	time.Sleep(agentWarmup)
-	messages, bytes, each := a.traffic()
-	usage, busy := a.store.Usage(), meter.ProcessorTime()
+	messages, bytes, each := c.traffic()
+	usage, busy := c.store.Usage(), meter.ProcessorTime()
 	time.Sleep(agentSpan)
-	messages2, bytes2, each2 := a.traffic()
-	usage2, busy2 := a.store.Usage(), meter.ProcessorTime()
+	messages2, bytes2, each2 := c.traffic()
+	usage2, busy2 := c.store.Usage(), meter.ProcessorTime()
 	seconds, nodes := agentSpan.Seconds(), float64(n)
 	busiest := 0.0
 	for i := range each {
@@ -134,39 +134,39 @@
 		float64(usage2.Reads-usage.Reads) / seconds, float64(usage2.Writes-usage.Writes) / seconds,
 		float64((busy2 - busy).Microseconds()) / seconds / nodes,
 	}
-	changes, err := a.changes()
+	changes, err := c.changes()
 	return append(out, changes...), err
 }
 
 // changes makes changeCount consecutive changes and returns the mean number of table writes per change and the longest
 // time in ms until a change was accepted.
-func (a *cluster) changes() ([]float64, error) {
-	usage := a.store.Usage()
+func (c *cluster) changes() ([]float64, error) {
+	usage := c.store.Usage()
 	longest := time.Duration(0)
 	for i := range changeCount {
 		began := time.Now()
-		if err := a.change(i + 1); err != nil {
+		if err := c.change(i + 1); err != nil {
 			return nil, err
 		}
 		longest = max(longest, time.Since(began))
 	}
-	usage2 := a.store.Usage()
+	usage2 := c.store.Usage()
 	return []float64{float64(usage2.Writes-usage.Writes) / changeCount, float64(longest.Microseconds()) / 1e3}, nil
 }
 
 // change commits change number i at the first node and waits until it is accepted there.
-func (a *cluster) change(i int) error {
+func (c *cluster) change(i int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), joinTimeout)
 	defer cancel()
 	meta := &cardamomyokev1.ChangeMeta{
 		Operator: "bench", Reason: "slopes", OperationId: fmt.Sprint("change-", i), BaseRevision: uint64(i),
 	}
-	e, err := a.agents[0].Change(ctx, meta, setAddressTTL(uint32(1000+i)))
+	e, err := c.agents[0].Change(ctx, meta, setAddressTTL(uint32(1000+i)))
 	if err != nil {
 		return fmt.Errorf("commit change: %w", err)
 	}
-	if a.agents[0].Wait(ctx, e.GetSeq()).Accepted < e.GetSeq() {
-		return fmt.Errorf("wait for acceptance: %w", &ClusterTimeoutError{len(a.agents)})
+	if c.agents[0].Wait(ctx, e.GetSeq()).Accepted < e.GetSeq() {
+		return fmt.Errorf("wait for acceptance: %w", &ClusterTimeoutError{len(c.agents)})
 	}
 	return nil
 }
