--- a/internal/testing/bench/eventqueue/eventqueue.go
+++ b/internal/testing/bench/eventqueue/eventqueue.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Queue holds scheduled events, sorted by time and, for equal times, by the sequence in which they were scheduled. It is
-// not safe for concurrent use.
+// Queue holds scheduled events, sorted by time and, for equal times, by the sequence in which they were scheduled. It
+// is not safe for concurrent use.
 type Queue struct {
 	now       time.Time
 	events    eventHeap
--- a/internal/testing/bench/htmlreport/slopes.go
+++ b/internal/testing/bench/htmlreport/slopes.go
@@ -26,8 +26,8 @@
 // axes identifies a plot: all its series have the same driver and unit.
 type axes struct{ driver, unit string }
 
-// slopePlots writes one SVG file to out for each combination of driver and unit, with the measured points and fitted lines
-// of all its series.
+// slopePlots writes one SVG file to out for each combination of driver and unit, with the measured points and fitted
+// lines of all its series.
 func slopePlots(series []slopes.Series, out string) ([]Plot, error) {
 	var keys []axes
 	groups := map[axes][]slopes.Series{}
--- a/internal/testing/bench/rebalance/criteria.go
+++ b/internal/testing/bench/rebalance/criteria.go
@@ -55,7 +55,8 @@
 	return append(criteria, bytes, r.noiseCriterion(d))
 }
 
-// worstScenarioCriterion applies the p99 skew limit, which is set for all scenarios together, to the worst scenario alone.
+// worstScenarioCriterion applies the p99 skew limit, which is set for all scenarios together, to the worst scenario
+// alone.
 func (r Results) worstScenarioCriterion(d Deployment) report.Claim {
 	c := report.Claim{Bound: report.AtMost, Limit: maxSkewVsRepack}
 	for _, sc := range Scenarios() {
--- a/internal/testing/bench/rebalance/pieces.go
+++ b/internal/testing/bench/rebalance/pieces.go
@@ -20,7 +20,8 @@
 	pieceCount = 16
 	// pieceGrowth is the size ratio of consecutive pieces in a geometric split.
 	pieceGrowth = 1.3
-	// switchTime is the delay that each switch of the map adds until it is in force, since it is announced some steps ahead.
+	// switchTime is the delay that each switch of the map adds until it is in force, since it is announced some steps
+	// ahead.
 	switchTime = 50 * time.Millisecond
 	// slackSamples is the number of simulated loads per seed, each of a random rank with the slack of random windows.
 	slackSamples = 200
@@ -46,8 +47,8 @@
 	ready, delayedSteps, delay float64
 }
 
-// loadPieces fetches the pieces one after another. Each fetched piece is copied in full at the start of a step, while the
-// next one is being fetched.
+// loadPieces fetches the pieces one after another. Each fetched piece is copied in full at the start of a step, while
+// the next one is being fetched.
 func loadPieces(d Deployment, pieces []float64, slack func() time.Duration) pieceResult {
 	rate := float64(d.StoreRate) / loadingRanks
 	var result pieceResult
--- a/internal/testing/bench/rebalance/run.go
+++ b/internal/testing/bench/rebalance/run.go
@@ -210,8 +210,8 @@
 	return t
 }
 
-// Bound returns the skew of steps whose expected load is perfectly balanced. The remaining skew is the random difference
-// between the ranks' tokens in one step, which no map chosen before the step can remove.
+// Bound returns the skew of steps whose expected load is perfectly balanced. The remaining skew is the random
+// difference between the ranks' tokens in one step, which no map chosen before the step can remove.
 func Bound(d Deployment, t *Trace) Result {
 	rng := rand.New(rand.NewPCG(t.Seed, scenarioStream(t.Scenario)+200))
 	g := &generator{d: d, rng: rng}
--- a/internal/testing/bench/rebalance/topics.go
+++ b/internal/testing/bench/rebalance/topics.go
@@ -54,8 +54,8 @@
 	return t
 }
 
-// zipf returns the logarithm of a Zipf weight for each cell. Normally distributed scores, which are correlated from layer
-// to layer, rank the experts of each layer.
+// zipf returns the logarithm of a Zipf weight for each cell. Normally distributed scores, which are correlated from
+// layer to layer, rank the experts of each layer.
 func (t *topics) zipf(exponent float64) []float64 {
 	n := t.d.Shape.Experts
 	scores := make([]float64, n)
--- a/internal/testing/bench/rebalance/trace.go
+++ b/internal/testing/bench/rebalance/trace.go
@@ -26,7 +26,8 @@
 
 	// stragglerSpeed is the speed of the slow rank in ScenarioStraggler; 1 is healthy.
 	stragglerSpeed = 0.65
-	// Logarithms of topic weights: the weights added at the shift and at the dawn peak, and the base weight of the rare topic.
+	// Logarithms of topic weights: the weights added at the shift and at the dawn peak, and the base weight of the rare
+	// topic.
 	shiftWeight = 2.5
 	peakWeight  = 1.2
 	rareWeight  = -2.0
--- a/internal/testing/bench/report/doc.go
+++ b/internal/testing/bench/report/doc.go
@@ -1,3 +1,3 @@
-// Package report formats the results of experiments for the benches: tables, plots, means with their spread, and criteria
-// with their limits.
+// Package report formats the results of experiments for the benches: tables, plots, means with their spread, and
+// criteria with their limits.
 package report
--- a/internal/testing/bench/slopes/digests.go
+++ b/internal/testing/bench/slopes/digests.go
@@ -92,8 +92,8 @@
 	return nodes
 }
 
-// advance ticks the member lists and collects the targets to which each node has to send a digest. Each list changes only
-// its own state, so the workers run concurrently.
+// advance ticks the member lists and collects the targets to which each node has to send a digest. Each list changes
+// only its own state, so the workers run concurrently.
 func advance(nodes []*digestNode, due [][]membership.Target, step int, now time.Time) {
 	const workers = 4
 	var wg sync.WaitGroup
@@ -153,8 +153,8 @@
 	return []float64{f.slotOut, f.slotIn, f.entryOut, f.entryIn, f.entryBusiest, f.fresh, f.stale, f.entriesCounted}, nil
 }
 
-// countSlots counts the slots that an entry can route to: fresh ones, whose last digest is at most three seconds old, and
-// stale ones, whose last digest is older but which are not declared dead yet.
+// countSlots counts the slots that an entry can route to: fresh ones, whose last digest is at most three seconds old,
+// and stale ones, whose last digest is older but which are not declared dead yet.
 func (n *digestNode) countSlots(now time.Time) (fresh, stale float64) {
 	const maxFreshAge = 3 * time.Second
 	for _, m := range n.members.Nodes() {
--- a/internal/testing/bench/slopes/duties.go
+++ b/internal/testing/bench/slopes/duties.go
@@ -73,8 +73,8 @@
 	return lease.WriteResult{OK: true, Version: row.Version, Fence: row.Fence}
 }
 
-// claimFigures runs the claim ledgers of 100 slots in virtual time. It returns the writes and the rows written per second
-// for all slots.
+// claimFigures runs the claim ledgers of 100 slots in virtual time. It returns the writes and the rows written per
+// second for all slots.
 func claimFigures(perSecond int) ([]float64, error) {
 	const writesPerSecond, slots, seed = 300.0, 100, 1
 	f := claims.Run(claims.Scenario{
@@ -84,8 +84,8 @@
 	return []float64{float64(f.Writes) / 20, float64(f.Rows) / 20}, nil
 }
 
-// mapFigures returns the size of an encoded map in bytes, the heap of a placement policy in bytes and the time in ms of one
-// decision after a shift of popularity.
+// mapFigures returns the size of an encoded map in bytes, the heap of a placement policy in bytes and the time in ms of
+// one decision after a shift of popularity.
 func mapFigures(shape expert.Shape) ([]float64, error) {
 	group := placement.Group{Shape: shape, Slots: shape.Cells()/shape.Ranks + 2*layers, ExpertBytes: 40 << 20, StoreRate: 1e9}
 	pop := make([]float64, shape.Cells())
@@ -139,7 +139,8 @@
 	}
 }
 
-// switchFigures switches the map of a real group over loopback. It returns the messages and the time in ms of one switch.
+// switchFigures switches the map of a real group over loopback. It returns the messages and the time in ms of one
+// switch.
 func switchFigures(ranks int) ([]float64, error) {
 	const switches = 3
 	f, err := mapswitch.Switches(ranks, switches, 6*time.Millisecond, 1)
--- a/internal/testing/bench/slopes/entry.go
+++ b/internal/testing/bench/slopes/entry.go
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// tickTime returns the time of one tick of the entry's control loop in microseconds and the heap in bytes of an entry with
-// the given sizes.
+// tickTime returns the time of one tick of the entry's control loop in microseconds and the heap in bytes of an entry
+// with the given sizes.
 func tickTime(clients, memberCount, slots int) (micros, heap float64, err error) {
 	before := heapBytes()
 	c, err := startDrivenEntry(clients, memberCount)
@@ -135,8 +135,8 @@
 	tickRounds    = 7                     // in seconds; ends before slots without new digests become suspect
 )
 
-// measureTicks advances a virtual clock by tickRounds seconds and returns the mean time of a tick in microseconds, from the
-// second with the lowest mean, which other load on the machine disturbed least.
+// measureTicks advances a virtual clock by tickRounds seconds and returns the mean time of a tick in microseconds, from
+// the second with the lowest mean, which other load on the machine disturbed least.
 func (c *drivenEntry) measureTicks(now time.Time) float64 {
 	best := 0.0
 	for round := range tickRounds {
--- a/internal/testing/bench/slopes/fit.go
+++ b/internal/testing/bench/slopes/fit.go
@@ -16,8 +16,8 @@
 	Exact Kind = "exact"
 	// Counted figures are heap sizes, and counts that vary slightly between runs.
 	Counted Kind = "counted"
-	// Paced figures are counts over some seconds of real time. A busy machine skips heartbeats, and the busiest node differs
-	// between runs.
+	// Paced figures are counts over some seconds of real time. A busy machine skips heartbeats, and the busiest node
+	// differs between runs.
 	Paced Kind = "paced"
 	// Timed figures are processor times.
 	Timed Kind = "timed"
@@ -116,8 +116,8 @@
 	return e.Series + ": missing in one run, or a different number of sizes"
 }
 
-// Check compares a run with the committed one. It returns a *DifferenceError for each value that is not reproduced and a
-// *MissingError for each series that is not in both runs with the same number of sizes.
+// Check compares a run with the committed one. It returns a *DifferenceError for each value that is not reproduced and
+// a *MissingError for each series that is not in both runs with the same number of sizes.
 func Check(committed, run []Series) []error {
 	var errs []error
 	byName := map[string]Series{}
--- a/internal/testing/bench/slopes/requests.go
+++ b/internal/testing/bench/slopes/requests.go
@@ -15,8 +15,8 @@
 
 func micros(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1e3 }
 
-// modelFigures streams responses of the given length and returns the processor time that entry and slot add to a request,
-// in microseconds.
+// modelFigures streams responses of the given length and returns the processor time that entry and slot add to a
+// request, in microseconds.
 func modelFigures(tokens int) ([]float64, error) {
 	const requests = 800
 	c, err := sharedCoster()
--- a/internal/testing/bench/slopes/revisions.go
+++ b/internal/testing/bench/slopes/revisions.go
@@ -74,7 +74,8 @@
 	return c, nil
 }
 
-// ClusterTimeoutError reports that not all nodes joined within joinTimeout, or that a change was not accepted within it.
+// ClusterTimeoutError reports that not all nodes joined within joinTimeout, or that a change was not accepted within
+// it.
 type ClusterTimeoutError struct{ Nodes int }
 
 // Error implements error.
@@ -211,8 +212,8 @@
 	return &cardamomyokev1.PushResponse{}, nil
 }
 
-// pushFigures sends the given number of heartbeats through a Connect client and server over loopback, with HTTP/2 like the
-// agents. It returns the bytes in both directions and the processor time of both ends in microseconds.
+// pushFigures sends the given number of heartbeats through a Connect client and server over loopback, with HTTP/2 like
+// the agents. It returns the bytes in both directions and the processor time of both ends in microseconds.
 func pushFigures(calls int) ([]float64, error) {
 	server, address, err := serveDiscard()
 	if err != nil {
--- a/internal/testing/bench/slopes/run.go
+++ b/internal/testing/bench/slopes/run.go
@@ -90,8 +90,8 @@
 	return out, nil
 }
 
-// Table returns a table with one row per series. The suffix of the value at the target's size is M if it was measured and
-// W if it is the value of the fitted line.
+// Table returns a table with one row per series. The suffix of the value at the target's size is M if it was measured
+// and W if it is the value of the fitted line.
 func Table(series []Series) report.Table {
 	t := report.Table{
 		Title:   "Slopes: value = intercept + slope * driver",
@@ -141,8 +141,8 @@
 	timingSpan = 15 * time.Millisecond
 )
 
-// minCallMicros returns the time of one call of f in microseconds, as the minimum over several runs, since other load on
-// the machine disturbs the minimum least.
+// minCallMicros returns the time of one call of f in microseconds, as the minimum over several runs, since other load
+// on the machine disturbs the minimum least.
 func minCallMicros(f func()) float64 {
 	f()
 	best := 0.0
--- a/internal/testing/bench/slopes/state.go
+++ b/internal/testing/bench/slopes/state.go
@@ -38,8 +38,8 @@
 
 func clientName(i int) string { return fmt.Sprintf("client-%06d", i) }
 
-// configurationFigures returns the encoded size and the heap of a configuration in bytes, and the time in microseconds to
-// decode and check it.
+// configurationFigures returns the encoded size and the heap of a configuration in bytes, and the time in microseconds
+// to decode and check it.
 func configurationFigures(clients int) ([]float64, error) {
 	data, err := proto.Marshal(configuration(clients))
 	if err != nil {
@@ -107,8 +107,8 @@
 	return out
 }
 
-// memberFigures measures the roster and the member list that digests refresh: encoded sizes and heap in bytes, and the times
-// in microseconds of a tick, of a view of the addresses and of a change of the roster.
+// memberFigures measures the roster and the member list that digests refresh: encoded sizes and heap in bytes, and the
+// times in microseconds of a tick, of a view of the addresses and of a change of the roster.
 func memberFigures(n int) ([]float64, error) {
 	list := members(n)
 	encoded := float64(proto.Size(&cardamomyokev1.State{Seq: 1, Members: list}))
