--- a/internal/testing/bench/slopes/digests.go
+++ b/internal/testing/bench/slopes/digests.go
@@ -13,28 +13,29 @@
 )
 
 const (
-	// datagramHeader is what IP and UDP add to a digest.
-	datagramHeader = 28
-	incarnation    = "01k9zq3v5c8d7e6f4g2h1j0k" // as long as those of ids.NewIncarnation
+	// datagramHeaderBytes is the size of the IP and UDP headers of a digest.
+	datagramHeaderBytes = 28
+	incarnation         = "01k9zq3v5c8d7e6f4g2h1j0k" // has the length of an incarnation from ids.NewIncarnation
 
 	exchangeStep   = 100 * time.Millisecond
 	exchangeWarmup = 60 * time.Second
 	exchangeSpan   = 20 * time.Second
 )
 
-// begin is the virtual time at which exchanges start; only differences matter.
-var begin = time.Unix(1_800_000_000, 0)
+// virtualStart is the start of the virtual clock; only times relative to it matter.
+var virtualStart = time.Unix(1_800_000_000, 0)
 
-// digestNode is one node of the exchange of digests.
+// digestNode is a node that sends and receives digests.
 type digestNode struct {
-	id    membership.Identity
-	table *membership.MemberList
-	// sent and received count messages and their bytes in the measured span.
+	id      membership.Identity
+	members *membership.MemberList
+	// Messages and bytes sent and received during exchangeSpan.
 	sent, received, sentBytes, receivedBytes float64
 	sequence                                 uint64
 }
 
-// identities returns so many entries and 13 slots for each 6 of them, over the target's data centres.
+// identities returns the given number of entries and 13 slots for every 6 entries, spread over the target's number of
+// data centres.
 func identities(entries int) []membership.Identity {
 	var all []membership.Identity
 	add := func(role cardamomyokev1.NodeRole, kind string, n int) {
@@ -51,8 +52,8 @@
 	return all
 }
 
-// digestOf is a digest as the processes fill it in.
-func digestOf(id membership.Identity, sequence uint64) *cardamomyokev1.Digest {
+// newDigest returns a digest of the node with all fields filled in as by its process.
+func newDigest(id membership.Identity, sequence uint64) *cardamomyokev1.Digest {
 	d := &cardamomyokev1.Digest{
 		Node: string(id.Name), Incarnation: incarnation, Sequence: sequence, Role: id.Role,
 		State: cardamomyokev1.NodeState_NODE_STATE_LIVE, DataCentre: string(id.DataCentre),
@@ -68,69 +69,71 @@
 	return d
 }
 
-// exchange lets all nodes tell each other, on a virtual clock, until what is known is settled, and counts after that.
-func exchange(entries int) []*digestNode {
-	list := identities(entries)
-	nodes := make([]*digestNode, len(list))
-	at := map[string]*digestNode{}
-	for i, id := range list {
-		nodes[i] = &digestNode{id: id, table: membership.New(id, membership.Defaults(), begin)}
-		nodes[i].table.SetRoster(list, begin)
-		at[id.Digests] = nodes[i]
+// exchangeDigests simulates the digest exchange between all nodes on a virtual clock. It counts messages only after a
+// warm-up, when the nodes' state for each other has become stable.
+func exchangeDigests(entries int) []*digestNode {
+	identityList := identities(entries)
+	nodes := make([]*digestNode, len(identityList))
+	byAddress := map[string]*digestNode{}
+	for i, id := range identityList {
+		nodes[i] = &digestNode{id: id, members: membership.New(id, membership.Defaults(), virtualStart)}
+		nodes[i].members.SetRoster(identityList, virtualStart)
+		byAddress[id.Digests] = nodes[i]
 	}
 	due := make([][]membership.Target, len(nodes))
 	for step := 0; time.Duration(step)*exchangeStep < exchangeWarmup+exchangeSpan; step++ {
-		now := begin.Add(time.Duration(step) * exchangeStep)
-		counted := time.Duration(step)*exchangeStep >= exchangeWarmup
+		now := virtualStart.Add(time.Duration(step) * exchangeStep)
+		measuring := time.Duration(step)*exchangeStep >= exchangeWarmup
 		advance(nodes, due, step, now)
 		for i, n := range nodes {
-			n.tell(at, due[i], now, counted)
+			n.sendDigest(byAddress, due[i], now, measuring)
 		}
 	}
 	return nodes
 }
 
-// advance lets each table tick and say whom it tells. Each touches only its own state, so they run side by side.
+// advance ticks the member lists and collects the targets to which each node has to send a digest. Each list changes
+// only its own state, so the workers run concurrently.
 func advance(nodes []*digestNode, due [][]membership.Target, step int, now time.Time) {
 	const workers = 4
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for w := range workers {
-		wait.Go(func() {
+		wg.Go(func() {
 			for i := w; i < len(nodes); i += workers {
-				// Less than a second apart, else a table takes the time between two ticks for a pause of its process.
+				// Ticks are less than a second apart; a longer gap would be mistaken for a pause of the process.
 				if (step+i)%5 == 0 {
-					nodes[i].table.Tick(now)
+					nodes[i].members.Tick(now)
 				}
-				due[i] = nodes[i].table.DueTargets(nil, now, false)
+				due[i] = nodes[i].members.DueTargets(nil, now, false)
 			}
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 }
 
-func (n *digestNode) tell(at map[string]*digestNode, due []membership.Target, now time.Time, counted bool) {
+func (n *digestNode) sendDigest(byAddress map[string]*digestNode, due []membership.Target, now time.Time, measuring bool) {
 	if len(due) == 0 {
 		return
 	}
 	n.sequence++
-	d := digestOf(n.id, n.sequence)
-	size := float64(proto.Size(d) + datagramHeader)
+	d := newDigest(n.id, n.sequence)
+	size := float64(proto.Size(d) + datagramHeaderBytes)
 	for _, to := range due {
-		at[to.Address].table.Receive(d, now)
-		if counted {
+		byAddress[to.Address].members.Receive(d, now)
+		if measuring {
 			n.sent++
 			n.sentBytes += size
-			at[to.Address].received++
-			at[to.Address].receivedBytes += size
+			byAddress[to.Address].received++
+			byAddress[to.Address].receivedBytes += size
 		}
 	}
 }
 
-// exchangeFigures condenses one exchange.
+// exchangeFigures returns the figures of one exchange, in the order of its metrics.
 func exchangeFigures(entries int) ([]float64, error) {
-	nodes := exchange(entries)
-	end := begin.Add(exchangeWarmup + exchangeSpan)
-	var f struct{ slotOut, slotIn, entryOut, entryIn, entryMost, heard, stale, others float64 }
+	nodes := exchangeDigests(entries)
+	end := virtualStart.Add(exchangeWarmup + exchangeSpan)
+	var f struct{ slotOut, slotIn, entryOut, entryIn, entryBusiest, fresh, stale, entriesCounted float64 }
 	slots := float64(len(nodes) - entries)
 	seconds := exchangeSpan.Seconds()
 	for _, n := range nodes {
@@ -141,24 +144,24 @@
 		}
 		f.entryOut += n.sentBytes / seconds / float64(entries)
 		f.entryIn += n.receivedBytes / seconds / float64(entries)
-		f.entryMost = max(f.entryMost, (n.sentBytes+n.receivedBytes)/seconds)
-		heard, stale := n.slotsKnown(end)
-		f.heard += heard / float64(entries)
+		f.entryBusiest = max(f.entryBusiest, (n.sentBytes+n.receivedBytes)/seconds)
+		fresh, stale := n.countSlots(end)
+		f.fresh += fresh / float64(entries)
 		f.stale += stale / float64(entries)
-		f.others += float64(n.table.Entries()) / float64(entries)
+		f.entriesCounted += float64(n.members.Entries()) / float64(entries)
 	}
-	return []float64{f.slotOut, f.slotIn, f.entryOut, f.entryIn, f.entryMost, f.heard, f.stale, f.others}, nil
+	return []float64{f.slotOut, f.slotIn, f.entryOut, f.entryIn, f.entryBusiest, f.fresh, f.stale, f.entriesCounted}, nil
 }
 
-// slotsKnown counts the slots that an entry routes to: those heard within three seconds, and those heard once that it
-// has not given up yet.
-func (n *digestNode) slotsKnown(now time.Time) (fresh, stale float64) {
-	const newest = 3 * time.Second
-	for _, m := range n.table.Nodes() {
+// countSlots counts the slots that an entry can route to: fresh ones, whose last digest is at most three seconds old,
+// and stale ones, whose last digest is older but which are not declared dead yet.
+func (n *digestNode) countSlots(now time.Time) (fresh, stale float64) {
+	const maxFreshAge = 3 * time.Second
+	for _, m := range n.members.Nodes() {
 		if m.Role != cardamomyokev1.NodeRole_NODE_ROLE_SLOT || m.LastSeen.IsZero() || m.State == membership.StateDead {
 			continue
 		}
-		if now.Sub(m.LastSeen) <= newest {
+		if now.Sub(m.LastSeen) <= maxFreshAge {
 			fresh++
 		} else {
 			stale++
@@ -184,12 +187,12 @@
 			Driver: "versions and adapters at one engine", Sizes: []int{1, 2, 4, 8, 16}, Target: 3,
 			Metrics: []Metric{{"digests.slot.size", "slot", "B on the wire", Exact}},
 			Run: func(size int) ([]float64, error) {
-				d := digestOf(identities(6)[6], 1000)
+				d := newDigest(identities(6)[6], 1000)
 				d.Slot.Versions, d.Slot.Adapters = nil, nil
 				for i := range size {
 					d.Slot.Versions = append(d.Slot.Versions, fmt.Sprintf("language-model-%d@2026-11-30", i%10))
 				}
-				return []float64{float64(proto.Size(d) + datagramHeader)}, nil
+				return []float64{float64(proto.Size(d) + datagramHeaderBytes)}, nil
 			},
 		},
 	}
--- a/internal/testing/bench/slopes/revisions.go
+++ b/internal/testing/bench/slopes/revisions.go
@@ -25,82 +25,85 @@
 
 const (
 	agentTick   = 50 * time.Millisecond
-	joinLimit   = 30 * time.Second
-	agentSettle = 3 * time.Second // until what was lacking at the start has been sent
+	joinTimeout = 30 * time.Second
+	agentWarmup = 3 * time.Second // until nodes have received what they lacked at the start
 	agentSpan   = 8 * time.Second
 	changeCount = 5
 )
 
-// agents are the nodes of a deployment in this process, with the stand-in of the platform and messages in memory.
-type agents struct {
+// cluster is a deployment whose nodes run in this process, with a stand-in for the platform and an in-memory network.
+type cluster struct {
 	store  *standin.Store
 	net    *memnet.Net
-	list   []*agent.Agent
+	agents []*agent.Agent
 	names  []string
 	cancel context.CancelFunc
 }
 
-// startAgents starts n nodes and waits until the log names all of them.
-func startAgents(n int) (*agents, error) {
+// startCluster starts n nodes and waits until all of them are in the roster in force at every node.
+func startCluster(n int) (*cluster, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	a := &agents{store: standin.NewStore(standin.Limits{}), net: memnet.New(nil), cancel: cancel}
+	c := &cluster{store: standin.NewStore(standin.Limits{}), net: memnet.New(nil), cancel: cancel}
 	rng := rand.New(rand.NewPCG(1, uint64(n)))
 	all := members(n)
 	for i, m := range all {
-		client := a.store.Client(m.GetName())
+		client := c.store.Client(m.GetName())
 		loop := control.New()
-		ag := agent.New(agent.Config{
+		node := agent.New(agent.Config{
 			Self: m, Incarnation: ids.NewIncarnation(), Seeds: all[:min(i, 6)], Platform: platform.NewClient(client, platform.Options{}),
-			Transport: a.net.Transport(m.GetName()), Loop: loop, Rand: rand.New(rand.NewPCG(rng.Uint64(), 2)),
+			Transport: c.net.Transport(m.GetName()), Loop: loop, Rand: rand.New(rand.NewPCG(rng.Uint64(), 2)),
 		})
-		go loop.Run(ctx, agentTick, ag.Tick)
-		a.list = append(a.list, ag)
-		a.names = append(a.names, m.GetName())
-		a.net.Attach(m.GetName(), ag)
+		go loop.Run(ctx, agentTick, node.Tick)
+		c.agents = append(c.agents, node)
+		c.names = append(c.names, m.GetName())
+		c.net.Attach(m.GetName(), node)
 	}
-	deadline := time.Now().Add(joinLimit)
-	for !a.joined() {
+	deadline := time.Now().Add(joinTimeout)
+	for !c.joined() {
 		if time.Now().After(deadline) {
-			a.stop()
-			return nil, fmt.Errorf("join: %w", &NotJoinedError{n})
+			c.stop()
+			return nil, fmt.Errorf("join: %w", &ClusterTimeoutError{n})
 		}
 		time.Sleep(agentTick)
 	}
-	// A node takes no work, and vouches for none, before there is a configuration.
-	if err := a.change(0); err != nil {
-		a.stop()
+	// Before there is a configuration, a node accepts no work and sends no vouch.
+	if err := c.change(0); err != nil {
+		c.stop()
 		return nil, err
 	}
-	return a, nil
+	return c, nil
 }
 
-// NotJoinedError says that a deployment did not come together in time.
-type NotJoinedError struct{ Nodes int }
+// ClusterTimeoutError reports that not all nodes joined within joinTimeout, or that a change was not accepted within
+// it.
+type ClusterTimeoutError struct{ Nodes int }
 
 // Error implements error.
-func (e *NotJoinedError) Error() string { return fmt.Sprintf("%d nodes are not all members", e.Nodes) }
+func (e *ClusterTimeoutError) Error() string {
+	return fmt.Sprintf("cluster of %d nodes timed out", e.Nodes)
+}
 
-func (a *agents) joined() bool {
-	for _, ag := range a.list {
-		v := ag.View()
-		if v == nil || v.InForce == nil || len(v.InForce.Roster.Members()) != len(a.list) {
+func (c *cluster) joined() bool {
+	for _, node := range c.agents {
+		v := node.View()
+		if v == nil || v.InForce == nil || len(v.InForce.Roster.Members()) != len(c.agents) {
 			return false
 		}
 	}
 	return true
 }
 
-func (a *agents) stop() {
-	for _, ag := range a.list {
-		ag.Close()
+func (c *cluster) stop() {
+	for _, node := range c.agents {
+		node.Close()
 	}
-	a.cancel()
+	c.cancel()
 }
 
-// traffic returns messages and bytes that all nodes sent so far, and the most bytes of one.
-func (a *agents) traffic() (messages, bytes float64, each []float64) {
-	for _, name := range a.names {
-		u := a.net.Usage(name)
+// traffic returns the total messages and bytes that the nodes have sent so far, and the bytes of each node.
+func (c *cluster) traffic() (messages, bytes float64, each []float64) {
+	for _, name := range c.names {
+		u := c.net.Usage(name)
 		messages += float64(u.Messages.Load())
 		b := float64(u.Bytes.Load())
 		bytes += b
@@ -109,67 +112,68 @@
 	return messages, bytes, each
 }
 
-// revisionFigures measures a deployment in rest, and then a few changes one after the other.
+// revisionFigures measures an idle deployment, and then a few consecutive changes.
 func revisionFigures(n int) ([]float64, error) {
-	a, err := startAgents(n)
+	c, err := startCluster(n)
 	if err != nil {
 		return nil, err
 	}
-	defer a.stop()
-	time.Sleep(agentSettle)
-	messages, bytes, each := a.traffic()
-	usage, busy := a.store.Usage(), meter.ProcessorTime()
+	defer c.stop()
+	time.Sleep(agentWarmup)
+	messages, bytes, each := c.traffic()
+	usage, busy := c.store.Usage(), meter.ProcessorTime()
 	time.Sleep(agentSpan)
-	messages2, bytes2, each2 := a.traffic()
-	usage2, busy2 := a.store.Usage(), meter.ProcessorTime()
+	messages2, bytes2, each2 := c.traffic()
+	usage2, busy2 := c.store.Usage(), meter.ProcessorTime()
 	seconds, nodes := agentSpan.Seconds(), float64(n)
-	most := 0.0
+	busiest := 0.0
 	for i := range each {
-		most = max(most, (each2[i]-each[i])/seconds)
+		busiest = max(busiest, (each2[i]-each[i])/seconds)
 	}
 	out := []float64{
-		(messages2 - messages) / seconds / nodes, (bytes2 - bytes) / seconds / nodes, most,
+		(messages2 - messages) / seconds / nodes, (bytes2 - bytes) / seconds / nodes, busiest,
 		float64(usage2.Reads-usage.Reads) / seconds, float64(usage2.Writes-usage.Writes) / seconds,
 		float64((busy2 - busy).Microseconds()) / seconds / nodes,
 	}
-	changes, err := a.changes()
+	changes, err := c.changes()
 	return append(out, changes...), err
 }
 
-// changes makes a few changes one after the other and returns the writes of the table that each cost, and the longest
-// time until one was accepted, in milliseconds.
-func (a *agents) changes() ([]float64, error) {
-	usage := a.store.Usage()
+// changes makes changeCount consecutive changes and returns the mean number of table writes per change and the longest
+// time in ms until a change was accepted.
+func (c *cluster) changes() ([]float64, error) {
+	usage := c.store.Usage()
 	longest := time.Duration(0)
 	for i := range changeCount {
 		began := time.Now()
-		if err := a.change(i + 1); err != nil {
+		if err := c.change(i + 1); err != nil {
 			return nil, err
 		}
 		longest = max(longest, time.Since(began))
 	}
-	usage2 := a.store.Usage()
+	usage2 := c.store.Usage()
 	return []float64{float64(usage2.Writes-usage.Writes) / changeCount, float64(longest.Microseconds()) / 1e3}, nil
 }
 
-// change commits the change number i at the first node and waits until it is accepted there.
-func (a *agents) change(i int) error {
-	ctx, cancel := context.WithTimeout(context.Background(), joinLimit)
+// change commits change number i at the first node and waits until it is accepted there.
+func (c *cluster) change(i int) error {
+	ctx, cancel := context.WithTimeout(context.Background(), joinTimeout)
 	defer cancel()
 	meta := &cardamomyokev1.ChangeMeta{
 		Operator: "bench", Reason: "slopes", OperationId: fmt.Sprint("change-", i), BaseRevision: uint64(i),
 	}
-	e, err := a.list[0].Change(ctx, meta, keepFor(uint32(1000+i)))
+	e, err := c.agents[0].Change(ctx, meta, setAddressTTL(uint32(1000+i)))
 	if err != nil {
-		return fmt.Errorf("change: %w", err)
+		return fmt.Errorf("commit change: %w", err)
 	}
-	if a.list[0].Wait(ctx, e.GetSeq()).Accepted < e.GetSeq() {
-		return fmt.Errorf("accept: %w", &NotJoinedError{len(a.list)})
+	if c.agents[0].Wait(ctx, e.GetSeq()).Accepted < e.GetSeq() {
+		return fmt.Errorf("wait for acceptance: %w", &ClusterTimeoutError{len(c.agents)})
 	}
 	return nil
 }
 
-func keepFor(ms uint32) func(*revision.State) ([]*cardamomyokev1.Edit, error) {
+// setAddressTTL returns an edit that sets the policies, with ms as the time that callers keep addresses.
+func setAddressTTL(ms uint32) func(*revision.State) ([]*cardamomyokev1.Edit, error) {
 	return func(*revision.State) ([]*cardamomyokev1.Edit, error) {
 		return []*cardamomyokev1.Edit{{
 			Action: cardamomyokev1.EditAction_EDIT_ACTION_CHANGE,
@@ -178,40 +182,40 @@
 	}
 }
 
-// counter counts the bytes of a connection.
-type counter struct {
+// countingConn counts the bytes read from and written to a connection.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
 // Read implements net.Conn.
-func (c counter) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c counter) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// quiet takes messages and does nothing with them.
-type quiet struct {
+// discardService accepts pushes and discards them.
+type discardService struct {
 	cardamomyokev1connect.UnimplementedRevisionServiceHandler
 }
 
 // Push implements the RPC.
-func (quiet) Push(context.Context, *cardamomyokev1.PushRequest) (*cardamomyokev1.PushResponse, error) {
+func (discardService) Push(context.Context, *cardamomyokev1.PushRequest) (*cardamomyokev1.PushResponse, error) {
 	return &cardamomyokev1.PushResponse{}, nil
 }
 
-// pushFigures sends so many beats between two processes' worth of connect over loopback, in HTTP/2 as the agents do, and
-// returns the bytes both ways and the processor time of both ends.
+// pushFigures sends the given number of heartbeats through a Connect client and server over loopback, with HTTP/2 like
+// the agents. It returns the bytes in both directions and the processor time of both ends in microseconds.
 func pushFigures(calls int) ([]float64, error) {
-	server, address, err := serveQuiet()
+	server, address, err := serveDiscard()
 	if err != nil {
 		return nil, err
 	}
@@ -222,12 +226,12 @@
 		if err != nil {
 			return nil, fmt.Errorf("dial: %w", err)
 		}
-		return counter{c, &bytes}, nil
+		return countingConn{c, &bytes}, nil
 	}}
 	transport.Protocols.SetUnencryptedHTTP2(true)
 	rpc := agent.NewRPC(&http.Client{Transport: transport}, "http")
 	to := &revision.Member{Name: "to", Address: address}
-	push := beat(targetMembers)
+	push := newHeartbeat(targetMembers)
 	send := func(n int) error {
 		for range n {
 			if err := rpc.Push(context.Background(), to, push); err != nil {
@@ -236,8 +240,8 @@
 		}
 		return nil
 	}
-	const warm = 20
-	if err := send(warm); err != nil {
+	const warmupCalls = 20
+	if err := send(warmupCalls); err != nil {
 		return nil, err
 	}
 	before, busy := bytes.Load(), meter.ProcessorTime()
@@ -247,8 +251,9 @@
 	return []float64{float64(bytes.Load() - before), float64((meter.ProcessorTime() - busy).Microseconds())}, nil
 }
 
-// beat is what a node sends when nothing changes, in a deployment of so many members of which some are missing.
-func beat(n int) *revision.Push {
+// newHeartbeat returns the push that a node sends when nothing changes, in a deployment of n members. It includes the
+// bitmap of missing members.
+func newHeartbeat(n int) *revision.Push {
 	return &revision.Push{
 		From: "entry-0001", Incarnation: incarnation, Origin: incarnation, Beat: 100_000, Committed: 700_000, Accepted: 700_000,
 		TableAgeUs: 700_000, Echo: 100_000, EchoAgeUs: 1_000_000, Staged: 700_000, Missing: make([]byte, (n+7)/8),
@@ -256,8 +261,8 @@
 	}
 }
 
-// answer is what a node sends up for itself and all nodes below.
-func answer(n int) *revision.Ack {
+// newHeartbeatAck returns the acknowledgement that a node sends to its parent for itself and all nodes below it.
+func newHeartbeatAck(n int) *revision.Ack {
 	bits := make([]byte, (n+7)/8)
 	return &revision.Ack{
 		From: "entry-0001", Incarnation: incarnation, Origin: incarnation, Beat: 100_000, Nonce: 100_000, Staged: 700_000,
@@ -265,14 +270,14 @@
 	}
 }
 
-// serveQuiet serves a revision service that takes everything and does nothing.
-func serveQuiet() (*http.Server, string, error) {
+// serveDiscard starts a server for discardService on loopback and returns it with its address.
+func serveDiscard() (*http.Server, string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, "", fmt.Errorf("listen: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.Handle(cardamomyokev1connect.NewRevisionServiceHandler(quiet{}))
+	mux.Handle(cardamomyokev1connect.NewRevisionServiceHandler(discardService{}))
 	server := &http.Server{Handler: mux, Protocols: new(http.Protocols)}
 	server.Protocols.SetUnencryptedHTTP2(true)
 	go func() { _ = server.Serve(listener) }()
@@ -298,7 +303,7 @@
 				{"revision.push.size", "every node", "B encoded", Exact}, {"revision.ack.size", "every node", "B encoded", Exact},
 			},
 			Run: func(n int) ([]float64, error) {
-				return []float64{float64(proto.Size(beat(n))), float64(proto.Size(answer(n)))}, nil
+				return []float64{float64(proto.Size(newHeartbeat(n))), float64(proto.Size(newHeartbeatAck(n)))}, nil
 			},
 		},
 		{
