--- a/internal/testing/bench/claims/doc.go
+++ b/internal/testing/bench/claims/doc.go
@@ -1,6 +1,6 @@
-// Package claims measures what requests that may not be repeated cost the platform's table: transactions a second
-// against claims a second, and how long a claim waits, with and without group commit.
+// Package claims measures the load that requests with an idempotency claim put on the platform's table: transactions
+// per second by claim rate, and the waiting time of a claim, with and without group commit.
 //
-// It drives claims.Ledger, the same code as in a slot, with seeded arrivals and a virtual clock over a table in memory
-// whose latency is drawn.
+// It runs claims.Ledger, the code of the slot, in virtual time with seeded random arrivals, over an in-memory table with
+// random latency.
 package claims
--- a/internal/testing/bench/claims/world.go
+++ b/internal/testing/bench/claims/world.go
@@ -13,78 +13,78 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/faulttest/memtable"
 )
 
-// Shapes of the drawn times.
+// Parameters of the random times.
 const (
-	tableMedian = 8 * time.Millisecond
-	tableSpread = 0.5 // of the logarithm
-	runMedian   = 20 * time.Millisecond
-	runSpread   = 0.5
-	lostTimeout = 500 * time.Millisecond
-	patience    = 10 * time.Second
+	tableLatencyMedian = 8 * time.Millisecond
+	tableLatencySigma  = 0.5 // standard deviation of the logarithm
+	runTimeMedian      = 20 * time.Millisecond
+	runTimeSigma       = 0.5
+	lostTimeout        = 500 * time.Millisecond
+	claimTimeout       = 10 * time.Second
 )
 
-// Scenario is one run.
+// Scenario configures one run.
 type Scenario struct {
 	Slots int
-	// Rate is claims a second over all slots.
+	// Rate is the arrival rate over all slots, in claims per second.
 	Rate float64
-	// Lost is the share of transactions whose answer is lost after they took effect.
+	// LostShare is the share of transactions whose response is lost after they took effect.
 	Lost     float64
 	Duration time.Duration
-	// Interval, MaxBatch and MaxInFlight are those of claims.Options.
+	// Interval, MaxBatch and MaxInFlight are copied to claims.Options.
 	Interval              time.Duration
 	MaxBatch, MaxInFlight int
 }
 
-// Found is what one run measured.
-type Found struct {
+// Result holds the measurements of one run.
+type Result struct {
 	Claims, Started, Refused int
-	// Writes are transactions, Rows the rows in them.
+	// Writes counts transactions, Rows the rows written by them.
 	Writes, Rows int
-	// Waits are seconds from a claim's arrival to its start.
+	// Waits holds the times from a claim's arrival to the start of its request, in seconds.
 	Waits []float64
 }
 
 type slot struct {
 	ledger *claims.Ledger
-	// tick is when the ledger's next Tick is planned.
-	tick time.Time
+	// nextTick is the time of the ledger's next scheduled Tick.
+	nextTick time.Time
 }
 
 type world struct {
 	*eventqueue.Queue
-	sc      Scenario
-	rng     *rand.Rand
-	mem     *memtable.Memory
-	slots   []*slot
-	arrived map[ids.Attempt]time.Time
-	found   Found
+	scenario Scenario
+	rng      *rand.Rand
+	mem      *memtable.Memory
+	slots    []*slot
+	arrived  map[ids.Attempt]time.Time
+	result   Result
 }
 
-// Run plays one scenario; the same seed gives the same result.
-func Run(sc Scenario, seed uint64) Found {
+// Run runs one scenario. The same seed gives the same result.
+func Run(sc Scenario, seed uint64) Result {
 	w := &world{
-		Queue:   eventqueue.New(time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)),
-		sc:      sc,
-		rng:     rand.New(rand.NewPCG(seed, 5)),
-		mem:     memtable.NewMemory(),
-		arrived: map[ids.Attempt]time.Time{},
+		Queue:    eventqueue.New(time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)),
+		scenario: sc,
+		rng:      rand.New(rand.NewPCG(seed, 5)),
+		mem:      memtable.NewMemory(),
+		arrived:  map[ids.Attempt]time.Time{},
 	}
 	for i := range sc.Slots {
 		w.slots = append(w.slots, &slot{ledger: claims.NewLedger(w.options(i))})
 	}
-	w.arrivals()
+	w.planArrivals()
 	w.RunAll()
-	w.found.Writes = w.mem.Writes
-	w.found.Rows = w.mem.RowsWritten
-	return w.found
+	w.result.Writes = w.mem.Writes
+	w.result.Rows = w.mem.RowsWritten
+	return w.result
 }
 
 func (w *world) options(i int) claims.Options {
 	o := claims.DefaultOptions(ids.Incarnation(fmt.Sprintf("slot-%d", i)))
-	o.Interval = w.sc.Interval
-	o.MaxBatch = w.sc.MaxBatch
-	o.MaxInFlight = w.sc.MaxInFlight
+	o.Interval = w.scenario.Interval
+	o.MaxBatch = w.scenario.MaxBatch
+	o.MaxInFlight = w.scenario.MaxInFlight
 	n := 0
 	o.NewOperation = func() ids.Operation {
 		n++
@@ -93,13 +93,13 @@
 	return o
 }
 
-// arrivals plans independent arrivals, each at a slot drawn at random.
-func (w *world) arrivals() {
-	mean := float64(time.Second) / w.sc.Rate
+// planArrivals schedules independent arrivals, each at a random slot.
+func (w *world) planArrivals() {
+	mean := float64(time.Second) / w.scenario.Rate
 	var at time.Duration
 	for seq := uint64(0); ; seq++ {
 		at += time.Duration(w.rng.ExpFloat64() * mean)
-		if at >= w.sc.Duration {
+		if at >= w.scenario.Duration {
 			return
 		}
 		s := w.slots[w.rng.IntN(len(w.slots))]
@@ -113,19 +113,20 @@
 		Service:  "service",
 		Key:      fmt.Sprint(seq),
 		Attempt:  ids.Attempt{Entry: "entry", Seq: seq},
-		Deadline: w.Now().Add(patience),
+		Deadline: w.Now().Add(claimTimeout),
 		Keep:     time.Hour,
 	}
 	w.arrived[r.Attempt] = w.Now()
-	w.found.Claims++
-	w.perform(s, s.ledger.Submit(w.Now(), r))
+	w.result.Claims++
+	w.apply(s, s.ledger.Submit(w.Now(), r))
 }
 
-func (w *world) perform(s *slot, effects []claims.Effect) {
+// apply executes the effects of a ledger and schedules its next tick.
+func (w *world) apply(s *slot, effects []claims.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case claims.Answer:
-			w.answer(s, e)
+			w.handleAnswer(s, e)
 		case claims.Commit:
 			w.commit(s, e.Txn)
 		}
@@ -133,42 +134,45 @@
 	w.planTick(s)
 }
 
+// planTick schedules the ledger's next Tick, unless one is already scheduled that is early enough.
 func (w *world) planTick(s *slot) {
 	next, ok := s.ledger.Next()
-	if !ok || (s.tick.After(w.Now()) && !next.Before(s.tick)) {
+	if !ok || (s.nextTick.After(w.Now()) && !next.Before(s.nextTick)) {
 		return
 	}
-	s.tick = next
-	w.In(max(0, next.Sub(w.Now())), func() { w.perform(s, s.ledger.Tick(w.Now())) })
+	s.nextTick = next
+	w.In(max(0, next.Sub(w.Now())), func() { w.apply(s, s.ledger.Tick(w.Now())) })
 }
 
-func (w *world) answer(s *slot, e claims.Answer) {
+// handleAnswer records the ledger's verdict for a claim, and schedules the end of a request that starts.
+func (w *world) handleAnswer(s *slot, e claims.Answer) {
 	if !e.Verdict.Start {
-		w.found.Refused++
+		w.result.Refused++
 		return
 	}
-	w.found.Started++
-	w.found.Waits = append(w.found.Waits, w.Now().Sub(w.arrived[e.Attempt]).Seconds())
-	w.In(w.draw(runMedian, runSpread), func() {
-		w.perform(s, s.ledger.Finished(w.Now(), e.Attempt, claims.Outcome{Status: 200, Body: []byte("slip")}))
+	w.result.Started++
+	w.result.Waits = append(w.result.Waits, w.Now().Sub(w.arrived[e.Attempt]).Seconds())
+	w.In(w.logNormal(runTimeMedian, runTimeSigma), func() {
+		w.apply(s, s.ledger.Finished(w.Now(), e.Attempt, claims.Outcome{Status: 200, Body: []byte("slip")}))
 	})
 }
 
+// commit applies a transaction to the table after a random latency.
 func (w *world) commit(s *slot, t platform.Txn) {
-	lost := w.rng.Float64() < w.sc.Lost
-	back := w.draw(tableMedian, tableSpread)
-	w.In(back/2, func() {
+	lost := w.rng.Float64() < w.scenario.Lost
+	latency := w.logNormal(tableLatencyMedian, tableLatencySigma)
+	w.In(latency/2, func() {
 		res, err := w.mem.Apply(t)
-		wait := back / 2
+		wait := latency / 2
 		if lost {
 			res, err = platform.Result{}, &platform.UnknownOutcomeError{Operation: t.Operation}
 			wait = lostTimeout
 		}
-		w.In(wait, func() { w.perform(s, s.ledger.Committed(w.Now(), t.Operation, res, err)) })
+		w.In(wait, func() { w.apply(s, s.ledger.Committed(w.Now(), t.Operation, res, err)) })
 	})
 }
 
-// draw returns a log-normal time.
-func (w *world) draw(median time.Duration, spread float64) time.Duration {
-	return time.Duration(float64(median) * math.Exp(spread*w.rng.NormFloat64()))
+// logNormal returns a random time with a log-normal distribution.
+func (w *world) logNormal(median time.Duration, sigma float64) time.Duration {
+	return time.Duration(float64(median) * math.Exp(sigma*w.rng.NormFloat64()))
 }
--- a/internal/testing/bench/quarantine/doc.go
+++ b/internal/testing/bench/quarantine/doc.go
@@ -1,7 +1,7 @@
-// Package quarantine measures how many upstreams a request takes down that crashes each one that runs it, and what that
-// costs the requests beside it.
+// Package quarantine measures how many upstreams a poisonous request crashes and how that affects all other requests. A
+// poisonous request crashes each upstream that runs it.
 //
-// Entries and slots are quarantine.Tracker and quarantine.Guard as in the processes. Digests between them come late
-// and get lost, the poisonous request is sent through every entry at once and again as soon as it is answered, and
-// upstreams also die for reasons of their own.
+// Entries run quarantine.Tracker and slots quarantine.Guard, as in the processes, in virtual time. Digests between them
+// are delayed and can get lost. The poisonous request is sent through all entries concurrently and resent after each
+// response. Upstreams can also crash for other reasons.
 package quarantine
--- a/internal/testing/bench/quarantine/slot.go
+++ b/internal/testing/bench/quarantine/slot.go
@@ -9,146 +9,151 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/quarantine"
 )
 
-// arrive hands a request to an upstream's slot.
+// arrive submits a request to the guard of an upstream's slot. It cancels one that still waits at its deadline.
 func (w *world) arrive(r *request, u *upstream) {
 	if !u.up {
-		w.later(r)
+		w.retry(r)
 		return
 	}
-	decision := u.guard.Submit(w.Now(), quarantine.Running{Fingerprint: r.print}, r.level)
+	decision := u.guard.Submit(w.Now(), quarantine.Running{Fingerprint: r.fingerprint}, r.level)
 	if decision.Admission != quarantine.Wait {
-		w.turn(r, u, decision)
+		w.handleDecision(r, u, decision)
 		return
 	}
-	u.waits[decision.Ticket] = r
+	u.waiting[decision.Ticket] = r
 	w.In(max(0, r.deadline.Sub(w.Now())), func() {
-		if u.waits[decision.Ticket] == r {
-			delete(u.waits, decision.Ticket)
-			w.turns(u, u.guard.Cancel(decision.Ticket))
-			w.answer(r, false)
+		if u.waiting[decision.Ticket] == r {
+			delete(u.waiting, decision.Ticket)
+			w.handleDecisions(u, u.guard.Cancel(decision.Ticket))
+			w.finish(r, false)
 		}
 	})
 }
 
-func (w *world) turns(u *upstream, decisions []quarantine.Decision) {
+func (w *world) handleDecisions(u *upstream, decisions []quarantine.Decision) {
 	for _, d := range decisions {
-		if r := u.waits[d.Ticket]; r != nil {
-			delete(u.waits, d.Ticket)
-			w.turn(r, u, d)
+		if r := u.waiting[d.Ticket]; r != nil {
+			delete(u.waiting, d.Ticket)
+			w.handleDecision(r, u, d)
 		}
 	}
 }
 
-func (w *world) turn(r *request, u *upstream, d quarantine.Decision) {
+// handleDecision starts, refuses or reroutes a request as the guard decided.
+func (w *world) handleDecision(r *request, u *upstream, d quarantine.Decision) {
 	switch {
 	case d.Admission == quarantine.Enter:
 		w.start(r, u, d)
 	case d.Level == quarantine.Refused:
-		w.refused(r)
+		w.refuse(r)
 	default:
-		w.later(r)
+		w.retry(r)
 	}
 }
 
+// start runs a request on its upstream: a poisonous one crashes it, any other completes.
 func (w *world) start(r *request, u *upstream, d quarantine.Decision) {
 	if !u.up {
-		w.turns(u, u.guard.Release(w.Now(), d.Ticket, quarantine.Stopped))
-		w.later(r)
+		w.handleDecisions(u, u.guard.Release(w.Now(), d.Ticket, quarantine.Stopped))
+		w.retry(r)
 		return
 	}
-	if d.Level == quarantine.Alone && r.number != poison {
-		w.found.RanAlone++
+	if d.Level == quarantine.Alone && r.number != poisonNumber {
+		w.result.RanAlone++
 	}
-	u.runs[d.Ticket] = r
-	life := u.life
-	if r.number == poison {
-		after := poisonMin + time.Duration(w.rng.Float64()*float64(poisonSpread))
+	u.running[d.Ticket] = r
+	incarnation := u.incarnation
+	if r.number == poisonNumber {
+		after := crashDelayMin + time.Duration(w.rng.Float64()*float64(crashDelaySpread))
 		w.In(after, func() {
-			if u.life == life {
-				w.found.Taken++
-				w.die(u)
+			if u.incarnation == incarnation {
+				w.result.PoisonCrashes++
+				w.crash(u)
 			}
 		})
 		return
 	}
-	w.In(runShortest+time.Duration(w.rng.Int64N(int64(runLongest-runShortest))), func() {
-		if u.life != life {
+	w.In(runTimeMin+time.Duration(w.rng.Int64N(int64(runTimeMax-runTimeMin))), func() {
+		if u.incarnation != incarnation {
 			return
 		}
-		delete(u.runs, d.Ticket)
-		r.entry.tracker.Completed(w.Now(), r.print)
-		w.turns(u, u.guard.Release(w.Now(), d.Ticket, quarantine.Whole))
-		w.answer(r, !w.Now().After(r.deadline))
+		delete(u.running, d.Ticket)
+		r.entry.tracker.Completed(w.Now(), r.fingerprint)
+		w.handleDecisions(u, u.guard.Release(w.Now(), d.Ticket, quarantine.Whole))
+		w.finish(r, !w.Now().After(r.deadline))
 	})
 }
 
-// die ends an upstream's life: what ran is broken off and tried again, and the slot reports it.
-func (w *world) die(u *upstream) {
-	w.found.Deaths++
-	u.life++
+// crash ends an upstream's incarnation: the slot reports the crash, and the entries retry the requests that ran.
+func (w *world) crash(u *upstream) {
+	w.result.Crashes++
+	u.incarnation++
 	u.up = false
 	w.In(restartTime, func() { u.up = true })
-	if !w.sc.Off {
+	if !w.scenario.Disabled {
 		decisions, _ := u.guard.Died(w.Now())
-		w.turns(u, decisions)
-		w.tellEntries(u)
+		w.handleDecisions(u, decisions)
+		w.sendToEntries(u)
 	} else {
-		u.guard = quarantine.NewGuard(ids.Incarnation(u.id), period)
+		u.guard = quarantine.NewGuard(ids.Incarnation(u.id), quarantinePeriod)
 	}
-	for _, ticket := range slices.Sorted(maps.Keys(u.runs)) {
-		r := u.runs[ticket]
-		r.broke = true
+	for _, ticket := range slices.Sorted(maps.Keys(u.running)) {
+		r := u.running[ticket]
+		r.interrupted = true
 		w.In(time.Millisecond, func() { w.route(r) })
 	}
-	u.runs = map[quarantine.Ticket]*request{}
+	u.running = map[quarantine.Ticket]*request{}
 }
 
-// ownDeath plans the next death of an upstream that no request causes.
-func (w *world) ownDeath(u *upstream) {
-	if w.sc.OwnDeaths == 0 {
+// planOtherCrash schedules the next crash of an upstream that no request causes.
+func (w *world) planOtherCrash(u *upstream) {
+	if w.scenario.OtherCrashInterval == 0 {
 		return
 	}
-	w.In(w.exp(w.sc.OwnDeaths), func() {
+	w.In(w.exponential(w.scenario.OtherCrashInterval), func() {
 		if u.up {
-			w.die(u)
+			w.crash(u)
 		}
-		w.ownDeath(u)
+		w.planOtherCrash(u)
 	})
 }
 
-// deliver plans a digest, late or never.
-func (w *world) deliver(do func()) {
+// deliver schedules the delivery of a digest. It is delayed and may get lost.
+func (w *world) deliver(receive func()) {
 	if w.rng.Float64() < digestLoss {
 		return
 	}
-	w.In(time.Duration(w.rng.Float64()*float64(digestLate)), do)
+	w.In(time.Duration(w.rng.Float64()*float64(digestDelayMax)), receive)
 }
 
+// slotDigest sends the digests of a slot to all entries at the digest interval.
 func (w *world) slotDigest(u *upstream) {
-	w.tellEntries(u)
+	w.sendToEntries(u)
 	w.In(digestInterval, func() { w.slotDigest(u) })
 }
 
-func (w *world) tellEntries(u *upstream) {
-	news := u.guard.Tracker().Digest(w.Now(), digestLimit)
+// sendToEntries sends the slot's suspects and the state of its upstream to all entries.
+func (w *world) sendToEntries(u *upstream) {
+	suspects := u.guard.Tracker().Digest(w.Now(), digestLimit)
 	down := !u.up
 	for _, e := range w.entries {
 		w.deliver(func() {
-			e.tracker.Merge(w.Now(), news...)
+			e.tracker.Merge(w.Now(), suspects...)
 			e.down[u.id] = down
 		})
 	}
 }
 
+// entryDigest sends the digests of an entry to all other entries and all slots at the digest interval.
 func (w *world) entryDigest(e *entry) {
-	news := e.tracker.Digest(w.Now(), digestLimit)
+	suspects := e.tracker.Digest(w.Now(), digestLimit)
 	for _, other := range w.entries {
 		if other != e {
-			w.deliver(func() { other.tracker.Merge(w.Now(), news...) })
+			w.deliver(func() { other.tracker.Merge(w.Now(), suspects...) })
 		}
 	}
 	for _, u := range w.upstreams {
-		w.deliver(func() { w.turns(u, u.guard.Merge(w.Now(), news...)) })
+		w.deliver(func() { w.handleDecisions(u, u.guard.Merge(w.Now(), suspects...)) })
 	}
 	w.In(digestInterval, func() { w.entryDigest(e) })
 }
--- a/internal/testing/bench/quarantine/world.go
+++ b/internal/testing/bench/quarantine/world.go
@@ -11,172 +11,176 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/eventqueue"
 )
 
-// Times and sizes that all scenarios share.
+// Parameters of all scenarios.
 const (
-	runShortest    = time.Second
-	runLongest     = 3 * time.Second
-	runMean        = (runShortest + runLongest) / 2
-	patience       = 10 * time.Second
-	retryAfter     = 300 * time.Millisecond
-	restartTime    = 15 * time.Second
-	digestInterval = 250 * time.Millisecond
-	digestLate     = 100 * time.Millisecond
-	digestLoss     = 0.1
-	digestLimit    = 32
-	poisonResend   = 500 * time.Millisecond
-	poisonMin      = 50 * time.Millisecond
-	poisonSpread   = 450 * time.Millisecond
-	period         = time.Hour
-	poison         = -1
+	runTimeMin       = time.Second
+	runTimeMax       = 3 * time.Second
+	runTimeMean      = (runTimeMin + runTimeMax) / 2
+	requestTimeout   = 10 * time.Second
+	retryAfter       = 300 * time.Millisecond
+	restartTime      = 15 * time.Second
+	digestInterval   = 250 * time.Millisecond
+	digestDelayMax   = 100 * time.Millisecond
+	digestLoss       = 0.1
+	digestLimit      = 32
+	poisonResend     = 500 * time.Millisecond
+	crashDelayMin    = 50 * time.Millisecond
+	crashDelaySpread = 450 * time.Millisecond
+	quarantinePeriod = time.Hour
+	poisonNumber     = -1
 )
 
-// Scenario is one run.
+// Scenario configures one run.
 type Scenario struct {
 	Entries, Upstreams int
-	// Batch is how many requests an upstream runs on average.
+	// Batch is the mean number of requests that run on an upstream.
 	Batch float64
-	// Poison says whether the request that crashes its upstreams is there.
+	// Poison is set if the caller of the poisonous request sends it.
 	Poison bool
-	// OwnDeaths is how often, on average, an upstream dies for a reason of its own; 0 for never.
-	OwnDeaths time.Duration
-	Duration  time.Duration
-	// Off leaves the quarantine out, as a baseline.
-	Off bool
+	// OtherCrashInterval is the mean time between two crashes of an upstream that no request causes; 0 disables them.
+	OtherCrashInterval time.Duration
+	Duration           time.Duration
+	// Disabled turns off the quarantine, as the baseline.
+	Disabled bool
 }
 
-// Found is what one run measured.
-type Found struct {
-	// Taken is how many times the poisonous request took an upstream down; Deaths counts all deaths.
-	Taken, Deaths int
-	// Innocents is how many other requests arrived, Refused how many of them were ever refused as suspects, Late how
-	// many were not answered in time, and RanAlone how often one of them ran alone.
-	Innocents, Refused, Late, RanAlone int
+// Result holds the measurements of one run.
+type Result struct {
+	// PoisonCrashes counts the upstream crashes that the poisonous request caused, Crashes all upstream crashes.
+	PoisonCrashes, Crashes int
+	// OtherRequests counts the arrivals of all other requests, FalselyRefused how many of them were refused as suspects,
+	// Late how many were not completed in time, and RanAlone how often one of them ran alone.
+	OtherRequests, FalselyRefused, Late, RanAlone int
 }
 
 type upstream struct {
-	id    ids.Upstream
-	guard *quarantine.Guard
-	up    bool
-	runs  map[quarantine.Ticket]*request
-	waits map[quarantine.Ticket]*request
-	life  int
+	id          ids.Upstream
+	guard       *quarantine.Guard
+	up          bool
+	running     map[quarantine.Ticket]*request
+	waiting     map[quarantine.Ticket]*request
+	incarnation int
 }
 
 type entry struct {
 	tracker *quarantine.Tracker
-	// down holds the upstreams that the entry believes to be dead.
+	// down holds the upstreams that are down by the entry's state.
 	down map[ids.Upstream]bool
 }
 
 // request is one copy of a request at an entry.
 type request struct {
-	number   int
-	print    quarantine.Fingerprint
-	entry    *entry
-	deadline time.Time
-	level    quarantine.Level
-	// broke is set once an upstream died under it, or so it seemed: the entry does not wait for the slot's report.
-	broke bool
+	number      int
+	fingerprint quarantine.Fingerprint
+	entry       *entry
+	deadline    time.Time
+	level       quarantine.Level
+	// interrupted is set when an upstream crashes while it runs the request. The entry treats the request as suspected
+	// without waiting for the slot's report.
+	interrupted bool
 }
 
 type world struct {
 	*eventqueue.Queue
-	sc        Scenario
+	scenario  Scenario
 	rng       *rand.Rand
 	entries   []*entry
 	upstreams []*upstream
-	found     Found
+	result    Result
 }
 
-// Run plays one scenario; the same seed gives the same result.
-func Run(sc Scenario, seed uint64) Found {
-	begin := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	w := &world{Queue: eventqueue.New(begin), sc: sc, rng: rand.New(rand.NewPCG(seed, 9))}
+// Run runs one scenario. The same seed gives the same result.
+func Run(sc Scenario, seed uint64) Result {
+	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+	w := &world{Queue: eventqueue.New(start), scenario: sc, rng: rand.New(rand.NewPCG(seed, 9))}
 	for i := range sc.Upstreams {
 		id := ids.Upstream(fmt.Sprintf("u%d", i))
 		w.upstreams = append(w.upstreams, &upstream{
-			id:    id,
-			guard: quarantine.NewGuard(ids.Incarnation(id), period),
-			up:    true,
-			runs:  map[quarantine.Ticket]*request{},
-			waits: map[quarantine.Ticket]*request{},
+			id:      id,
+			guard:   quarantine.NewGuard(ids.Incarnation(id), quarantinePeriod),
+			up:      true,
+			running: map[quarantine.Ticket]*request{},
+			waiting: map[quarantine.Ticket]*request{},
 		})
 	}
 	for range sc.Entries {
-		e := &entry{tracker: quarantine.NewTracker(quarantine.Rules{Period: period}), down: map[ids.Upstream]bool{}}
+		e := &entry{tracker: quarantine.NewTracker(quarantine.Rules{Period: quarantinePeriod}), down: map[ids.Upstream]bool{}}
 		w.entries = append(w.entries, e)
 	}
 	w.plan()
-	w.Run(begin.Add(sc.Duration))
-	return w.found
+	w.Run(start.Add(sc.Duration))
+	return w.result
 }
 
+// plan schedules the digests, the crashes and the first requests.
 func (w *world) plan() {
 	for _, u := range w.upstreams {
 		w.In(w.phase(), func() { w.slotDigest(u) })
-		w.ownDeath(u)
+		w.planOtherCrash(u)
 	}
 	for _, e := range w.entries {
 		w.In(w.phase(), func() { w.entryDigest(e) })
 	}
-	w.innocent(0)
-	if w.sc.Poison {
+	w.planHarmless(0)
+	if w.scenario.Poison {
 		for _, e := range w.entries {
 			w.In(10*time.Second, func() { w.sendPoison(e) })
 		}
 	}
 }
 
+// phase returns a random offset, so that nodes do not send their digests at the same time.
 func (w *world) phase() time.Duration {
 	return time.Duration(w.rng.Float64() * float64(digestInterval))
 }
 
-func (w *world) exp(mean time.Duration) time.Duration {
+func (w *world) exponential(mean time.Duration) time.Duration {
 	return time.Duration(w.rng.ExpFloat64() * float64(mean))
 }
 
-// innocent sends one request that harms nobody and plans the next.
-func (w *world) innocent(number int) {
-	rate := w.sc.Batch * float64(w.sc.Upstreams) / runMean.Seconds()
-	w.In(w.exp(time.Duration(float64(time.Second)/rate)), func() {
-		w.found.Innocents++
+// planHarmless schedules one request that crashes no upstream, and after it the next.
+func (w *world) planHarmless(number int) {
+	rate := w.scenario.Batch * float64(w.scenario.Upstreams) / runTimeMean.Seconds()
+	w.In(w.exponential(time.Duration(float64(time.Second)/rate)), func() {
+		w.result.OtherRequests++
 		w.send(number, w.entries[w.rng.IntN(len(w.entries))])
-		w.innocent(number + 1)
+		w.planHarmless(number + 1)
 	})
 }
 
-func (w *world) sendPoison(e *entry) { w.send(poison, e) }
+func (w *world) sendPoison(e *entry) { w.send(poisonNumber, e) }
 
 func (w *world) send(number int, e *entry) {
-	r := &request{number: number, entry: e, deadline: w.Now().Add(patience)}
-	binary.BigEndian.PutUint64(r.print[:], uint64(number))
+	r := &request{number: number, entry: e, deadline: w.Now().Add(requestTimeout)}
+	binary.BigEndian.PutUint64(r.fingerprint[:], uint64(number))
 	w.route(r)
 }
 
-// route sends a request to an upstream, or refuses it.
+// route sends a request to an upstream, refuses it as a suspect or lets it time out.
 func (w *world) route(r *request) {
 	if w.Now().After(r.deadline) {
-		w.answer(r, false)
+		w.finish(r, false)
 		return
 	}
-	if !w.sc.Off {
-		r.level, _ = r.entry.tracker.Judge(w.Now(), r.print)
-		if r.broke {
+	if !w.scenario.Disabled {
+		r.level, _ = r.entry.tracker.Judge(w.Now(), r.fingerprint)
+		if r.interrupted {
 			r.level = max(r.level, quarantine.Suspected)
 		}
 	}
 	if r.level == quarantine.Refused {
-		w.refused(r)
+		w.refuse(r)
 		return
 	}
 	u := w.pick(r)
 	if u == nil {
-		w.later(r)
+		w.retry(r)
 		return
 	}
 	w.In(time.Millisecond, func() { w.arrive(r, u) })
 }
 
+// pick returns a random upstream for a clear request and the assigned upstream for a suspect; nil if all are down.
 func (w *world) pick(r *request) *upstream {
 	var ready []ids.Upstream
 	byID := map[ids.Upstream]*upstream{}
@@ -192,25 +196,25 @@
 	if r.level == quarantine.Clear {
 		return byID[ready[w.rng.IntN(len(ready))]]
 	}
-	return byID[quarantine.AssignedUpstream(r.print, ready)]
+	return byID[quarantine.AssignedUpstream(r.fingerprint, ready)]
 }
 
-func (w *world) later(r *request) { w.In(retryAfter, func() { w.route(r) }) }
+func (w *world) retry(r *request) { w.In(retryAfter, func() { w.route(r) }) }
 
-func (w *world) refused(r *request) {
-	if r.number != poison {
-		w.found.Refused++
+func (w *world) refuse(r *request) {
+	if r.number != poisonNumber {
+		w.result.FalselyRefused++
 	}
-	w.answer(r, true)
+	w.finish(r, true)
 }
 
-// answer ends a request; the poisonous one is sent again.
-func (w *world) answer(r *request, inTime bool) {
-	if r.number == poison {
+// finish records the outcome of a request. The poisonous one is resent.
+func (w *world) finish(r *request, inTime bool) {
+	if r.number == poisonNumber {
 		w.In(poisonResend, func() { w.sendPoison(r.entry) })
 		return
 	}
 	if !inTime {
-		w.found.Late++
+		w.result.Late++
 	}
 }
