--- a/internal/testing/bench/config/cluster.go
+++ b/internal/testing/bench/config/cluster.go
@@ -1,5 +1,6 @@
-// Package config measures how a change of the configuration reaches every node: its time, messages, bytes, CPU and
-// memory, and the use of the platform, with many light nodes in one process.
+// Package config measures the cost of configuration changes: the time until a change is in force on every node, the
+// messages, bytes, CPU and memory of a node, and the reads and writes of the platform. The nodes are agents in one
+// process over an in-memory network.
 package config
 
 import (
@@ -21,7 +22,7 @@
 )
 
 const (
-	centres     = 6
+	dataCentres = 6
 	tick        = 50 * time.Millisecond
 	pollPeriod  = time.Millisecond
 	startLimit  = 2 * time.Minute
@@ -29,46 +30,49 @@
 	tableDelay  = 8 * time.Millisecond
 )
 
-// delays are the one-way times between nodes.
-type delays struct{ local, centre, region time.Duration }
+// delays holds the one-way delays between nodes: within a data centre, between data centres of a region, and between
+// regions.
+type delays struct{ local, dataCentre, region time.Duration }
 
-// between returns the delay between two nodes, whose names begin with the number of their data centre.
+// between returns the delay between two nodes. A node's name starts with the number of its data centre, and each region
+// has half of the data centres.
 func (d delays) between(from, to string) time.Duration {
 	switch a, b := from[0], to[0]; {
 	case a == b:
 		return d.local
-	case (a-'0')/(centres/2) == (b-'0')/(centres/2):
-		return d.centre
+	case (a-'0')/(dataCentres/2) == (b-'0')/(dataCentres/2):
+		return d.dataCentre
 	}
 	return d.region
 }
 
-// cluster is a set of nodes over one stand-in of the platform.
+// cluster is a set of nodes that share one stand-in of the platform.
 type cluster struct {
-	store  *standin.Store
-	net    *memnet.Net
-	agents []*agent.Agent
-	names  []string
-	cancel context.CancelFunc
-	ops    int
+	store      *standin.Store
+	net        *memnet.Net
+	agents     []*agent.Agent
+	names      []string
+	cancel     context.CancelFunc
+	operations int
 }
 
-// StuckError says that the nodes did not come as far as they should in time.
-type StuckError struct{ Step string }
+// NoProgressError reports that the nodes did not complete a step, or not in time.
+type NoProgressError struct{ Step string }
 
 // Error implements error.
-func (e *StuckError) Error() string { return "stuck: " + e.Step }
+func (e *NoProgressError) Error() string { return "no progress in step: " + e.Step }
 
-func start(n int, d delays, seed uint64) *cluster {
+// startCluster starts n nodes, distributed evenly over the data centres.
+func startCluster(n int, d delays, seed uint64) *cluster {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &cluster{store: standin.NewStore(standin.Limits{}), net: memnet.New(d.between), cancel: cancel}
 	c.store.SetFaults(standin.PartTable, standin.Faults{Delay: tableDelay})
 	for i := range n {
-		name := fmt.Sprintf("%d-%04d", i%centres, i)
+		name := fmt.Sprintf("%d-%04d", i%dataCentres, i)
 		loop := control.New()
 		a := agent.New(agent.Config{
 			Self: &revision.Member{
-				Name: name, DataCentre: fmt.Sprintf("dc%d", i%centres), Address: "127.0.0.1:1",
+				Name: name, DataCentre: fmt.Sprintf("dc%d", i%dataCentres), Address: "127.0.0.1:1",
 				Role: cardamomyokev1.NodeRole_NODE_ROLE_ENTRY,
 			},
 			Incarnation: ids.NewIncarnation(), Platform: platform.NewClient(c.store.Client(name), platform.Options{}),
@@ -89,13 +93,13 @@
 	}
 }
 
-// every waits until ok holds for each node.
-func (c *cluster) every(step string, limit time.Duration, ok func(*revision.View) bool) error {
-	end := time.Now().Add(limit)
+// waitForAll waits until ok holds for each node. After the time limit it returns a NoProgressError for the step.
+func (c *cluster) waitForAll(step string, limit time.Duration, ok func(*revision.View) bool) error {
+	deadline := time.Now().Add(limit)
 	for _, a := range c.agents {
 		for !ok(a.View()) {
-			if time.Now().After(end) {
-				return &StuckError{step}
+			if time.Now().After(deadline) {
+				return &NoProgressError{step}
 			}
 			time.Sleep(pollPeriod)
 		}
@@ -103,31 +107,31 @@
 	return nil
 }
 
-// ready waits until every node is a member and takes work.
-func (c *cluster) ready() error {
+// waitReady waits until every node is a member, accepts new work and has accepted its newest entry.
+func (c *cluster) waitReady() error {
 	n := len(c.agents)
-	return c.every("start", startLimit, func(v *revision.View) bool {
+	return c.waitForAll("start", startLimit, func(v *revision.View) bool {
 		return v.Newest != nil && len(v.Newest.Roster.Members()) == n && time.Now().Before(v.FreshUntil) && v.Accepted == v.Staged
 	})
 }
 
-// change commits one change at a node and returns how long it took to be in force on every node.
+// change commits one change at a node and returns the time until it is in force on every node.
 func (c *cluster) change(at int, edits []*cardamomyokev1.Edit) (time.Duration, error) {
-	c.ops++
-	begin := time.Now()
+	c.operations++
+	start := time.Now()
 	a := c.agents[at]
 	e, err := a.Change(context.Background(), &cardamomyokev1.ChangeMeta{
-		Operator: "bench", Reason: "measurement", OperationId: fmt.Sprintf("bench-%d", c.ops),
+		Operator: "bench", Reason: "measurement", OperationId: fmt.Sprintf("bench-%d", c.operations),
 		BaseRevision: a.View().Newest.Revision(),
 	}, func(*revision.State) ([]*cardamomyokev1.Edit, error) { return edits, nil })
 	if err != nil {
 		return 0, err
 	}
-	err = c.every("change", changeLimit, func(v *revision.View) bool { return v.InForce.Seq >= e.GetSeq() })
-	return time.Since(begin), err
+	err = c.waitForAll("change", changeLimit, func(v *revision.View) bool { return v.InForce.Seq >= e.GetSeq() })
+	return time.Since(start), err
 }
 
-func policies(ms uint32) *cardamomyokev1.Edit {
+func policiesEdit(ms uint32) *cardamomyokev1.Edit {
 	return &cardamomyokev1.Edit{
 		Action: cardamomyokev1.EditAction_EDIT_ACTION_CHANGE,
 		Object: &cardamomyokev1.Edit_Policies{Policies: &cardamomyokev1.Policies{
@@ -136,13 +140,13 @@
 	}
 }
 
-func client(action cardamomyokev1.EditAction, i int, share uint32) *cardamomyokev1.Edit {
+func clientEdit(action cardamomyokev1.EditAction, i int, share uint32) *cardamomyokev1.Edit {
 	return &cardamomyokev1.Edit{Action: action, Object: &cardamomyokev1.Edit_Client{
 		Client: &cardamomyokev1.ClientAccount{Name: fmt.Sprintf("client-%05d", i), Share: share, RequestsPerS: 10, TokensPerS: 1000},
 	}}
 }
 
-// usage is what the whole process and all nodes have used up to a moment.
+// usage holds the CPU time of the process, and the traffic and platform calls of all nodes, up to a point in time.
 type usage struct {
 	at              time.Time
 	cpu             time.Duration
@@ -166,7 +170,7 @@
 	return u
 }
 
-// perNode returns the messages and bytes that each node has sent and received.
+// perNode returns the number of messages and bytes that each node has sent and received, in sum.
 func (c *cluster) perNode() (messages, bytes []uint64) {
 	for _, name := range c.names {
 		n := c.net.Usage(name)
@@ -176,8 +180,8 @@
 	return messages, bytes
 }
 
-// heap returns the bytes that live objects and stacks take.
-func heap() uint64 {
+// heapBytes returns the memory of live objects and of stacks, in bytes.
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/testing/bench/config/config.go
+++ b/internal/testing/bench/config/config.go
@@ -13,7 +13,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/report"
 )
 
-// The target that the figures are held against.
+// The target size and the limits that the measurements must meet there.
 const (
 	changesPerDay  = 1800
 	secondsPerDay  = 86400
@@ -27,11 +27,11 @@
 	limitWrites    = 300 // "several hundred"
 	bytesPerMB     = 1e6
 	percent        = 100
-	packetsPerCall = 4  // request, answer and their acknowledgements
+	packetsPerCall = 4  // request, response and their acknowledgements
 	packetHeader   = 40 // bytes of IP and TCP headers
 )
 
-// settings are the flags of the command.
+// settings holds the flags of the command.
 type settings struct {
 	nodes   []int
 	seed    uint64
@@ -44,34 +44,34 @@
 // Register adds the command `config`.
 func Register(app *kingpin.Application) {
 	s := &settings{}
-	cmd := app.Command("config", "Time from put to in force everywhere, and what acceptance costs each node.")
-	cmd.Flag("nodes", "Number of nodes; may be given several times.").Default("10", "30", "100", "300").IntsVar(&s.nodes)
+	cmd := app.Command("config", "Measure the time until a change is in force on every node, and its cost for each node.")
+	cmd.Flag("nodes", "Number of nodes; repeat for more cluster sizes.").Default("10", "30", "100", "300").IntsVar(&s.nodes)
 	cmd.Flag("seed", "Seed of the jitter.").Default("1").Uint64Var(&s.seed)
 	cmd.Flag("changes", "Changes for each number of nodes.").Default("40").IntVar(&s.changes)
 	cmd.Flag("idle", "Time over which the cost without changes is measured.").Default("10s").DurationVar(&s.idle)
-	cmd.Flag("settle", "Time before that, in which nodes find the parents that they should have.").Default("12s").DurationVar(&s.settle)
+	cmd.Flag("settle", "Time before that measurement, for the nodes to settle on their parents in the tree.").Default("12s").DurationVar(&s.settle)
 	cmd.Flag("local", "One-way delay within a data centre.").Default("200us").DurationVar(&s.delays.local)
-	cmd.Flag("centre", "One-way delay between data centres of a region.").Default("1.5ms").DurationVar(&s.delays.centre)
+	cmd.Flag("centre", "One-way delay between data centres of a region.").Default("1.5ms").DurationVar(&s.delays.dataCentre)
 	cmd.Flag("region", "One-way delay between regions.").Default("40ms").DurationVar(&s.delays.region)
 	cmd.Action(func(*kingpin.ParseContext) error { return s.run(os.Stdout) })
 }
 
-// row is what was measured with one number of nodes.
-type row struct {
+// measurement holds the results for one cluster size.
+type measurement struct {
 	nodes          int
-	times          []float64 // seconds from put to in force everywhere
-	idleMessages   float64   // a node and second
-	idleBytes      float64   // a node and second, sent
-	idleBytesMost  float64   // of the busiest node, sent and received
-	changeMessages float64   // a node and change
-	changeBytes    float64   // a node and change
-	cpu            float64   // percent of a core a node
+	changeSeconds  []float64 // seconds from the change until it is in force on every node
+	idleMessages   float64   // per node and second
+	idleBytes      float64   // per node and second, sent
+	maxIdleBytes   float64   // per second at the busiest node, sent and received
+	changeMessages float64   // per node and change
+	changeBytes    float64   // per node and change
+	cpu            float64   // percent of a core per node
 	changeCPU      time.Duration
 	memoryMB       float64
-	reads, writes  float64 // a second, of all nodes
-	changeReads    float64 // a change, of all nodes
+	reads, writes  float64 // per second, all nodes
+	changeReads    float64 // per change, all nodes
 	changeWrites   float64
-	overhead       float64
+	overhead       float64 // bytes per call besides its message
 }
 
 func (s *settings) run(out io.Writer) error {
@@ -79,47 +79,47 @@
 	if err != nil {
 		return err
 	}
-	// First, while nothing else is on the heap.
-	mem, err := memoryAtTarget()
+	// This runs first, while nothing else is on the heap.
+	mem, err := stateCostAtTarget()
 	if err != nil {
 		return err
 	}
-	var rows []row
+	var rows []measurement
 	for _, n := range s.nodes {
-		r, err := s.measure(n, overhead)
+		r, err := s.measureCluster(n, overhead)
 		if err != nil {
 			return err
 		}
 		rows = append(rows, r)
 	}
-	if err := table(out, rows); err != nil {
+	if err := printTable(out, rows); err != nil {
 		return err
 	}
 	if _, err := fmt.Fprintf(out, "\noverhead of a call over HTTP/2, counted on a loopback connection: %.0f bytes, and %d bytes of packet headers\n",
 		overhead, packetsPerCall*packetHeader); err != nil {
 		return err
 	}
-	return verdicts(out, rows, mem)
+	return printVerdicts(out, rows, mem)
 }
 
-func (s *settings) measure(n int, overhead float64) (row, error) {
-	before := heap()
-	c := start(n, s.delays, s.seed)
+func (s *settings) measureCluster(n int, overhead float64) (measurement, error) {
+	before := heapBytes()
+	c := startCluster(n, s.delays, s.seed)
 	defer c.stop()
-	if err := c.ready(); err != nil {
-		return row{}, err
+	if err := c.waitReady(); err != nil {
+		return measurement{}, err
 	}
-	if _, err := c.change(0, []*cardamomyokev1.Edit{policies(1000)}); err != nil {
-		return row{}, err
+	if _, err := c.change(0, []*cardamomyokev1.Edit{policiesEdit(1000)}); err != nil {
+		return measurement{}, err
 	}
 	time.Sleep(s.settle)
-	r := row{nodes: n, overhead: overhead + packetsPerCall*packetHeader}
-	r.memoryMB = max(0, float64(heap())-float64(before)) / float64(n) / bytesPerMB
-	s.idleCost(c, &r)
-	return r, s.changeCost(c, &r)
+	r := measurement{nodes: n, overhead: overhead + packetsPerCall*packetHeader}
+	r.memoryMB = max(0, float64(heapBytes())-float64(before)) / float64(n) / bytesPerMB
+	s.measureIdle(c, &r)
+	return r, s.measureChanges(c, &r)
 }
 
-func (s *settings) idleCost(c *cluster, r *row) {
+func (s *settings) measureIdle(c *cluster, r *measurement) {
 	m0, b0 := c.perNode()
 	u0 := c.usage()
 	time.Sleep(s.idle)
@@ -134,18 +134,18 @@
 	r.writes = float64(u1.writes-u0.writes) / secs
 	for i := range m0 {
 		bytes := (float64(b1[i]-b0[i]) + float64(m1[i]-m0[i])*r.overhead) / secs
-		r.idleBytesMost = max(r.idleBytesMost, bytes)
+		r.maxIdleBytes = max(r.maxIdleBytes, bytes)
 	}
 }
 
-func (s *settings) changeCost(c *cluster, r *row) error {
+func (s *settings) measureChanges(c *cluster, r *measurement) error {
 	u0 := c.usage()
 	for i := range s.changes {
-		took, err := c.change(i*7%r.nodes, []*cardamomyokev1.Edit{policies(1000 + uint32(i))})
+		took, err := c.change(i*7%r.nodes, []*cardamomyokev1.Edit{policiesEdit(1000 + uint32(i))})
 		if err != nil {
 			return err
 		}
-		r.times = append(r.times, took.Seconds())
+		r.changeSeconds = append(r.changeSeconds, took.Seconds())
 		time.Sleep(100 * time.Millisecond)
 	}
 	u1 := c.usage()
@@ -162,66 +162,67 @@
 	return nil
 }
 
-// memoryAtTarget returns the bytes of one node's state with all client accounts and members: two states, as while a
-// change is pending, and the time it takes to apply one change.
-func memoryAtTarget() (memory, error) {
-	before := heap()
+// stateCostAtTarget measures the state of one node with the target's client accounts and members: the memory of two
+// states, as a node holds while a change is pending, and the time to apply one change.
+func stateCostAtTarget() (stateCost, error) {
+	before := heapBytes()
 	st := revision.Empty()
-	edits := []*cardamomyokev1.Edit{policies(1000)}
+	edits := []*cardamomyokev1.Edit{policiesEdit(1000)}
 	for i := range targetClients {
-		edits = append(edits, client(cardamomyokev1.EditAction_EDIT_ACTION_CREATE, i, 1))
+		edits = append(edits, clientEdit(cardamomyokev1.EditAction_EDIT_ACTION_CREATE, i, 1))
 	}
 	roster := &cardamomyokev1.RosterEdit{}
 	for i := range targetNodes {
 		roster.Add = append(roster.Add, &revision.Member{
-			Name: fmt.Sprintf("%d-%04d", i%centres, i), DataCentre: fmt.Sprintf("dc%d", i%centres), Address: "127.0.0.1:10000",
+			Name: fmt.Sprintf("%d-%04d", i%dataCentres, i), DataCentre: fmt.Sprintf("dc%d", i%dataCentres), Address: "127.0.0.1:10000",
 		})
 	}
-	// Creating accounts one by one looks each name up in the list, so they come in parts as an import would send them.
-	const part = 500
+	// Each creation searches the list of all accounts for the name, so the accounts are created in batches, as an import
+	// sends them.
+	const maxEdits = 500
 	var err error
 	for seq := uint64(1); len(edits) > 0; seq++ {
-		k := min(part, len(edits))
+		k := min(maxEdits, len(edits))
 		if st, err = st.Apply(&revision.Entry{Seq: seq, Revision: seq, Edits: edits[:k]}); err != nil {
-			return memory{}, err
+			return stateCost{}, err
 		}
 		edits = edits[k:]
 	}
 	if st, err = st.Apply(&revision.Entry{Seq: st.Seq + 1, Revision: st.Revision(), Roster: roster}); err != nil {
-		return memory{}, err
+		return stateCost{}, err
 	}
-	begin := time.Now()
+	start := time.Now()
 	next, err := st.Apply(&revision.Entry{Seq: st.Seq + 1, Revision: st.Revision() + 1, Edits: []*cardamomyokev1.Edit{
-		client(cardamomyokev1.EditAction_EDIT_ACTION_CHANGE, 5, 2),
+		clientEdit(cardamomyokev1.EditAction_EDIT_ACTION_CHANGE, 5, 2),
 	}})
 	if err != nil {
-		return memory{}, err
+		return stateCost{}, err
 	}
-	took := time.Since(begin)
-	m := memory{mb: (float64(heap()) - float64(before)) / bytesPerMB, apply: took}
-	if next.Revision() <= st.Revision() { // also keeps both states alive until here
-		return memory{}, &StuckError{"apply"}
+	took := time.Since(start)
+	m := stateCost{mb: (float64(heapBytes()) - float64(before)) / bytesPerMB, apply: took}
+	if next.Revision() <= st.Revision() { // This use also keeps both states alive until here.
+		return stateCost{}, &NoProgressError{"apply"}
 	}
 	return m, nil
 }
 
-// memory is what one node's state takes at the target size.
-type memory struct {
-	mb    float64
-	apply time.Duration
+// stateCost is the cost of one node's state at the target size.
+type stateCost struct {
+	mb    float64       // memory of two states
+	apply time.Duration // time to apply one change
 }
 
-func table(out io.Writer, rows []row) error {
+func printTable(out io.Writer, rows []measurement) error {
 	t := report.Table{Columns: []string{
 		"nodes", "p50 s", "p99 s", "messages/s a node", "B/s a node sent", "B/s busiest, both ways", "messages/change a node",
 		"B/change a node", "CPU % a node", "CPU/change a node", "MB a node", "reads/s all", "writes/s all", "reads/change", "writes/change",
 	}}
 	for _, r := range rows {
-		t.Add(r.nodes, f(report.Quantile(0.5, r.times)), f(report.Quantile(0.99, r.times)), f(r.idleMessages), f(r.idleBytes),
-			f(r.idleBytesMost), f(r.changeMessages), f(r.changeBytes), f(r.cpu), r.changeCPU.Round(time.Microsecond),
-			f(r.memoryMB), f(r.reads), f(r.writes), f(r.changeReads), f(r.changeWrites))
+		t.Add(r.nodes, threeDigits(report.Quantile(0.5, r.changeSeconds)), threeDigits(report.Quantile(0.99, r.changeSeconds)), threeDigits(r.idleMessages), threeDigits(r.idleBytes),
+			threeDigits(r.maxIdleBytes), threeDigits(r.changeMessages), threeDigits(r.changeBytes), threeDigits(r.cpu), r.changeCPU.Round(time.Microsecond),
+			threeDigits(r.memoryMB), threeDigits(r.reads), threeDigits(r.writes), threeDigits(r.changeReads), threeDigits(r.changeWrites))
 	}
 	return t.Markdown(out)
 }
 
-func f(v float64) string { return fmt.Sprintf("%.3g", v) }
+func threeDigits(v float64) string { return fmt.Sprintf("%.3g", v) }
--- a/internal/testing/bench/config/config_test.go
+++ b/internal/testing/bench/config/config_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A small run ends with a verdict for each figure.
-func TestRunPrintsVerdicts(t *testing.T) {
+// Guards against a run that omits the verdict of a criterion: there are two for each of six limits.
+func TestRunPrintsAllVerdicts(t *testing.T) {
 	s := &settings{nodes: []int{6, 12}, seed: 1, changes: 2, idle: 100 * time.Millisecond}
 	var out bytes.Buffer
 	if err := s.run(&out); err != nil {
@@ -19,8 +19,9 @@
 	}
 }
 
-func TestDelaysFollowTheNames(t *testing.T) {
-	d := delays{local: 1, centre: 2, region: 3}
+// Guards against delays that do not match the data centres and regions in the names of the nodes.
+func TestDelaysBetweenNodes(t *testing.T) {
+	d := delays{local: 1, dataCentre: 2, region: 3}
 	for to, want := range map[string]time.Duration{"0-1": 1, "2-1": 2, "3-1": 3, "5-1": 3} {
 		if got := d.between("0-0", to); got != want {
 			t.Errorf("to %s: %v, want %v", to, got, want)
--- a/internal/testing/bench/mapswitch/doc.go
+++ b/internal/testing/bench/mapswitch/doc.go
@@ -1,3 +1,3 @@
-// Package mapswitch measures the switch of a group's expert map: real slots and a real proposer over connect-go on
-// loopback, before engines that run in lock-step.
+// Package mapswitch measures the pause, messages and time of a switch of a group's expert map. Real slots and a real
+// proposer communicate with connect-go over loopback. The engines are models that run in lockstep.
 package mapswitch
--- a/internal/testing/bench/mapswitch/engines.go
+++ b/internal/testing/bench/mapswitch/engines.go
@@ -10,7 +10,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/expertmap"
 )
 
-// lockstep runs the engines of a group: a step begins when every rank may start it and ends for all together.
+// lockstep runs the engine models of a group. A step starts when every rank may start it, and ends for all ranks at the
+// same time.
 type lockstep struct {
 	mu       sync.Mutex
 	changed  *sync.Cond
@@ -18,14 +19,14 @@
 	stepTime time.Duration
 	rng      *rand.Rand
 	closed   bool
-	// waits counts the steps that waited for an engine's limit, waited the time.
-	waits  int
-	waited time.Duration
-	// fault is set if a step ran under two maps.
+	// pausedSteps counts the steps that waited for an engine's limit, and pausedTime is their total wait.
+	pausedSteps int
+	pausedTime  time.Duration
+	// fault is set if a step ran under two maps, which a correct switch rules out.
 	fault error
 }
 
-// TwoMapsError says that a step ran under two maps.
+// TwoMapsError reports that two ranks ran a step under different maps.
 type TwoMapsError struct {
 	Step expertmap.Step
 	A, B expertmap.MapID
@@ -47,16 +48,16 @@
 	return l
 }
 
-// run takes steps until close. A step takes its time and up to a tenth more, the slowest rank's lag.
+// run runs steps until close. A step takes stepTime and up to a tenth more for the lag of the slowest rank.
 func (l *lockstep) run() {
-	for l.begin() {
+	for l.startStep() {
 		const lag = 0.1
 		time.Sleep(time.Duration(float64(l.stepTime) * (1 + lag*l.rng.Float64())))
 	}
 }
 
-// begin waits until every rank may start the next step and starts it.
-func (l *lockstep) begin() bool {
+// startStep waits until every rank may start the next step, and starts it. It reports false after close.
+func (l *lockstep) startStep() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	start := time.Now()
@@ -66,8 +67,8 @@
 		l.changed.Wait()
 	}
 	if held {
-		l.waits++
-		l.waited += time.Since(start)
+		l.pausedSteps++
+		l.pausedTime += time.Since(start)
 	}
 	first := l.engines[0].At(l.engines[0].Next)
 	for _, e := range l.engines {
@@ -79,6 +80,7 @@
 	return !l.closed
 }
 
+// ready reports whether every rank may start its next step. The caller holds mu.
 func (l *lockstep) ready() bool {
 	for _, e := range l.engines {
 		if !e.MayStart() {
@@ -95,16 +97,16 @@
 	l.changed.Broadcast()
 }
 
-// pauses returns and clears what was counted.
-func (l *lockstep) pauses() (steps int, waited time.Duration, fault error) {
+// takePauses returns the number of paused steps and their time, and resets both. It also returns the fault, if any.
+func (l *lockstep) takePauses() (steps int, waited time.Duration, fault error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	steps, waited = l.waits, l.waited
-	l.waits, l.waited = 0, 0
+	steps, waited = l.pausedSteps, l.pausedTime
+	l.pausedSteps, l.pausedTime = 0, 0
 	return steps, waited, l.fault
 }
 
-// rankEngine is one rank's engine as its slot sees it.
+// rankEngine is the engine of one rank, from the perspective of its slot.
 type rankEngine struct {
 	group *lockstep
 	rank  int
--- a/internal/testing/bench/mapswitch/group.go
+++ b/internal/testing/bench/mapswitch/group.go
@@ -23,7 +23,7 @@
 	proposerName = ids.Node("proposer")
 )
 
-// group is a group of ranks with its slots and one proposer, each behind an address of its own on loopback.
+// group is a group of ranks with their slots and one proposer. Each has its own address on loopback.
 type group struct {
 	ctx       context.Context
 	cancel    context.CancelFunc
@@ -31,29 +31,29 @@
 	proposer  *node.Proposer
 	addresses map[expertmap.Addr]string
 	servers   []*http.Server
-	// sent counts messages; mute makes the proposer fall silent after its caps, as if it had died.
-	sent atomic.Int64
-	mute atomic.Bool
+	// sent counts messages. proposerMuted drops the proposer's messages after its caps, as if it had crashed.
+	sent          atomic.Int64
+	proposerMuted atomic.Bool
 }
 
-// counting is a transport that counts, and that silences the proposer.
-type counting struct {
+// countingTransport counts messages and drops those of a muted proposer.
+type countingTransport struct {
 	node.Transport
 	group *group
 }
 
 // Send implements node.Transport.
-func (c counting) Send(g ids.Group, from, to expertmap.Addr, m expertmap.Message) {
+func (c countingTransport) Send(g ids.Group, from, to expertmap.Addr, m expertmap.Message) {
 	_, certificate := m.(expertmap.Certificate)
 	_, refusal := m.(expertmap.Refusal)
-	if c.group.mute.Load() && from.IsProposer() && (certificate || refusal) {
+	if c.group.proposerMuted.Load() && from.IsProposer() && (certificate || refusal) {
 		return
 	}
 	c.group.sent.Add(1)
 	c.Transport.Send(g, from, to, m)
 }
 
-// startGroup starts ranks slots and a proposer, and brings the group to its first map.
+// startGroup starts the slots of all ranks and a proposer, and switches the group to its first map.
 func startGroup(ranks int, stepTime time.Duration, seed uint64) (*group, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	rng := rand.New(rand.NewPCG(seed, uint64(ranks)))
@@ -77,6 +77,7 @@
 	return g, err
 }
 
+// serve starts an HTTP server for the hub of one slot or of the proposer.
 func (g *group) serve(a expertmap.Addr, h *node.Hub) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -91,13 +92,14 @@
 	return nil
 }
 
+// startMember starts the proposer or the slot of one rank.
 func (g *group) startMember(a expertmap.Addr, h *node.Hub, ranks int) {
 	resolve := func(_ ids.Group, to expertmap.Addr) (string, bool) {
 		url, ok := g.addresses[to]
 		return url, ok
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
-	tr := counting{node.NewTransport(g.ctx, client, resolve), g}
+	tr := countingTransport{node.NewTransport(g.ctx, client, resolve), g}
 	loop := control.New()
 	go loop.Run(g.ctx, time.Second, func(time.Time) {})
 	if a.IsProposer() {
--- a/internal/testing/bench/mapswitch/run.go
+++ b/internal/testing/bench/mapswitch/run.go
@@ -22,7 +22,7 @@
 // Register adds the command mapswitch.
 func Register(app *kingpin.Application) {
 	var o options
-	cmd := app.Command("mapswitch", "Pause and messages of expert map switches over loopback.")
+	cmd := app.Command("mapswitch", "Measure the pause and messages of expert map switches over loopback.")
 	cmd.Flag("ranks", "Group sizes.").Default("4", "16", "64").IntsVar(&o.ranks)
 	cmd.Flag("switches", "Switches of each kind.").Default("20").IntVar(&o.switches)
 	cmd.Flag("step-time", "Duration of a step.").Default("6ms").DurationVar(&o.stepTime)
@@ -30,13 +30,13 @@
 	cmd.Action(func(*kingpin.ParseContext) error { return run(o, os.Stdout) })
 }
 
-// sample is what one switch cost.
-type sample struct {
-	steps    int
-	pause    time.Duration
-	took     time.Duration
-	messages int64
-	attempts int
+// switchSample is the cost of one switch.
+type switchSample struct {
+	pausedSteps int
+	pausedTime  time.Duration
+	duration    time.Duration
+	messages    int64
+	attempts    int
 }
 
 func run(o options, w io.Writer) error {
@@ -59,62 +59,62 @@
 	}
 	defer g.close()
 	version := uint64(1)
-	for _, dies := range []bool{false, true} {
-		var samples []sample
+	for _, crashes := range []bool{false, true} {
+		var samples []switchSample
 		for range o.switches {
 			version++
-			s, err := g.measure(expertmap.MapID{Version: version, Name: "next"}, dies)
+			s, err := g.measure(expertmap.MapID{Version: version, Name: "next"}, crashes)
 			if err != nil {
 				return err
 			}
 			samples = append(samples, s)
 		}
-		addRow(t, ranks, dies, samples)
+		addRow(t, ranks, crashes, samples)
 	}
 	return nil
 }
 
-// measure makes one switch. A proposer that dies falls silent after its caps, so that the slots finish alone; what it
-// hears afterwards only tells the bench that they have.
-func (g *group) measure(to expertmap.MapID, dies bool) (sample, error) {
-	const settle = 150 * time.Millisecond
-	time.Sleep(settle)
-	g.engines.pauses()
+// measure performs one switch. A proposer that crashes sends nothing after its caps, so that the slots finish the switch
+// without it. It still receives messages, which only tell the bench that the slots are done.
+func (g *group) measure(to expertmap.MapID, crashes bool) (switchSample, error) {
+	const idleTime = 150 * time.Millisecond
+	time.Sleep(idleTime)
+	g.engines.takePauses()
 	g.sent.Store(0)
-	g.mute.Store(dies)
+	g.proposerMuted.Store(crashes)
 	start := time.Now()
 	res, err := g.proposer.Propose(g.ctx, 2, to)
 	if err != nil {
-		return sample{}, err
+		return switchSample{}, err
 	}
 	took := time.Since(start)
-	g.waitFor(res.Start)
-	steps, pause, err := g.engines.pauses()
-	return sample{steps, pause, took, g.sent.Load(), res.Attempts}, err
+	g.waitForSteps(res.Start)
+	steps, pause, err := g.engines.takePauses()
+	return switchSample{steps, pause, took, g.sent.Load(), res.Attempts}, err
 }
 
-// waitFor returns when the group has run a few steps under its new map.
-func (g *group) waitFor(start expertmap.Step) {
-	const after = 5
+// waitForSteps waits until the group has run a few steps under its new map.
+func (g *group) waitForSteps(start expertmap.Step) {
+	const stepsAfter = 5
 	for {
 		r, _ := rankEngine{g.engines, 0}.Report(g.ctx)
-		if r.Next > start+after {
+		if r.Next > start+stepsAfter {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func addRow(t *report.Table, ranks int, dies bool, samples []sample) {
+func addRow(t *report.Table, ranks int, crashes bool, samples []switchSample) {
 	fault := "none"
-	if dies {
+	if crashes {
 		fault = "proposer dies after the caps"
 	}
 	var steps, pauses, took, messages, attempts []float64
 	for _, s := range samples {
-		steps = append(steps, float64(s.steps))
-		pauses = append(pauses, float64(s.pause.Microseconds())/1e3)
-		took = append(took, float64(s.took.Microseconds())/1e3)
+		steps = append(steps, float64(s.pausedSteps))
+		pauses = append(pauses, float64(s.pausedTime.Microseconds())/1e3)
+		took = append(took, float64(s.duration.Microseconds())/1e3)
 		messages = append(messages, float64(s.messages))
 		attempts = append(attempts, float64(s.attempts))
 	}
--- a/internal/testing/bench/mapswitch/switches.go
+++ b/internal/testing/bench/mapswitch/switches.go
@@ -7,14 +7,14 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/report"
 )
 
-// Figures are the means over some switches without a fault.
+// Figures holds the means over several switches without a fault.
 type Figures struct {
-	// Messages is how many all slots and the proposer sent, Milliseconds how long the switch took, PausedSteps how many
-	// steps it held up.
+	// Messages is the number of messages that all slots and the proposer sent, Milliseconds the duration of the switch,
+	// PausedSteps the number of steps that it paused.
 	Messages, Milliseconds, PausedSteps float64
 }
 
-// Switches starts a group and switches its map so many times.
+// MeasureSwitches starts a group and switches its map the given number of times.
 func Switches(ranks, switches int, stepTime time.Duration, seed uint64) (Figures, error) {
 	g, err := startGroup(ranks, stepTime, seed)
 	if err != nil {
@@ -28,8 +28,8 @@
 			return Figures{}, err
 		}
 		messages = append(messages, float64(s.messages))
-		took = append(took, float64(s.took.Microseconds())/1e3)
-		paused = append(paused, float64(s.steps))
+		took = append(took, float64(s.duration.Microseconds())/1e3)
+		paused = append(paused, float64(s.pausedSteps))
 	}
 	mean := func(v []float64) float64 { return report.Summarize(v).Mean }
 	return Figures{mean(messages), mean(took), mean(paused)}, nil
