--- a/internal/testing/bench/caller/caller.go
+++ b/internal/testing/bench/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is a caller of the system as the users' programs are: it asks which address to use, keeps the answer
-// for a while, connects there and sends again what was refused as "not run".
+// Package caller is a client of the system that behaves as the users' programs do: it requests the addresses of the
+// entries, caches them for the time that the response allows, and resends requests that were refused as "not run".
 package caller
 
 import (
@@ -20,27 +20,27 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/node/entry"
 )
 
-// maxSends is how often one request is sent at most.
-const maxSends = 8
+// maxResends limits how often one request is resent.
+const maxResends = 8
 
 // Caller sends requests. It is safe for concurrent use.
 type Caller struct {
-	client    *http.Client
-	bootstrap []string
-	name      string
-	mu        sync.Mutex
-	known     []string
-	until     time.Time
-	next      int
+	client          *http.Client
+	bootstrap       []string
+	name            string
+	mu              sync.Mutex
+	cachedAddresses []string
+	cachedUntil     time.Time
+	next            int
 }
 
-// New returns a caller of the given client account that first asks one of the bootstrap addresses (IP:PORT).
+// New returns a caller of the given client account. It requests its first addresses from the bootstrap addresses (IP:PORT).
 func New(name string, bootstrap []string) *Caller {
 	transport := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
 	return &Caller{client: &http.Client{Transport: transport}, bootstrap: bootstrap, name: name}
 }
 
-// RefusedError is a typed failure that the system answered.
+// RefusedError reports a typed failure in the response.
 type RefusedError struct {
 	Status int
 	Detail httpserver.FailureDetail
@@ -51,53 +51,54 @@
 	return fmt.Sprintf("status %d: %s", e.Status, e.Detail.Message)
 }
 
-// BrokenError says that an answer is missing, cut off or not this request's.
-type BrokenError struct {
-	What  string
-	Cause error
+// ResponseError reports that a response is missing, truncated or cannot be decoded.
+type ResponseError struct {
+	Message string
+	Cause   error
 }
 
 // Error implements error.
-func (e *BrokenError) Error() string { return fmt.Sprintf("%s: %v", e.What, e.Cause) }
+func (e *ResponseError) Error() string { return fmt.Sprintf("%s: %v", e.Message, e.Cause) }
 
 // Unwrap returns the cause.
-func (e *BrokenError) Unwrap() error { return e.Cause }
+func (e *ResponseError) Unwrap() error { return e.Cause }
 
-// Result is one answered request.
+// Result holds the response to one request.
 type Result struct {
-	// Body is the whole answer, or the text of a streamed one.
+	// Body is the complete response, or the text of a streamed one.
 	Body []byte
-	// Refusals are the answers "not run" before it.
+	// Refusals holds the codes of the "not run" responses before it.
 	Refusals []failure.Code
-	// FirstToken is the time from the last send to the first token; Between are the times between tokens.
+	// FirstToken is the time from the last send to the first token. TokenGaps holds the times between tokens.
 	FirstToken time.Duration
-	Between    []time.Duration
+	TokenGaps  []time.Duration
 }
 
-// addresses returns the addresses in force, asking for them when the kept answer is too old.
+// addresses returns the entries' addresses. It requests them again when the cached ones have expired.
 func (c *Caller) addresses(ctx context.Context) ([]string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.known) > 0 && time.Now().Before(c.until) {
-		return c.known, nil
+	if len(c.cachedAddresses) > 0 && time.Now().Before(c.cachedUntil) {
+		return c.cachedAddresses, nil
 	}
 	var last error
-	for _, from := range append(append([]string{}, c.known...), c.bootstrap...) {
-		answer, err := c.ask(ctx, from)
-		if err == nil && len(answer.Addresses) > 0 {
-			c.known = answer.Addresses
-			c.until = time.Now().Add(time.Duration(answer.KeepMS) * time.Millisecond)
-			return c.known, nil
+	for _, address := range append(append([]string{}, c.cachedAddresses...), c.bootstrap...) {
+		response, err := c.fetchAddresses(ctx, address)
+		if err == nil && len(response.Addresses) > 0 {
+			c.cachedAddresses = response.Addresses
+			c.cachedUntil = time.Now().Add(time.Duration(response.KeepMS) * time.Millisecond)
+			return c.cachedAddresses, nil
 		}
 		last = err
 	}
-	return nil, &BrokenError{"no address answers", last}
+	return nil, &ResponseError{"no entry returned addresses", last}
 }
 
-func (c *Caller) ask(ctx context.Context, from string) (*entry.AddressAnswer, error) {
+// fetchAddresses requests the entries' addresses from one entry. It returns no addresses if the status is not 200.
+func (c *Caller) fetchAddresses(ctx context.Context, address string) (*entry.AddressAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+from+"/v1/addresses", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/addresses", nil)
 	if err != nil {
 		return nil, err
 	}
@@ -113,7 +114,7 @@
 	return out, json.NewDecoder(res.Body).Decode(out)
 }
 
-// Chat sends a streamed completion and checks that the stream came to its end.
+// Chat requests a streamed completion and checks that the stream is complete.
 func (c *Caller) Chat(ctx context.Context, model string, messages json.RawMessage, tokens int) (*Result, error) {
 	body, err := json.Marshal(map[string]any{"model": model, "messages": messages, "max_tokens": tokens, "stream": true})
 	if err != nil {
@@ -124,22 +125,24 @@
 
 // Plain sends a request to a plain service under an idempotency key.
 func (c *Caller) Plain(ctx context.Context, path, key string, body []byte) (*Result, error) {
-	return c.send(ctx, path, key, body, readWhole)
+	return c.send(ctx, path, key, body, readBody)
 }
 
-type reader func(res *http.Response, sent time.Time, out *Result) error
+// bodyReader reads a response without a failure header into out.
+type bodyReader func(res *http.Response, sent time.Time, out *Result) error
 
-// send sends until the request is answered; only a refusal that promises "not run" and allows it is sent again.
-func (c *Caller) send(ctx context.Context, path, key string, body []byte, read reader) (*Result, error) {
+// send sends a request until it gets a response. It resends only after a refusal that promises "not run" and allows a
+// resend.
+func (c *Caller) send(ctx context.Context, path, key string, body []byte, read bodyReader) (*Result, error) {
 	out := &Result{}
 	for {
-		err := c.once(ctx, path, key, body, read, out)
+		err := c.sendOnce(ctx, path, key, body, read, out)
 		refused, ok := err.(*RefusedError)
-		if !ok || !refused.Detail.NotRun || !refused.Detail.Resend || len(out.Refusals) >= maxSends {
+		if !ok || !refused.Detail.NotRun || !refused.Detail.Resend || len(out.Refusals) >= maxResends {
 			return out, err
 		}
 		out.Refusals = append(out.Refusals, refused.Detail.Code)
-		c.forget(refused.Detail.Code)
+		c.invalidateOn(refused.Detail.Code)
 		select {
 		case <-ctx.Done():
 			return out, err
@@ -148,17 +151,18 @@
 	}
 }
 
-// forget drops the kept addresses when one of them is leaving.
-func (c *Caller) forget(code failure.Code) {
+// invalidateOn expires the cached addresses if code reports that an entry is stopping.
+func (c *Caller) invalidateOn(code failure.Code) {
 	if code != failure.CodeStopping {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = time.Time{}
+	c.cachedUntil = time.Time{}
 }
 
-func (c *Caller) once(ctx context.Context, path, key string, body []byte, read reader, out *Result) error {
+// sendOnce sends a request to the next address in turn and reads its response into out.
+func (c *Caller) sendOnce(ctx context.Context, path, key string, body []byte, read bodyReader, out *Result) error {
 	list, err := c.addresses(ctx)
 	if err != nil {
 		return err
@@ -179,7 +183,7 @@
 	sent := time.Now()
 	res, err := c.client.Do(req)
 	if err != nil {
-		return &BrokenError{"no answer from " + to, err}
+		return &ResponseError{"no response from " + to, err}
 	}
 	defer func() { _ = res.Body.Close() }()
 	if code := res.Header.Get(httpserver.HeaderFailure); code != "" {
@@ -188,24 +192,25 @@
 	return read(res, sent, out)
 }
 
+// readRefusal decodes the body of a refusal into a *RefusedError.
 func readRefusal(res *http.Response) error {
 	var in httpserver.FailureBody
 	if err := json.NewDecoder(res.Body).Decode(&in); err != nil {
-		return &BrokenError{"refusal", err}
+		return &ResponseError{"decode refusal", err}
 	}
 	return &RefusedError{res.StatusCode, in.Error}
 }
 
-func readWhole(res *http.Response, _ time.Time, out *Result) error {
+func readBody(res *http.Response, _ time.Time, out *Result) error {
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		return &BrokenError{"answer cut off", err}
+		return &ResponseError{"response truncated", err}
 	}
 	out.Body = body
 	return nil
 }
 
-// streamEvent is one event of a streamed answer: a token, the end, or a typed failure.
+// streamEvent is one event of a streamed response: a token, the end, or a typed failure.
 type streamEvent struct {
 	Choices []struct {
 		Delta struct {
@@ -215,12 +220,13 @@
 	Error *httpserver.FailureDetail `json:"error"`
 }
 
+// readStream reads a streamed response up to its [DONE] event.
 func readStream(res *http.Response, sent time.Time, out *Result) error {
 	var text strings.Builder
 	last := sent
 	for ev, err := range sse.Read(res.Body, nil) {
 		if err != nil {
-			return &BrokenError{"stream", err}
+			return &ResponseError{"read stream", err}
 		}
 		if ev.Data == "[DONE]" {
 			out.Body = []byte(text.String())
@@ -228,18 +234,18 @@
 		}
 		var in streamEvent
 		if err := json.Unmarshal([]byte(ev.Data), &in); err != nil {
-			return &BrokenError{"stream event", err}
+			return &ResponseError{"decode stream event", err}
 		}
 		if in.Error != nil {
 			return &RefusedError{res.StatusCode, *in.Error}
 		}
-		last = out.note(in, sent, last, &text)
+		last = out.recordToken(in, sent, last, &text)
 	}
-	return &BrokenError{"stream without its end", io.ErrUnexpectedEOF}
+	return &ResponseError{"stream ended early", io.ErrUnexpectedEOF}
 }
 
-// note adds a token and returns the time of the last one.
-func (r *Result) note(in streamEvent, sent, last time.Time, text *strings.Builder) time.Time {
+// recordToken adds a token to the result and returns the time of the last token.
+func (r *Result) recordToken(in streamEvent, sent, last time.Time, text *strings.Builder) time.Time {
 	if len(in.Choices) != 1 || in.Choices[0].Delta.Content == "" {
 		return last
 	}
@@ -247,7 +253,7 @@
 	if text.Len() == 0 {
 		r.FirstToken = now.Sub(sent)
 	} else {
-		r.Between = append(r.Between, now.Sub(last))
+		r.TokenGaps = append(r.TokenGaps, now.Sub(last))
 	}
 	text.WriteString(in.Choices[0].Delta.Content)
 	return now
--- a/internal/testing/bench/demo/demo.go
+++ b/internal/testing/bench/demo/demo.go
@@ -1,4 +1,4 @@
-// Package demo sends a mix of requests as Arriaga's callers do and checks every answer.
+// Package demo sends a mix of model and plain requests as Arriaga's callers do, and checks every response.
 package demo
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/standin/plain"
 )
 
-// Options of the demo.
+// Options configures the demo.
 type Options struct {
 	Entries  []string
 	Ledgers  []string
@@ -36,10 +36,10 @@
 // Register adds the command to app.
 func Register(app *kingpin.Application) {
 	var o Options
-	cmd := app.Command("demo", "Send mixed requests through entries and check every answer.")
+	cmd := app.Command("demo", "Send mixed requests through entries and check every response.")
 	cmd.Flag("entry", "Address of an entry, IP:PORT; repeat for more.").Required().StringsVar(&o.Entries)
 	cmd.Flag("ledger", "Address of a plain stand-in, to count runs; repeat for more.").StringsVar(&o.Ledgers)
-	cmd.Flag("requests", "How many requests.").Default("600").IntVar(&o.Requests)
+	cmd.Flag("requests", "Number of requests.").Default("600").IntVar(&o.Requests)
 	cmd.Flag("rate", "Requests a second.").Default("60").Float64Var(&o.Rate)
 	cmd.Flag("seed", "Seed of the mix.").Default("1").Uint64Var(&o.Seed)
 	cmd.Action(func(*kingpin.ParseContext) error {
@@ -52,37 +52,38 @@
 	})
 }
 
-// Report is what became of the requests.
+// Report holds the outcomes of the requests.
 type Report struct {
-	mu         sync.Mutex
-	Requests   int
-	Answered   int
-	Refusals   map[failure.Code]int
-	Refused    int
-	Faults     []string
-	firstToken []time.Duration
-	between    []time.Duration
-	keys       map[string]bool
+	mu            sync.Mutex
+	Requests      int
+	Responded     int
+	Refusals      map[failure.Code]int
+	Refused       int
+	Faults        []string
+	ttft          []time.Duration
+	tokenGaps     []time.Duration
+	respondedKeys map[string]bool
 }
 
-// FaultError says that answers were lost, cut, doubled or another's.
+// FaultError reports how many requests did not get exactly one correct response.
 type FaultError struct{ Faults int }
 
 // Error implements error.
 func (e *FaultError) Error() string {
-	return fmt.Sprintf("%d requests were not answered once", e.Faults)
+	return fmt.Sprintf("%d requests did not get exactly one correct response", e.Faults)
 }
 
+// verdict returns a *FaultError unless every request got exactly one correct response.
 func (r *Report) verdict() error {
-	if len(r.Faults) > 0 || r.Answered != r.Requests {
-		return &FaultError{max(len(r.Faults), r.Requests-r.Answered)}
+	if len(r.Faults) > 0 || r.Responded != r.Requests {
+		return &FaultError{max(len(r.Faults), r.Requests-r.Responded)}
 	}
 	return nil
 }
 
-// Run sends the requests and checks the answers and, in the end, how often each key ran.
+// Run sends the requests and checks the responses. At the end it checks how often each idempotency key ran.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	r := &Report{Requests: o.Requests, keys: map[string]bool{}, Refusals: map[failure.Code]int{}}
+	r := &Report{Requests: o.Requests, respondedKeys: map[string]bool{}, Refusals: map[failure.Code]int{}}
 	callers := []*caller.Caller{
 		caller.New("azteca-films", o.Entries),
 		caller.New("estudio-norte", o.Entries),
@@ -95,38 +96,38 @@
 	for i := range o.Requests {
 		<-tick.C
 		c := callers[rng.IntN(len(callers))]
-		slip := rng.Float64() < 0.3
+		isSlip := rng.Float64() < 0.3
 		tokens := 10 + rng.IntN(60)
 		wg.Go(func() {
-			if slip {
-				r.slip(ctx, c, i)
+			if isSlip {
+				r.sendSlip(ctx, c, i)
 			} else {
-				r.quote(ctx, c, i, tokens)
+				r.sendQuote(ctx, c, i, tokens)
 			}
 		})
 	}
 	wg.Wait()
-	return r, r.countRuns(o.Ledgers)
+	return r, r.checkRuns(o.Ledgers)
 }
 
-// quote asks the model and compares its text with the only right one.
-func (r *Report) quote(ctx context.Context, c *caller.Caller, i, tokens int) {
+// sendQuote sends a model request and compares the text with the only correct one.
+func (r *Report) sendQuote(ctx context.Context, c *caller.Caller, i, tokens int) {
 	text := fmt.Sprintf("Quote %d: two bodies, a set of primes, four days. %s", i, strings.Repeat("Terms apply. ", 40))
 	messages, err := json.Marshal([]map[string]string{{"role": "user", "content": text}})
 	if err != nil {
-		r.fault(i, err.Error())
+		r.addFault(i, err.Error())
 		return
 	}
 	out, err := c.Chat(ctx, "desk-model", messages, tokens)
 	if err == nil && string(out.Body) != engine.Answer(messages, tokens) {
-		r.fault(i, "the answer is not the one to this request")
+		r.addFault(i, "the response is not the one to this request")
 		return
 	}
-	r.note(i, out, err)
+	r.record(i, out, err)
 }
 
-// slip asks the ledger bridge to print a pick slip, which may run at most once.
-func (r *Report) slip(ctx context.Context, c *caller.Caller, i int) {
+// sendSlip asks the ledger bridge to print a pick slip, a request that may run at most once.
+func (r *Report) sendSlip(ctx context.Context, c *caller.Caller, i int) {
 	key := fmt.Sprintf("slip-%d", i)
 	body := []byte(fmt.Sprintf(`{"slip":%d}`, i))
 	out, err := c.Plain(ctx, "/v1/services/ledger-bridge/slips", key, body)
@@ -134,23 +135,24 @@
 		var in plain.Answer
 		jsonErr := json.Unmarshal(out.Body, &in)
 		if jsonErr != nil || in.Key != key || in.Echo != plain.Echo(body) {
-			r.fault(i, "the slip is not the one asked for")
+			r.addFault(i, "the response is not the one to this slip")
 			return
 		}
 		r.mu.Lock()
-		r.keys[key] = true
+		r.respondedKeys[key] = true
 		r.mu.Unlock()
 	}
-	r.note(i, out, err)
+	r.record(i, out, err)
 }
 
-func (r *Report) fault(i int, what string) {
+func (r *Report) addFault(i int, fault string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Faults = append(r.Faults, fmt.Sprintf("request %d: %s", i, what))
+	r.Faults = append(r.Faults, fmt.Sprintf("request %d: %s", i, fault))
 }
 
-func (r *Report) note(i int, out *caller.Result, err error) {
+// record adds the outcome of a request. A failure that is not a refusal as "not run" is a fault.
+func (r *Report) record(i int, out *caller.Result, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, code := range out.Refusals {
@@ -159,11 +161,11 @@
 	var refused *caller.RefusedError
 	switch {
 	case err == nil:
-		r.Answered++
+		r.Responded++
 		if out.FirstToken > 0 {
-			r.firstToken = append(r.firstToken, out.FirstToken)
+			r.ttft = append(r.ttft, out.FirstToken)
 		}
-		r.between = append(r.between, out.Between...)
+		r.tokenGaps = append(r.tokenGaps, out.TokenGaps...)
 	case errors.As(err, &refused) && refused.Detail.NotRun:
 		r.Refused++
 	default:
@@ -171,11 +173,12 @@
 	}
 }
 
-// countRuns asks the plain stand-ins how often each key ran; an answered one must have run once over all of them.
-func (r *Report) countRuns(ledgers []string) error {
+// checkRuns reads from the plain stand-ins how often each key ran. A key with a response must have run once, any other
+// at most once, over all stand-ins.
+func (r *Report) checkRuns(ledgers []string) error {
 	total := map[string]int{}
 	for _, address := range ledgers {
-		runs, err := runsOf(address)
+		runs, err := fetchRuns(address)
 		if err != nil {
 			return err
 		}
@@ -183,9 +186,9 @@
 			total[k] += n
 		}
 	}
-	for key := range r.keys {
+	for key := range r.respondedKeys {
 		if len(ledgers) > 0 && total[key] != 1 {
-			r.Faults = append(r.Faults, fmt.Sprintf("%s was answered and ran %d times", key, total[key]))
+			r.Faults = append(r.Faults, fmt.Sprintf("%s got a response and ran %d times", key, total[key]))
 		}
 	}
 	for key, n := range total {
@@ -196,7 +199,8 @@
 	return nil
 }
 
-func runsOf(address string) (map[string]int, error) {
+// fetchRuns returns how often each key ran at the plain stand-in with the given address.
+func fetchRuns(address string) (map[string]int, error) {
 	res, err := http.Get("http://" + address + plain.PathRuns)
 	if err != nil {
 		return nil, fmt.Errorf("count runs: %w", err)
@@ -209,18 +213,18 @@
 	return out, nil
 }
 
-// Print writes the table; its last line is the verdict.
+// Print writes the table and the faults. The last line is the verdict.
 func (r *Report) Print(w io.Writer) {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	rows := [][2]string{
 		{"requests", fmt.Sprint(r.Requests)},
-		{"answered once", fmt.Sprint(r.Answered)},
+		{"answered once", fmt.Sprint(r.Responded)},
 		{"refused as not run, then answered after another send", fmt.Sprint(r.Refusals)},
 		{"refused as not run in the end", fmt.Sprint(r.Refused)},
 		{"lost, cut, doubled or another's", fmt.Sprint(len(r.Faults))},
-		{"first token p50", percentile(r.firstToken, 0.50)},
-		{"first token p95", percentile(r.firstToken, 0.95)},
-		{"between tokens p95", percentile(r.between, 0.95)},
+		{"first token p50", percentile(r.ttft, 0.50)},
+		{"first token p95", percentile(r.ttft, 0.95)},
+		{"between tokens p95", percentile(r.tokenGaps, 0.95)},
 	}
 	for _, row := range rows {
 		_, _ = fmt.Fprintf(tw, "%s\t%s\n", row[0], row[1])
@@ -229,9 +233,10 @@
 	for _, f := range r.Faults {
 		_, _ = fmt.Fprintln(w, f)
 	}
-	_, _ = fmt.Fprintf(w, "answered once: %d of %d\n", r.Answered, r.Requests)
+	_, _ = fmt.Fprintf(w, "answered once: %d of %d\n", r.Responded, r.Requests)
 }
 
+// percentile returns the value at p, from 0 to 1, as text; "-" if the list is empty.
 func percentile(list []time.Duration, p float64) string {
 	if len(list) == 0 {
 		return "-"
--- a/internal/testing/bench/load/bed.go
+++ b/internal/testing/bench/load/bed.go
@@ -23,29 +23,30 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/standin/platform"
 )
 
-// Services of the measurement, and names of the paths.
+// Names of the services and of the paths.
 const (
 	serviceModel = "model"
 	servicePlain = "plain"
 	serviceStub  = "stub"
 
-	nameStraight = "straight to the stand-in"
-	nameEntry    = "entry, stub in place of the slot"
-	nameBoth     = "entry and slot"
+	nameDirect       = "straight to the stand-in"
+	nameEntry        = "entry, stub in place of the slot"
+	nameEntryAndSlot = "entry and slot"
 )
 
-// bed is everything that runs.
-type bed struct {
+// testbed holds the running entry, slots, stub and stand-ins.
+type testbed struct {
 	entryAddr, engineAddr, plainAddr string
-	stops                            []func()
+	stopFuncs                        []func()
 }
 
-func (b *bed) stop() {
-	for i := len(b.stops) - 1; i >= 0; i-- {
-		b.stops[i]()
+func (b *testbed) stop() {
+	for i := len(b.stopFuncs) - 1; i >= 0; i-- {
+		b.stopFuncs[i]()
 	}
 }
 
+// snapshot returns a configuration with the three services and one client.
 func snapshot() (*config.Snapshot, error) {
 	service := func(name string, kind cardamomyokev1.ServiceKind) *cardamomyokev1.Service {
 		return &cardamomyokev1.Service{
@@ -65,9 +66,9 @@
 	})
 }
 
-// startBed starts stand-ins, slots and one entry.
-func startBed(o Options) (*bed, error) {
-	b := &bed{}
+// startTestbed starts the stand-ins, the slots, the stub and one entry.
+func startTestbed(o Options) (*testbed, error) {
+	b := &testbed{}
 	if err := b.start(o); err != nil {
 		b.stop()
 		return nil, err
@@ -75,7 +76,7 @@
 	return b, nil
 }
 
-func (b *bed) start(o Options) error {
+func (b *testbed) start(o Options) error {
 	snap, err := snapshot()
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
@@ -108,26 +109,26 @@
 	return b.startEntry(ports[6], ports[13], source, tracer)
 }
 
-func (b *bed) startStandins(o Options) error {
+func (b *testbed) startStandins(o Options) error {
 	e, err := engine.Start(b.engineAddr, engine.Options{Batch: o.Workers, CacheBlocks: 64})
 	if err != nil {
 		return err
 	}
-	b.stops = append(b.stops, e.Stop)
+	b.stopFuncs = append(b.stopFuncs, e.Stop)
 	p, err := plain.Start(b.plainAddr, 0)
 	if err != nil {
 		return err
 	}
-	b.stops = append(b.stops, p.Stop)
+	b.stopFuncs = append(b.stopFuncs, p.Stop)
 	return nil
 }
 
-func (b *bed) startSlot(name string, kind slot.Kind, upstream string, ports []string, digests string, o Options, d slot.Deps) error {
-	set := &slot.Settings{Settings: host.Settings{Name: name, DataCentre: "here", Platform: digests}, Service: ids.Service(name)}
+func (b *testbed) startSlot(name string, kind slot.Kind, upstream string, ports []string, entryDigestAddr string, o Options, d slot.Deps) error {
+	set := &slot.Settings{Settings: host.Settings{Name: name, DataCentre: "here", Platform: entryDigestAddr}, Service: ids.Service(name)}
 	set.HTTP.Address = ports[0]
 	set.Control.Address = ports[1]
 	set.Digests.Address = ports[2]
-	set.Digests.Seeds = []string{digests}
+	set.Digests.Seeds = []string{entryDigestAddr}
 	set.Upstream.Kind = kind
 	set.Upstream.Address = upstream
 	set.Upstream.Batch = 4 * o.Workers
@@ -135,12 +136,12 @@
 	if err != nil {
 		return err
 	}
-	b.stops = append(b.stops, s.Kill)
+	b.stopFuncs = append(b.stopFuncs, s.Kill)
 	return nil
 }
 
-// startStub answers attempts at once, in place of a slot with its upstream.
-func (b *bed) startStub(ports []string, digests string, o Options) error {
+// startStub starts a server that responds immediately to each attempt, in place of a slot with its upstream.
+func (b *testbed) startStub(ports []string, entryDigestAddr string, o Options) error {
 	stub, err := httpserver.Start(ports[0], 1, httpserver.Limits{}, func(_ context.Context, x *httpserver.Exchange) {
 		id := string(x.Req.Header.Peek(attempt.HeaderAttempt))
 		_ = x.Respond(fasthttp.StatusOK, []httpserver.Header{{Name: attempt.HeaderAttempt, Value: id}}, []byte("{}"))
@@ -148,43 +149,45 @@
 	if err != nil {
 		return err
 	}
-	b.stops = append(b.stops, func() { _ = stub.Stop(context.Background()) })
-	stop, err := announce(ports[0], ports[2], digests, o)
+	b.stopFuncs = append(b.stopFuncs, func() { _ = stub.Stop(context.Background()) })
+	stop, err := announceStub(ports[0], ports[2], entryDigestAddr, o)
 	if err != nil {
 		return err
 	}
-	b.stops = append(b.stops, stop)
+	b.stopFuncs = append(b.stopFuncs, stop)
 	return nil
 }
 
-func (b *bed) startEntry(digests, control string, source config.Source, tracer *tracing.Tracer) error {
-	set := &entry.Settings{Settings: host.Settings{Name: "entry", DataCentre: "here", Platform: control}}
+// startEntry starts the entry and waits until it uses all upstreams fully.
+func (b *testbed) startEntry(digestAddr, controlAddr string, source config.Source, tracer *tracing.Tracer) error {
+	set := &entry.Settings{Settings: host.Settings{Name: "entry", DataCentre: "here", Platform: controlAddr}}
 	set.HTTP.Address = b.entryAddr
-	set.Control.Address = control
-	set.Digests.Address = digests
+	set.Control.Address = controlAddr
+	set.Digests.Address = digestAddr
 	e, err := entry.Start(set, entry.Deps{Config: source, Logger: log.NewNopLogger(), Tracer: tracer})
 	if err != nil {
 		return err
 	}
-	b.stops = append(b.stops, e.Kill)
-	const warm = 12 * time.Second // upstreams return gradually
-	time.Sleep(warm)
+	b.stopFuncs = append(b.stopFuncs, e.Kill)
+	const warmup = 12 * time.Second // the entry increases the share of new upstreams gradually
+	time.Sleep(warmup)
 	return nil
 }
 
-// paths lists what is measured; the straight path of each kind comes first.
-func (b *bed) paths(o Options) []path {
+// paths returns the measured paths. The direct path of each kind is the first of its kind.
+func (b *testbed) paths(o Options) []path {
 	chat := chatBody(o.Tokens)
 	body := []byte(`{"slip":1}`)
 	return []path{
-		{nameStraight, servicePlain, b.plainAddr, post("/slips", body)},
+		{nameDirect, servicePlain, b.plainAddr, post("/slips", body)},
 		{nameEntry, servicePlain, b.entryAddr, post("/v1/services/"+serviceStub+"/slips", body)},
-		{nameBoth, servicePlain, b.entryAddr, post("/v1/services/"+servicePlain+"/slips", body)},
-		{nameStraight, serviceModel, b.engineAddr, post("/v1/chat/completions", chat)},
-		{nameBoth, serviceModel, b.entryAddr, post("/v1/chat/completions", chat)},
+		{nameEntryAndSlot, servicePlain, b.entryAddr, post("/v1/services/"+servicePlain+"/slips", body)},
+		{nameDirect, serviceModel, b.engineAddr, post("/v1/chat/completions", chat)},
+		{nameEntryAndSlot, serviceModel, b.entryAddr, post("/v1/chat/completions", chat)},
 	}
 }
 
+// post returns a function that builds a POST request with the given path and body.
 func post(uri string, body []byte) func() *fasthttp.Request {
 	return func() *fasthttp.Request {
 		req := &fasthttp.Request{}
--- a/internal/testing/bench/load/cost.go
+++ b/internal/testing/bench/load/cost.go
@@ -11,58 +11,60 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/meter"
 )
 
-// Coster measures the processor time of one request along each path: that of the whole process, client and stand-ins
-// included, so that only differences between paths tell what entry and slot cost.
+// CostMeter measures the processor time of one request on each path. The time includes the whole process with the client
+// and the stand-ins, so only the differences between paths are the cost of entry and slot.
 type Coster struct {
-	bed *bed
-	o   Options
+	testbed *testbed
+	options Options
 }
 
-// NewCoster starts the processes; call Stop.
+// NewCostMeter starts the entry, the slots and the stand-ins. The caller must call Stop.
 func NewCoster(workers int) (*Coster, error) {
 	o := Options{Workers: workers, Tokens: 1}
-	b, err := startBed(o)
+	b, err := startTestbed(o)
 	if err != nil {
 		return nil, err
 	}
 	return &Coster{b, o}, nil
 }
 
-// Stop ends the processes.
-func (c *Coster) Stop() { c.bed.stop() }
+// Stop stops everything that NewCostMeter started.
+func (c *Coster) Stop() { c.testbed.stop() }
 
 // Cost is the processor time of one request.
 type Cost struct {
-	// Straight goes to the stand-in, Entry through an entry to a stub, Both through entry and slot to the stand-in.
+	// Direct is sent to the stand-in, Entry through an entry to a stub, EntryAndSlot through entry and slot to the
+	// stand-in.
 	Straight, Entry, Both time.Duration
 }
 
-// Plain measures so many requests to the plain service along each path.
+// Plain measures the given number of requests to the plain service on each path.
 func (c *Coster) Plain(requests int) (Cost, error) {
 	body := []byte(`{"slip":1}`)
 	var cost Cost
-	err := c.each(requests, map[*time.Duration]path{
-		&cost.Straight: {address: c.bed.plainAddr, request: post("/slips", body)},
-		&cost.Entry:    {address: c.bed.entryAddr, request: post("/v1/services/"+serviceStub+"/slips", body)},
-		&cost.Both:     {address: c.bed.entryAddr, request: post("/v1/services/"+servicePlain+"/slips", body)},
+	err := c.measureEach(requests, map[*time.Duration]path{
+		&cost.Straight: {address: c.testbed.plainAddr, request: post("/slips", body)},
+		&cost.Entry:    {address: c.testbed.entryAddr, request: post("/v1/services/"+serviceStub+"/slips", body)},
+		&cost.Both:     {address: c.testbed.entryAddr, request: post("/v1/services/"+servicePlain+"/slips", body)},
 	})
 	return cost, err
 }
 
-// Model measures so many streamed answers of the given length.
+// Model measures the given number of streamed responses of the given length. It does not set Entry.
 func (c *Coster) Model(requests, tokens int) (Cost, error) {
 	chat := chatBody(tokens)
 	var cost Cost
-	err := c.each(requests, map[*time.Duration]path{
-		&cost.Straight: {address: c.bed.engineAddr, request: post("/v1/chat/completions", chat)},
-		&cost.Both:     {address: c.bed.entryAddr, request: post("/v1/chat/completions", chat)},
+	err := c.measureEach(requests, map[*time.Duration]path{
+		&cost.Straight: {address: c.testbed.engineAddr, request: post("/v1/chat/completions", chat)},
+		&cost.Both:     {address: c.testbed.entryAddr, request: post("/v1/chat/completions", chat)},
 	})
 	return cost, err
 }
 
-// Addresses measures so many questions for addresses at the entry; it returns the time and the bytes of one answer.
+// Addresses measures the given number of address requests to the entry. It returns the processor time of one, and the size
+// of its response in bytes.
 func (c *Coster) Addresses(requests int) (each time.Duration, size int, err error) {
-	p := path{address: c.bed.entryAddr, request: func() *fasthttp.Request {
+	p := path{address: c.testbed.entryAddr, request: func() *fasthttp.Request {
 		req := &fasthttp.Request{}
 		req.SetRequestURI("/v1/addresses")
 		req.Header.SetHost("load")
@@ -70,24 +72,25 @@
 	}}
 	res, err := httpclient.New(httpclient.Options{}).Do(context.Background(), p.address, p.request())
 	if err != nil {
-		return 0, 0, fmt.Errorf("ask for addresses: %w", err)
+		return 0, 0, fmt.Errorf("request addresses: %w", err)
 	}
 	size = res.Header.ContentLength()
 	res.Release(false)
-	err = c.each(requests, map[*time.Duration]path{&each: p})
+	err = c.measureEach(requests, map[*time.Duration]path{&each: p})
 	return each, size, err
 }
 
-// each sends the requests along each path and notes the processor time of one.
-func (c *Coster) each(requests int, paths map[*time.Duration]path) error {
-	for into, p := range paths {
+// measureEach sends the requests on each path, after a warm-up with a tenth as many, and stores the processor time of one
+// at the path's key.
+func (c *Coster) measureEach(requests int, paths map[*time.Duration]path) error {
+	for result, p := range paths {
 		client := httpclient.New(httpclient.Options{})
-		if err := drive(client, p, requests/10, c.o.Workers, nil); err != nil {
+		if err := drive(client, p, requests/10, c.options.Workers, nil); err != nil {
 			return err
 		}
 		before := meter.ProcessorTime()
-		err := drive(client, p, requests, c.o.Workers, nil)
-		*into = (meter.ProcessorTime() - before) / time.Duration(requests)
+		err := drive(client, p, requests, c.options.Workers, nil)
+		*result = (meter.ProcessorTime() - before) / time.Duration(requests)
 		client.Close()
 		if err != nil {
 			return err
--- a/internal/testing/bench/load/load.go
+++ b/internal/testing/bench/load/load.go
@@ -1,7 +1,8 @@
-// Package load measures what entry and slot add to a request, beside the same load sent straight to the stand-in.
+// Package load measures the overhead that entry and slot add to a request, compared with the same load sent directly to
+// the stand-in of the upstream.
 //
-// All parts run in one process over loopback, so that allocations can be counted and one run compares all paths on the
-// same machine at the same time. Ratios are what counts; absolute figures are this machine's.
+// All components run in one process over loopback, so that allocations can be counted and one run compares all paths on
+// the same machine under the same conditions. Only the ratios are comparable between machines.
 package load
 
 import (
@@ -23,7 +24,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/report"
 )
 
-// Options of the measurement.
+// Options configures the measurement.
 type Options struct {
 	Requests int
 	Workers  int
@@ -34,15 +35,15 @@
 // Register adds the command to app.
 func Register(app *kingpin.Application) {
 	var o Options
-	cmd := app.Command("load", "Measure what entry and slot add to a request.")
+	cmd := app.Command("load", "Measure the overhead that entry and slot add to a request.")
 	cmd.Flag("requests", "Requests for each path and round.").Default("6000").IntVar(&o.Requests)
-	cmd.Flag("workers", "Requests at once.").Default("16").IntVar(&o.Workers)
-	cmd.Flag("tokens", "Tokens of a streamed answer.").Default("32").IntVar(&o.Tokens)
-	cmd.Flag("rounds", "Rounds; the best of each path counts.").Default("3").IntVar(&o.Rounds)
+	cmd.Flag("workers", "Concurrent requests.").Default("16").IntVar(&o.Workers)
+	cmd.Flag("tokens", "Tokens of a streamed response.").Default("32").IntVar(&o.Tokens)
+	cmd.Flag("rounds", "Rounds; the fastest of each path counts.").Default("3").IntVar(&o.Rounds)
 	cmd.Action(func(*kingpin.ParseContext) error { return Run(os.Stdout, o) })
 }
 
-// path is one way of a request to its answer.
+// path is one route of a request to the service that responds.
 type path struct {
 	name    string
 	kind    string
@@ -50,14 +51,14 @@
 	request func() *fasthttp.Request
 }
 
-// measured is what one path was measured at.
-type measured struct {
+// measurement holds the results of one path.
+type measurement struct {
 	perSecond float64
 	allocs    float64
 	p50, p99  time.Duration
 }
 
-// Run measures every path and prints the table.
+// Run measures all paths and prints the table.
 func Run(w io.Writer, o Options) error {
 	t, err := Table(o)
 	if err != nil {
@@ -69,15 +70,15 @@
 	return nil
 }
 
-// Table measures every path.
+// Table measures all paths. Each row is the round with the highest throughput of its path.
 func Table(o Options) (report.Table, error) {
-	b, err := startBed(o)
+	b, err := startTestbed(o)
 	if err != nil {
 		return report.Table{}, err
 	}
 	defer b.stop()
 	paths := b.paths(o)
-	best := make([]measured, len(paths))
+	best := make([]measurement, len(paths))
 	for range o.Rounds {
 		for i, p := range paths {
 			m, err := measure(p, o)
@@ -89,36 +90,36 @@
 			}
 		}
 	}
-	return table(paths, best), nil
+	return resultTable(paths, best), nil
 }
 
-func table(paths []path, results []measured) report.Table {
+func resultTable(paths []path, results []measurement) report.Table {
 	t := report.Table{
 		Title:   "What entry and slot add to a request",
 		Columns: []string{"kind", "path", "requests/s", "ratio to straight", "added p50", "added p99", "allocs/request (client's included)"},
 	}
-	var straight measured
+	var direct measurement
 	for i, p := range paths {
 		m := results[i]
-		if p.name == nameStraight {
-			straight = m
+		if p.name == nameDirect {
+			direct = m
 		}
-		t.Add(p.kind, p.name, fmt.Sprintf("%.0f", m.perSecond), fmt.Sprintf("%.2f", m.perSecond/straight.perSecond),
-			(m.p50 - straight.p50).String(), (m.p99 - straight.p99).String(), fmt.Sprintf("%.0f", m.allocs))
+		t.Add(p.kind, p.name, fmt.Sprintf("%.0f", m.perSecond), fmt.Sprintf("%.2f", m.perSecond/direct.perSecond),
+			(m.p50 - direct.p50).String(), (m.p99 - direct.p99).String(), fmt.Sprintf("%.0f", m.allocs))
 	}
 	return t
 }
 
-// measure sends the load in a closed loop of o.Workers.
-func measure(p path, o Options) (measured, error) {
+// measure sends the load in a closed loop with o.Workers workers, after a warm-up with a tenth of the requests.
+func measure(p path, o Options) (measurement, error) {
 	client := httpclient.New(httpclient.Options{})
 	defer client.Close()
 	if err := drive(client, p, o.Requests/10, o.Workers, nil); err != nil {
-		return measured{}, err
+		return measurement{}, err
 	}
 	hist := hdrhistogram.New(1, int64(time.Minute), 3)
 	var mu sync.Mutex
-	note := func(d time.Duration) {
+	record := func(d time.Duration) {
 		mu.Lock()
 		defer mu.Unlock()
 		_ = hist.RecordValue(int64(d))
@@ -126,13 +127,13 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	began := time.Now()
-	if err := drive(client, p, o.Requests, o.Workers, note); err != nil {
-		return measured{}, err
+	start := time.Now()
+	if err := drive(client, p, o.Requests, o.Workers, record); err != nil {
+		return measurement{}, err
 	}
-	took := time.Since(began)
+	took := time.Since(start)
 	runtime.ReadMemStats(&after)
-	return measured{
+	return measurement{
 		perSecond: float64(o.Requests) / took.Seconds(),
 		allocs:    float64(after.Mallocs-before.Mallocs) / float64(o.Requests),
 		p50:       time.Duration(hist.ValueAtPercentile(50)).Round(time.Microsecond),
@@ -140,19 +141,21 @@
 	}, nil
 }
 
-func drive(client *httpclient.Client, p path, requests, workers int, note func(time.Duration)) error {
+// drive sends requests over a path with concurrent workers. It calls record, if set, with the latency of each, and returns
+// the first error.
+func drive(client *httpclient.Client, p path, requests, workers int, record func(time.Duration)) error {
 	var next atomic.Int64
 	errs := make(chan error, workers)
 	for range workers {
 		go func() {
 			for next.Add(1) <= int64(requests) {
-				began := time.Now()
-				if err := one(client, p); err != nil {
+				start := time.Now()
+				if err := sendOne(client, p); err != nil {
 					errs <- err
 					return
 				}
-				if note != nil {
-					note(time.Since(began))
+				if record != nil {
+					record(time.Since(start))
 				}
 			}
 			errs <- nil
@@ -167,16 +170,19 @@
 	return first
 }
 
-// StatusError is an answer that the measurement does not expect.
+// StatusError reports a response with a status other than 200.
 type StatusError struct {
 	Status int
 	Body   string
 }
 
 // Error implements error.
-func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Body) }
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("unexpected status %d: %s", e.Status, e.Body)
+}
 
-func one(client *httpclient.Client, p path) error {
+// sendOne sends one request over a path and reads the complete response.
+func sendOne(client *httpclient.Client, p path) error {
 	res, err := client.Do(context.Background(), p.address, p.request())
 	if err != nil {
 		return err
@@ -185,7 +191,7 @@
 	status := res.Header.StatusCode()
 	res.Release(err == nil)
 	if err != nil {
-		return fmt.Errorf("read answer: %w", err)
+		return fmt.Errorf("read response: %w", err)
 	}
 	if status != fasthttp.StatusOK {
 		return &StatusError{status, string(body)}
@@ -193,6 +199,7 @@
 	return nil
 }
 
+// chatBody returns the body of a streamed completion request.
 func chatBody(tokens int) []byte {
 	messages := []map[string]string{{"role": "user", "content": "Quote: two bodies, a set of primes, four days."}}
 	body, err := json.Marshal(map[string]any{"model": serviceModel, "messages": messages, "max_tokens": tokens, "stream": true})
--- a/internal/testing/bench/load/stub.go
+++ b/internal/testing/bench/load/stub.go
@@ -12,8 +12,8 @@
 // announceInterval is the time between two digests of the stub.
 const announceInterval = 250 * time.Millisecond
 
-// announce tells the entry of the stub until the returned function is called.
-func announce(address, digests, entry string, o Options) (func(), error) {
+// announceStub sends digests of the stub to the entry until the returned function is called.
+func announceStub(httpAddr, digestAddr, entryDigestAddr string, o Options) (func(), error) {
 	sender, err := digest.NewSender()
 	if err != nil {
 		return nil, err
@@ -24,31 +24,31 @@
 		Role:          cardamomyokev1.NodeRole_NODE_ROLE_SLOT,
 		State:         cardamomyokev1.NodeState_NODE_STATE_LIVE,
 		DataCentre:    "here",
-		HttpAddress:   address,
-		DigestAddress: digests,
+		HttpAddress:   httpAddr,
+		DigestAddress: digestAddr,
 		Slot:          &cardamomyokev1.SlotLoad{Service: serviceStub, Batch: uint32(4 * o.Workers)},
 	}
-	done := make(chan struct{})
-	ended := make(chan struct{})
+	stop := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		tick := time.NewTicker(announceInterval)
 		defer tick.Stop()
 		for {
 			select {
-			case <-done:
+			case <-stop:
 				return
 			case <-tick.C:
 				d.Sequence++
-				if _, err := sender.Send(entry, d); err != nil {
-					fmt.Println("stub:", err)
+				if _, err := sender.Send(entryDigestAddr, d); err != nil {
+					fmt.Println("stub: send digest:", err)
 				}
 			}
 		}
 	}()
 	return func() {
-		close(done)
-		<-ended
+		close(stop)
+		<-stopped
 		_ = sender.Close()
 	}, nil
 }
