--- a/internal/testing/bench/policy/entry.go
+++ b/internal/testing/bench/policy/entry.go
@@ -37,9 +37,9 @@
 )
 
 const (
-	retryPercent = 10
-	maxAttempts  = 3
-	tableBlocks  = 2 * cacheBlocks
+	retryPercent  = 10
+	maxAttempts   = 3
+	blockSetLimit = 2 * cacheBlocks
 )
 
 // request is the state of one request at its entry.
@@ -60,20 +60,22 @@
 
 // entry models one entry process. It wires the pure packages as the process does.
 type entry struct {
-	world        *world
-	index        int
-	dc           int
-	rng          *rand.Rand
+	world *world
+	index int
+	dc    int
+	rng   *rand.Rand
+	// By index of the runner: this entry's own requests, the blocks that it assumes to be cached, the newest load report.
 	localWork    []*routing.Work
 	cachedBlocks []*prefix.Table
 	loads        []routing.Load
-	health       *health.Tracker
-	picker       routing.Picker
-	nextTurn     atomic.Uint64
-	budget       *retry.Budget
-	admit        admitter
-	usage        *limits.Limiter
-	waiting      map[uint64]*request
+
+	health   *health.Tracker
+	picker   routing.Picker
+	nextTurn atomic.Uint64
+	budget   *retry.Budget
+	admit    admitter
+	usage    *limits.Limiter
+	waiting  map[uint64]*request
 }
 
 func newEntry(w *world, index int) *entry {
@@ -87,7 +89,7 @@
 	}
 	for range runners {
 		e.localWork = append(e.localWork, &routing.Work{})
-		e.cachedBlocks = append(e.cachedBlocks, prefix.NewTable(tableBlocks))
+		e.cachedBlocks = append(e.cachedBlocks, prefix.NewTable(blockSetLimit))
 	}
 	e.budget = retry.NewBudget(retryPercent)
 	if w.setup.retries == retriesAlways {
--- a/internal/testing/bench/policy/matrix.go
+++ b/internal/testing/bench/policy/matrix.go
@@ -78,6 +78,7 @@
 	return list
 }
 
+// retryCell returns the cell that compares a retry variant.
 func retryCell(variant string) cell {
 	return cell{
 		trace: traceShared, policy: policyExpectedWait, admit: admitFair, retries: variant,
@@ -148,9 +149,9 @@
 
 // ratios returns, for each seed, the ratio of a metric of cell a to that of cell b.
 func (r *Results) ratios(a, b cell, get func(*result) float64) []float64 {
-	over, under := r.values(a, get), r.values(b, get)
-	for i := range over {
-		over[i] = ratio(over[i], under[i])
+	numerators, denominators := r.values(a, get), r.values(b, get)
+	for i := range numerators {
+		numerators[i] = ratio(numerators[i], denominators[i])
 	}
-	return over
+	return numerators
 }
--- a/internal/testing/bench/policy/policy_test.go
+++ b/internal/testing/bench/policy/policy_test.go
@@ -68,8 +68,8 @@
 	return first, last
 }
 
-// Guards against a wrong cost model of the runner: a prompt costs one step for each chunk, a cached one almost nothing,
-// and each further token one step.
+// Guards against a wrong time model of the runner: a prompt takes one step for each chunk, a cached prompt one short
+// step, and each further token one step.
 func TestRunnerComputesPromptInChunksAndCachesIt(t *testing.T) {
 	r := newRunner(newClock(), "r", 0)
 	blocks := make([]uint64, 16)
@@ -90,8 +90,8 @@
 	}
 }
 
-// Guards against a runner that starts a waiting request of the second class before one of the first, or runs a
-// cancelled one.
+// Guards against a runner that computes the prompt of a waiting second-class request before that of a first-class one,
+// or runs a cancelled request.
 func TestRunnerPrioritiesAndCancellation(t *testing.T) {
 	r := newRunner(newClock(), "r", 0)
 	var order []string
@@ -115,6 +115,7 @@
 	}
 }
 
+// Guards against a wrong fair share when the demands fit, when one client floods and when all demands are capped.
 func TestMaxMinLevel(t *testing.T) {
 	tests := map[string]struct {
 		demand map[ids.Client]float64
@@ -140,15 +141,15 @@
 	}
 }
 
-// Guards against a run that depends on more than its seed, and against requests without an outcome: each one is
-// completed, refused, fails or misses its deadline.
+// Guards against a run that depends on more than its seed, and against requests without an outcome: each one must
+// be completed or refused, fail, or miss its deadline.
 func TestSimulationIsDeterministicAndAccountsForAllRequests(t *testing.T) {
 	a, b := simulate(shortSetup(2)), simulate(shortSetup(2))
 	if a.offeredN != b.offeredN || a.completedN != b.completedN || ttftP95(a) != ttftP95(b) || a.goodTokens != b.goodTokens {
-		t.Fatalf("two runs of the same seed: %d/%d and %d/%d answered", a.completedN, a.offeredN, b.completedN, b.offeredN)
+		t.Fatalf("two runs of the same seed: %d/%d and %d/%d completed", a.completedN, a.offeredN, b.completedN, b.offeredN)
 	}
 	if sum := a.completedN + a.refusedN + a.missedN + a.failedN; sum != a.offeredN || a.completedN == 0 || a.refusedN == 0 {
-		t.Fatalf("of %d offered, %d answered, %d refused, %d missed, %d failed", a.offeredN, a.completedN, a.refusedN, a.missedN, a.failedN)
+		t.Fatalf("of %d offered, %d completed, %d refused, %d missed, %d failed", a.offeredN, a.completedN, a.refusedN, a.missedN, a.failedN)
 	}
 }
 
@@ -177,8 +178,8 @@
 	}
 }
 
-// Guards against an uneven choice of the entries that a slot reports to, and against a rendezvous choice that changes
-// when the entries that were not chosen leave.
+// Guards against a slot that reports to an entry twice or not at all when the subset size exceeds the number of local
+// entries, and against a rendezvous choice that changes when the entries that were not chosen leave.
 func TestSubsetTargets(t *testing.T) {
 	w := &subsetWorld{setup: subsetSetup{seed: 1, size: 8, rule: chooseEven}}
 	local := []int{0, 6, 12, 18, 24, 30}
--- a/internal/testing/bench/policy/result.go
+++ b/internal/testing/bench/policy/result.go
@@ -24,7 +24,7 @@
 	firstAttempts, attempts                          int
 	goodTokens                                       float64
 	cachedTokens, expectedCachedTokens, promptTokens float64
-	// offeredWork and servedWork are the work of the second class by client, in tokens as of workTokens.
+	// offeredWork and servedWork are the work of the second class by client, as computed by workTokens.
 	offeredWork, servedWork map[ids.Client]float64
 	// completedSecondHalf counts all requests completed in the second half of the run.
 	completedSecondHalf int
@@ -54,10 +54,12 @@
 	return !req.at.Before(from) && req.at.Before(to)
 }
 
+// record adds a duration to a histogram, limited to the histogram's range of 1 µs to 1 min.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(histogramMax, max(1, int64(d/time.Microsecond))))
 }
 
+// quantile returns the value at q percent.
 func quantile(h *hdrhistogram.Histogram, q float64) time.Duration {
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
--- a/internal/testing/bench/policy/subset.go
+++ b/internal/testing/bench/policy/subset.go
@@ -50,11 +50,12 @@
 
 // subsetResult holds the measurements of one run.
 type subsetResult struct {
-	// minUpstreams, maxUpstreams and meanUpstreams are over the entries' numbers of upstreams of one model.
+	// minUpstreams, maxUpstreams and meanUpstreams describe how many upstreams of one model an entry has.
 	// entriesMissingModel counts the entries that have no upstream for at least one model.
 	minUpstreams, maxUpstreams, entriesMissingModel int
 	meanUpstreams                                   float64
-	// reportInterval is the time between two reports of a slot, so that an entry receives digestBudget on average.
+	// reportInterval is the time between two reports of a slot. With it an entry receives digestBudget bytes per second
+	// on average.
 	reportInterval time.Duration
 	// inFlight holds samples of the number of requests at each runner.
 	inFlight []float64
@@ -88,6 +89,7 @@
 	result  subsetResult
 }
 
+// simulateSubset performs one run.
 func simulateSubset(s subsetSetup) subsetResult {
 	w := &subsetWorld{setup: s, clock: newClock(), rng: rand.New(rand.NewPCG(s.seed, uint64(s.size)))}
 	for i := range targetEntries {
@@ -148,6 +150,7 @@
 	return chosen
 }
 
+// connect adds runner i to the upstreams of an entry, and the entry to the targets of the runner's slot.
 func (w *subsetWorld) connect(i int, r *subsetRunner, entry int) {
 	e := w.entries[entry]
 	r.targets = append(r.targets, entry)
@@ -186,6 +189,7 @@
 	}
 }
 
+// load returns the report of runner i's slot to an entry.
 func (w *subsetWorld) load(i, entry int) routing.Load {
 	e, r := w.entries[entry], w.runners[i]
 	return routing.Load{
@@ -214,6 +218,7 @@
 	})
 }
 
+// send routes one request, and schedules its end and the report that its response carries.
 func (w *subsetWorld) send(entry, model int) {
 	measured := w.clock.now.Sub(epoch) >= subsetWarmup
 	choice, err := w.entries[entry].pickers[model].Pick(&routing.Request{OutputTokens: outputMean, Rand: w.rng.Uint64()}, w.clock.now)
@@ -243,6 +248,7 @@
 	})
 }
 
+// sample records the number of requests at each runner, after the warm-up.
 func (w *subsetWorld) sample() {
 	if w.clock.now.Sub(epoch) < subsetWarmup {
 		return
--- a/internal/testing/bench/policy/trace.go
+++ b/internal/testing/bench/policy/trace.go
@@ -40,6 +40,7 @@
 	callers int
 }
 
+// flooder is the client that sends half of all requests.
 const flooder ids.Client = "flooder"
 
 const smallCount = 7
@@ -98,6 +99,7 @@
 	return a
 }
 
+// account returns a random account, weighted by share.
 func (s *source) account() account {
 	x := s.rng.Float64()
 	for _, a := range s.accounts {
@@ -109,6 +111,7 @@
 	return s.accounts[len(s.accounts)-1]
 }
 
+// output returns a random response length in tokens, log-normal around outputMean.
 func (s *source) output() int {
 	mu := math.Log(outputMean) - outputSigma*outputSigma/2
 	n := int(math.Exp(mu + outputSigma*s.rng.NormFloat64()))
@@ -116,7 +119,7 @@
 }
 
 // blocks returns the block hashes of a prompt: the prefix of its family, whose popularity drifts, and a unique suffix.
-// In the trace without shared prefixes each request has a family of its own.
+// In the trace without shared prefixes, each request has its own family.
 func (s *source) blocks(at time.Time) []uint64 {
 	family := s.family(at)
 	if !s.sharedPrefixes {
@@ -132,6 +135,7 @@
 	return blocks
 }
 
+// family returns a random family with Zipf popularity. The ranks of the families rotate by one each driftInterval.
 func (s *source) family(at time.Time) uint64 {
 	total := 0.0
 	for _, w := range s.weights {
--- a/internal/testing/bench/policy/world.go
+++ b/internal/testing/bench/policy/world.go
@@ -18,9 +18,10 @@
 	sharedPrefixes bool
 	policy         string
 	admit          string
-	// failingRunners is the number of runners that fail requests from failFrom on. retries is the retry variant.
+	// failingRunners is the number of runners that fail requests from failFrom on.
 	failingRunners int
-	retries        string
+	// retries is the retry variant.
+	retries string
 	// saturate sets a deadline that no request reaches, to measure the capacity of the runners.
 	saturate bool
 	duration time.Duration
@@ -140,6 +141,7 @@
 	}
 }
 
+// lag returns a random delay between low and high.
 func (w *world) lag(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.rng.Float64()*float64(high-low))
 }
@@ -157,8 +159,8 @@
 	}
 }
 
-// injectFailures makes some runners fail requests. Half of these runners fail each request at its first token, the
-// others fail at each token with a probability of 3%.
+// injectFailures makes some runners fail requests. These alternate: one fails each request at its first token, the next
+// fails at each token with a probability of 3%.
 func (w *world) injectFailures() {
 	for i := range w.setup.failingRunners {
 		r := w.runners[i*runners/w.setup.failingRunners]
--- a/internal/testing/bench/policy/write.go
+++ b/internal/testing/bench/policy/write.go
@@ -26,6 +26,8 @@
 	return float64(quantile(h, q)) / float64(time.Millisecond)
 }
 
+// The metrics of the tables and criteria. Times are in ms.
+
 func ttftP95(r *result) float64           { return milliseconds(r.ttft, 95) }
 func ttftFromStartP95(r *result) float64  { return milliseconds(r.ttftFromStart, 95) }
 func ttftFirstClassP99(r *result) float64 { return milliseconds(r.ttftFirstClass, 99) }
@@ -167,14 +169,14 @@
 		},
 	}
 	for _, load := range []float64{1.5, 3} {
-		place := fmt.Sprintf("%s, load %.1f", trace, load)
+		suffix := fmt.Sprintf("%s, load %.1f", trace, load)
 		criteria = append(criteria,
 			report.Claim{
-				Text:    "worst-off small client's share of fair, mean over seeds, " + place,
+				Text:    "worst-off small client's share of fair, mean over seeds, " + suffix,
 				Reached: r.minMeanSmallShareRatio(at(load)), Bound: report.AtLeast, Limit: minShare,
 			},
 			report.Claim{
-				Text:    "worst-off small client's share of fair in any seed, " + place,
+				Text:    "worst-off small client's share of fair in any seed, " + suffix,
 				Reached: slices.Min(r.values(at(load), (*result).minSmallShareRatio)), Bound: report.AtLeast, Limit: minShare,
 			},
 		)
