--- a/cmd/cardamomyoke-standin/main.go
+++ b/cmd/cardamomyoke-standin/main.go
@@ -1,5 +1,5 @@
-// Command cardamomyoke-standin plays what surrounds the system in tests and the demo: the platform, engines and plain
-// services.
+// Command cardamomyoke-standin runs stand-ins for the environment of the system, for tests and the demo: the platform,
+// engines and plain services.
 package main
 
 import (
@@ -27,7 +27,7 @@
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 }
 
-// untilSignal waits for the signal that ends the stand-in.
+// untilSignal waits for SIGTERM or SIGINT.
 func untilSignal() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -62,12 +62,12 @@
 	address := cmd.Flag("listen", "Address, IP:PORT.").Required().String()
 	cmd.Flag("batch", "Requests that run at once.").Default("8").IntVar(&o.Batch)
 	cmd.Flag("step", "Time of a step.").Default("6ms").DurationVar(&o.Step)
-	cmd.Flag("prompt-token", "Time of a prompt token that is not cached.").Default("20us").DurationVar(&o.PromptToken)
+	cmd.Flag("prompt-token", "Time of a prompt token that is not cached.").Default("20us").DurationVar(&o.PromptTokenTime)
 	cmd.Flag("cache-blocks", "Blocks that the prefix cache holds.").Default("4096").IntVar(&o.CacheBlocks)
 	cmd.Flag("cache-lag", "How late cache events are.").Default("300ms").DurationVar(&o.CacheLag)
 	cmd.Flag("cache-gap", "One cache event in so many is lost; 0 for none.").Default("10").IntVar(&o.CacheGap)
 	cmd.Flag("honour-fence", "Refuse orders with an old fencing number.").BoolVar(&o.HonourFence)
-	cmd.Flag("crash", "Text in a prompt that takes the engine down.").StringVar(&o.Crash)
+	cmd.Flag("crash", "Text in a prompt that takes the engine down.").StringVar(&o.CrashText)
 	cmd.Flag("load-lag", "How old a load report is.").Default("200ms").DurationVar(&o.LoadLag)
 	cmd.Action(func(*kingpin.ParseContext) error {
 		o.OnCrash = func() { os.Exit(1) }
--- a/internal/node/gateway/handler.go
+++ b/internal/node/gateway/handler.go
@@ -54,7 +54,7 @@
 		g.logPaused(r, paused)
 	}
 	if err == nil {
-		span.Note(attribute.String("attempt", r.call.Attempt), attribute.String("service", string(r.service.Name)))
+		span.SetAttributes(attribute.String("attempt", r.call.Attempt), attribute.String("service", string(r.service.Name)))
 		err = g.runRequest(ctx, v, x, r, span.Header())
 	} else {
 		g.refuse(x, v, r, err)
--- a/internal/policy/quarantine/persistent_test.go
+++ b/internal/policy/quarantine/persistent_test.go
@@ -33,7 +33,7 @@
 		time.Sleep(time.Minute)
 		rng := rand.New(rand.NewPCG(1, 1))
 		table.SetPlan(func() (memtable.Fault, time.Duration) {
-			return []memtable.Fault{memtable.None, memtable.AnswerLost, memtable.RequestLost}[rng.IntN(3)], 0
+			return []memtable.Fault{memtable.None, memtable.ResponseLost, memtable.RequestLost}[rng.IntN(3)], 0
 		})
 		time.Sleep(time.Minute)
 		late := tracker()
--- a/internal/state/lease/manager/manager_test.go
+++ b/internal/state/lease/manager/manager_test.go
@@ -56,11 +56,12 @@
 
 func (p *process) held() lease.HeldLease { return p.manager.Held(duty) }
 
-// run lets three processes want one duty while f makes trouble. At each moment at most one holds it, and its fencing
-// number is larger than that of each other holder before.
-// With forced, an operator takes the duty from a live holder, which may believe for one renewal that it still holds it;
-// then only the numbers' growth is checked, as its deeds are refused by them.
-func run(t *testing.T, seed uint64, forced bool, f func(s *standin.Store, ps []*process, rng *rand.Rand)) {
+// runProcesses runs three processes that contend for one duty while f injects faults. It checks that at each moment at most
+// one process holds the duty, and that its fencing token is larger than that of every earlier holder.
+// If forced is set, f releases the duty of a live holder, which may consider itself the holder until its next renewal. Then
+// it only checks that no two processes hold the same fencing token, since the tokens cause the old holder's actions to be
+// rejected.
+func runProcesses(t *testing.T, seed uint64, forced bool, f func(s *standin.Store, ps []*process, rng *rand.Rand)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore(standin.Limits{})
 		s.SetFaults(standin.PartTable, standin.Faults{Delay: 4 * time.Millisecond})
@@ -72,7 +73,7 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			watch(t, ps, forced, done)
+			watchInvariants(t, ps, forced, done)
 		}()
 		f(s, ps, rand.New(rand.NewPCG(seed, 4)))
 		close(done)
@@ -84,7 +85,7 @@
 	})
 }
 
-func watch(t *testing.T, ps []*process, forced bool, done chan struct{}) {
+func watchInvariants(t *testing.T, ps []*process, forced bool, done chan struct{}) {
 	var newest ids.Fence
 	owner := -1
 	for {
@@ -113,7 +114,7 @@
 	}
 }
 
-func wait(t *testing.T, ps []*process, except *process) *process {
+func waitForHolder(t *testing.T, ps []*process, except *process) *process {
 	t.Helper()
 	for range 600 {
 		for _, p := range ps {
@@ -123,19 +124,19 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Fatal("nobody holds the duty after a minute")
+	t.Fatal("no process holds the duty after a minute")
 	return nil
 }
 
-// The holder is paused in the middle of a deed and wakes up after another node has taken the duty. Its own check fails;
-// the write that was under way is refused by the table, and its order by the slot's gate.
-func TestPausedHolderDoesNoHarm(t *testing.T) {
-	run(t, 1, false, func(s *standin.Store, ps []*process, _ *rand.Rand) {
-		old := wait(t, ps, nil)
+// A holder is paused in the middle of an action and resumes after another node has acquired the duty. Its own check must
+// fail, the table must reject its write in flight, and the slot's fence filter must reject its order.
+func TestPausedHolderIsFenced(t *testing.T) {
+	runProcesses(t, 1, false, func(s *standin.Store, ps []*process, _ *rand.Rand) {
+		old := waitForHolder(t, ps, nil)
 		before := old.held()
 		resume := make(chan struct{})
 		old.paused <- resume
-		next := wait(t, ps, old)
+		next := waitForHolder(t, ps, old)
 		after := next.held()
 		if before.ValidAt(time.Now()) {
 			t.Fatal("the old holder's check passes")
@@ -146,51 +147,51 @@
 			Puts: []platform.Put{{Key: "maps/1", Value: []byte("old")}},
 		})
 		if !errors.As(err, &conflict) {
-			t.Fatalf("the table takes the old holder's write: %v", err)
+			t.Fatalf("the table accepts the old holder's write: %v", err)
 		}
 		var filter lease.FenceFilter
-		var late *lease.StaleFenceError
+		var stale *lease.StaleFenceError
 		if err := filter.Admit(after.Fence); err != nil {
 			t.Fatal(err)
 		}
-		if err := filter.Admit(before.Fence); !errors.As(err, &late) {
-			t.Fatalf("the gate takes the old holder's order: %v", err)
+		if err := filter.Admit(before.Fence); !errors.As(err, &stale) {
+			t.Fatalf("the filter admits the old holder's order: %v", err)
 		}
 		close(resume)
 		time.Sleep(time.Minute)
 	})
 }
 
-// Answers are lost, writes land late, nodes are cut off and the table goes down, again and again: never two holders, and
-// somebody holds the duty within a minute of the end.
+// Responses are lost, writes take effect late, nodes are partitioned and the table goes down, repeatedly. There must never be
+// two holders, and one process must hold the duty within a minute after the last fault.
 func TestOneHolderUnderFaults(t *testing.T) {
 	for seed := range uint64(8) {
-		run(t, 10+seed, false, func(s *standin.Store, ps []*process, rng *rand.Rand) {
+		runProcesses(t, 10+seed, false, func(s *standin.Store, ps []*process, rng *rand.Rand) {
 			for range 60 {
 				f := standin.Faults{Delay: time.Duration(rng.IntN(400)) * time.Millisecond}
 				f.Outage = rng.IntN(5) == 0
-				f.LoseAnswers = rng.IntN(4)
+				f.LoseResponses = rng.IntN(4)
 				f.LateWrites, f.LateBy = rng.IntN(3), time.Duration(rng.IntN(20))*time.Second
 				s.SetFaults(standin.PartTable, f)
 				for _, p := range ps {
-					p.client.SetCut(rng.IntN(4) == 0)
+					p.client.SetDisconnected(rng.IntN(4) == 0)
 				}
 				time.Sleep(time.Duration(rng.IntN(8)) * time.Second)
 			}
 			s.SetFaults(standin.PartTable, standin.Faults{})
 			for _, p := range ps {
-				p.client.SetCut(false)
+				p.client.SetDisconnected(false)
 			}
-			wait(t, ps, nil)
+			waitForHolder(t, ps, nil)
 		})
 	}
 }
 
-// The table is down for long: the holder's duty lapses and nobody takes it, so control decisions wait while traffic
-// goes on. After the outage one node has it again.
-func TestLeaseLapsesDuringOutage(t *testing.T) {
-	run(t, 2, false, func(s *standin.Store, ps []*process, _ *rand.Rand) {
-		wait(t, ps, nil)
+// During a long outage of the table the holder's lease expires and no node acquires it, so control decisions wait while
+// traffic continues. After the outage one node must acquire it again.
+func TestLeaseExpiresDuringTableOutage(t *testing.T) {
+	runProcesses(t, 2, false, func(s *standin.Store, ps []*process, _ *rand.Rand) {
+		waitForHolder(t, ps, nil)
 		s.SetFaults(standin.PartTable, standin.Faults{Outage: true})
 		time.Sleep(time.Minute)
 		for _, p := range ps {
@@ -199,20 +200,20 @@
 			}
 		}
 		s.SetFaults(standin.PartTable, standin.Faults{})
-		wait(t, ps, nil)
+		waitForHolder(t, ps, nil)
 	})
 }
 
-// An operator releases a duty by force while its holder is alive: the holder's number is old at once.
+// An operator releases a duty while its holder is alive. The holder's fencing token must be outdated immediately.
 func TestForcedReleaseRaisesFence(t *testing.T) {
-	run(t, 3, true, func(s *standin.Store, ps []*process, _ *rand.Rand) {
-		before := wait(t, ps, nil).held()
+	runProcesses(t, 3, true, func(s *standin.Store, ps []*process, _ *rand.Rand) {
+		before := waitForHolder(t, ps, nil).held()
 		fence, err := manager.Release(context.Background(), s, duty, "op-1")
 		if err != nil || fence <= before.Fence {
 			t.Fatalf("fence %d, err %v", fence, err)
 		}
 		time.Sleep(time.Minute)
-		if after := wait(t, ps, nil).held(); after.Fence <= fence {
+		if after := waitForHolder(t, ps, nil).held(); after.Fence <= fence {
 			t.Fatalf("fence %d after %d", after.Fence, fence)
 		}
 		list, err := manager.List(context.Background(), s)
@@ -222,59 +223,60 @@
 	})
 }
 
-// Several gateways draw numbers at the same time, and one of them may have to lead while the table is away. Two leaders under
-// one number would give two maps the same version. No number may be drawn twice, and each is above those before it.
-func TestNumbersAreDrawnOnce(t *testing.T) {
+// Several gateways allocate fencing tokens concurrently, for the case that one of them has to lead while the table is down.
+// Two leaders with the same token would give two maps the same version, so no token may be allocated twice, and each must be
+// larger than those before it.
+func TestFencesAreAllocatedOnce(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	seen := map[ids.Fence]bool{}
 	var mu sync.Mutex
 	last := ids.Fence(0)
 	for range 20 {
-		var wait sync.WaitGroup
+		var wg sync.WaitGroup
 		for i := range 4 {
 			client := s.Client(fmt.Sprint("gateway-", i))
-			wait.Go(func() {
+			wg.Go(func() {
 				n, err := manager.AllocateFence(context.Background(), client, duty)
-				var drawn *manager.AllocationConflictError
-				if errors.As(err, &drawn) {
+				var conflict *manager.AllocationConflictError
+				if errors.As(err, &conflict) {
 					return
 				}
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil || seen[n] || n <= last {
-					t.Errorf("drew %d after %d, seen before: %t, err %v", n, last, seen[n], err)
+					t.Errorf("allocated %d after %d, seen before: %t, err %v", n, last, seen[n], err)
 				}
 				seen[n] = true
 			})
 		}
-		wait.Wait()
+		wg.Wait()
 		for n := range seen {
 			last = max(last, n)
 		}
 	}
 	if len(seen) < 20 {
-		t.Fatalf("%d numbers were drawn in 20 rounds", len(seen))
+		t.Fatalf("%d fencing tokens were allocated in 20 rounds", len(seen))
 	}
 }
 
-// A takeover takes effect and its answer is lost. The row names this node; that is no sign of a later holder, which would
-// make it give up a duty that nobody else has.
-func TestOwnLeaseIsNoOthers(t *testing.T) {
+// A takeover takes effect but its response is lost, so the row names this incarnation. That is not evidence of a later holder,
+// which would make this node drop a duty that no other node holds.
+func TestOwnTakeoverDoesNotCountAsOthers(t *testing.T) {
 	h := lease.NewHolder(duty, "a", "life-1", time.Second, rand.New(rand.NewPCG(1, 1)))
 	now := time.Unix(0, 0)
 	h.SetWanted(now, true)
-	read := func(name, life string, fence uint64) {
+	read := func(name, incarnation string, fence uint64) {
 		h.Tick(now)
-		row := lease.Row{Lease: &cardamomyokev1.Lease{Holder: name, Incarnation: life, LengthMs: 1000}, Version: fence, Fence: fence}
+		row := lease.Row{Lease: &cardamomyokev1.Lease{Holder: name, Incarnation: incarnation, LengthMs: 1000}, Version: fence, Fence: fence}
 		h.OnRead(now, h.CallID(), row, true)
 		now = now.Add(400 * time.Millisecond)
 	}
 	read("a", "life-1", 7)
 	if got := h.NewestFenceOfOthers(); got != 0 || h.NewestFence() != 7 {
-		t.Fatalf("saw %d of others, %d in all", got, h.NewestFence())
+		t.Fatalf("newest fence of others %d, newest fence %d", got, h.NewestFence())
 	}
 	read("a", "life-0", 8)
 	if got := h.NewestFenceOfOthers(); got != 8 {
-		t.Fatalf("saw %d of an earlier life, want 8", got)
+		t.Fatalf("newest fence of others %d, want 8 of an earlier incarnation", got)
 	}
 }
--- a/internal/state/revision/node.go
+++ b/internal/state/revision/node.go
@@ -22,107 +22,108 @@
 
 const stateStarting charts.State = "starting"
 
-// Node is the state of one node. It does no I/O, reads no clock and is not safe for concurrent use: its owner calls
-// Tick often (each 50 ms) and the On methods with what arrives, and carries out the effects they return.
+// Node is the state machine of one node. It does no I/O, reads no clock and is not safe for concurrent use. Its owner calls
+// Tick every 50 ms, calls the On methods with received messages and results, and carries out the effects they return.
 type Node struct {
 	options     Options
 	self        *Member
 	incarnation string
 	rng         *rand.Rand
-	born        time.Time
+	startedAt   time.Time
 	machine     charts.Machine
 	leaving     bool
 	seeds       []*Member
 
-	// states are those of the entries from the older of accepted and in force up to the newest held.
-	states     []*State
-	inForce    *State
-	log        []*Entry
-	committed  uint64
-	accepted   uint64
-	floors     []floor
-	missing    []string // as the last beat says
-	tableBasis time.Time
-	vouch      vouch
-	vouchBasis time.Time
-
-	parent   string
-	parentAt time.Time
-	parentHi uint64 // newest entry that the parent holds
-	joinAt   time.Time
-	joinNext int
-	children map[string]*child
-	nonces   []nonce
-	rounds   []*round
-	beats    uint64
-	beatAt   time.Time // when the next beat starts here, if this node hears from nobody
-	pushedAt time.Time
-	news     bool
-	ackAt    time.Time // zero: nothing to acknowledge
-	ackedAt  time.Time
-
-	pending    []*pending
-	pollAt     time.Time
-	reading    time.Time // zero: no read under way
-	acceptAt   time.Time // not before this
-	catching   time.Time
-	editing    time.Time
-	wanted     map[string]want
-	heard      map[string]time.Time
-	listed     map[string]bool // names that the host list has shown
-	originAt   time.Time
-	holdsAt    time.Time
-	holdsCount uint64
-	counts     map[string]uint64 // of the rows of acknowledgements, by writer
+	// states holds the state after each entry, from the older of the accepted one and the one in force to the newest held.
+	states      []*State
+	inForce     *State
+	log         []*Entry
+	committed   uint64
+	accepted    uint64
+	floors      []floor
+	missing     []string   // as reported by the last heartbeat
+	tableReadAt time.Time  // start of the newest table read of which this node holds all committed entries
+	newestCert  quorumCert // forwarded to the children
+	certBasis   time.Time  // basis of the newest certificate that applies to this node
+
+	parent       string
+	parentAt     time.Time
+	parentStaged uint64 // newest entry held by the parent
+	joinAt       time.Time
+	joinNext     int
+	children     map[string]*child
+	nonces       []nonce
+	rounds       []*round
+	heartbeats   uint64
+	heartbeatAt  time.Time // when the next heartbeat starts here, if this node is an origin
+	pushedAt     time.Time
+	hasUpdate    bool
+	ackAt        time.Time // zero if no acknowledgement is scheduled
+	ackedAt      time.Time
+
+	pending        []*pending
+	pollAt         time.Time
+	readStartedAt  time.Time // zero if no read is in flight
+	acceptAt       time.Time // earliest time of the next Accept
+	catchUpAt      time.Time
+	rosterEditAt   time.Time
+	requests       map[string]membershipRequest
+	lastSeen       map[string]time.Time
+	everListed     map[string]bool // names that any host list has contained
+	originSince    time.Time
+	holdsWrittenAt time.Time
+	holdsCount     uint64
+	holdsCounts    map[string]uint64 // last Count of the rows of acknowledgements, by writer incarnation
 
 	now  time.Time
 	out  []Effect
 	view *View
 }
 
-// child is a node that hears from this one.
+// child is a node that receives heartbeats from this one.
 type child struct {
-	member  *Member
-	seenAt  time.Time
-	life    string
-	nonce   uint64
-	nonceAt time.Time
-	staged  uint64
-	holds   bitset
+	member      *Member
+	seenAt      time.Time
+	incarnation string
+	nonce       uint64
+	nonceAt     time.Time
+	staged      uint64
+	holds       bitset
 }
 
-// nonce remembers when an acknowledgement was sent.
+// nonce records when an acknowledgement was sent.
 type nonce struct {
 	n  uint64
 	at time.Time
 }
 
-// vouch certifies that a majority held no entry after seq at some time after basis.
-type vouch struct {
+// quorumCert certifies that a majority held no entry after seq at some time after basis. The majority is one of all members
+// if all is set, and one of each data centre in centres.
+type quorumCert struct {
 	seq     uint64
 	basis   time.Time
 	all     bool
 	centres []string
 }
 
-// NewNode returns a node that starts now and holds nothing. seeds are nodes to ask while the table is down.
-func NewNode(self *Member, life ids.Incarnation, seeds []*Member, o Options, rng *rand.Rand, now time.Time) *Node {
+// NewNode returns a node that starts now with an empty log. It fetches the state from one of seeds while the table is down.
+func NewNode(self *Member, incarnation ids.Incarnation, seeds []*Member, o Options, rng *rand.Rand, now time.Time) *Node {
 	n := &Node{
 		options:     o.withDefaults(),
 		self:        self,
-		incarnation: string(life),
+		incarnation: string(incarnation),
 		rng:         rng,
-		born:        now,
+		startedAt:   now,
 		machine:     chart.Start(),
 		children:    map[string]*child{},
 		seeds:       seeds,
-		wanted:      map[string]want{},
-		heard:       map[string]time.Time{},
-		listed:      map[string]bool{},
-		counts:      map[string]uint64{},
-		originAt:    now,
+		requests:    map[string]membershipRequest{},
+		lastSeen:    map[string]time.Time{},
+		everListed:  map[string]bool{},
+		holdsCounts: map[string]uint64{},
+		originSince: now,
 	}
-	n.beatAt = now.Add(n.jitter(n.options.HeartbeatInterval))
+	n.heartbeatAt = now.Add(n.jitter(n.options.HeartbeatInterval))
 	n.nonces = []nonce{{rng.Uint64() >> 1, now}}
 	return n
 }
@@ -145,8 +146,8 @@
 	return 0
 }
 
-// at returns the state after an entry, or nil if it is not kept.
-func (n *Node) at(seq uint64) *State {
+// stateAt returns the state after entry seq, or nil if it is not retained.
+func (n *Node) stateAt(seq uint64) *State {
 	for _, s := range n.states {
 		if s.Seq == seq {
 			return s
@@ -173,34 +174,34 @@
 	n.out = nil
 }
 
-func (n *Node) do(e Effect) { n.out = append(n.out, e) }
+func (n *Node) emit(e Effect) { n.out = append(n.out, e) }
 
 func (n *Node) fire(ev charts.Event) {
-	// The chart declares each of these events, so Fire cannot fail; charts_test and the chart's own check hold that.
+	// Fire cannot fail: the chart declares each of these events, which charts_test and the chart's own check verify.
 	_, _ = n.machine.Fire(ev)
 }
 
-// finish settles what follows from an event and returns the effects.
+// finish runs the steps that follow every event and returns the effects.
 func (n *Node) finish() []Effect {
-	n.dropSilent()
+	n.dropUnresponsive()
 	n.editRoster()
 	n.accept()
 	n.advance()
-	n.spread()
+	n.pushHeartbeat()
 	n.acknowledge()
 	n.poll()
 	n.publish()
 	return n.out
 }
 
-// Tick lets time pass.
+// Tick advances the node to now.
 func (n *Node) Tick(now time.Time) []Effect {
 	n.begin(now)
 	return n.finish()
 }
 
-// Leave makes the node take no new work any more and ask to be removed from the roster. Its owner calls it when its
-// work is finished, and may end once the view's newest roster lacks it.
+// Leave stops the node from taking new work and requests its removal from the roster. The owner calls it when the node's
+// work is finished, and may exit once the newest roster in the view no longer contains the node.
 func (n *Node) Leave(now time.Time) []Effect {
 	n.begin(now)
 	n.leaving = true
@@ -208,27 +209,27 @@
 	return n.finish()
 }
 
-// OnCommitted takes an entry that this node itself has committed in the table.
+// OnCommitted processes an entry that this node itself has committed in the table.
 func (n *Node) OnCommitted(now time.Time, e *Entry) []Effect {
 	n.begin(now)
-	n.learn([]*Entry{e}, e.GetSeq(), 0)
+	n.merge([]*Entry{e}, e.GetSeq(), 0)
 	return n.finish()
 }
 
-// OnAccepted takes the outcome of Accept: the newest entry that is accepted, 0 if that could not be written.
+// OnAccepted processes the outcome of Accept: the newest accepted entry, or 0 if the write failed.
 func (n *Node) OnAccepted(now time.Time, seq uint64) []Effect {
 	n.begin(now)
 	n.acceptAt = n.now
 	if seq == 0 {
-		// An open circuit fails at once; asking again at once would never end.
+		// An open circuit breaker fails immediately, so an immediate retry would loop.
 		n.acceptAt = n.now.Add(n.options.HeartbeatInterval/2 + n.jitter(n.options.HeartbeatInterval))
 	}
-	n.learn(nil, 0, seq)
+	n.merge(nil, 0, seq)
 	return n.finish()
 }
 
-// learn takes committed entries, wherever they come from, and stages those that follow what is held.
-func (n *Node) learn(entries []*Entry, committed, accepted uint64) {
+// merge records committed entries and sequence numbers from any source, and stages the entries that follow the held ones.
+func (n *Node) merge(entries []*Entry, committed, accepted uint64) {
 	before := [3]uint64{n.staged(), n.committed, n.accepted}
 	for _, e := range entries {
 		if len(n.states) > 0 && e.GetSeq() == n.staged()+1 {
@@ -238,13 +239,13 @@
 	n.committed = max(n.committed, committed, n.staged())
 	n.accepted = max(n.accepted, accepted)
 	if before != [3]uint64{n.staged(), n.committed, n.accepted} {
-		n.news = true
+		n.hasUpdate = true
 		n.scheduleAck(n.ackDelay())
 	}
 }
 
-// stage holds e from now on. An entry that this node cannot apply is not held, so it is never accepted while the node
-// is a member, and `pending` names the node.
+// stage applies e and holds it. An entry that this node cannot apply is not held, so it is never accepted while the node
+// is a member, and the list of pending nodes names it.
 func (n *Node) stage(e *Entry) {
 	next, err := n.head().Apply(e)
 	if err != nil {
@@ -253,13 +254,13 @@
 	before := n.head().Roster
 	n.states = append(n.states, next)
 	n.log = append(n.log, e)
-	if len(n.log) > logKept {
-		n.log = slices.Clone(n.log[len(n.log)-logKept:])
+	if len(n.log) > maxLogEntries {
+		n.log = slices.Clone(n.log[len(n.log)-maxLogEntries:])
 	}
 	n.fire(evStaged)
-	p := &pending{state: next, since: n.now, held: map[int]time.Time{}, seen: map[int]time.Time{}, edit: e.GetRoster()}
+	p := &pending{state: next, since: n.now, heldSince: map[int]time.Time{}, lastAck: map[int]time.Time{}, edit: e.GetRoster()}
 	if i, ok := next.Roster.index[n.self.GetName()]; ok {
-		p.held[i], p.seen[i] = n.now, n.now
+		p.heldSince[i], p.lastAck[i] = n.now, n.now
 	}
 	for _, name := range e.GetRoster().GetSilent() {
 		if m := before.Member(name); m != nil {
@@ -267,12 +268,12 @@
 		}
 	}
 	for _, m := range e.GetRoster().GetAdd() {
-		n.heard[m.GetName()] = n.now
+		n.lastSeen[m.GetName()] = n.now
 	}
 	n.pending = append(n.pending, p)
 }
 
-// reset replaces all that is held by a later state.
+// reset replaces the held states and entries by a later state.
 func (n *Node) reset(s *State) {
 	if len(n.states) > 0 && s.Seq <= n.staged() {
 		return
@@ -281,11 +282,11 @@
 	n.log = nil
 	n.pending = nil
 	n.committed = max(n.committed, s.Seq)
-	n.news = true
+	n.hasUpdate = true
 	n.scheduleAck(n.ackDelay())
 }
 
-// entriesAfter returns what another node lacks, or nil if this one does not keep it.
+// entriesAfter returns the held entries after seq, or nil if there are none or the log no longer retains all of them.
 func (n *Node) entriesAfter(seq uint64) []*Entry {
 	if len(n.log) == 0 || n.log[0].GetSeq() > seq+1 || seq >= n.staged() {
 		return nil
@@ -293,18 +294,18 @@
 	return n.log[seq+1-n.log[0].GetSeq():]
 }
 
-// advance puts in force what is accepted. It also puts in force what is held when the newest read of the table that
-// this node heard of is older than ForceAfter: otherwise a node that is cut off just before an entry is accepted would go
-// on without it for as long as it is cut off. A committed entry is never taken back, so this is early but not wrong.
+// advance puts the accepted entries in force. If the newest table read that this node is aware of is older than ForceAfter,
+// it puts all held entries in force: otherwise a node that is partitioned just before an entry is accepted would work
+// without it for the whole partition. A committed entry is never revoked, so this is early but not wrong.
 func (n *Node) advance() {
 	if len(n.states) == 0 || !n.recovered() {
 		return
 	}
 	target := min(n.accepted, n.staged())
-	if n.now.Sub(n.tableBasis) > n.options.ForceAfter {
+	if n.now.Sub(n.tableReadAt) > n.options.ForceAfter {
 		target = n.staged()
 	}
-	if s := n.at(target); s != nil && (n.inForce == nil || s.Seq > n.inForce.Seq) {
+	if s := n.stateAt(target); s != nil && (n.inForce == nil || s.Seq > n.inForce.Seq) {
 		n.putInForce(s)
 	}
 	keep := min(n.inForceSeq(), max(n.accepted, n.states[0].Seq))
@@ -323,8 +324,8 @@
 	if n.inForce == nil || s.Revision() != n.inForce.Revision() {
 		n.floors = append(slices.Clip(n.floors), floor{ids.Revision(s.Revision()), n.now.Add(n.options.ForceAfter)})
 	}
-	if len(n.floors) > floorsKept {
-		n.floors = n.floors[len(n.floors)-floorsKept:]
+	if len(n.floors) > maxFloors {
+		n.floors = n.floors[len(n.floors)-maxFloors:]
 	}
 	n.inForce = s
 	if s.Seq == n.staged() {
@@ -332,56 +333,57 @@
 	}
 }
 
-// freshUntil returns the deadline for new work.
+// freshUntil returns the deadline for new work, zero if the node may take none.
 func (n *Node) freshUntil() time.Time {
 	if !n.recovered() || !n.isMember() || n.leaving || n.inForce == nil {
 		return time.Time{}
 	}
-	basis := n.tableBasis
-	// A majority tells what is held, not what is accepted. While an entry is held but not in force only the table can
-	// tell that it is not accepted yet; else a node that is paused right after could serve without it for ForceAfter longer.
-	if n.vouchBasis.After(basis) && n.inForce.Seq == n.staged() {
-		basis = n.vouchBasis
+	basis := n.tableReadAt
+	// A majority proves which entries are held, not which are accepted. While an entry is held but not in force, only the
+	// table can show that it is not accepted yet. Otherwise a node that is paused right after could serve without it for
+	// ForceAfter longer.
+	if n.certBasis.After(basis) && n.inForce.Seq == n.staged() {
+		basis = n.certBasis
 	}
 	return basis.Add(n.options.StaleAfter)
 }
 
-// covered takes a moment at which nothing after `seq` was committed, as far as a read of the table tells.
-func (n *Node) covered(basis time.Time, seq uint64) {
+// mergeTableRead records that a read of the table that began at basis showed no committed entry after seq.
+func (n *Node) mergeTableRead(basis time.Time, seq uint64) {
 	if n.staged() < seq || len(n.states) == 0 {
-		return // the node knows that it lacks something
+		return // this node lacks a committed entry
 	}
-	if basis.After(n.tableBasis) {
-		n.tableBasis = basis
+	if basis.After(n.tableReadAt) {
+		n.tableReadAt = basis
 	}
 	n.recover(basis)
 }
 
-// vouched takes a certificate of a majority.
-func (n *Node) vouched(v vouch) {
-	// Answers come in one by one, so the first certificate of a beat covers less than the last of the beat before;
-	// passed on too early, it would leave the other data centres without one.
-	wider := (v.all || !n.vouch.all) && len(v.centres) >= len(n.vouch.centres)
-	if v.basis.Sub(n.vouch.basis) > n.options.silence() || wider && !v.basis.Before(n.vouch.basis) {
-		n.vouch = v
+// mergeCert records a majority's certificate.
+func (n *Node) mergeCert(v quorumCert) {
+	// Acknowledgements arrive one by one, so the first certificate of a heartbeat covers fewer data centres than the last
+	// one of the heartbeat before. If it replaced that one too early, the other data centres would have no certificate.
+	wider := (v.all || !n.newestCert.all) && len(v.centres) >= len(n.newestCert.centres)
+	if v.basis.Sub(n.newestCert.basis) > n.options.parentTimeout() || wider && !v.basis.Before(n.newestCert.basis) {
+		n.newestCert = v
 	}
 	mine := v.all || slices.Contains(v.centres, n.self.GetDataCentre())
 	if !mine || len(n.states) == 0 || n.staged() < v.seq {
 		return
 	}
-	if v.basis.After(n.vouchBasis) {
-		n.vouchBasis = v.basis
+	if v.basis.After(n.certBasis) {
+		n.certBasis = v.basis
 	}
-	n.recover(v.basis.Add(-quarantine))
+	n.recover(v.basis.Add(-restartQuarantine))
 }
 
-// recover ends the time in which a restarted node has forgotten what it acknowledged. Only knowledge from after its
-// start counts: an entry that its former life acknowledged was committed before that, so a read of the table shows it,
-// and a majority holds one of the nodes that acknowledged it too. A majority counts only once the acknowledgements of
-// the former life have run out everywhere (quarantine): until then they may be added up with those of nodes that got
-// hold of the entry after they had vouched for this one.
+// recover ends the recovery of a restarted node, which has lost its record of the entries that it acknowledged. The basis
+// must be later than the node's start: an entry that the previous incarnation acknowledged was committed before that, so a
+// read of the table shows it, and every majority contains a node that acknowledged it too. A majority counts only once the
+// acknowledgements of the previous incarnation have expired everywhere (restartQuarantine). Until then, they may be combined
+// with those of nodes that received the entry only after they had answered the heartbeat behind this certificate.
 func (n *Node) recover(basis time.Time) {
-	if basis.Before(n.born) {
+	if basis.Before(n.startedAt) {
 		return
 	}
 	n.fire(evRecovered)
@@ -395,25 +397,25 @@
 		n.fire(evStale)
 	}
 	v := &View{
-		InForce:    n.inForce,
-		FreshUntil: until,
-		TableAt:    n.tableBasis,
-		Committed:  n.committed,
-		Accepted:   n.accepted,
-		Staged:     n.staged(),
-		Pending:    n.pendingNames(),
-		Newest:     n.head(),
-		floors:     n.floors,
+		InForce:     n.inForce,
+		FreshUntil:  until,
+		TableReadAt: n.tableReadAt,
+		Committed:   n.committed,
+		Accepted:    n.accepted,
+		Staged:      n.staged(),
+		Pending:     n.pendingNames(),
+		Newest:      n.head(),
+		floors:      n.floors,
 	}
 	if n.view != nil && sameView(v, n.view) {
 		return
 	}
 	n.view = v
-	n.do(&Publish{v})
+	n.emit(&Publish{v})
 }
 
 func sameView(a, b *View) bool {
-	same := a.InForce == b.InForce && a.FreshUntil.Equal(b.FreshUntil) && a.TableAt.Equal(b.TableAt)
+	same := a.InForce == b.InForce && a.FreshUntil.Equal(b.FreshUntil) && a.TableReadAt.Equal(b.TableReadAt)
 	same = same && a.Committed == b.Committed && a.Accepted == b.Accepted && a.Staged == b.Staged
 	return same && a.Newest == b.Newest && slices.Equal(a.Pending, b.Pending)
 }
