--- a/internal/policy/admission/classqueue.go
+++ b/internal/policy/admission/classqueue.go
@@ -9,18 +9,18 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// flow holds one client's waiting requests of one class, and the service the client has received.
+// flow holds one client's waiting requests of one class, and the work that was started for the client.
 type flow struct {
 	client ids.Client
 	share  float64
 	items  []*item
 	// backlog is the waiting work in tokens.
 	backlog float64
-	// served is the work the client was given, in tokens, divided by its share. The flow with the lowest value goes
-	// next.
+	// served is the work that was started for the client, in tokens, divided by its share. The flow with the lowest
+	// value is served next.
 	served float64
-	// rate measures the work that the client was given, and backloggedSince is the start of the current period without
-	// an empty backlog.
+	// rate measures the work that was started for the client, and backloggedSince is the start of the current period
+	// without an empty backlog.
 	rate            rateMeter
 	backloggedSince time.Time
 	index           int
@@ -122,8 +122,8 @@
 	}
 }
 
-// idleAfter is how long after the start of its last backlog an idle client is remembered, with the service that it
-// received beyond its share.
+// idleAfter is how long after the start of its last backlog an idle client is remembered, with the work that was
+// started for it beyond its share.
 const idleAfter = time.Minute
 
 // adjust charges a client for the difference between its real and its estimated work.
@@ -138,7 +138,7 @@
 	}
 }
 
-// flowHeap orders flows by the work they were served.
+// flowHeap sorts flows by their served values, the lowest first.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int { return len(h) }
--- a/internal/policy/admission/estimate.go
+++ b/internal/policy/admission/estimate.go
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// sweep refuses the waiting requests of a class that can no longer be done in time.
-func (q *Queue) sweep(c *classQueue, now time.Time) []Outcome {
+// refuseLate refuses the waiting requests of a class that can no longer be done in time.
+func (q *Queue) refuseLate(c *classQueue, now time.Time) []Outcome {
 	if c.waiting == 0 {
 		return nil
 	}
@@ -83,7 +83,7 @@
 	return outcomes
 }
 
-// wait returns the time until a client's request is served that has the given work of the same client ahead of it. The
+// wait returns the expected time until a request is started that is queued behind ahead tokens of the same client. The
 // schedule is too optimistic while other clients keep sending, so a client with a long-standing backlog waits at least
 // as long as the rate at which it was actually served implies.
 func (q *Queue) wait(s schedule, f *flow, ahead float64, now time.Time) time.Duration {
@@ -104,9 +104,9 @@
 	return max(time.Second, (d + time.Second - 1).Truncate(time.Second))
 }
 
-// schedule predicts when the work of a class is served if nothing new arrives. Fair queueing serves each client's
-// backlog in proportion to its share. So by the time that one client was served v tokens per unit of share, each other
-// client was served the same per unit of share, or its complete backlog.
+// schedule predicts when the waiting work of a class is started if nothing new arrives. Fair queueing serves the
+// clients in proportion to their shares. So when v tokens per unit of share have been started for one client, the same
+// has been started for each other client, or its complete backlog if that is less.
 type schedule struct {
 	rate float64
 	// levels holds the backlogs per unit of share in ascending order. For each level, cumulative is the sum of the
@@ -134,7 +134,8 @@
 	return s
 }
 
-// wait returns the time until a client with the given share and the given work ahead of its own is served.
+// wait returns the time until a request is started that is queued behind ahead tokens of the same client; share is the
+// client's share.
 func (s schedule) wait(ahead, share float64) time.Duration {
 	v := ahead / share
 	i, _ := slices.BinarySearch(s.levels, v)
@@ -153,7 +154,7 @@
 // minRate keeps estimates finite when nothing was served for a while.
 const minRate = 1
 
-// rateFor returns the work per second that the classes of higher priority leave to a class.
+// rateFor returns the work per second that remains for a class after the classes that are served before it.
 func (q *Queue) rateFor(c *classQueue, now time.Time) float64 {
 	rate := q.capacity.TokensPerSecond
 	if !q.busySince.IsZero() && now.Sub(q.busySince) >= q.opts.RateWindow {
--- a/internal/policy/admission/gate_test.go
+++ b/internal/policy/admission/gate_test.go
@@ -8,8 +8,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/admission"
 )
 
-// Many goroutines share one gate. Each ticket must be decided exactly once, and all capacity must be freed, including
-// that of callers that disconnected while they waited.
+// Guards against tickets that are not decided or decided twice, and against capacity that is not freed, when many
+// goroutines share one gate and some callers disconnect while they wait.
 func TestGateDecidesEveryTicket(t *testing.T) {
 	const callers, concurrency = 50, 4
 	g := admission.NewGate(admission.NewQueue(options(), admission.Capacity{Concurrency: concurrency, TokensPerSecond: 1e9}))
--- a/internal/policy/admission/limits/exchange.go
+++ b/internal/policy/admission/limits/exchange.go
@@ -23,13 +23,13 @@
 // only.
 const FullExchangeUpTo = 16
 
-// Ring selects the entries that records are sent to.
+// EntrySet is the set of live entries. It selects, by rendezvous hashing, the entries that records are sent to.
 type Ring struct {
 	entries []ids.Node
 	hashing *rendezvous.Rendezvous
 }
 
-// NewRing returns the ring of the live entries, including this one.
+// NewEntrySet returns the set of the given live entries, which must include this one.
 func NewRing(entries []ids.Node) *Ring {
 	sorted := slices.Sorted(slices.Values(entries))
 	names := make([]string, len(sorted))
@@ -40,19 +40,19 @@
 }
 
 // FullExchange reports whether each entry reports to every other one.
-func (r *Ring) FullExchange() bool { return len(r.entries) <= FullExchangeUpTo }
+func (s *Ring) FullExchange() bool { return len(s.entries) <= FullExchangeUpTo }
 
 // Aggregator returns the entry that sums a client's demand if the exchange is not full.
-func (r *Ring) Aggregator(client ids.Client) ids.Node {
-	return ids.Node(r.hashing.Lookup(string(client)))
+func (s *Ring) Aggregator(client ids.Client) ids.Node {
+	return ids.Node(s.hashing.Lookup(string(client)))
 }
 
 // Recipients splits a report of the entry self by recipient. In the full exchange an empty report is sent too, because
 // it indicates that there is no demand any more.
-func (r *Ring) Recipients(self ids.Node, report []Record) map[ids.Node][]Record {
+func (s *Ring) Recipients(self ids.Node, report []Record) map[ids.Node][]Record {
 	to := make(map[ids.Node][]Record)
-	if r.FullExchange() {
-		for _, e := range r.entries {
+	if s.FullExchange() {
+		for _, e := range s.entries {
 			if e != self {
 				to[e] = report
 			}
@@ -60,7 +60,7 @@
 		return to
 	}
 	for _, record := range report {
-		node := r.Aggregator(record.Client)
+		node := s.Aggregator(record.Client)
 		to[node] = append(to[node], record)
 	}
 	return to
@@ -71,7 +71,7 @@
 const minDemand = 0.1
 
 // Report returns the demand of this entry's clients in descending order of tokens, limited to Options.MaxRecords. It
-// also deletes expired state. It is called once per second, and the result is sent to Ring.Recipients.
+// also deletes expired state. It is called once per second, and the result is sent to EntrySet.Recipients.
 func (l *Limiter) Report(now time.Time) []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,7 +80,7 @@
 	for client, a := range l.accounts {
 		demand := a.demand.rate(l.opts.Window, now)
 		switch {
-		case now.Sub(a.refilled) > l.opts.Hold:
+		case now.Sub(a.refilled) > l.opts.HoldFor:
 			delete(l.accounts, client)
 		case l.reportable(demand, l.limits[client]):
 			records = append(records, Record{client, demand})
--- a/internal/policy/admission/limits/limiter.go
+++ b/internal/policy/admission/limits/limiter.go
@@ -16,16 +16,16 @@
 
 // Options configures a Limiter.
 type Options struct {
-	// Burst is the time whose worth of the limit may be used in one burst.
+	// Burst is the size of the largest burst, as the time in which the limit grants that amount.
 	Burst time.Duration
 	// Window is the time constant of the demand measurement.
 	Window time.Duration
-	// Fresh is how long a report counts if its entry keeps sending reports without that client; three reports may be
+	// FreshFor is how long a report counts if its entry keeps sending reports without that client; three reports may be
 	// lost.
-	Fresh time.Duration
-	// Hold is how long the last demand of the other entries counts after reports, or the aggregator's replies, stop
+	FreshFor time.Duration
+	// HoldFor is how long the last demand of the other entries counts after reports, or the aggregator's replies, stop
 	// arriving.
-	Hold time.Duration
+	HoldFor time.Duration
 	// MaxRecords bounds a report so that it fits into one datagram together with a digest. The clients with the most
 	// demand are reported.
 	MaxRecords int
@@ -34,7 +34,7 @@
 // Defaults returns the production options.
 func Defaults() Options {
 	return Options{
-		Burst: time.Second, Window: 2 * time.Second, Fresh: 3500 * time.Millisecond, Hold: 30 * time.Second,
+		Burst: time.Second, Window: 2 * time.Second, FreshFor: 3500 * time.Millisecond, HoldFor: 30 * time.Second,
 		MaxRecords: 56,
 	}
 }
@@ -174,8 +174,8 @@
 	a.allowance.Tokens = filled(a.allowance.Tokens, share.Tokens*limit.TokensPerSecond, elapsed, burst)
 }
 
-// filled adds the allowance accrued at a rate over the elapsed seconds. It is capped at one burst, but never below one
-// request.
+// filled adds the allowance accrued at a rate over the elapsed seconds, up to a cap of one burst, or of 1 (request or
+// token) if a burst is less.
 func filled(level, rate, elapsed, burst float64) float64 {
 	return min(level+rate*elapsed, max(1, rate*burst))
 }
--- a/internal/policy/admission/limits/limiter_test.go
+++ b/internal/policy/admission/limits/limiter_test.go
@@ -24,7 +24,7 @@
 type cluster struct {
 	names    []ids.Node
 	limiters map[ids.Node]*limits.Limiter
-	ring     *limits.Ring
+	entrySet *limits.Ring
 	// partition is the network partition that each entry is in.
 	partition map[ids.Node]int
 	now       time.Time
@@ -41,7 +41,7 @@
 		c.limiters[name] = limits.New(limits.Defaults(), n)
 		c.limiters[name].SetLimits(map[ids.Client]limits.Limit{client: limit})
 	}
-	c.ring = limits.NewRing(c.names)
+	c.entrySet = limits.NewRing(c.names)
 	return c
 }
 
@@ -66,13 +66,13 @@
 func (c *cluster) exchange() {
 	for _, from := range c.names {
 		report := c.limiters[from].Report(c.now)
-		for to, records := range c.ring.Recipients(from, report) {
+		for to, records := range c.entrySet.Recipients(from, report) {
 			if c.partition[from] != c.partition[to] {
 				continue
 			}
 			c.sent += len(records)
 			sums := c.limiters[to].MergeReport(from, records, c.now)
-			if !c.ring.FullExchange() {
+			if !c.entrySet.FullExchange() {
 				c.limiters[from].MergeSums(sums, c.now)
 			}
 		}
@@ -107,7 +107,8 @@
 	}
 }
 
-// All callers of a client use the address of one entry. They must get the full limit there, not an even share.
+// Guards against an even split of the limit when all callers of a client use the address of one entry: they must get
+// the full limit there.
 func TestTheLimitFollowsTheDemand(t *testing.T) {
 	c := newCluster(6, limits.Limit{RequestsPerSecond: 100})
 	if got := meanPerSecond(c.run(20, 500, 1, c.names[:1])[5:]); got < 90 || got > 110 {
@@ -118,9 +119,9 @@
 	}
 }
 
-// The data centres are partitioned. For Options.Hold nothing changes, because each partition keeps counting the last
-// known demand of the others. After that each of k partitions grants the full limit, so together they grant at most k
-// times the limit. When the partitions are joined again, the limit holds within seconds.
+// Guards against an unbounded overrun while the data centres are partitioned. For Options.HoldFor nothing changes,
+// because each partition keeps counting the last known demand of the others. After that k partitions together grant at
+// most k times the limit. When they are joined again, the limit holds within seconds.
 func TestOverrunWhilePartitioned(t *testing.T) {
 	const limit = 100.0
 	for _, partitions := range []int{2, 3} {
@@ -129,7 +130,7 @@
 		for i, name := range c.names {
 			c.partition[name] = i % partitions
 		}
-		hold := int(limits.Defaults().Hold / time.Second)
+		hold := int(limits.Defaults().HoldFor / time.Second)
 		if got := meanPerSecond(c.run(hold-5, 500, 1, c.names)) / limit; got > 1.1 {
 			t.Errorf("%d partitions: %.2f times the limit while the others' demand is held", partitions, got)
 		}
@@ -144,7 +145,8 @@
 	}
 }
 
-// An entry dies and its callers move to the others. Its demand counts twice until the entry is known to be dead.
+// Guards against demand that is counted twice for long: an entry dies, and its callers move to the others while its
+// last report still counts.
 func TestDeadEntryIsForgotten(t *testing.T) {
 	c := newCluster(3, limits.Limit{RequestsPerSecond: 100})
 	c.run(10, 300, 1, c.names)
@@ -179,8 +181,8 @@
 	}
 }
 
-// 30,000 accounts send requests to one entry. Its report must stay within its budget and contain the clients with the
-// most demand.
+// Guards against a report that exceeds its size limit, or drops the clients with the most demand, when 30,000 accounts
+// send requests to one entry.
 func TestAReportIsBounded(t *testing.T) {
 	l := limits.New(limits.Defaults(), 360)
 	for i := range 30_000 {
@@ -218,12 +220,12 @@
 	}
 }
 
-func TestTheRingSpreadsClientsOverEntries(t *testing.T) {
+func TestClientsAreSpreadOverAggregators(t *testing.T) {
 	names := newCluster(40, limits.Limit{}).names
-	ring := limits.NewRing(names)
+	entrySet := limits.NewRing(names)
 	counts := make(map[ids.Node]int)
 	for i := range 30_000 {
-		counts[ring.Aggregator(ids.Client(fmt.Sprintf("client-%d", i)))]++
+		counts[entrySet.Aggregator(ids.Client(fmt.Sprintf("client-%d", i)))]++
 	}
 	if most := slices.Max(slices.Collect(maps.Values(counts))); len(counts) != 40 || most > 30_000/40*3/2 {
 		t.Fatalf("%d entries aggregate, the busiest for %d clients", len(counts), most)
--- a/internal/policy/admission/limits/peerdemands.go
+++ b/internal/policy/admission/limits/peerdemands.go
@@ -35,14 +35,14 @@
 	}
 }
 
-// valid reports whether a report still counts. If the entry sent reports without this client for Options.Fresh, the
+// valid reports whether a report still counts. If the entry sent reports without this client for Options.FreshFor, the
 // client has no demand there any more. If the entry sends no reports at all, it may just be partitioned from this one
-// while callers still use it, so its last report counts for Options.Hold.
+// while callers still use it, so its last report counts for Options.HoldFor.
 func (p *peerDemands) valid(from ids.Node, r report, now time.Time) bool {
-	if p.lastReport[from].Sub(r.at) >= p.opts.Fresh {
+	if p.lastReport[from].Sub(r.at) >= p.opts.FreshFor {
 		return false
 	}
-	return now.Sub(r.at) < p.opts.Hold
+	return now.Sub(r.at) < p.opts.HoldFor
 }
 
 // sum returns the sum of the demand that all other entries reported for a client. known is false if no report counts.
@@ -60,7 +60,7 @@
 // aggregator sent.
 func (p *peerDemands) others(client ids.Client, a *account, now time.Time) (Usage, bool) {
 	direct, known := p.sum(client, now)
-	if a.othersAt.IsZero() || now.Sub(a.othersAt) >= p.opts.Hold {
+	if a.othersAt.IsZero() || now.Sub(a.othersAt) >= p.opts.HoldFor {
 		return direct, known
 	}
 	return Usage{max(direct.Requests, a.othersSum.Requests), max(direct.Tokens, a.othersSum.Tokens)}, true
--- a/internal/policy/admission/limits/wire_test.go
+++ b/internal/policy/admission/limits/wire_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// The largest report must fit into one datagram of 1,400 bytes together with the rest of a digest, which takes up to
-// 190.
+// Guards against a report that is too large for its datagram: with the rest of a digest, which takes up to 190 bytes,
+// it must fit into 1,400.
 func TestLargestReportFitsADatagram(t *testing.T) {
 	var records []limits.Record
 	for i := range limits.Defaults().MaxRecords {
--- a/internal/policy/admission/queue.go
+++ b/internal/policy/admission/queue.go
@@ -12,7 +12,7 @@
 // Class is a priority class of the configuration.
 type Class struct {
 	Name string
-	// Rank orders the classes; 0 goes first.
+	// Priority orders the classes; 0 is served first.
 	Rank int
 	// QueueLimit is the maximum number of waiting requests.
 	QueueLimit int
@@ -38,7 +38,8 @@
 	// MaxWait is the maximum expected wait of a queued request; 0 means that only its deadline counts. A queue absorbs
 	// bursts. Under lasting overload a longer queue serves no more requests; each of them just waits longer.
 	MaxWait time.Duration
-	// Share returns a client's weight at this entry, above 0; nil means 1 for every client.
+	// Share returns a client's share at this entry, above 0; nil means 1 for every client. Clients are served in
+	// proportion to their shares.
 	Share func(ids.Client) float64
 }
 
@@ -48,8 +49,8 @@
 const DefaultReserve = 0.3
 
 // DefaultMaxWait lets the queue absorb bursts of half a second. A request that waits longer gets its first token too
-// late to be of use: the target is 1.1 seconds, and the rest of it is needed for reading the prompt and for the steps
-// of a busy batch.
+// late to be of use: the target is 1.1 seconds, and the rest of it is needed for the prefill and for the steps of a
+// busy batch.
 const DefaultMaxWait = 500 * time.Millisecond
 
 // DefaultRateWindow is long enough to even out single long requests.
@@ -63,7 +64,7 @@
 	Class  string
 	// Tokens is the estimated work: prompt and output tokens.
 	Tokens float64
-	// Run is the expected time from the start to the event that Deadline applies to.
+	// Run is the expected time from the start of the request to the end of its response.
 	Run      time.Duration
 	Deadline time.Time
 }
@@ -87,8 +88,8 @@
 	classes  []*classQueue
 	started  map[uint64]startedItem
 	rate     rateMeter
-	// firstClassAt is when the last request of the first class arrived.
-	firstClassAt time.Time
+	// lastFirstClassArrival is when the last request of the first class arrived.
+	lastFirstClassArrival time.Time
 	// busySince is the start of the current period with waiting requests; zero if none waits.
 	busySince time.Time
 }
@@ -98,7 +99,7 @@
 	class *classQueue
 }
 
-// NewQueue returns an empty queue. Classes are served by rank.
+// NewQueue returns an empty queue. Classes are served by Priority.
 func NewQueue(opts Options, capacity Capacity) *Queue {
 	if opts.RateWindow <= 0 {
 		opts.RateWindow = DefaultRateWindow
@@ -135,7 +136,7 @@
 		return []Outcome{{req, failure.New(failure.CodeInternal, &ClassError{req.Class})}}
 	}
 	if c == q.classes[0] {
-		q.firstClassAt = now
+		q.lastFirstClassArrival = now
 	}
 	it := &item{req: req, submitted: now}
 	if err := q.refusal(c, it, now); err != nil {
@@ -186,7 +187,7 @@
 func (q *Queue) Tick(now time.Time) []Outcome {
 	outcomes := q.start(now)
 	for _, c := range q.classes {
-		outcomes = append(outcomes, q.sweep(c, now)...)
+		outcomes = append(outcomes, q.refuseLate(c, now)...)
 		c.forget(now)
 	}
 	q.markBusy(now)
@@ -218,13 +219,13 @@
 	return max(minShare, q.opts.Share(client))
 }
 
-// minShare is the weight of a client without one, for example because its account was just removed.
+// minShare is the share of a client that has none, for example because its account was just removed.
 const minShare = 0.001
 
 // reserveFor is how long the reserve is kept after the last request of the first class.
 const reserveFor = 30 * time.Second
 
-// start starts waiting requests, best class first, while there is capacity for them.
+// start starts waiting requests, those of the first class first, while there is capacity for them.
 func (q *Queue) start(now time.Time) []Outcome {
 	var outcomes []Outcome
 	for i, c := range q.classes {
@@ -242,7 +243,7 @@
 // leave the reserve free. If they used the complete pool, a request of the first class would wait until some response
 // ends, however high its priority.
 func (q *Queue) concurrency(index int, now time.Time) int {
-	if index == 0 || q.firstClassAt.IsZero() || now.Sub(q.firstClassAt) > reserveFor {
+	if index == 0 || q.lastFirstClassArrival.IsZero() || now.Sub(q.lastFirstClassArrival) > reserveFor {
 		return q.capacity.Concurrency
 	}
 	return q.capacity.Concurrency - int(q.opts.Reserve*float64(q.capacity.Concurrency))
--- a/internal/policy/admission/queue_test.go
+++ b/internal/policy/admission/queue_test.go
@@ -14,6 +14,7 @@
 )
 
 const (
+	// quotes is the first class, letters the second.
 	quotes  = "quotes"
 	letters = "letters"
 	run     = 100 * time.Millisecond
@@ -124,7 +125,8 @@
 	}
 }
 
-// A service whose requests are all of a lower class must not lose capacity to a class that sends no requests.
+// Guards against capacity that stays unused: a service whose requests are all of a lower class loses the reserve to a
+// class that sends no requests.
 func TestNothingIsReservedForAnUnusedClass(t *testing.T) {
 	opts := options()
 	opts.Reserve = 0.25
@@ -137,8 +139,8 @@
 	}
 }
 
-// An account is removed while its requests wait. Its weight is then 0, and a division by it would block the whole
-// class.
+// Guards against a class that is blocked by one client: an account is removed while its requests wait, its share is
+// then 0, and the queue divides by it.
 func TestClientWithoutAShareDoesNotBlockOthers(t *testing.T) {
 	opts := options()
 	opts.Share = func(c ids.Client) float64 { return map[ids.Client]float64{"a": 1}[c] }
@@ -198,8 +200,9 @@
 	}
 }
 
-// A waiting request would just meet its deadline, but then the pool loses half of its capacity. The request must be
-// refused at that time, seconds before the deadline, so that the caller can turn elsewhere.
+// Guards against a refusal that comes too late: a waiting request would just meet its deadline, but then the pool loses
+// half of its capacity. It must be refused at that time, seconds before the deadline, so that the caller can try
+// another server.
 func TestWaitingRequestIsRefusedOnceItCannotMeetItsDeadline(t *testing.T) {
 	s := newQueueSim(options(), 2)
 	for range 40 {
@@ -216,8 +219,8 @@
 	}
 }
 
-// Quotes use half of the pool. A client with many letters and a near deadline must be told on submission which of them
-// cannot be done with the other half.
+// Guards against an expected wait that ignores higher classes: quotes use half of the pool, and a client submits many
+// letters with a near deadline. Those that cannot be done with the other half must be refused on submission.
 func TestExpectedWaitIncludesHigherClasses(t *testing.T) {
 	s := newQueueSim(options(), 1)
 	for range 25 {
@@ -233,8 +236,7 @@
 	}
 }
 
-// One client floods while two others send less than their share or just as much. The flood must not take capacity from
-// them.
+// Guards against a client that floods the queue and so takes capacity from others, which send at most their share.
 func TestFloodGetsOnlyItsShare(t *testing.T) {
 	opts := options()
 	opts.Share = func(c ids.Client) float64 { return map[ids.Client]float64{"double": 2}[c] + 1 }
@@ -288,8 +290,8 @@
 	}
 }
 
-// For any sequence of submissions, completions and cancellations, each request gets exactly one outcome, the
-// concurrency limit is never exceeded, and no request waits while there is capacity.
+// Guards against requests without an outcome or with two, too many started requests, and requests that wait while there
+// is capacity, after any sequence of submissions, completions and cancellations.
 func TestEveryRequestGetsOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const concurrency = 3
--- a/internal/policy/attempt/attempt_test.go
+++ b/internal/policy/attempt/attempt_test.go
@@ -40,8 +40,9 @@
 	}
 }
 
-// An entry loses contact with its attempt, the slot fences the attempt, and the caller is told "not run". Then the
-// delayed request arrives after all. If it were started, a resend by the caller would run the request a second time.
+// Guards against a request that runs twice: an entry loses contact with its attempt, the slot fences the attempt, and
+// the caller receives "not run". Then the delayed attempt arrives after all. If it were started, a resend by the caller
+// would run the request a second time.
 func TestAFencedAttemptNeverStarts(t *testing.T) {
 	tracker := attempt.NewTracker(t0)
 	if !tracker.Fence(testAttempt, t0) {
@@ -54,8 +55,8 @@
 	}
 }
 
-// The slot had already started the attempt when the entry asked for a fence. It must deny the fence and refuse a second
-// copy of the attempt, so that the request runs once.
+// Guards against a request that runs twice: the slot has already started the attempt when the entry asks for a fence.
+// It must deny the fence and refuse a second copy of the attempt.
 func TestAStartedAttemptIsNeitherFencedNorStartedAgain(t *testing.T) {
 	tracker := attempt.NewTracker(t0)
 	if err := tracker.Begin(testAttempt, t0); err != nil {
@@ -115,8 +116,8 @@
 	}
 }
 
-// The slot's host crashes in mid-stream and the stream just ends, so the caller could mistake half a response for a
-// complete one. A stream without its last event must be reported as truncated, wherever it breaks.
+// Guards against half a response that the caller mistakes for a complete one: the slot's host crashes in mid-stream and
+// the stream just ends. A stream without its last event must be reported as truncated, wherever it breaks.
 func TestStreamWithoutItsLastEventIsTruncated(t *testing.T) {
 	var wire bytes.Buffer
 	if err := attempt.Write(&wire, &attempt.Event{Attempt: 1, Index: 0, Text: "abc"}); err != nil {
--- a/internal/policy/attempt/doc.go
+++ b/internal/policy/attempt/doc.go
@@ -1,4 +1,5 @@
-// Package attempt implements the protocol between an entry and a slot for one attempt at one request.
+// Package attempt implements the protocol between an entry, which receives a caller's request, and a slot, the process
+// that runs it on an upstream, for one attempt at one request.
 //
 // An attempt is a POST to PathRun with the fields of Header; its response carries the attempt's id in HeaderAttempt. A
 // model responds with a stream of Events, one per token; a plain service with its own status and body. A refusal
--- a/internal/policy/attempt/header.go
+++ b/internal/policy/attempt/header.go
@@ -47,7 +47,7 @@
 	// Remaining is the time left until the caller's deadline. It is a duration and not a time of day because clocks
 	// differ.
 	Remaining time.Duration
-	// Rank is the rank of the priority class; 0 goes first.
+	// Priority is the priority of the request's class; 0 is served first.
 	Rank uint32
 	// Key is the caller's idempotency key; empty for repeatable requests.
 	Key string
--- a/internal/policy/dispatch/choice_test.go
+++ b/internal/policy/dispatch/choice_test.go
@@ -19,11 +19,11 @@
 // capacity is roughly the number of streams per second that the ranks can serve.
 func (d deployment) capacity() float64 { return float64(d.ranks*d.slots) / 1.95 }
 
-func (d deployment) play(load float64, down outage, sharing bool) result {
+func (d deployment) simulate(load float64, down outage, sharing bool) result {
 	var r result
 	for seed := range uint64(3) {
-		g := newGroupReplay(seed, d.gateways, d.ranks, d.slots, d.interval, sharing)
-		g.play(load*d.capacity(), 12*time.Second, down)
+		g := newGroupSimulation(seed, d.gateways, d.ranks, d.slots, d.interval, sharing)
+		g.run(load*d.capacity(), 12*time.Second, down)
 		r.onTime += g.onTime
 		r.late += g.late
 		r.refused += g.refused
@@ -32,9 +32,9 @@
 	return r
 }
 
-// Many gateways place requests by reports that are a tenth of a second old or older. They all see the same ranks as the
-// least loaded, so streams queue there while other ranks are idle. The baseline in the same run ignores that other
-// gateways place requests too.
+// Guards against gateways that all choose the same rank: their reports of each other are a tenth of a second old or
+// older, so all see the same ranks as the least loaded, and streams queue there while other ranks are idle. The
+// baseline ignores that other gateways place requests too.
 func TestGatewaysDoNotAllChooseTheSameRank(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -49,8 +49,8 @@
 		{"many gateways", deployment{41, 72, 10, 200 * time.Millisecond}, 0.65, 0.98, 0.03},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ours := c.d.play(c.load, outage{}, true)
-			baseline := c.d.play(c.load, outage{}, false)
+			ours := c.d.simulate(c.load, outage{}, true)
+			baseline := c.d.simulate(c.load, outage{}, false)
 			t.Logf("ours %+v, least loaded of all %+v", ours, baseline)
 			if share := float64(ours.onTime) / float64(ours.all()); share < c.minOnTime {
 				t.Errorf("%.3f of the streams in time, want %.3f", share, c.minOnTime)
@@ -62,9 +62,9 @@
 	}
 }
 
-// When the ranks are nearly full, or all gateways send their waiting requests to a group that has just re-formed, every
-// gateway sees the same free slots. A stream that comes too late for one waits at the rank behind streams of two
-// seconds. Gateways that use their share of the slots leave the last ones to others.
+// Guards against streams that queue at a rank because several gateways used the same free slot, when the ranks are
+// nearly full or a group has just re-formed. Such a stream waits behind streams of two seconds. Gateways that use their
+// share of the slots leave the last ones to others.
 func TestLastSlotsAreLeftToGatewaysBelowTheirShare(t *testing.T) {
 	many := deployment{41, 72, 10, 200 * time.Millisecond}
 	for _, c := range []struct {
@@ -80,8 +80,8 @@
 		{"many gateways, the group re-forms", many, 0.8, outage{4 * time.Second, 1600 * time.Millisecond}, 1.2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ours := c.d.play(c.load, c.down, true)
-			baseline := c.d.play(c.load, c.down, false)
+			ours := c.d.simulate(c.load, c.down, true)
+			baseline := c.d.simulate(c.load, c.down, false)
 			t.Logf("ours %+v, without slot shares %+v", ours, baseline)
 			if float64(ours.onTime) < c.minGain*float64(baseline.onTime) {
 				t.Errorf("%d in time, want %.2f times the %d of the baseline", ours.onTime, c.minGain, baseline.onTime)
--- a/internal/policy/dispatch/gate.go
+++ b/internal/policy/dispatch/gate.go
@@ -18,7 +18,8 @@
 // NewGate wraps a pool. The caller must not use the pool directly any more.
 func NewGate(p *Pool) *Gate { return &Gate{pool: p} }
 
-// Wait submits a request and waits until it is placed. Errors: *NoUpstreamError, *OverloadedError, or the error of ctx.
+// Wait submits a request and waits until it is placed. Errors: *NoRegisteredUpstreamError, *OverloadedError, or the
+// error of ctx.
 func (g *Gate) Wait(ctx context.Context, r Request) (*Ticket, error) {
 	g.mu.Lock()
 	t := g.pool.Submit(r, time.Now())
--- a/internal/policy/dispatch/group_replay_test.go
+++ b/internal/policy/dispatch/group_replay_test.go
@@ -10,13 +10,13 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// Parameters of the simulated groups. Ranks work in lock-step: a pass takes passBase plus the reading time of the rank
-// with the most prompt tokens to read.
+// Parameters of the simulated groups. Ranks work in lockstep: a pass takes passBase plus the prefill time of the rank
+// with the most prompt tokens to process.
 const (
-	passBase   = 60 * time.Millisecond
-	readPerMS  = 61.2
-	passChunk  = 512
-	passStride = 5
+	passBase     = 60 * time.Millisecond
+	prefillPerMS = 61.2
+	passChunk    = 512
+	passStride   = 5
 	// streamEvents is about the mean number of events in a response; a stream gets one event per pass.
 	streamEvents        = 23
 	meanPrompt          = 700.0
@@ -28,14 +28,14 @@
 
 // stream is a request that is at a rank.
 type stream struct {
-	gateway *gatewayReplay
+	gateway *simulatedGateway
 	ticket  *dispatch.Ticket
 	request dispatch.Request
 	// due is the time by which the caller wants the first event.
-	due    time.Time
-	unread int
-	events int
-	late   bool
+	due        time.Time
+	promptLeft int
+	events     int
+	late       bool
 }
 
 // caller is a request and the time by which its caller wants the first event.
@@ -44,8 +44,8 @@
 	due     time.Time
 }
 
-// gatewayReplay is one of the gateways in front of the group, with its own pool.
-type gatewayReplay struct {
+// simulatedGateway is one of the gateways in front of the group, with its own pool.
+type simulatedGateway struct {
 	pool    *dispatch.Pool
 	waiting map[*dispatch.Ticket]caller
 	// reported is the work in flight of this gateway as last reported to the others, reportAt the time of the next
@@ -54,11 +54,11 @@
 	reportAt time.Time
 }
 
-// groupReplay simulates a group of ranks behind several gateways on a virtual clock.
-type groupReplay struct {
+// groupSimulation simulates a group of ranks behind several gateways on a virtual clock.
+type groupSimulation struct {
 	now      time.Time
 	rng      *rand.Rand
-	gateways []*gatewayReplay
+	gateways []*simulatedGateway
 	order    []ids.Upstream
 	slots    int
 	// at holds the streams at each rank in order of arrival: the first ones run, the others wait for a slot.
@@ -80,9 +80,9 @@
 	onTime, late, refused, queued int
 }
 
-// newGroupReplay returns an idle group. The pools take each other's placements into account only if sharing is set.
-func newGroupReplay(seed uint64, gateways, ranks, slots int, interval time.Duration, sharing bool, off ...dispatch.Mechanism) *groupReplay {
-	g := &groupReplay{
+// newGroupSimulation returns an idle group. The pools take each other's placements into account only if sharing is set.
+func newGroupSimulation(seed uint64, gateways, ranks, slots int, interval time.Duration, sharing bool, off ...dispatch.Mechanism) *groupSimulation {
+	g := &groupSimulation{
 		now: time.Unix(0, 0), rng: rand.New(rand.NewPCG(seed, 3)), slots: slots,
 		at: map[ids.Upstream][]*stream{}, interval: interval,
 	}
@@ -96,7 +96,7 @@
 	}
 	engine := &catalog.Engine{Chunk: passChunk, Stride: passStride}
 	for i := range gateways {
-		gw := &gatewayReplay{
+		gw := &simulatedGateway{
 			pool: dispatch.NewPool(
 				dispatch.Options{Engine: engine, Fill: 1, LateFill: 0.6, Off: disabled}, rand.New(rand.NewPCG(seed, uint64(10+i)))),
 			waiting:  map[*dispatch.Ticket]caller{},
@@ -112,17 +112,17 @@
 }
 
 // prompt returns a random prompt length from a realistic distribution: many are short, some are several times the mean.
-func (g *groupReplay) prompt() int {
+func (g *groupSimulation) prompt() int {
 	return int(min(maxPrompt, max(40, meanPrompt*math.Exp(0.8*g.rng.NormFloat64()-0.32))))
 }
 
-func (g *groupReplay) arrive() {
+func (g *groupSimulation) arrive() {
 	due := g.now.Add(streamTarget)
 	g.submit(caller{dispatch.Request{Arrived: g.now, Target: due, Deadline: g.now.Add(streamCallerTimeout), PromptTokens: g.prompt()}, due})
 }
 
 // submit sends a request to a random gateway.
-func (g *groupReplay) submit(c caller) {
+func (g *groupSimulation) submit(c caller) {
 	gw := g.gateways[g.rng.IntN(len(g.gateways))]
 	t := gw.pool.Submit(c.request, g.now)
 	gw.waiting[t] = c
@@ -131,7 +131,7 @@
 	}
 }
 
-func (g *groupReplay) decide(gw *gatewayReplay, list []*dispatch.Ticket) {
+func (g *groupSimulation) decide(gw *simulatedGateway, list []*dispatch.Ticket) {
 	for _, t := range list {
 		c := gw.waiting[t]
 		q := c.request
@@ -145,23 +145,23 @@
 			g.queued++
 		}
 		events := 1 + g.rng.IntN(2*streamEvents)
-		g.at[u] = append(g.at[u], &stream{gateway: gw, ticket: t, request: q, due: c.due, unread: q.PromptTokens, events: events})
+		g.at[u] = append(g.at[u], &stream{gateway: gw, ticket: t, request: q, due: c.due, promptLeft: q.PromptTokens, events: events})
 	}
 }
 
-// readPrompts has each rank read prompts for one pass. It returns the streams whose prompt is now read and the maximum
-// number of tokens that a rank read.
-func (g *groupReplay) readPrompts() (first []*stream, maxTokens int) {
+// prefill simulates the prefill work of all ranks in one pass. It returns the streams whose prefill is now done and the
+// maximum number of tokens that a rank processed.
+func (g *groupSimulation) prefill() (first []*stream, maxTokens int) {
 	for _, u := range g.order {
 		capacity := passChunk * passStride
 		for _, s := range g.at[u][:min(g.slots, len(g.at[u]))] {
-			n := min(capacity, s.unread)
+			n := min(capacity, s.promptLeft)
 			if n == 0 {
 				continue
 			}
-			s.unread -= n
+			s.promptLeft -= n
 			capacity -= n
-			if s.unread == 0 {
+			if s.promptLeft == 0 {
 				first = append(first, s)
 			}
 		}
@@ -171,9 +171,9 @@
 }
 
 // pass simulates one pass and returns its length.
-func (g *groupReplay) pass() time.Duration {
-	first, maxTokens := g.readPrompts()
-	length := passBase + time.Duration(float64(maxTokens)/readPerMS*float64(time.Millisecond))
+func (g *groupSimulation) pass() time.Duration {
+	first, maxTokens := g.prefill()
+	length := passBase + time.Duration(float64(maxTokens)/prefillPerMS*float64(time.Millisecond))
 	if g.usesInitialMap() {
 		length = time.Duration(float64(length) * g.initialMapSlowdown)
 	}
@@ -193,16 +193,16 @@
 	return length
 }
 
-// writeEvents adds an event to each stream whose prompt is read, and returns the streams that are done.
-func (g *groupReplay) writeEvents(length time.Duration) (done []*stream) {
+// writeEvents adds an event to each stream whose prefill is done, and returns the streams that are finished.
+func (g *groupSimulation) writeEvents(length time.Duration) (done []*stream) {
 	for _, u := range g.order {
 		var rest []*stream
 		for i, s := range g.at[u] {
-			if i < g.slots && s.unread == 0 {
+			if i < g.slots && s.promptLeft == 0 {
 				s.events--
 				s.late = s.late || length > maxEventGap
 			}
-			if i < g.slots && s.unread == 0 && s.events <= 0 {
+			if i < g.slots && s.promptLeft == 0 && s.events <= 0 {
 				done = append(done, s)
 			} else {
 				rest = append(rest, s)
@@ -215,7 +215,7 @@
 
 // exchangeReports updates the reports of the gateways that are due, and gives each gateway the sum of the others'
 // reports.
-func (g *groupReplay) exchangeReports() {
+func (g *groupSimulation) exchangeReports() {
 	for _, gw := range g.gateways {
 		if !g.now.Before(gw.reportAt) {
 			gw.reported = gw.pool.OwnWork()
@@ -237,7 +237,7 @@
 }
 
 // setClosed breaks the group and truncates all its streams, or lets it work again.
-func (g *groupReplay) setClosed(closed bool) {
+func (g *groupSimulation) setClosed(closed bool) {
 	g.closed = closed
 	for _, gw := range g.gateways {
 		g.decide(gw, gw.pool.SetClosed(closed, g.now))
@@ -259,7 +259,7 @@
 }
 
 // resend submits the requests of truncated streams again once resendAt is reached.
-func (g *groupReplay) resend() {
+func (g *groupSimulation) resend() {
 	if g.now.Before(g.resendAt) {
 		return
 	}
@@ -271,15 +271,15 @@
 	g.toResend = nil
 }
 
-func (g *groupReplay) usesInitialMap() bool {
+func (g *groupSimulation) usesInitialMap() bool {
 	return !g.openedAt.IsZero() && g.now.Sub(g.openedAt) < g.initialMapTime
 }
 
 // outage is a period in which the group does not work.
 type outage struct{ from, length time.Duration }
 
-// play runs the group for some time under a load in requests per second.
-func (g *groupReplay) play(perSecond float64, length time.Duration, down outage) {
+// run simulates the group for some time under a load in requests per second.
+func (g *groupSimulation) run(perSecond float64, length time.Duration, down outage) {
 	begin := g.now
 	next := begin
 	for g.now.Before(begin.Add(length)) {
--- a/internal/policy/dispatch/incarnation_test.go
+++ b/internal/policy/dispatch/incarnation_test.go
@@ -14,9 +14,9 @@
 	return []*catalog.Upstream{{ID: "u-00", StartedAtMS: startedAtMS, State: catalog.StateReady, Slots: 2}}
 }
 
-// An upstream's connections break while it is full and known to refuse requests, and it restarts under the same id. The
-// new incarnation is empty: it must get requests immediately, and reports of other gateways about the old incarnation
-// must not count.
+// Guards against state of an old incarnation that is applied to the new one: an upstream's connections break while it
+// is full and known to refuse requests, and it restarts under the same id. The new incarnation must get requests
+// immediately, and reports of other gateways about the old one must not count.
 func TestNewIncarnationStartsWithFreshState(t *testing.T) {
 	p := newPool(0, 0)
 	p.SetUpstreams(incarnationOf(1), at(0))
@@ -36,9 +36,10 @@
 	}
 }
 
-// The entry of a busy upstream expires while the store is unavailable and then returns. Its requests continue all the
-// time. If it counted as idle, it would get a second full set of requests, which would wait there for seconds.
-func TestExpiredEntryKeepsRequestsInFlight(t *testing.T) {
+// Guards against an upstream that gets twice its requests: its registration expires while the store is unavailable and
+// then returns, and its requests continue all the time. If it counted as idle, a second full set of requests would wait
+// there for seconds.
+func TestExpiredRegistrationKeepsRequestsInFlight(t *testing.T) {
 	p := newPool(0, 0)
 	p.SetUpstreams(incarnationOf(1), at(0))
 	running := p.Submit(timedRequest(at(0)), at(0))
--- a/internal/policy/dispatch/mechanism.go
+++ b/internal/policy/dispatch/mechanism.go
@@ -11,7 +11,7 @@
 	SlotShare Mechanism = "slot-share"
 	// LateFill limits late requests to a share of the slots.
 	LateFill Mechanism = "late-fill"
-	// LateReading limits how much of a pass may be spent on the prompts of late requests.
+	// LatePrefill limits how much of a pass may be spent on the prefill of late requests.
 	LateReading Mechanism = "late-reading"
 	// SlowRanks sends fewer requests to upstreams that are slower than normal.
 	SlowRanks Mechanism = "slow-ranks"
@@ -26,5 +26,5 @@
 	return []Mechanism{FewChoices, SlotShare, LateFill, LateReading, SlowRanks, EjectFailing, FirstResponseTime}
 }
 
-// Off is the set of mechanisms that are switched off.
+// DisabledMechanisms is the set of mechanisms that are disabled.
 type Off map[Mechanism]bool
--- a/internal/policy/dispatch/outlier.go
+++ b/internal/policy/dispatch/outlier.go
@@ -49,8 +49,8 @@
 	maxEjection   = 4 * time.Second
 )
 
-// outlier tracks the failures of one upstream.
-type outlier struct {
+// ejectionState holds the recent failures of one upstream, and the time until which they eject it.
+type ejectionState struct {
 	consecutiveBroken, consecutiveRefused int
 	ejections                             int
 	ejectedUntil                          time.Time
@@ -58,21 +58,21 @@
 }
 
 // usable reports whether the upstream is neither ejected nor replaced.
-func (o *outlier) usable(now time.Time) bool { return !o.replaced && !now.Before(o.ejectedUntil) }
+func (o *ejectionState) usable(now time.Time) bool { return !o.replaced && !now.Before(o.ejectedUntil) }
 
-// chosen records that a request is being sent. The first request after an ejection is a probe: the upstream stays
-// ejected for other requests until the outcome is known, or for firstEjection.
-func (o *outlier) chosen(now time.Time) {
+// recordChoice records that the upstream was chosen for a request. The first request after an ejection is a probe: the
+// upstream stays ejected for other requests until the outcome is known, or for firstEjection.
+func (o *ejectionState) recordChoice(now time.Time) {
 	if o.consecutiveBroken >= brokenThreshold {
 		o.ejectedUntil = now.Add(firstEjection)
 	}
 }
 
-// note records an outcome and reports whether it ejects the upstream.
-func (o *outlier) note(outcome Outcome, now time.Time) bool {
+// recordOutcome records an outcome and reports whether it ejects the upstream.
+func (o *ejectionState) recordOutcome(outcome Outcome, now time.Time) bool {
 	switch outcome {
 	case OutcomeOK, OutcomeFailed:
-		*o = outlier{replaced: o.replaced}
+		*o = ejectionState{replaced: o.replaced}
 	case OutcomeBroken:
 		o.consecutiveBroken++
 		if o.consecutiveBroken >= brokenThreshold {
@@ -99,12 +99,12 @@
 	// Cause is the outcome of the last request, Consecutive the number of consecutive outcomes of that kind.
 	Cause       Outcome
 	Consecutive int
-	// For is the duration of the ejection; 0 means for good.
+	// Duration is the duration of the ejection; 0 means permanently.
 	For time.Duration
 }
 
 func (u *upstreamState) ejection(cause Outcome, now time.Time) Ejection {
-	e := Ejection{Upstream: u.entry.ID, Cause: cause, Consecutive: 1}
+	e := Ejection{Upstream: u.listed.ID, Cause: cause, Consecutive: 1}
 	switch cause {
 	case OutcomeBroken:
 		e.Consecutive = u.health.consecutiveBroken
@@ -118,7 +118,7 @@
 }
 
 // readmitIfNoneUsable ends all ejections if no upstream is usable. A gateway that sees every upstream fail is probably
-// at fault itself, and a request that is tried anyway may succeed.
+// at fault itself, and a request that is sent anyway may succeed.
 func (p *Pool) readmitIfNoneUsable(now time.Time) {
 	for _, u := range p.order {
 		if u.usable(now) {
--- a/internal/policy/dispatch/pool.go
+++ b/internal/policy/dispatch/pool.go
@@ -19,7 +19,8 @@
 	Deadline time.Time
 	// Priority orders waiting requests; 0 goes first.
 	Priority int
-	// PromptTokens is the number of tokens to read before the first token is generated; 0 for plain services.
+	// PromptTokens is the number of tokens in the prompt, whose prefill precedes the first generated token; 0 for plain
+	// services.
 	PromptTokens int
 	// Exclude lists upstreams that must not get the request, in any incarnation: an upstream that failed it may fail it
 	// again.
@@ -43,7 +44,7 @@
 	// Fill is the maximum number of requests in flight for each slot of an upstream; LateFill is the same limit for
 	// requests that can no longer meet their target.
 	Fill, LateFill float64
-	// Off lists the mechanisms that are switched off.
+	// Disabled lists the mechanisms that are disabled.
 	Off Off
 }
 
@@ -55,7 +56,7 @@
 	order   []*upstreamState
 	waiting []*Ticket
 	rng     *rand.Rand
-	// othersAt is the arrival time of the oldest digest that others' work was counted from.
+	// othersAt is the arrival time of the oldest digest from which the work of other gateways was counted.
 	othersAt time.Time
 	// ejected collects the ejections since the last call of TakeEjections.
 	ejected   []Ejection
@@ -70,9 +71,9 @@
 	// closed is set while no upstream can start a request; requests wait in the meantime.
 	closed             bool
 	closedAt, openedAt time.Time
-	// lateUnread is the number of prompt tokens of late requests that this gateway has placed and that are not read
-	// yet.
-	lateUnread int
+	// latePromptTokens is the number of prompt tokens of late requests that this gateway has placed and whose prefill
+	// is not done yet.
+	latePromptTokens int
 	// firstResponse is the mean time from the placement of a request to its first response; 0 if none was measured.
 	firstResponse time.Duration
 }
@@ -88,9 +89,9 @@
 // SetUpstreams replaces the list of upstreams and returns the tickets that this decides. The state of incarnations that
 // remain is kept, and so is that of unlisted upstreams with requests in flight.
 //
-// An upstream's entry may expire while the store is unavailable, although the upstream is still working. If the
-// upstream were treated as new when its entry returns, it would get a second full set of requests on top of those in
-// flight.
+// The registration of an upstream may expire while the store is unavailable, although the upstream is still working. If
+// the upstream were treated as new when it is listed again, it would get a second full set of requests on top of those
+// in flight.
 func (p *Pool) SetUpstreams(list []*catalog.Upstream, now time.Time) []*Ticket {
 	next := make(map[ids.UpstreamIncarnation]*upstreamState, len(list))
 	p.order = p.order[:0]
@@ -99,7 +100,7 @@
 		if u == nil {
 			u = &upstreamState{}
 		}
-		u.entry = e
+		u.listed = e
 		next[e.Incarnation()] = u
 		p.order = append(p.order, u)
 	}
@@ -143,7 +144,7 @@
 func (p *Pool) SetOthersWork(work map[ids.UpstreamIncarnation]Work, at, now time.Time) []*Ticket {
 	p.othersAt = at
 	for _, u := range p.order {
-		u.others = work[u.entry.Incarnation()]
+		u.others = work[u.listed.Incarnation()]
 	}
 	return p.decide(now)
 }
@@ -158,7 +159,7 @@
 // normal.
 func (p *Pool) SetSlowdowns(slowdowns map[ids.UpstreamIncarnation]float64) {
 	for _, u := range p.order {
-		u.slowdown = slowdowns[u.entry.Incarnation()]
+		u.slowdown = slowdowns[u.listed.Incarnation()]
 		if p.opts.Off[SlowRanks] {
 			u.slowdown = 0
 		}
@@ -170,7 +171,7 @@
 	out := make(map[ids.UpstreamIncarnation]Work, len(p.order))
 	for _, u := range p.order {
 		if u.own.Requests > 0 {
-			out[u.entry.Incarnation()] = u.own
+			out[u.listed.Incarnation()] = u.own
 		}
 	}
 	return out
@@ -209,24 +210,24 @@
 	p.waiting = slices.DeleteFunc(p.waiting, func(w *Ticket) bool { return w == t })
 }
 
-// Responded records that the upstream has read the prompt: the response or its first event has arrived.
+// Responded records that the upstream has done the prefill: the response or its first event has arrived.
 func (p *Pool) Responded(t *Ticket, now time.Time) {
 	if t.assigned == nil || t.responded {
 		return
 	}
 	p.recordFirstResponse(now.Sub(t.placedAt))
-	p.markRead(t)
+	p.markPrefilled(t)
 }
 
-// markRead subtracts the request's prompt from the upstream's unread tokens.
-func (p *Pool) markRead(t *Ticket) {
+// markPrefilled subtracts the request's prompt from the upstream's tokens that still need a prefill.
+func (p *Pool) markPrefilled(t *Ticket) {
 	if t.responded {
 		return
 	}
 	t.responded = true
 	t.assigned.own.PromptTokens -= t.request.PromptTokens
 	if t.late {
-		p.lateUnread -= t.request.PromptTokens
+		p.latePromptTokens -= t.request.PromptTokens
 	}
 }
 
@@ -235,11 +236,11 @@
 	if t.assigned == nil || t.done {
 		return nil
 	}
-	p.markRead(t)
+	p.markPrefilled(t)
 	t.done = true
 	t.assigned.own.Requests--
 	p.completed.count(now)
-	if p.ejects(o) && t.assigned.health.note(o, now) {
+	if p.ejects(o) && t.assigned.health.recordOutcome(o, now) {
 		p.ejected = append(p.ejected, t.assigned.ejection(o, now))
 		p.readmitIfNoneUsable(now)
 	}
@@ -263,8 +264,8 @@
 // become free.
 func (p *Pool) Tick(now time.Time) []*Ticket { return p.decide(now) }
 
-// decide places waiting requests in sorted order and refuses those that are past the time by which they must start. It
-// returns the decided tickets.
+// decide sorts the waiting requests (see sortWaiting), places those that fit and refuses those that are past the time
+// by which they must start. It returns the decided tickets.
 func (p *Pool) decide(now time.Time) []*Ticket {
 	if len(p.waiting) == 0 {
 		return nil
@@ -318,17 +319,17 @@
 	}
 	best := p.leastLoaded(candidates, p.choices(len(candidates), now))
 	p.recordPlacement(now)
-	t.decision = Decision{Load: p.load(best), Usable: len(candidates), Waiting: len(p.waiting)}
+	t.inputs = Decision{Load: p.load(best), Usable: len(candidates), Waiting: len(p.waiting)}
 	if !p.othersAt.IsZero() {
-		t.decision.OthersAge = now.Sub(p.othersAt)
+		t.inputs.OthersAge = now.Sub(p.othersAt)
 	}
 	best.own = best.own.plus(Work{1, t.request.PromptTokens})
 	if t.late = p.late(t.request, now); t.late {
-		p.lateUnread += t.request.PromptTokens
+		p.latePromptTokens += t.request.PromptTokens
 	}
-	best.health.chosen(now)
+	best.health.recordChoice(now)
 	t.assigned = best
-	t.upstream = best.entry
+	t.upstream = best.listed
 	t.placedAt = now
 	t.state = placed
 	return true
@@ -342,12 +343,12 @@
 		if !p.opts.Off[LateFill] {
 			fill = p.opts.LateFill
 		}
-		if p.beyondLateReading() {
+		if p.beyondLatePrefill() {
 			return nil
 		}
 	}
 	for _, c := range p.order {
-		if c.usable(now) && !slices.Contains(r.Exclude, c.entry.ID) && c.hasFreeSlot(fill) {
+		if c.usable(now) && !slices.Contains(r.Exclude, c.listed.ID) && c.hasFreeSlot(fill) {
 			p.scratch = append(p.scratch, c)
 		}
 	}
@@ -359,10 +360,10 @@
 const tieBreak = 0.01
 
 // load returns the value by which upstreams are compared: the fraction of the slots in use plus the number of passes
-// needed to read the waiting prompts.
+// needed for the prefill of the waiting prompts.
 func (p *Pool) load(u *upstreamState) float64 {
 	all := u.own.plus(u.others)
-	load := float64(all.Requests) / float64(max(1, u.entry.Slots))
+	load := float64(all.Requests) / float64(max(1, u.listed.Slots))
 	if e := p.opts.Engine; e != nil && e.Chunk > 0 {
 		load += float64(all.PromptTokens) / float64(e.Chunk*e.Stride)
 	}
--- a/internal/policy/dispatch/pool_test.go
+++ b/internal/policy/dispatch/pool_test.go
@@ -34,8 +34,9 @@
 	return ticket.Upstream().ID
 }
 
-// An upstream's host has crashed, and each connection to it breaks. After two consecutive failures the upstream is
-// ejected. Half a second later a single request probes it, and after a success it gets its share again.
+// Guards against requests that keep failing at an upstream whose host has crashed: after two consecutive broken
+// connections the upstream is ejected. Half a second later a single request probes it, and after a success it gets its
+// share again.
 func TestBrokenUpstreamIsEjectedAndProbed(t *testing.T) {
 	p := newPool(1, 4)
 	send(t, p, at(0), dispatch.OutcomeBroken)
@@ -77,7 +78,7 @@
 	}
 }
 
-// An upstream that reports that it is draining must get no new requests, even when all others are full.
+// Guards against new requests at an upstream that reports that it is draining, also when all others are full.
 func TestDrainingUpstreamGetsNoRequests(t *testing.T) {
 	p := newPool(2, 1)
 	list := upstreams(2, 1)
@@ -92,7 +93,8 @@
 	}
 }
 
-// The work of other gateways counts as much as this gateway's own, and the decision reports how old it was.
+// Guards against an upstream that is chosen because only other gateways use it: their work must count as much as this
+// gateway's own, and PlacementInputs reports how old the count was.
 func TestWorkOfOtherGatewaysCounts(t *testing.T) {
 	p := newPool(2, 4)
 	p.SetOthersWork(map[ids.UpstreamIncarnation]dispatch.Work{{Upstream: "u-00"}: {Requests: 3}}, at(0), at(0))
@@ -107,7 +109,8 @@
 	}
 }
 
-// A service has no upstream. Callers are refused immediately because waiting cannot help them.
+// Guards against requests that wait for a service without upstreams: waiting cannot help, so they are refused
+// immediately.
 func TestNoUpstream(t *testing.T) {
 	p := newPool(0, 0)
 	var none *dispatch.NoUpstreamError
@@ -116,8 +119,9 @@
 	}
 }
 
-// One rank of a group is slow. Every pass lasts as long as that rank's work, so all callers would wait for the few
-// requests placed there. The slower the rank, the fewer requests it gets, down to none; other ranks are used as before.
+// Guards against one slow rank that slows down its group: every pass lasts as long as that rank's work, so all callers
+// would wait for the few requests placed there. The slower the rank, the fewer requests it gets, down to none; other
+// ranks are used as before.
 func TestSlowRankGetsFewRequests(t *testing.T) {
 	for _, c := range []struct {
 		slowdown float64
@@ -137,9 +141,9 @@
 	}
 }
 
-// So many ranks have failed that the group cannot re-form. At first requests wait, since the group may be back within a
-// second or two. Later they are refused immediately, because waiting only costs the caller time in which it could do
-// something else. If the group opens after all, requests are placed as before.
+// Guards against requests that wait in vain because so many ranks have failed that the group cannot re-form. At first
+// they wait, since the group may be back within a second or two; later they are refused immediately. If the group opens
+// after all, requests are placed as before.
 func TestRequestsDoNotWaitForALostGroup(t *testing.T) {
 	p := newPool(1, 4)
 	p.SetClosed(true, at(0))
@@ -157,8 +161,7 @@
 	}
 }
 
-// A rank that refuses everything has the fewest requests and would be chosen first. Once it is known to refuse, it must
-// get none.
+// Guards against a rank that refuses every request and is chosen again and again, because it has the fewest requests.
 func TestClosedUpstreamGetsNoRequests(t *testing.T) {
 	p := newPool(2, 4)
 	p.SetUpstreamClosed(ids.UpstreamIncarnation{Upstream: "u-00"}, true, at(0))
--- a/internal/policy/dispatch/replay_test.go
+++ b/internal/policy/dispatch/replay_test.go
@@ -12,9 +12,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/eventqueue"
 )
 
-// replay simulates a load on a pool. Upstreams serve every request in the same time, within their slots, and callers
+// simulation simulates a load on a pool. Upstreams serve every request in the same time, within their slots, and callers
 // time out after callerTimeout. It runs on a virtual clock.
-type replay struct {
+type simulation struct {
 	*eventqueue.Queue
 	pool    *dispatch.Pool
 	service time.Duration
@@ -34,8 +34,8 @@
 	return out
 }
 
-func newReplay(o dispatch.Options, n, slots int, service time.Duration) *replay {
-	r := &replay{
+func newSimulation(o dispatch.Options, n, slots int, service time.Duration) *simulation {
+	r := &simulation{
 		pool: dispatch.NewPool(o, rand.New(rand.NewPCG(1, 2))), Queue: eventqueue.New(time.Unix(0, 0)), service: service,
 		waiting: map[*dispatch.Ticket]dispatch.Request{},
 	}
@@ -44,14 +44,14 @@
 }
 
 // at schedules run at a time, followed by a tick of the pool.
-func (r *replay) at(t time.Time, run func()) {
+func (r *simulation) at(t time.Time, run func()) {
 	r.In(t.Sub(r.Now()), func() {
 		run()
 		r.decide(r.pool.Tick(r.Now()))
 	})
 }
 
-func (r *replay) submit(q dispatch.Request) {
+func (r *simulation) submit(q dispatch.Request) {
 	t := r.pool.Submit(q, r.Now())
 	r.waiting[t] = q
 	if t.Upstream() != nil || t.Err() != nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-func (r *replay) decide(list []*dispatch.Ticket) {
+func (r *simulation) decide(list []*dispatch.Ticket) {
 	for _, t := range list {
 		q := r.waiting[t]
 		delete(r.waiting, t)
@@ -74,7 +74,7 @@
 	}
 }
 
-func (r *replay) finish(t *dispatch.Ticket, q dispatch.Request) {
+func (r *simulation) finish(t *dispatch.Ticket, q dispatch.Request) {
 	switch {
 	case r.Now().After(q.Deadline):
 		r.timedOut++
@@ -88,7 +88,7 @@
 }
 
 // arrivals schedules requests at a rate for a while; shape builds the request for an arrival time.
-func (r *replay) arrivals(from time.Time, length time.Duration, perSecond float64, shape func(arrived time.Time) dispatch.Request) {
+func (r *simulation) arrivals(from time.Time, length time.Duration, perSecond float64, shape func(arrived time.Time) dispatch.Request) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for at := from; at.Before(from.Add(length)); at = at.Add(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second))) {
 		r.at(at, func() { r.submit(shape(at)) })
@@ -104,13 +104,13 @@
 	return dispatch.Request{Arrived: arrived, Target: arrived.Add(targetLatency), Deadline: arrived.Add(callerTimeout)}
 }
 
-// A burst brings twice the load that the upstreams can serve for four seconds, with normal load before and after. In
-// order of arrival, all requests of the burst and of the seconds after it are late. If requests that can still meet
-// their target go first, most of the capacity serves requests on time.
+// Guards against a burst that makes most requests late. For four seconds, twice the load arrives that the upstreams can
+// serve. Served in order of arrival, all requests of the burst and of the seconds after it are late; if requests that
+// can still meet their target go first, most of the capacity serves requests on time.
 func TestBurstIsMostlyServedOnTime(t *testing.T) {
 	const capacity = 4 * 6 / 0.06 // requests per second of 4 upstreams with 6 slots and 60 ms each
-	play := func(fill, late float64, byArrival bool) *replay {
-		r := newReplay(dispatch.Options{Fill: fill, LateFill: late}, 4, 6, 60*time.Millisecond)
+	run := func(fill, late float64, byArrival bool) *simulation {
+		r := newSimulation(dispatch.Options{Fill: fill, LateFill: late}, 4, 6, 60*time.Millisecond)
 		shape := timedRequest
 		if byArrival {
 			// With a target that has already passed, the pool serves in order of arrival.
@@ -127,8 +127,8 @@
 		r.RunAll()
 		return r
 	}
-	ours := play(1, 0.6, false)
-	baseline := play(1, 1, true)
+	ours := run(1, 0.6, false)
+	baseline := run(1, 1, true)
 	// The baseline's requests have no usable target, so their counts show only how many were answered, refused or timed
 	// out.
 	t.Logf("ours: %d in time, %d late, %d refused, %d timed out", ours.onTime, ours.late, ours.refused, ours.timedOut)
@@ -142,10 +142,10 @@
 	}
 }
 
-// A group of ranks is broken for two seconds. Requests wait at the gateway, because each one sent would be refused and
-// come back. Once the group works again they are served, and later arrivals are not held up behind them.
+// Guards against requests that are lost, or delay later ones, while a group of ranks is broken for two seconds. They
+// must wait at the gateway, because each one sent would be refused, and are served once the group works again.
 func TestRequestsWaitForABrokenGroup(t *testing.T) {
-	r := newReplay(dispatch.Options{Fill: 1, LateFill: 0.6}, 4, 10, 100*time.Millisecond)
+	r := newSimulation(dispatch.Options{Fill: 1, LateFill: 0.6}, 4, 10, 100*time.Millisecond)
 	begin := r.Now()
 	withLongTimeout := func(arrived time.Time) dispatch.Request {
 		return dispatch.Request{Arrived: arrived, Target: arrived.Add(400 * time.Millisecond), Deadline: arrived.Add(4 * time.Second)}
@@ -163,10 +163,10 @@
 	}
 }
 
-// Load stays at twice the capacity. Callers that cannot be served are refused with different Retry-After times, so that
-// they do not all come back at the same time.
+// Guards against refused callers that all retry at the same time: at a lasting load of twice the capacity, refusals
+// must have different Retry-After times.
 func TestRefusedCallersRetryAtDifferentTimes(t *testing.T) {
-	r := newReplay(dispatch.Options{Fill: 1, LateFill: 0.6}, 2, 4, 80*time.Millisecond)
+	r := newSimulation(dispatch.Options{Fill: 1, LateFill: 0.6}, 2, 4, 80*time.Millisecond)
 	r.arrivals(r.Now(), 6*time.Second, 200, timedRequest)
 	r.RunAll()
 	if r.refused == 0 {
--- a/internal/policy/dispatch/ticket.go
+++ b/internal/policy/dispatch/ticket.go
@@ -20,15 +20,15 @@
 	request  Request
 	state    ticketState
 	assigned *upstreamState
-	// upstream is the entry of the assigned upstream at the time of placement.
+	// upstream is the assigned upstream as it was listed at the time of placement.
 	upstream  *catalog.Upstream
 	placedAt  time.Time
 	err       error
 	responded bool
 	done      bool
 	// late is set if the request could no longer meet its target when it was placed.
-	late     bool
-	decision Decision
+	late   bool
+	inputs Decision
 	// decided is closed once the ticket is placed or refused. Only Gate uses it.
 	decided chan struct{}
 }
@@ -36,13 +36,13 @@
 // Upstream returns the upstream that the request was assigned to, or nil if it was not placed.
 func (t *Ticket) Upstream() *catalog.Upstream { return t.upstream }
 
-// Decision returns the inputs of the ticket's placement; it is the zero value if the request was not placed.
-func (t *Ticket) Decision() Decision { return t.decision }
+// PlacementInputs returns the inputs of the ticket's placement; it is the zero value if the request was not placed.
+func (t *Ticket) Decision() Decision { return t.inputs }
 
-// Decision holds the inputs of a placement.
+// PlacementInputs holds the inputs of a placement, for logs.
 type Decision struct {
-	// Load is the load of the chosen upstream: the fraction of its slots in use plus the number of passes needed to
-	// read the waiting prompts.
+	// Load is the load of the chosen upstream: the fraction of its slots in use plus the number of passes needed for
+	// the prefill of the waiting prompts.
 	Load float64
 	// Usable is the number of upstreams that could have taken the request.
 	Usable int
@@ -52,7 +52,7 @@
 	OthersAge time.Duration
 }
 
-// Err returns why the request was refused, or nil: *NoUpstreamError or *OverloadedError.
+// Err returns why the request was refused, or nil: *NoRegisteredUpstreamError or *OverloadedError.
 func (t *Ticket) Err() error { return t.err }
 
 func (t *Ticket) refuse(err error) {
@@ -60,7 +60,7 @@
 	t.err = err
 }
 
-// NoUpstreamError reports that the service has no registered upstream.
+// NoRegisteredUpstreamError reports that the service has no registered upstream.
 type NoUpstreamError struct{ RetryAfter time.Duration }
 
 // Error implements error.
@@ -83,5 +83,5 @@
 
 // Error implements error.
 func (e *OverloadedError) Error() string {
-	return fmt.Sprintf("no slot in time: waited %d ms, %d wait, %.0f end a second", e.Waited.Milliseconds(), e.Waiting, e.PerSecond)
+	return fmt.Sprintf("no free slot in time: waited %d ms, %d requests waiting, %.0f finished per second", e.Waited.Milliseconds(), e.Waiting, e.PerSecond)
 }
--- a/internal/policy/dispatch/upstream.go
+++ b/internal/policy/dispatch/upstream.go
@@ -9,10 +9,10 @@
 
 // upstreamState is the pool's state for one upstream.
 type upstreamState struct {
-	entry *catalog.Upstream
+	listed *catalog.Upstream
 	// own is the work that this gateway has in flight there, others the work last reported by the other gateways.
 	own, others Work
-	health      outlier
+	health      ejectionState
 	// slowdown is how many times longer than normal its work takes; 0 means normal.
 	slowdown float64
 	// closed is set while the upstream is known to refuse all requests.
@@ -20,7 +20,7 @@
 }
 
 func (u *upstreamState) usable(now time.Time) bool {
-	return u.entry.State == catalog.StateReady && !u.closed && u.health.usable(now)
+	return u.listed.State == catalog.StateReady && !u.closed && u.health.usable(now)
 }
 
 // hasFreeSlot reports whether the upstream may get another request, with fill as the limit for each of its slots.
@@ -30,11 +30,11 @@
 
 // limit returns the maximum number of requests in flight at the upstream.
 //
-// Each request at a slow rank lengthens every pass of its group. A slow rank therefore gets only the share of its slots
-// that it can serve in the time that the other ranks take. The limit is divided by the square of the slowdown factor
-// because a stream stays at its rank once it has begun.
+// Each request at a slow rank lengthens every pass of its group. A slow rank therefore gets only as many requests as it
+// can serve in the time that the other ranks take. The limit is divided by the square of the slowdown factor because a
+// stream stays at its rank once it has begun.
 func (u *upstreamState) limit(fill float64) float64 {
-	limit := fill * float64(max(1, u.entry.Slots))
+	limit := fill * float64(max(1, u.listed.Slots))
 	if u.slowdown > 1 {
 		return math.Floor(limit / (u.slowdown * u.slowdown))
 	}
--- a/internal/policy/dispatch/wait.go
+++ b/internal/policy/dispatch/wait.go
@@ -60,8 +60,8 @@
 	return time.Duration(float64(len(p.waiting)) / perSecond * float64(time.Second))
 }
 
-// closedRetry is the Retry-After of a broken group. A crashed rank is back within seconds, and callers honour up to a
-// third of their remaining time.
+// closedRetry is the Retry-After of a broken group. A crashed rank is back within seconds. Callers honour up to a third
+// of their remaining time, so this value is honoured by those with at least 6.6 seconds left.
 const closedRetry = 2200 * time.Millisecond
 
 // lostAfter is how long a group may be closed before requests no longer wait for it: twice the time that a crashed rank
@@ -70,8 +70,8 @@
 
 // lost reports whether the group has been closed for so long that its recovery time is unknown.
 //
-// If so many ranks are missing that the group cannot form, requests are refused immediately so that callers can turn
-// elsewhere.
+// If so many ranks are missing that the group cannot form, requests are refused immediately so that callers can try
+// another server.
 func (p *Pool) lost(now time.Time) bool { return p.closed && now.Sub(p.closedAt) > lostAfter }
 
 // retryAfter returns the Retry-After of a refusal. It spreads the refused callers over the time in which the queue
--- a/internal/policy/health/classify.go
+++ b/internal/policy/health/classify.go
@@ -90,8 +90,8 @@
 const minPeers = 2
 
 // peerStepTime returns the median step time of the peers that have at least as many running requests, or 0 if there are
-// too few of them. A step takes longer with more requests in it: compared with idle peers, a busy upstream would be
-// classified as slow.
+// too few of them. A step takes longer with more requests in it, so a busy upstream that is compared with idle peers
+// would be classified as slow.
 func (t *Tracker) peerStepTime(u *upstreamHealth) time.Duration {
 	var times []time.Duration
 	for _, p := range t.upstreams {
@@ -146,8 +146,8 @@
 	return max(1, n*t.opts.EjectionPercent/100)
 }
 
-// worstFirst compares by severity. At equal severity it puts ejected upstreams first, then those that have been in their
-// state the longest.
+// worstFirst compares by severity. At equal severity it puts ejected upstreams first, then those that have been in
+// their state the longest.
 func worstFirst(a, b *upstreamHealth) int {
 	if c := cmp.Compare(severity[b.reason], severity[a.reason]); c != 0 {
 		return c
@@ -170,7 +170,7 @@
 // transit for longer than that.
 func (t *Tracker) forgetDead(now time.Time) {
 	for _, u := range t.sorted() {
-		removable := u.machine.State() == stateLeaving || !u.listed
+		removable := u.machine.State() == stateDraining || !u.listed
 		if removable && now.Sub(u.lastSeenAt) >= t.opts.ForgetAfter {
 			t.fire(u, eventForget, now)
 			t.forgotten[incarnationKey{u.id, u.incarnation}] = now
--- a/internal/policy/health/doc.go
+++ b/internal/policy/health/doc.go
@@ -1,4 +1,6 @@
 // Package health decides which upstreams of a service an entry may use and how much of its normal share each one gets.
+// The share of an upstream that returns from a fault grows in a ramp. A slot is the process on the host of an upstream
+// that runs requests on it and reports its state.
 //
 // A Tracker processes slot reports, the host list and the outcomes of attempts, and runs the state chart
 // internal/base/charts/upstream.yaml for each incarnation of an upstream. It distinguishes three faults that look alike
--- a/internal/policy/health/events.go
+++ b/internal/policy/health/events.go
@@ -32,7 +32,7 @@
 	Upstream    ids.Upstream
 	Service     ids.Service
 	Incarnation ids.Incarnation
-	// Leaving is set if the slot reports that it is draining and accepts no new work.
+	// Draining is set if the slot reports that it is draining and accepts no new work.
 	Leaving bool
 	// Steps is the number of steps that the engine has taken since it started.
 	Steps uint64
@@ -53,7 +53,7 @@
 type ListedHost struct {
 	Upstream ids.Upstream
 	Service  ids.Service
-	Leaving  bool
+	Draining bool
 }
 
 // Responded reports that an attempt received part or all of its response.
@@ -64,7 +64,7 @@
 type Failed struct{ Upstream ids.Upstream }
 
 // RefusedDraining reports that the slot refused an attempt before its start because it is draining. It has the same
-// effect as a report with Leaving set, in case that report was lost.
+// effect as a report with Draining set, in case that report was lost.
 type RefusedDraining struct {
 	Upstream    ids.Upstream
 	Incarnation ids.Incarnation
--- a/internal/policy/health/tracker.go
+++ b/internal/policy/health/tracker.go
@@ -109,7 +109,7 @@
 func (t *Tracker) SetSilentAfter(d time.Duration) { t.opts.SilentAfter = d }
 
 // Apply processes one event. The first report of an incarnation changes the state of its upstream immediately, and so
-// does a report, list or refusal that marks it as leaving. All other changes of state happen in the next Evaluate.
+// does a report, list or refusal that marks it as draining. All other changes of state happen in the next Evaluate.
 func (t *Tracker) Apply(ev Event, now time.Time) {
 	switch ev := ev.(type) {
 	case SlotReport:
--- a/internal/policy/health/tracker_test.go
+++ b/internal/policy/health/tracker_test.go
@@ -33,11 +33,11 @@
 
 // slot is the content and the behaviour of one upstream's reports.
 type slot struct {
-	silent, stalled, leaving bool
-	incarnation              ids.Incarnation
-	steps                    uint64
-	running                  int
-	stepTime                 time.Duration
+	silent, stalled, draining bool
+	incarnation               ids.Incarnation
+	steps                     uint64
+	running                   int
+	stepTime                  time.Duration
 }
 
 func newFleet(t *testing.T, n int) *fleet {
@@ -53,15 +53,15 @@
 	return f
 }
 
-// sendHostList delivers a fresh host list in which the named upstreams are marked as leaving.
-func (f *fleet) sendHostList(leaving ...ids.Upstream) { f.sendHostListTakenAt(f.now, leaving...) }
+// sendHostList delivers a fresh host list in which the named upstreams are marked as draining.
+func (f *fleet) sendHostList(draining ...ids.Upstream) { f.sendHostListTakenAt(f.now, draining...) }
 
-func (f *fleet) sendHostListTakenAt(takenAt time.Time, leaving ...ids.Upstream) {
+func (f *fleet) sendHostListTakenAt(takenAt time.Time, draining ...ids.Upstream) {
 	ev := health.HostList{TakenAt: takenAt}
 	for _, id := range f.names {
 		h := health.ListedHost{Upstream: id, Service: service}
-		for _, l := range leaving {
-			h.Leaving = h.Leaving || l == id
+		for _, l := range draining {
+			h.Draining = h.Draining || l == id
 		}
 		ev.Hosts = append(ev.Hosts, h)
 	}
@@ -87,7 +87,7 @@
 		return
 	}
 	f.tracker.Apply(health.SlotReport{
-		Upstream: id, Service: service, Incarnation: s.incarnation, Leaving: s.leaving,
+		Upstream: id, Service: service, Incarnation: s.incarnation, Leaving: s.draining,
 		Steps: s.steps, Running: s.running, StepTime: s.stepTime,
 	}, f.now)
 }
@@ -105,9 +105,9 @@
 	}
 }
 
-// A client's request to a faulty upstream waits in vain, whichever fault it is. The tracker distinguishes silent,
-// stalled and slow upstreams by the messages that still arrive, because only a slow one needs work to show its
-// recovery.
+// Guards against faults that are mistaken for each other. Silent, stalled and slow upstreams look alike to a client,
+// whose request waits in vain; the tracker distinguishes them by the messages that still arrive, because only a slow
+// one needs work to show its recovery.
 func TestSilentStalledAndSlowAreDistinguished(t *testing.T) {
 	tests := map[health.Reason]func(*slot){
 		health.ReasonSilent:  func(s *slot) { s.silent = true },
@@ -136,7 +136,8 @@
 	f.wantStatus("u0", stateReady, health.ReasonNone)
 }
 
-// An upstream with a full batch among nearly idle ones takes three times as long for a step: it is busy, not slow.
+// Guards against a busy upstream that is classified as slow: with a full batch among nearly idle peers it takes three
+// times as long for a step.
 func TestBusyUpstreamIsNotSlow(t *testing.T) {
 	f := newFleet(t, 8)
 	f.slots["u0"].running = 32
@@ -161,8 +162,8 @@
 	f.wantStatus("u1", "ejected", health.ReasonFailing)
 }
 
-// A network switch fails and half of the upstreams become silent. Ejecting all of them would move their load to the
-// rest, which would fail too. The worst are ejected up to the cap, and the other suspects keep a small share.
+// Guards against ejections that overload the remaining upstreams: a network switch fails and half of the upstreams
+// become silent. The worst are ejected up to the cap, and the other suspects keep a small share.
 func TestEjectionIsCapped(t *testing.T) {
 	f := newFleet(t, 10)
 	for _, id := range f.names[:2] {
@@ -206,8 +207,8 @@
 	}
 }
 
-// A recovered upstream that got its full share immediately would compute all prompts with a cold cache and fall behind
-// again.
+// Guards against a recovered upstream that gets its full share immediately: its prefix cache is empty, so it would do
+// the full prefill of every prompt and fall behind again.
 func TestReturningUpstreamRampsUp(t *testing.T) {
 	f := newFleet(t, 8)
 	f.slots["u2"].silent = true
@@ -251,21 +252,21 @@
 	}
 }
 
-// A slot reports that it is draining while the host list still marks it as live. The report alone takes the upstream
-// out of use.
+// Guards against requests to a draining upstream that the host list still marks as live: the slot's report alone must
+// take it out of use.
 func TestSlotReportOverridesHostList(t *testing.T) {
 	f := newFleet(t, 4)
-	f.slots["u1"].leaving = true
+	f.slots["u1"].draining = true
 	f.run(period)
 	f.wantStatus("u1", "leaving", health.ReasonNone)
-	f.slots["u1"].leaving = false
+	f.slots["u1"].draining = false
 	f.sendHostList()
 	f.run(5 * time.Second)
 	f.wantStatus("u1", "leaving", health.ReasonNone)
 }
 
-// All reports with Leaving set are lost and the host list lags. The first request to the draining slot is refused
-// before its start, and this refusal alone takes the upstream out of use, so that no second request is sent there.
+// Guards against requests to a draining upstream when all reports with Draining set are lost and the host list lags:
+// the first request is refused before its start, and this refusal alone must take the upstream out of use.
 func TestRefusalReplacesLostReport(t *testing.T) {
 	f := newFleet(t, 4)
 	f.slots["u1"].silent = true
@@ -276,21 +277,22 @@
 	}
 }
 
-func TestHostListAloneMarksLeaving(t *testing.T) {
+func TestHostListAloneMarksDraining(t *testing.T) {
 	f := newFleet(t, 4)
 	f.sendHostList("u1")
 	f.wantStatus("u1", "leaving", health.ReasonNone)
 }
 
-// A host is replaced under its old name. The lagging list still marks the name as leaving, and a report of the old
-// incarnation arrives late. Neither may take the new incarnation out of use or bring the old one back.
+// Guards against state of a replaced host that is applied to its replacement of the same name: the lagging list still
+// marks the name as draining, and a report of the old incarnation arrives late. Neither may take the new incarnation
+// out of use or bring the old one back.
 func TestNewIncarnationIgnoresStateOfOldOne(t *testing.T) {
 	f := newFleet(t, 4)
 	f.run(3 * time.Second)
-	f.slots["u1"].leaving = true
+	f.slots["u1"].draining = true
 	f.run(time.Second)
 	old := f.now
-	f.slots["u1"].incarnation, f.slots["u1"].leaving = incarnation2, false
+	f.slots["u1"].incarnation, f.slots["u1"].draining = incarnation2, false
 	f.run(time.Second)
 	f.sendHostListTakenAt(old, "u1")
 	f.tracker.Apply(health.SlotReport{Upstream: "u1", Service: service, Incarnation: incarnation1, Leaving: true}, f.now)
@@ -300,8 +302,9 @@
 	f.wantStatus("u1", "leaving", health.ReasonNone)
 }
 
-// The entry's host is paused for ten seconds. When it resumes, no message has arrived for that long. If it classified
-// the upstreams as silent, it would eject a third of them and refuse clients, although only the entry was paused.
+// Guards against a pause of the entry that is taken for a fault of the upstreams: its host is paused for ten seconds,
+// so no message has arrived for that long. If it classified the upstreams as silent, it would eject a third of them and
+// refuse clients.
 func TestPauseOfEntryIsNotBlamedOnUpstreams(t *testing.T) {
 	f := newFleet(t, 6)
 	f.now = f.now.Add(10 * time.Second)
@@ -314,7 +317,7 @@
 
 func TestDeadUpstreamsAreForgotten(t *testing.T) {
 	f := newFleet(t, 4)
-	f.slots["u1"].leaving = true
+	f.slots["u1"].draining = true
 	f.run(time.Second)
 	f.slots["u1"].silent = true
 	f.run(31 * time.Second)
@@ -327,8 +330,8 @@
 	}
 }
 
-// After any sequence of events, the ejection cap holds after each Evaluate, all weights are between 0 and 1, and a
-// draining upstream has weight 0.
+// Guards against sequences of events after which the ejection cap is exceeded, a weight is outside 0 to 1, or a
+// draining upstream has a weight above 0.
 func TestInvariantsUnderAnyEvents(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -341,12 +344,12 @@
 			incarnation := rapid.SampledFrom([]ids.Incarnation{incarnation1, incarnation2}).Draw(rt, "life")
 			switch rapid.IntRange(0, 4).Draw(rt, "event") {
 			case 0, 1:
-				leaving := rapid.IntRange(0, 9).Draw(rt, "leaving") == 0
+				isDraining := rapid.IntRange(0, 9).Draw(rt, "leaving") == 0
 				tracker.Apply(health.SlotReport{
-					Upstream: id, Service: service, Incarnation: incarnation, Leaving: leaving, Running: rapid.IntRange(0, 9).Draw(rt, "running"),
+					Upstream: id, Service: service, Incarnation: incarnation, Leaving: isDraining, Running: rapid.IntRange(0, 9).Draw(rt, "running"),
 					Steps: rapid.Uint64Range(0, 3).Draw(rt, "steps"), StepTime: time.Duration(rapid.IntRange(0, 50).Draw(rt, "step")) * time.Millisecond,
 				}, now)
-				if s, ok := tracker.Status(id, now); ok && leaving && s.Incarnation == incarnation {
+				if s, ok := tracker.Status(id, now); ok && isDraining && s.Incarnation == incarnation {
 					draining[id] = incarnation
 				}
 			case 2:
--- a/internal/policy/health/upstream.go
+++ b/internal/policy/health/upstream.go
@@ -13,7 +13,7 @@
 	stateReady     charts.State = "ready"
 	stateSuspect   charts.State = "suspect"
 	stateEjected   charts.State = "ejected"
-	stateLeaving   charts.State = "leaving"
+	stateDraining  charts.State = "leaving"
 
 	eventHeard     charts.Event = "heard"
 	eventSuspected charts.Event = "suspected"
@@ -22,7 +22,7 @@
 	eventReadmit   charts.Event = "readmit"
 	eventProbation charts.Event = "probation"
 	eventWarmed    charts.Event = "warmed"
-	eventLeave     charts.Event = "leave"
+	eventDrain     charts.Event = "leave"
 	eventForget    charts.Event = "forget"
 
 	actionStartRamp     charts.Action = "start-ramp"
@@ -125,14 +125,14 @@
 		u.lastStepAt = now
 	}
 	if ev.Leaving {
-		t.fire(u, eventLeave, now)
+		t.fire(u, eventDrain, now)
 		return
 	}
 	t.admit(u, now)
 }
 
-// replaceIncarnation replaces the state of an upstream whose slot has restarted. The leaving state is not carried over,
-// because it belongs to the old incarnation.
+// replaceIncarnation replaces the state of an upstream whose slot has restarted. The draining state is not carried
+// over, because it belongs to the old incarnation.
 func (t *Tracker) replaceIncarnation(old *upstreamHealth, ev SlotReport, now time.Time) *upstreamHealth {
 	u := t.addUpstream(ev.Upstream, ev.Service, now)
 	if old != nil {
@@ -165,14 +165,14 @@
 			u = t.addUpstream(h.Upstream, h.Service, now)
 		}
 		u.listed = true
-		if h.Leaving && !u.predates(ev) {
-			t.fire(u, eventLeave, now)
+		if h.Draining && !u.predates(ev) {
+			t.fire(u, eventDrain, now)
 		}
 	}
 }
 
 // predates reports whether the host list was made before this incarnation was first seen. The list lags and may still
-// mark a host as leaving when its replacement is already running. Applied to the new incarnation, that mark would keep
+// mark a host as draining when its replacement is already running. Applied to the new incarnation, that mark would keep
 // a healthy upstream unused.
 func (u *upstreamHealth) predates(ev HostList) bool {
 	return u.hasPredecessor && !ev.TakenAt.After(u.firstSeenAt)
@@ -196,5 +196,5 @@
 	if u == nil || u.incarnation > ev.Incarnation {
 		return
 	}
-	t.fire(u, eventLeave, now)
+	t.fire(u, eventDrain, now)
 }
--- a/internal/policy/quarantine/evidence.go
+++ b/internal/policy/quarantine/evidence.go
@@ -37,10 +37,10 @@
 	Crash CrashID
 	// At is the time of the crash by the slot's clock.
 	At time.Time
-	// Lone is set if nothing else was running.
+	// OnlyRequest is set if nothing else was running.
 	Lone bool
-	// Probe is set if nothing else was running because the request had to run alone. This evidence suffices to refuse
-	// the request, also on a node that has no evidence of the earlier crashes.
+	// RanAlone is set if nothing else was running because the request had to run alone. This evidence suffices to
+	// refuse the request, also on a node that has no evidence of the earlier crashes.
 	Probe bool
 	// Cleared is set once the request has run to completion.
 	Cleared bool
@@ -63,8 +63,9 @@
 	Override Override
 }
 
-// merge adds another node's state of the request and reports whether anything changed. The result does not depend on
-// the sequence of merges: evidence is a union in which Cleared is never unset, and the later override is kept.
+// merge adds another node's state of the request and reports whether the evidence or the override changed. The result
+// does not depend on the sequence of merges: evidence is a union in which Cleared is never unset, and the later
+// override is kept.
 func (s *Suspect) merge(in Suspect) bool {
 	changed := false
 	for _, e := range in.Evidence {
@@ -118,7 +119,7 @@
 	Period time.Duration
 	// Crashes is the number of crashes after which a request is refused even if other requests may have been running at
 	// each of them. With 0 a request is only refused if it ran alone at one of its crashes. Crashes is for nodes that
-	// cannot tell what else an upstream was running.
+	// have no information about what else an upstream was running.
 	Crashes int
 }
 
@@ -147,8 +148,8 @@
 	return Clear, time.Time{}
 }
 
-// countCrashes counts the crashes that are not cleared, those of them at which nothing else was running, and those that
-// were probes. It also returns the time of the last one.
+// countCrashes counts the crashes that are not cleared, those of them at which nothing else was running, and those at
+// which the request had to run alone. It also returns the time of the last one.
 func (s *Suspect) countCrashes() (crashes, lone, probes int, last time.Time) {
 	for _, e := range s.Evidence {
 		if e.Cleared {
--- a/internal/policy/quarantine/gate.go
+++ b/internal/policy/quarantine/gate.go
@@ -95,7 +95,7 @@
 }
 
 // Release ends the run with its outcome; only the first call has an effect.
-func (p *Permit) Release(end End) {
+func (p *Permit) Release(end RunOutcome) {
 	p.gate.mu.Lock()
 	defer p.gate.mu.Unlock()
 	p.gate.deliver(p.gate.guard.Release(time.Now(), p.ticket, end))
--- a/internal/policy/quarantine/guard.go
+++ b/internal/policy/quarantine/guard.go
@@ -14,9 +14,9 @@
 const (
 	evAloneWanted charts.Event = "alone-wanted"
 	evIdle        charts.Event = "idle"
-	evGivenUp     charts.Event = "given-up"
-	evEnded       charts.Event = "ended"
-	evDied        charts.Event = "died"
+	evCancelled   charts.Event = "given-up"
+	evFinished    charts.Event = "ended"
+	evCrashed     charts.Event = "died"
 
 	actStart charts.Action = "start"
 
@@ -57,13 +57,13 @@
 	Deny
 )
 
-// End is the outcome of a run.
-type End int
+// RunOutcome is the outcome of a run.
+type RunOutcome int
 
 // The outcomes of a run.
 const (
 	// Complete: the upstream sent its full response.
-	Complete End = iota
+	Complete RunOutcome = iota
 	// Broken: the connection to the upstream broke, so the upstream may have crashed.
 	Broken
 	// Stopped: cancelled, timed out or failed in another way that is no evidence about the upstream.
@@ -136,13 +136,13 @@
 	}
 	g.waiting = slices.Delete(g.waiting, i, i+1)
 	if i == 0 {
-		g.fire(evGivenUp)
+		g.fire(evCancelled)
 	}
 	return g.advance()
 }
 
 // Release ends a run and returns the decisions that result.
-func (g *Guard) Release(now time.Time, t Ticket, end End) []Decision {
+func (g *Guard) Release(now time.Time, t Ticket, end RunOutcome) []Decision {
 	i := index(g.running, t)
 	if i < 0 {
 		return nil
@@ -157,7 +157,7 @@
 		g.broken = append(g.broken, finished)
 	}
 	if finished.level == Alone {
-		g.fire(evEnded)
+		g.fire(evFinished)
 	}
 	return g.advance()
 }
@@ -173,7 +173,7 @@
 // detected it yet. It returns the decisions that result and reports whether any request was running.
 func (g *Guard) UpstreamCrashed(now time.Time) ([]Decision, bool) {
 	crash := g.recordCrash(now)
-	g.fire(evDied)
+	g.fire(evCrashed)
 	g.tracker.Merge(now, crash.Suspects()...)
 	return g.recheck(now), len(crash.Ran) > 0
 }
@@ -189,14 +189,15 @@
 		}
 	}
 	crash.Probe = crash.Probe && len(crash.Ran) == 1
-	// A run must not be reported twice: two reports of one crash would count as two crashes and refuse a harmless request.
+	// A run must not be reported twice: two reports of one crash would count as two crashes and refuse a harmless
+	// request.
 	g.broken = nil
 	g.running = nil
 	return crash
 }
 
-// recheck refuses waiting requests whose level has risen. Copies of one request wait here for each other; when the
-// first one crashes the upstream, the next one must not run, so all of them are checked before any is started.
+// recheck refuses waiting requests whose level has risen. Several copies of one request may be waiting: when the first
+// one crashes the upstream, the next one must not run, so all of them are checked before any is started.
 func (g *Guard) recheck(now time.Time) []Decision {
 	var decisions []Decision
 	var remaining []run
@@ -211,7 +212,7 @@
 	headRemoved := len(remaining) < len(g.waiting) && (len(remaining) == 0 || remaining[0].ticket != g.waiting[0].ticket)
 	g.waiting = remaining
 	if headRemoved {
-		g.fire(evGivenUp)
+		g.fire(evCancelled)
 	}
 	return append(decisions, g.advance()...)
 }
--- a/internal/policy/quarantine/persistent_test.go
+++ b/internal/policy/quarantine/persistent_test.go
@@ -11,9 +11,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/faulttest/memtable"
 )
 
-// A request that crashes upstreams must be refused at every entry, also at one that receives no digest and starts
-// later. The table is unavailable at first and then loses requests and responses, while two entries write the same row
-// and have to merge it. Once the quarantine and the override are over, the row is deleted.
+// Guards against an entry that admits a request which crashes upstreams, because it starts later and receives no
+// digest, so that only the table has the refusal. The table is unavailable at first and then loses requests and
+// responses, while two entries write the same row. Once the quarantine and the override are over, the row is deleted.
 func TestEveryEntryLoadsRefusalFromTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := memtable.New(func() (memtable.Fault, time.Duration) { return memtable.Unavailable, 0 })
--- a/internal/policy/quarantine/quarantine_test.go
+++ b/internal/policy/quarantine/quarantine_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// A request that crashes its upstream is refused for an hour after two crashes in a batch and one alone. The requests
-// that ran together with it are suspects until they complete elsewhere, and are never refused. After the hour the
-// request may run alone once, and one more crash refuses it again.
+// Guards against a request that crashes one upstream after another, and against the refusal of those that only ran
+// together with it. It is refused for an hour after two crashes in a batch and one alone; the others are suspects until
+// they complete elsewhere. After the hour it may run alone once, and one more crash refuses it again.
 func TestSuspicionNarrowsToOneRequest(t *testing.T) {
 	tr := NewTracker(Rules{Period: quarantineLength})
 	tr.Merge(start, Crash{ID: 1, At: start, Ran: []Running{poison, other, third}}.Suspects()...)
@@ -52,7 +52,8 @@
 	wantLevel(t, tr, later, poison.Fingerprint, Refused)
 }
 
-// An operator permits a refused request or refuses a clear one. On every node the later decision applies.
+// Guards against an operator's decision that does not apply, or applies differently on two nodes: a refused request is
+// permitted or a clear one refused, and on every node the later decision must apply.
 func TestOperatorOverrides(t *testing.T) {
 	tr := NewTracker(Rules{Period: quarantineLength})
 	tr.Merge(start, Crash{ID: 1, At: start, Ran: []Running{poison}, Probe: true}.Suspects()...)
@@ -67,7 +68,8 @@
 	wantLevel(t, tr, start, other.Fingerprint, Refused)
 }
 
-// All entries must compute the same level, however their digests are reordered, duplicated and split.
+// Guards against entries that compute different levels for one request because their digests were reordered, duplicated
+// or split.
 func TestMergeDoesNotDependOnOrder(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -93,8 +95,8 @@
 	}
 }
 
-// A refusal must persist when every entry is replaced: it is stored in the table. A conflict there is resolved by
-// reading the row and writing it again.
+// Guards against a refusal that is lost when every entry is replaced: it must be in the table. A conflict there is
+// resolved by reading the row and writing it again.
 func TestRefusalSurvivesReplacementOfEntries(t *testing.T) {
 	tr := NewTracker(Rules{Period: quarantineLength})
 	tr.Merge(start, Crash{ID: 1, At: start, Ran: []Running{other, third}}.Suspects()...)
@@ -135,7 +137,7 @@
 	}
 }
 
-// Expired evidence must not come back from a node that still gossips it.
+// Guards against expired evidence that comes back from a node that still gossips it.
 func TestOldEvidenceIsForgotten(t *testing.T) {
 	tr := NewTracker(Rules{Period: quarantineLength})
 	suspects := Crash{ID: 1, At: start, Ran: []Running{poison}}.Suspects()
@@ -148,8 +150,8 @@
 	}
 }
 
-// Requests that were running at a crash must not be blamed for it twice: handlers that detect one crash at different
-// times, and a second detection of the same crash, make one report.
+// Guards against requests that are blamed twice for one crash: handlers that detect it at different times, and a second
+// detection of it, must make one report.
 func TestCrashIsReportedOnce(t *testing.T) {
 	g := NewGuard("s", quarantineLength)
 	a := g.Submit(start, poison, Clear)
@@ -168,9 +170,9 @@
 	wantLevel(t, g.Tracker(), start, other.Fingerprint, Clear)
 }
 
-// Copies of a suspect, sent through every entry, reach the same slot. One runs alone while the others wait; when it
-// crashes the upstream, the others are refused and do not run on the restarted upstream. Another request that arrives
-// while the suspect waits or runs is refused here, so that the entry sends it to another upstream.
+// Guards against copies of a suspect that crash the same upstream one after another. They arrive through every entry;
+// one runs alone while the others wait, and when it crashes the upstream, the others must be refused. Another request
+// that arrives while the suspect waits or runs is refused here, so that the entry sends it to another upstream.
 func TestWaitingCopiesAreRefusedAfterCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate("s", quarantineLength)
@@ -215,8 +217,8 @@
 	})
 }
 
-// When the caller of a waiting suspect disconnects or times out, the request is refused as not run, and the upstream
-// admits requests again.
+// Guards against an upstream that stays closed after the caller of a waiting suspect disconnected or timed out: the
+// request must be refused as not run, and the upstream must admit requests again.
 func TestCancelReopensUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate("s", quarantineLength)
--- a/internal/policy/quarantine/tracker.go
+++ b/internal/policy/quarantine/tracker.go
@@ -37,7 +37,7 @@
 	At time.Time
 	// Ran lists each request that was running, once, with its client.
 	Ran []Running
-	// Probe is set if a suspect was running that had to run alone.
+	// RanAlone is set if the only running request was one that had to run alone.
 	Probe bool
 }
 
--- a/internal/policy/retry/session.go
+++ b/internal/policy/retry/session.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// Attempt describes a failed attempt.
+// FailedAttempt describes a failed attempt.
 type Attempt struct {
 	// Upstream is the upstream that the attempt was sent to; empty if none was chosen.
 	Upstream ids.Upstream
@@ -88,7 +88,8 @@
 	deadline time.Time
 	attempts int
 	exclude  []ids.Upstream
-	mayRun   bool
+	// mayHaveRun is set once an attempt has failed without proof that it did not run.
+	mayHaveRun bool
 }
 
 // NewSession starts a session with the first attempt of a request, which is recorded in the budget.
@@ -100,13 +101,13 @@
 // Attempts returns the number of attempts that were started.
 func (s *Session) Attempts() int { return s.attempts }
 
-// Failed decides what follows a failed attempt. delivered is the number of tokens of the whole response that the caller
-// has.
+// Failed decides what follows a failed attempt. delivered is the number of tokens of the response, over all attempts,
+// that the caller has received.
 func (s *Session) Failed(a Attempt, delivered int, now time.Time) Decision {
 	f := failure.From(a.Err)
 	notRun := f.Code.Meaning().NotRun && f.Proof != failure.ProofNone
 	if !notRun {
-		s.mayRun = true
+		s.mayHaveRun = true
 	}
 	if a.Upstream != "" && !slices.Contains(s.exclude, a.Upstream) {
 		s.exclude = append(s.exclude, a.Upstream)
@@ -147,7 +148,7 @@
 // giveUp chooses the error for the caller. "Not run" is reported only if that is proved for every attempt.
 func (s *Session) giveUp(f *failure.Error, delivered int, reason string, now time.Time) Decision {
 	cause := &ExhaustedError{Reason: reason, Attempts: s.attempts, Cause: f}
-	if !s.mayRun {
+	if !s.mayHaveRun {
 		e := *f
 		e.Cause = cause
 		return Decision{Action: ActionGiveUp, Err: &e}
--- a/internal/policy/retry/session_test.go
+++ b/internal/policy/retry/session_test.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// A caller that reads "not run" may send its request again. If a payout had run after all, it would run twice. So "not
-// run" must only be reported if every attempt is proved not to have run, and the same holds for repeating a request
-// that is not repeatable.
+// Guards against a request that runs twice, for example a payout: a caller that reads "not run" may send it again. So
+// "not run" must only be reported if every attempt is proved not to have run, and the same holds for repeating a
+// request that is not repeatable.
 func TestNotRunIsReportedOnlyWithProof(t *testing.T) {
 	outcomes := []error{
 		broken(), refused(), failure.New(failure.CodeNoUpstream, nil), failure.New(failure.CodeOutcomeUnknown, nil),
@@ -103,8 +103,8 @@
 	})
 }
 
-// A third of the upstreams fails and every caller's request is retried. Without a budget the other upstreams would get
-// up to three times their load and fail too.
+// Guards against retries that multiply the load: a third of the upstreams fails and every caller's request is retried.
+// Without a budget the other upstreams would get up to three times their load and fail too.
 func TestRetriesCannotMultiplyTheLoad(t *testing.T) {
 	const requests = 2000
 	for _, percent := range []int{0, 10, 50} {
--- a/internal/policy/retry/stream_test.go
+++ b/internal/policy/retry/stream_test.go
@@ -10,9 +10,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/retry"
 )
 
-// Upstream after upstream breaks while a caller reads a response. Each new attempt continues at or before the first
-// missing token, and late tokens of abandoned attempts still arrive. The caller must get each token once and in
-// sequence.
+// Guards against lost, duplicate or reordered tokens when one upstream after another breaks while a caller reads a
+// response. Each new attempt continues at or before the first missing token, and late tokens of abandoned attempts
+// still arrive.
 func TestNoTokenIsLostOrDoubled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 40).Draw(t, "total")
--- a/internal/policy/retry/window.go
+++ b/internal/policy/retry/window.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Window bounds the retries of one service within any time span of a given length to a ratio of the first attempts in
-// it plus a fixed number. Several nodes share such a bound by using a share of the fixed number each. It is safe for
+// Window limits the retries of one service: in any time span of Bound.Length, to Bound.Ratio times the first attempts
+// in that span, plus Bound.Extra. Several nodes share such a limit if each uses a share of Extra. It is safe for
 // concurrent use.
 type Window struct {
 	mu    sync.Mutex
--- a/internal/policy/retry/window_test.go
+++ b/internal/policy/retry/window_test.go
@@ -7,8 +7,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/retry"
 )
 
-// A request that waited, or whose process was paused, is recorded with an earlier time than others before it. If that
-// made the process crash or cleared the retries of the last seconds, the bound would be exceeded.
+// Guards against a crash, or retries beyond the bound, when a request that waited, or whose process was paused, is
+// recorded with an earlier time than others before it. It must not clear the retries of the last seconds.
 func TestLateFirstAttemptKeepsRetryCounts(t *testing.T) {
 	const length, extra = 10 * time.Second, 2
 	for _, earlier := range []time.Duration{time.Millisecond, 2 * time.Second, length, 2 * length} {
--- a/internal/policy/routing/expectedwait/expectedwait.go
+++ b/internal/policy/routing/expectedwait/expectedwait.go
@@ -1,8 +1,9 @@
 // Package expectedwait sends each request to the upstream with the shortest expected time to the first token.
 //
-// That time is the sum of the network round trip, the wait for a free slot in the batch, the prompts ahead of the
-// request, and the request's own prompt except for the cached tokens. Affinity to a cached prefix is therefore not a
-// separate rule: it is a saving that is weighed against the wait and no longer counts once the wait is longer.
+// That time is the sum of the network round trip, the wait for a free slot in the batch, the prefill of the prompts
+// ahead of the request, and that of the request's own prompt except for the cached tokens. Affinity to a cached prefix
+// is therefore not a separate rule: it is a saving that is weighed against the wait and no longer counts once the wait
+// is longer.
 //
 // Waits that differ by less than their uncertainty count as equal; among those, the upstream with the fewest requests
 // of this entry is chosen. Otherwise several entries with the same outdated reports would send their requests to the
@@ -28,12 +29,12 @@
 	Band    float64
 	MinBand time.Duration
 	// Fade defines how fast a report of other entries' prompts loses its weight: the time constant is FadeBase plus
-	// Fade times the time that their mean waiting prompts take.
+	// Fade times the mean prefill time, per upstream, of the prompts that other entries have waiting.
 	Fade     float64
 	FadeBase time.Duration
 	// Outlier is the factor by which a reported step time or prompt token time must exceed the median to be used.
-	// Smaller differences result from the requests that happened to be in the batch, and entries that followed them
-	// would all move together.
+	// Smaller differences result from the requests that happened to be in the batch, and all entries that used them
+	// would choose the same upstreams at the same time.
 	Outlier float64
 }
 
@@ -145,10 +146,10 @@
 	return routing.Choice{Upstream: u, Wait: wait, PromptAhead: load.PromptAhead(req.FirstClass), Estimate: req.Estimate(cached)}
 }
 
-// promptAhead returns the prompt tokens that are computed before those of a new request: this entry's own, which are
-// exact, and the others' as reported, moved towards the mean with the age of the report. The requests that waited at
-// the time of an old report have been computed since, so trusting it would avoid an upstream whose queue is already
-// empty.
+// promptAhead returns the prompt tokens whose prefill precedes that of a new request: this entry's own, which are
+// exact, and the others' as reported, moved towards the mean with the age of the report. The prefill of the requests
+// that waited at the time of an old report has been done since, so a policy that trusted it would avoid an upstream
+// whose queue is already empty.
 func (p *Picker) promptAhead(u *routing.Upstream, first bool, now time.Time) float64 {
 	own := u.Work.Counts().PromptAhead(first)
 	reported := float64(u.Load.Others().PromptAhead(first))
@@ -161,9 +162,9 @@
 	return float64(own) + mean + min(1, trust)*(reported-mean)
 }
 
-// batchWait returns the time until the batch has a free slot, for which one more than the requests in excess of the
-// batch must end. They end at the rate at which either their remaining tokens are generated or the prompts are
-// computed, whichever is slower.
+// batchWait returns the time until the batch has a free slot: with n running and waiting requests ahead, until
+// n-Batch+1 of them have ended. They end at the rate at which either their remaining tokens are generated or the
+// prefill of the prompts is done, whichever is slower.
 func (p *Picker) batchWait(u *routing.Upstream, load routing.Counts, first bool) time.Duration {
 	n := load.WaitingAhead(first) + load.Running
 	if n < u.Batch || n == 0 {
--- a/internal/policy/routing/expectedwait/expectedwait_test.go
+++ b/internal/policy/routing/expectedwait/expectedwait_test.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// Several entries get the same report, in which one of eight upstreams is slightly less busy. If all of them followed
-// it, that upstream would get all their requests until the next report, and all of these would wait there.
-func TestEntriesDoNotHerdOnTheSameReport(t *testing.T) {
+// Guards against entries that all choose the same upstream: they get the same report, in which one of eight upstreams
+// is slightly less busy. Otherwise it would get all their requests until the next report, and these would wait there.
+func TestEntriesDoNotAllChooseTheSameUpstream(t *testing.T) {
 	const entries, perEntry, n = 6, 8, 8
 	sent := make(map[ids.Upstream]int)
 	for e := range uint64(entries) {
@@ -130,8 +130,8 @@
 	}
 }
 
-// The prompts in a report that is seconds old were computed long ago. If the report still counted, every request would
-// be sent to the other upstream.
+// Guards against a report that still counts when it is seconds old: the prefill of its prompts was done long ago, but
+// every request would be sent to the other upstream.
 func TestOldReportIsDiscounted(t *testing.T) {
 	a, b := upstream("a"), upstream("b")
 	others(a, routing.Counts{Waiting: 1, PromptTokens: prompt}, 30*time.Second)
--- a/internal/policy/routing/picker.go
+++ b/internal/policy/routing/picker.go
@@ -14,7 +14,7 @@
 
 // Request is the input of a pick.
 type Request struct {
-	// FirstClass is set for requests of the first class (rank 0), which engines serve before all others.
+	// FirstClass is set for requests of the first priority class (priority 0), which engines serve before all others.
 	FirstClass bool
 	// Blocks are the chained hashes of the prompt's leading blocks, from prefix.Hash; empty without a prompt.
 	Blocks []uint64
@@ -42,7 +42,7 @@
 	Upstream *Upstream
 	// Wait is the expected time to the first token; zero if the policy does not estimate it.
 	Wait time.Duration
-	// PromptAhead is the number of prompt tokens expected to be computed before those of the request; see Overtaken.
+	// PromptAhead is the number of prompt tokens whose prefill is expected before that of the request; see Overtaken.
 	PromptAhead int
 	// Estimate is the argument of Work.Start; its CachedTokens are the prompt tokens that are probably cached.
 	Estimate Estimate
@@ -57,10 +57,10 @@
 )
 
 // Overtaken reports whether a slot should refuse a request before its start, with a fresh report, because requests of
-// other entries arrived first. Entries receive each other's counts after tens of milliseconds, about the time that a
-// prompt takes, so two of them often choose the same idle upstream. Sending the request on to another one then takes
-// less time than waiting. expected is the PromptAhead of the Choice, actual the slot's own count, and times is how
-// often the request was sent back before.
+// other entries arrived first. Entries receive each other's counts after tens of milliseconds, about the time of a
+// prefill, so two of them often choose the same idle upstream. Sending the request to another one then takes less time
+// than waiting. expected is the PromptAhead of the Choice, actual the slot's own count, and times is how often the
+// request was sent back before.
 func Overtaken(first bool, expected, actual, times int) bool {
 	return first && times < MaxOvertaken && actual > expected+OvertakenTokens
 }
@@ -75,18 +75,18 @@
 type NoUpstreamError struct {
 	// Known is the number of upstreams in the picker.
 	Known int
-	// HeldOut is the number of upstreams that get no new requests because of their health.
-	HeldOut int
+	// ZeroWeight is the number of upstreams with weight 0, which get no new requests because of their health.
+	ZeroWeight int
 	// Excluded is the number of upstreams that already failed the request.
 	Excluded int
-	// Unloaded is the number of upstreams without the model version.
-	Unloaded int
+	// WithoutVersion is the number of upstreams without the model version.
+	WithoutVersion int
 }
 
 // Error implements error.
 func (e *NoUpstreamError) Error() string {
-	return fmt.Sprintf("of %d upstreams %d are held out, %d already failed the request, %d lack the model version",
-		e.Known, e.HeldOut, e.Excluded, e.Unloaded)
+	return fmt.Sprintf("of %d upstreams %d have weight 0, %d already failed the request, %d lack the model version",
+		e.Known, e.ZeroWeight, e.Excluded, e.WithoutVersion)
 }
 
 // Usable returns the upstreams that may take the request, appended to buf[:0].
@@ -131,11 +131,11 @@
 	for _, u := range all {
 		switch {
 		case u.Weight <= 0:
-			e.HeldOut++
+			e.ZeroWeight++
 		case slices.Contains(req.Exclude, u.ID):
 			e.Excluded++
 		case !u.hasVersion(req.Version):
-			e.Unloaded++
+			e.WithoutVersion++
 		}
 	}
 	return e
--- a/internal/policy/routing/picker_test.go
+++ b/internal/policy/routing/picker_test.go
@@ -35,7 +35,7 @@
 		"excluded": {routing.Request{Exclude: []ids.Upstream{"new"}}, []ids.Upstream{"old", "silent-on-versions"}, nil},
 		"none": {
 			routing.Request{Version: "v2", Exclude: []ids.Upstream{"new", "silent-on-versions"}}, nil,
-			&routing.NoUpstreamError{Known: 4, HeldOut: 1, Excluded: 2, Unloaded: 1},
+			&routing.NoUpstreamError{Known: 4, ZeroWeight: 1, Excluded: 2, WithoutVersion: 1},
 		},
 	}
 	for name, tc := range tests {
@@ -60,7 +60,8 @@
 	}
 }
 
-// If every upstream is returning from a fault, all weights are low. Callers must not be refused because of that.
+// Guards against callers that are refused because all weights are low, as when every upstream is returning from a
+// fault.
 func TestUsableFallsBackToLowWeights(t *testing.T) {
 	all := []*routing.Upstream{upstream("a", 0.01), upstream("b", 0.01)}
 	for seed := range uint64(100) {
--- a/internal/policy/routing/prefix/prefix_test.go
+++ b/internal/policy/routing/prefix/prefix_test.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// If an engine's eviction events are lost, the set must still stay bounded and drop old blocks by itself.
+// Guards against a set that grows without bound when an engine's eviction events are lost: it must drop old blocks by
+// itself.
 func TestBlockSetIsBounded(t *testing.T) {
 	set := prefix.NewBlockSet(64)
 	present := 0
--- a/internal/policy/routing/upstream.go
+++ b/internal/policy/routing/upstream.go
@@ -38,7 +38,8 @@
 type Counts struct {
 	// Waiting requests have not generated a token yet; Running ones have.
 	Waiting, Running int
-	// PromptTokens is the number of prompt tokens of the waiting requests that are neither cached nor computed yet.
+	// PromptTokens is the number of prompt tokens of the waiting requests that still need a prefill: they are not
+	// cached, and their prefill is not done.
 	PromptTokens int
 	// FirstWaiting and FirstPromptTokens are the shares of Waiting and PromptTokens that belong to the first class,
 	// which engines serve before all others.
@@ -93,7 +94,7 @@
 	Yours Counts
 	// StepTime is the upstream's recent time per step, which is the time between two tokens of a request.
 	StepTime time.Duration
-	// PromptTokenTime is its recent time to compute one prompt token that is not cached.
+	// PromptTokenTime is its recent prefill time per prompt token that is not cached.
 	PromptTokenTime time.Duration
 }
 
--- a/internal/policy/routing/work.go
+++ b/internal/policy/routing/work.go
@@ -62,7 +62,7 @@
 	started, ended bool
 }
 
-// Token records that the upstream generated n more tokens. The first call also records that the prompt was computed.
+// Token records that the upstream generated n more tokens. The first call also records that the prefill is done.
 func (f *Flight) Token(n int) {
 	if f.ended {
 		return
