--- a/internal/policy/admission/limits/wire.go
+++ b/internal/policy/admission/limits/wire.go
@@ -9,6 +9,7 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
+// centi is the number of centirequests in a request: demand is sent in hundredths.
 const centi = 100
 
 // Encode converts records to the message that entries exchange.
--- a/internal/policy/dispatch/choice.go
+++ b/internal/policy/dispatch/choice.go
@@ -46,8 +46,8 @@
 	p.placedSinceReport.count(now)
 }
 
-// beyondShare reports whether this gateway must leave the few slots that seem to be free to gateways that use less than
-// their share of all slots.
+// beyondShare reports whether this gateway must not place requests for now: few slots seem to be free, and they are
+// left to gateways that use less than their share of all slots.
 //
 // Near the limit, several gateways see the same slot as free. The request that comes second then waits in the
 // upstream's queue, where the gateway can no longer move or refuse it.
--- a/internal/policy/dispatch/mechanism.go
+++ b/internal/policy/dispatch/mechanism.go
@@ -1,6 +1,7 @@
 package dispatch
 
-// Mechanism names an optional rule of the policy. Operators disable one to measure its effect or while it does harm.
+// Mechanism names an optional rule of the policy. Operators can disable one to measure its effect, or while it causes
+// problems.
 type Mechanism string
 
 const (
--- a/internal/policy/dispatch/outlier.go
+++ b/internal/policy/dispatch/outlier.go
@@ -99,7 +99,7 @@
 	// Cause is the outcome of the last request, Consecutive the number of consecutive outcomes of that kind.
 	Cause       Outcome
 	Consecutive int
-	// Duration is the duration of the ejection; 0 means permanently.
+	// Length is the duration of the ejection; 0 means permanently.
 	For time.Duration
 }
 
--- a/internal/policy/quarantine/digest.go
+++ b/internal/policy/quarantine/digest.go
@@ -2,7 +2,7 @@
 
 import cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 
-// ToDigest converts suspects to their messages in a digest.
+// ToDigest converts suspects to the protobuf messages of a digest.
 func ToDigest(list []Suspect) []*cardamomyokev1.Suspect {
 	var out []*cardamomyokev1.Suspect
 	for _, s := range list {
--- a/internal/policy/quarantine/evidence.go
+++ b/internal/policy/quarantine/evidence.go
@@ -134,13 +134,13 @@
 			return Refused, s.Override.Until
 		}
 	}
-	crashes, lone, probes, last := s.countCrashes()
+	crashes, onlyRequest, ranAlone, last := s.countCrashes()
 	until := last.Add(r.Period)
-	refuse := probes > 0 || lone > 0 && crashes > 1 || r.Crashes > 0 && crashes >= r.Crashes
+	refuse := ranAlone > 0 || onlyRequest > 0 && crashes > 1 || r.Crashes > 0 && crashes >= r.Crashes
 	switch {
 	case refuse && now.Before(until):
 		return Refused, until
-	case lone > 0 || crashes > 1:
+	case onlyRequest > 0 || crashes > 1:
 		return Alone, time.Time{}
 	case crashes > 0:
 		return Suspected, time.Time{}
@@ -150,21 +150,21 @@
 
 // countCrashes counts the crashes that are not cleared, those of them at which nothing else was running, and those at
 // which the request had to run alone. It also returns the time of the last one.
-func (s *Suspect) countCrashes() (crashes, lone, probes int, last time.Time) {
+func (s *Suspect) countCrashes() (crashes, onlyRequest, ranAlone int, last time.Time) {
 	for _, e := range s.Evidence {
 		if e.Cleared {
 			continue
 		}
 		crashes++
 		if e.Lone {
-			lone++
+			onlyRequest++
 		}
 		if e.Probe {
-			probes++
+			ranAlone++
 		}
 		last = e.At
 	}
-	return crashes, lone, probes, last
+	return crashes, onlyRequest, ranAlone, last
 }
 
 // Proto returns s as a protobuf message.
--- a/internal/policy/quarantine/persistent.go
+++ b/internal/policy/quarantine/persistent.go
@@ -51,8 +51,8 @@
 	nextReadAt time.Time
 }
 
-// NewPersistentTracker returns an empty tracker. With a nil table Run must not be called, and the state lasts only as
-// long as some node that gossips it is running.
+// NewPersistentTracker returns an empty tracker. With a nil table Run must not be called, and the state is lost when no
+// node that gossips it is running any more.
 func NewPersistentTracker(table platform.Table, r Rules, o PersistentTrackerOptions) *PersistentTracker {
 	p := &PersistentTracker{opts: o, table: table, tracker: NewTracker(r)}
 	p.snapshot.Store(p.tracker.Snapshot())
@@ -153,8 +153,8 @@
 	p.remove(ctx, rows)
 }
 
-// remove deletes the rows of forgotten suspects. The check of the version keeps a row that another node has just
-// written.
+// remove deletes the rows of forgotten suspects. The version check prevents the deletion of a row that another node has
+// just written.
 func (p *PersistentTracker) remove(ctx context.Context, rows []platform.Row) {
 	txn := platform.Txn{Operation: p.opts.NewOperation()}
 	for _, row := range rows {
@@ -177,8 +177,8 @@
 	return err != nil || p.Snapshot().Contains(f)
 }
 
-// write writes the changed rows. A write with an unknown result is sent again on condition of the old version: if the
-// first one took effect after all, the conflict returns its row, and merging that changes nothing.
+// write writes the changed rows. A write with an unknown result is repeated with the same version check: if the first
+// one took effect after all, the second one conflicts with its row, and merging that row changes nothing.
 func (p *PersistentTracker) write(ctx context.Context, now time.Time) {
 	var due []Save
 	p.update(func(t *Tracker) { due = t.Unsaved(now) })
--- a/internal/policy/quarantine/snapshot.go
+++ b/internal/policy/quarantine/snapshot.go
@@ -49,7 +49,7 @@
 	return failure.New(failure.CodeQuarantined, nil).WithRetryAfter(until.Sub(now))
 }
 
-// ListEntry is one entry of an operator's list.
+// ListEntry describes one request in an operator's list of suspects.
 type ListEntry struct {
 	Suspect
 	Level Level
--- a/internal/policy/quarantine/tracker.go
+++ b/internal/policy/quarantine/tracker.go
@@ -12,10 +12,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// RowPrefix is the prefix of the table's keys of refused or overridden requests.
+// RowPrefix is the key prefix of the table's rows for refused or overridden requests.
 const RowPrefix = "quarantine/"
 
-// RowKey returns the table's key of a request.
+// RowKey returns the key of a request's row in the table.
 func RowKey(f Fingerprint) string { return RowPrefix + f.String() }
 
 // Bounds of a Tracker.
@@ -199,8 +199,8 @@
 	return c
 }
 
-// Save is a row to be written to the table on condition that its version is that in Check. The caller then calls Saved
-// or SaveFailed.
+// Save is a row to be written to the table, provided that the version there still is that in Check. The caller then
+// calls Saved or SaveFailed.
 type Save struct {
 	Fingerprint Fingerprint
 	Check       platform.Check
--- a/internal/policy/routing/doc.go
+++ b/internal/policy/routing/doc.go
@@ -1,5 +1,6 @@
-// Package routing holds what all balancing policies share, which choose the upstream for each request at an entry: an
-// entry's view of an upstream, the live count of the work that the entry has in flight there, and the Picker interface.
+// Package routing holds what all balancing policies share: an entry's view of an upstream, the live count of the work
+// that the entry has in flight there, and the Picker interface. A policy chooses, for an entry, the upstream of each
+// request.
 //
 // The control goroutine builds a Picker from the newest state of a service's upstreams and publishes it; traffic
 // goroutines call Pick without a lock. A picker is immutable, but the Work and the prefix.BlockSet that its upstreams
--- a/internal/policy/routing/prefix/prefix.go
+++ b/internal/policy/routing/prefix/prefix.go
@@ -33,6 +33,7 @@
 	return hashes
 }
 
+// ways is the number of blocks in an associative set.
 const ways = 8
 
 // BlockSet is a bounded set of block hashes, organised as a set-associative cache. It is safe for concurrent use
@@ -52,7 +53,7 @@
 	return &BlockSet{hashes: make([]atomic.Uint64, sets*ways), next: make([]atomic.Uint32, sets), mask: uint64(sets - 1)}
 }
 
-// Add adds blocks. Each associative set overwrites its entries in turn.
+// Add adds blocks. Within an associative set, the positions are overwritten in turn.
 func (s *BlockSet) Add(blocks ...uint64) {
 	for _, b := range blocks {
 		if s.find(b) >= 0 {
