--- a/internal/state/audit/doc.go
+++ b/internal/state/audit/doc.go
@@ -4,8 +4,8 @@
 //
 // There are three kinds of chains; docs/design/audit.md gives the reasons:
 //
-//   - ChangesChain has one row for each record of the configuration log. The first entry that notices the record writes
-//     the row.
+//   - ChangesChain has one row for each log entry of the configuration. The first entry process that notices the log entry
+//     writes the row.
 //   - RegisterChain has one row for each chain of a node, so that removing a full chain is detected.
 //   - Each incarnation of a node has a chain, named by the incarnation, that records what the node did and when.
 //
--- a/internal/state/audit/verify.go
+++ b/internal/state/audit/verify.go
@@ -8,12 +8,12 @@
 
 // Fault is an inconsistency that a Verifier found.
 type Fault struct {
-	Key  string
-	What string
+	Key     string
+	Problem string
 }
 
 // Error implements error.
-func (f *Fault) Error() string { return fmt.Sprintf("audit: %s: %s", f.Key, f.What) }
+func (f *Fault) Error() string { return fmt.Sprintf("audit: %s: %s", f.Key, f.Problem) }
 
 // Verifier checks the full audit. Call Add with every row, heads included, sorted by key, then call Faults.
 type Verifier struct {
--- a/internal/state/audit/writer/auditor.go
+++ b/internal/state/audit/writer/auditor.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// catchUpPeriod is the mean interval at which an entry checks the configuration log for changes without audit rows.
-	// It writes the rows of changes whose own entry crashed before it wrote them.
+	// catchUpPeriod is the mean interval at which an entry process checks the configuration log for changes without audit rows.
+	// It writes the rows of changes whose own entry process crashed before it wrote them.
 	catchUpPeriod  = time.Minute
 	catchUpTimeout = 10 * time.Second
 )
 
-// Auditor is the audit writer of an entry: the Writer of its own chain and the Changes that copies the configuration
-// log.
+// Auditor is the audit writer of an entry process: the Writer of its own chain and the Changes that copies the
+// configuration log.
 type Auditor struct {
 	*Writer
 	Changes *Changes
@@ -40,7 +40,7 @@
 	}()
 }
 
-// FlushAll writes the rows of all committed changes and of this entry, so that a listing that follows contains them. It
+// FlushAll writes the rows of all committed changes and of this process, so that a listing that follows contains them. It
 // only logs a failure: a chain that was tampered with accepts no more rows, but must still be listed and verified.
 func (a *Auditor) FlushAll(ctx context.Context) {
 	if err := errors.Join(a.Changes.CatchUp(ctx), a.Flush(ctx)); err != nil {
@@ -79,6 +79,8 @@
 	r.Writer.Record(now, &audit.Row{
 		Kind: audit.KindInForce, Subject: "configuration", Revision: rev,
 		Before: fmt.Sprintf("revision %d", r.last), After: fmt.Sprintf("revision %d", rev),
+		// Stored text. It describes acceptance, but a node that is aware of no table read within
+		// revision.Options.ForceAfter puts a held revision in force before it is accepted.
 		Reason: "every live node holds it",
 	})
 	r.last = rev
@@ -87,6 +89,7 @@
 // LeaseAcquired records that this node acquired the lease of a duty. It is meant as the OnAcquired callback of a lease
 // manager.
 func (w *Writer) LeaseAcquired(now time.Time, h lease.HeldLease) {
+	// "fencing number" is the stored text for a fencing token.
 	w.Record(now, &audit.Row{
 		Kind: audit.KindLeaseAcquired, Subject: string(h.Duty), After: fmt.Sprintf("fencing number %d", h.Fence),
 		Reason: "the lease was free or had lapsed",
--- a/internal/state/audit/writer/changes.go
+++ b/internal/state/audit/writer/changes.go
@@ -19,9 +19,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision/store"
 )
 
-// Changes copies the configuration log to ChangesChain, one row for each record (revision.Entry) of the log. Each
-// change is committed together with its log record, so no audit row is lost if the entry that committed the change
-// crashes: the next CatchUp of any other entry writes it.
+// Changes copies the configuration log to ChangesChain, one row for each log entry. Each change is committed together
+// with its log entry, so no audit row is lost if the process that committed the change crashes: the next CatchUp of any
+// other process writes it.
 type Changes struct {
 	table platform.Table
 	log   *store.Store
@@ -38,7 +38,7 @@
 	return &Changes{table: table, log: log, localState: localState}
 }
 
-// CatchUp writes a row for each record of the log that has none yet. Processes that do so concurrently write each row
+// CatchUp writes a row for each log entry that has none yet. Processes that do so concurrently write each row
 // once: a transaction is applied only if the end of the chain is unchanged, and the other process then reads the new
 // end.
 func (c *Changes) CatchUp(ctx context.Context) error {
@@ -73,7 +73,8 @@
 	}
 }
 
-// rows returns the audit rows of the log records after number after up to number last, and the state at the last one.
+// rows returns the audit rows of the log entries with sequence numbers above after, up to and including last, and the
+// state at last.
 func (c *Changes) rows(ctx context.Context, after, last uint64) ([]*audit.Row, *revision.State, error) {
 	st, err := c.stateAt(ctx, after)
 	if err != nil {
@@ -95,8 +96,8 @@
 	return out, st, nil
 }
 
-// stateAt returns the configuration state at log record seq. It starts from the newest state of this process that is
-// not newer than seq, else from the start of the log. The full log is read only if an entry crashed before it wrote its
+// stateAt returns the configuration state at log entry seq. It starts from the newest state of this process that is
+// not newer than seq, else from the start of the log. The full log is read only if a process crashed before it wrote its
 // row.
 func (c *Changes) stateAt(ctx context.Context, seq uint64) (*revision.State, error) {
 	st := revision.Empty()
@@ -117,7 +118,7 @@
 	return st, nil
 }
 
-// newChangeRow returns the audit row of a log record: the operator, time, reason, and the objects before and after. For
+// newChangeRow returns the audit row of a log entry: the operator, time, reason, and the objects before and after. For
 // a change of the roster it lists only the nodes removed and added: full rosters of 1,140 names would make the chain
 // large.
 func newChangeRow(e *revision.Entry, before, after *revision.State) *audit.Row {
--- a/internal/state/audit/writer/writer.go
+++ b/internal/state/audit/writer/writer.go
@@ -1,4 +1,5 @@
-// Package writer writes audit rows to the platform's table and copies them to its object store.
+// Package writer writes the audit rows of a process to the platform's table and copies them to its object store. A row
+// stays in memory until the table has confirmed it, and each row is written once even if responses are lost.
 //
 // Usage: w := writer.New(writer.Options{...}); go w.Run(ctx); w.Record(now, row) from any goroutine; w.Flush(ctx) as
 // the last step of a shutdown.
@@ -31,8 +32,8 @@
 	maxBatch = 64
 	// rowsPerObject is the maximum number of rows in one archived object.
 	rowsPerObject = 256
-	// registerTries is the number of attempts per flush to append to the register, where nodes conflict with each
-	// other.
+	// registerTries is the number of attempts per flush to append to the register, to which all nodes write, so that
+	// they conflict with each other.
 	registerTries = 8
 )
 
@@ -165,6 +166,7 @@
 	}
 	start := &audit.Row{
 		UnixMs: time.Now().UnixMilli(), Actor: w.o.Node, Kind: audit.KindStarted, Subject: string(w.end.Chain),
+		// Stored text; a life is an incarnation.
 		Reason: "a new life of the node", OperationId: "audit-start-" + string(w.o.Incarnation),
 	}
 	var last error
--- a/internal/state/catalog/configuration.go
+++ b/internal/state/catalog/configuration.go
@@ -75,7 +75,7 @@
 	// StepBase is the duration of a step without work. StepPerRequest is added for each request that generates
 	// tokens, and StepPerKiloContext for each 1,000 tokens of its context.
 	StepBase, StepPerRequest, StepPerKiloContext time.Duration
-	// Stride is the number of steps in a pass.
+	// Stride is the number of steps in a pass, which is one scheduling iteration of the engine.
 	Stride int
 	// PromptTokensPerSecond is the speed of prompt processing, with at most Chunk tokens in a step.
 	PromptTokensPerSecond float64
@@ -88,7 +88,8 @@
 	Experts *Experts
 }
 
-// Experts describes the experts of a group of ranks.
+// Experts describes the experts of a model group. The ranks of a group are engines that share the model's experts: each
+// rank has some of them, and a step needs all ranks.
 type Experts struct {
 	// Sets is the number of sets of layers that are placed independently, and PerSet the number of experts in each.
 	Sets, PerSet int
@@ -97,9 +98,9 @@
 	Placements, Spare int
 	// CopyTime is the time in which a rank copies one expert's weights.
 	CopyTime time.Duration
-	// Share is the share of the work for tokens that experts do.
+	// Share is the fraction of the per-token work of a step that the experts do.
 	Share float64
-	// FormTime is the time in which a group forms again once all its ranks are back.
+	// FormTime is the time that a group needs to form again once all its ranks are back.
 	FormTime time.Duration
 }
 
--- a/internal/state/catalog/upstreams.go
+++ b/internal/state/catalog/upstreams.go
@@ -31,7 +31,7 @@
 	// Slots is the number of requests that the upstream runs concurrently.
 	Slots int
 	State State
-	// Version is the version of the entry in the registry; entries that were written later have higher versions.
+	// Version is the version of the registry entry; registry entries that were written later have higher versions.
 	Version uint64
 }
 
@@ -46,10 +46,10 @@
 	byService map[ids.Service][]*Upstream
 }
 
-// NewUpstreams returns an indexed list. Of two entries with the same address only the later one counts.
+// NewUpstreams returns an indexed list. Of two registry entries with the same address only the later one counts.
 //
-// After a restart the entry of the old incarnation remains for some heartbeats in addition to the new one. An address
-// has one owner at a time, so the later entry proves that the earlier incarnation has ended.
+// After a restart the registry entry of the old incarnation remains for some heartbeats in addition to the new one. An
+// address has one owner at a time, so the later registry entry proves that the earlier incarnation has ended.
 func NewUpstreams(list []*Upstream) *Upstreams {
 	latest := make(map[string]uint64, len(list))
 	for _, up := range list {
--- a/internal/state/claims/batch.go
+++ b/internal/state/claims/batch.go
@@ -110,7 +110,7 @@
 		}
 		heap.Pop(&l.deadlines)
 		if canExpire(c) {
-			l.expire(c, failure.CodeDeadlineUnmet)
+			l.refuseUndecided(c, failure.CodeDeadlineUnmet)
 		}
 	}
 }
--- a/internal/state/claims/ledger.go
+++ b/internal/state/claims/ledger.go
@@ -12,10 +12,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// Effect is an action that the caller of a Ledger must execute: an Answer or a Commit.
+// Effect is an action that the caller of a Ledger must execute: a DeliverVerdict or a Commit.
 type Effect interface{ effect() }
 
-// Answer delivers the verdict on an attempt. Each Submit results in exactly one Answer.
+// DeliverVerdict delivers the verdict on an attempt. Each Submit results in exactly one of these.
 type Answer struct {
 	Attempt ids.Attempt
 	Verdict Verdict
@@ -196,7 +196,7 @@
 // decided one Cancel has no effect.
 func (l *Ledger) Cancel(now time.Time, a ids.Attempt) []Effect {
 	if c := l.byAttempt[a]; c != nil {
-		l.expire(c, failure.CodeCancelled)
+		l.refuseUndecided(c, failure.CodeCancelled)
 	}
 	return l.flush(now)
 }
@@ -245,8 +245,9 @@
 // Live returns the number of claims that have not ended. A slot may exit once it is zero.
 func (l *Ledger) Live() int { return len(l.byAttempt) }
 
-// expire refuses a claim whose deadline has passed or whose caller disconnected, unless it is decided.
-func (l *Ledger) expire(c *claim, code failure.Code) {
+// refuseUndecided refuses a claim whose deadline has passed or whose caller disconnected, unless it is decided. The
+// chart has one event, evExpire, for both cases.
+func (l *Ledger) refuseUndecided(c *claim, code failure.Code) {
 	c.code = code
 	l.fire(time.Time{}, c, evExpire)
 }
--- a/internal/state/claims/request.go
+++ b/internal/state/claims/request.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/ids"
 )
 
-// Request is one attempt at a non-repeatable request.
+// Request asks for the claim of one attempt at a non-repeatable request.
 type Request struct {
 	Client  ids.Client
 	Service ids.Service
--- a/internal/state/claims/store.go
+++ b/internal/state/claims/store.go
@@ -12,8 +12,8 @@
 // eventBuffer is the number of events that can be queued for the goroutine of Run.
 const eventBuffer = 256
 
-// Store runs a Ledger against the platform's table. Its methods are safe for concurrent use. They pass events to the
-// goroutine of Run and wait for it.
+// Store runs a Ledger against the platform's table; it stores nothing itself. Its methods are safe for concurrent use.
+// They pass events to the goroutine of Run. Only Claim and Drain wait for a result.
 type Store struct {
 	table   platform.Table
 	opts    Options
@@ -46,8 +46,8 @@
 }
 
 // Run drives the ledger until ctx is done. Claims whose outcome the table has not acknowledged by then stay in the
-// table as running: a resend gets "running" and, after the deadline, "outcome unknown". For an orderly exit call Drain
-// first.
+// table as running: a resend gets "running" and, after the deadline, "outcome unknown". For a graceful shutdown
+// call Drain first.
 func (s *Store) Run(ctx context.Context) {
 	defer close(s.done)
 	if s.opts.SweepInterval > 0 {
--- a/internal/state/config/source.go
+++ b/internal/state/config/source.go
@@ -13,7 +13,8 @@
 	// Fresh reports whether the node can rely on Current being up to date; if not, it must take no new work.
 	Fresh(now time.Time) bool
 	// Admits reports whether work that was decided on revision r may start: the node is fresh, and r is not older than the
-	// revision in force. A revision that is being replaced remains admissible while its successor spreads to all nodes.
+	// oldest admissible revision. That one follows the revision in force with a delay, so that a replaced revision remains
+	// admissible while its successor spreads to all nodes.
 	Admits(r ids.Revision, now time.Time) bool
 }
 
--- a/internal/state/digest/split.go
+++ b/internal/state/digest/split.go
@@ -40,7 +40,8 @@
 }
 
 // Split splits a digest into parts of at most MaxBytes each. The fields outside the lists are in each part; Join merges
-// the lists again. Rows that do not fit MaxParts parts are dropped, from the end of the sequence of rowsOf.
+// the lists again. If not all rows fit into MaxParts parts, those that rowsOf returns last are
+// dropped.
 func Split(d *cardamomyokev1.Digest) []*cardamomyokev1.Digest {
 	if proto.Size(d) <= MaxBytes {
 		return []*cardamomyokev1.Digest{d}
--- a/internal/state/lease/doc.go
+++ b/internal/state/lease/doc.go
@@ -20,9 +20,10 @@
 //   - A table write includes FenceCheck, a condition on the version of `fences/DUTY`. The table rejects the transaction once
 //     there is a new holder.
 //   - An order to a slot carries the fencing token. FenceFilter rejects an order whose token is lower than any seen before. A
-//     restarted slot first reads the row of its orders, whose token is at least that of every order issued.
-//   - A proposal of an expert map needs every rank's acknowledgement, independently of the lease (docs/design of the map).
-//   - An object is named by the number of its content and never overwritten.
+//     restarted slot first reads the row `orders/UPSTREAM`, whose token is at least that of every order issued to that
+//     upstream.
+//   - A proposal of an expert map needs every rank's acknowledgement, independently of the lease (docs/design/expert-map.md).
+//   - The object of an expert map is named by the map's version and the hash of its content, and is never overwritten.
 //
-// Holder is pure; package manager runs it against the table.
+// Contender is pure; package manager runs it against the table.
 package lease
--- a/internal/state/lease/lease.go
+++ b/internal/state/lease/lease.go
@@ -78,7 +78,7 @@
 	Fence   uint64
 }
 
-// Effect is an action that the owner of a Holder must carry out. The pointer types below are the only effects.
+// Effect is an action that the owner of a Contender must carry out. The pointer types below are the only effects.
 type Effect interface{ effect() }
 
 // Read reads both rows and calls OnRead.
@@ -107,7 +107,7 @@
 // ValidAt reports whether the duty is held at the given time. Callers check it before each action.
 func (h HeldLease) ValidAt(now time.Time) bool { return now.Before(h.Until) }
 
-// Holder is the state machine of one node that contends for or holds one lease. It does no I/O, reads no clock, and is not
+// Contender is the state machine of one node that contends for or holds one lease. It does no I/O, reads no clock, and is not
 // safe for concurrent use.
 type Holder struct {
 	duty        Duty
@@ -140,7 +140,7 @@
 	h.holderDead = dead
 }
 
-// NewHolder returns a holder that does not contend for the duty yet.
+// NewContender returns a Contender that does not contend for the duty yet.
 func NewHolder(d Duty, name string, incarnation ids.Incarnation, length time.Duration, rng *rand.Rand) *Holder {
 	return &Holder{duty: d, name: name, incarnation: incarnation, length: length, rng: rng, machine: chart.Start()}
 }
@@ -257,8 +257,8 @@
 
 // renewedRecently reports whether the holder has written the row within renewalTimeout.
 //
-// Two nodes that do not reach each other but both reach the table would mistake each other for dead and depose each other
-// again and again. A row that changes proves that its holder is alive.
+// Two nodes that do not reach each other but both reach the table would mistake each other for dead and acquire the duty
+// from each other again and again. A row that changes proves that its holder is alive.
 func (h *Holder) renewedRecently(now time.Time) bool {
 	return !h.changedAt.IsZero() && now.Sub(h.changedAt) < h.renewalTimeout()
 }
--- a/internal/state/lease/manager/manager.go
+++ b/internal/state/lease/manager/manager.go
@@ -34,7 +34,7 @@
 	Loop        *control.Loop
 	Rand        *rand.Rand
 	Logger      log.Logger
-	// HolderDead reports whether a holder is known to be dead; see lease.Holder.SetHolderDead. It may be nil.
+	// HolderDead reports whether a holder is known to be dead; see lease.Contender.SetHolderDead. It may be nil.
 	HolderDead func(holder string, incarnation ids.Incarnation) bool
 	// OnAcquired is called on the control loop when this node has acquired a duty, for the audit log. It may be nil.
 	OnAcquired func(now time.Time, h lease.HeldLease)
--- a/internal/state/liveness/detector.go
+++ b/internal/state/liveness/detector.go
@@ -79,7 +79,7 @@
 	isolated bool
 	probedAt time.Time
 	tickedAt time.Time
-	// probeRequests holds who requested an indirect probe and when, by the probed member.
+	// probeRequests holds, by probed member, the members that requested an indirect probe and the time of the request.
 	probeRequests map[Address]map[Address]time.Time
 	rumors        map[Address]gossipEntry
 	// urgentLeft is how many more times rumors are sent out of schedule.
@@ -262,7 +262,7 @@
 	return all[:min(n, len(all))]
 }
 
-// recordProbeReply marks the rounds in which the member is a relay as replied to by a relay.
+// recordProbeReply sets relayReplied in each round in which member a is a relay.
 func (d *Detector) recordProbeReply(a Address) {
 	for _, r := range d.rounds {
 		r.relayReplied = r.relayReplied || slices.Contains(r.relays, a)
--- a/internal/state/membership/targets.go
+++ b/internal/state/membership/targets.go
@@ -44,7 +44,7 @@
 	return out
 }
 
-// Interval returns the time between two digests to one node with the shortest interval.
+// Interval returns the shortest interval between two digests to one node. Some targets have a multiple of it.
 func (l *MemberList) Interval(seeds []string) time.Duration {
 	return l.interval(l.currentTargets(seeds))
 }
--- a/internal/state/platform/platform.go
+++ b/internal/state/platform/platform.go
@@ -1,5 +1,6 @@
-// Package platform defines the services of the platform that the system runs on: a transactional table, an object
-// store, a delayed list of hosts and a rate-limited store of weights.
+// Package platform defines the services of the platform that the system runs on: a transactional table, a feed of the
+// tables that other systems write, an object store, a delayed list of hosts and a rate-limited store of weights. The
+// platform's table is Table; the platform's store is what Feed reads.
 //
 // The interfaces are small so that tests can replace them with fakes. Client and HTTP in this package implement them
 // over HTTP.
--- a/internal/state/registry/registry.go
+++ b/internal/state/registry/registry.go
@@ -23,13 +23,14 @@
 type entry struct {
 	// version is the version of the last row that was read.
 	version uint64
-	// up is the newest incarnation that the entry named; nil if the row cannot be decoded.
+	// up is the newest incarnation that the registry entry named; nil if the row cannot be decoded.
 	up *catalog.Upstream
 	// pastStarts holds the start times of the incarnations before it, the latest last.
 	pastStarts []int64
 }
 
-// keptIncarnations is the number of past incarnations remembered per ID. A late entry belongs to one of the last few.
+// keptIncarnations is the number of past incarnations remembered per ID. A late registry entry belongs to one of the
+// last few.
 const keptIncarnations = 8
 
 // New returns an empty registry.
@@ -58,20 +59,20 @@
 	return catalog.NewUpstreams(list), findings
 }
 
-// usable reports whether the entry names an upstream to which requests may be sent.
+// usable reports whether the registry entry names an upstream to which requests may be sent.
 //
-// An entry is not usable if its service is not configured, or if another upstream responded at its address. Such an
-// entry may name the address of a healthy upstream. Because only the later of two entries with the same address
-// counts, the healthy upstream would then get no requests.
+// A registry entry is not usable if its service is not configured, or if another upstream responded at its address.
+// Such a registry entry may name the address of a healthy upstream. Because only the later of two registry entries with
+// the same address counts, the healthy upstream would then get no requests.
 func (r *Registry) usable(e *entry, services map[ids.Service]*catalog.Service) bool {
 	return e.up != nil && services[e.up.Service] != nil && !r.rejected[e.up.Incarnation()]
 }
 
-// Reject records that another upstream responded at the address of the incarnation, which proves that the entry is
-// false. It returns false if that was recorded before.
+// Reject records that another upstream responded at the address of the incarnation, which proves that the registry
+// entry is false. It returns false if that was recorded before.
 //
-// A well-formed false entry still costs each gateway one attempt, which the upstream does not run, for each ID under
-// which it is written.
+// A well-formed false registry entry still costs one attempt per gateway and per ID under which it is written. The
+// upstream that receives such an attempt does not run it.
 func (r *Registry) Reject(i ids.UpstreamIncarnation) bool {
 	if r.rejected[i] {
 		return false
@@ -80,7 +81,7 @@
 	return true
 }
 
-// dropRejected drops rejected incarnations that no entry names any more.
+// dropRejected drops rejected incarnations that no registry entry names any more.
 func (r *Registry) dropRejected() {
 	for i := range r.rejected {
 		e := r.entries[string(i.Upstream)]
@@ -90,7 +91,7 @@
 	}
 }
 
-// readRow processes one row and returns its entry and a finding, if there is one to log.
+// readRow processes one row and returns its registry entry and a finding, if there is one to log.
 func (r *Registry) readRow(row platform.Row) (*entry, *Finding) {
 	old := r.entries[row.Key]
 	if old != nil && old.version == row.Version {
@@ -120,8 +121,8 @@
 	return e
 }
 
-// resolveIncarnation returns e, the successor of old under the same ID, with the incarnation in force, and a finding
-// if the two entries name different incarnations.
+// resolveIncarnation returns e, the successor of old under the same ID, with the incarnation in force, and a finding if
+// the two registry entries name different incarnations.
 //
 // The last heartbeat of a past incarnation may arrive after the first one of the next. Incarnations are not ordered
 // by start time, because a clock may have been set back, but a replaced incarnation never returns.
--- a/internal/state/registry/registry_test.go
+++ b/internal/state/registry/registry_test.go
@@ -29,7 +29,7 @@
 	return nil, failure.New(failure.CodeMalformed, nil)
 }
 
-// put writes an entry; with a nil upstream the entry cannot be decoded.
+// put writes a registry entry; with a nil upstream the registry entry cannot be decoded.
 func (w *table) put(key string, u *catalog.Upstream) {
 	w.version++
 	row := platform.Row{Key: key, Version: w.version}
@@ -67,9 +67,9 @@
 	return states, found
 }
 
-// An upstream restarts under its ID between two heartbeats, so its entry never disappears. Then the last heartbeat of
-// the previous incarnation arrives late and reports draining. Requests must still go to the new incarnation, whose
-// start time is the smaller one because the upstream's clock was set back.
+// An upstream restarts under its ID between two heartbeats, so its registry entry never disappears. Then the last
+// heartbeat of the previous incarnation arrives late and reports draining. Requests must still go to the new
+// incarnation, whose start time is the smaller one because the upstream's clock was set back.
 func TestLateEntryOfPastIncarnationIsIgnored(t *testing.T) {
 	w := newTable()
 	r := registry.New(w.decode)
@@ -95,8 +95,8 @@
 	}
 }
 
-// An entry is overwritten by an unreadable row, then written again by its upstream, which has restarted meanwhile. A
-// late heartbeat must not bring back the incarnation before the restart.
+// A registry entry is overwritten by an unreadable row, then written again by its upstream, which has restarted
+// meanwhile. A late heartbeat must not bring back the incarnation before the restart.
 func TestUnreadableEntryDoesNotHideRestart(t *testing.T) {
 	w := newTable()
 	r := registry.New(w.decode)
@@ -115,10 +115,10 @@
 	}
 }
 
-// A false, well-formed entry has the address of a healthy upstream and, as the later entry, takes the address over.
-// The healthy upstream receives the first request sent there and does not run it; its response proves that the entry
-// is false. From then on the owner must be used, for as long as the false entry exists and however often it is
-// rewritten.
+// A false, well-formed registry entry has the address of a healthy upstream and, as the later registry entry, takes the
+// address over. The healthy upstream receives the first request sent there and does not run it; its response proves
+// that the registry entry is false. From then on the owner must be used, for as long as the false registry entry exists
+// and however often it is rewritten.
 func TestAddressReturnsToOwnerAfterReject(t *testing.T) {
 	w := newTable()
 	r := registry.New(w.decode)
@@ -139,7 +139,7 @@
 		}
 		w.put("false", newUpstream("10.0.0.1:1", 6, catalog.StateReady))
 	}
-	// Once the entry is removed, its rejection must be forgotten.
+	// Once the registry entry is removed, its rejection must be forgotten.
 	w.rows = w.rows[:1]
 	update(r, w)
 	if !r.Reject(incarnation) {
@@ -148,7 +148,7 @@
 }
 
 // An upstream registers before its service is configured. It must be used as soon as the service is, although its
-// entry does not change. Until then it must not take over the address of another upstream.
+// registry entry does not change. Until then it must not take over the address of another upstream.
 func TestUpstreamOfServiceConfiguredLater(t *testing.T) {
 	w := newTable()
 	r := registry.New(w.decode)
@@ -165,8 +165,8 @@
 	}
 }
 
-// Another writer fills the registry with 5,000 unreadable entries. Each must be decoded and reported once, and not
-// again with every change of another entry.
+// Another writer adds 5,000 unreadable registry entries. Each must be decoded and reported once, and
+// not again with every change of another registry entry.
 func TestForeignEntriesAreDecodedOnce(t *testing.T) {
 	w := newTable()
 	r := registry.New(w.decode)
@@ -185,7 +185,7 @@
 	}
 }
 
-// BenchmarkForeignEntries measures one change of the registry with 5,000 unreadable entries of another writer.
+// BenchmarkForeignEntries measures one change of the registry with 5,000 unreadable registry entries of another writer.
 func BenchmarkForeignEntries(b *testing.B) {
 	w := newTable()
 	r := registry.New(w.decode)
--- a/internal/state/replica/follower.go
+++ b/internal/state/replica/follower.go
@@ -13,11 +13,14 @@
 )
 
 const (
+	// A sentinel is one of the few nodes that must notice soon when the store stops responding; see Follower.Sentinel.
+
 	// sentinelWait is how long one call of a sentinel waits for changes. It bounds how long a store that accepts
 	// calls and never responds goes unnoticed. That time must be less than the time within which a change must be in
 	// force after an outage.
 	sentinelWait = 2500 * time.Millisecond
-	// normalWait is that wait for all other nodes, which get from sentinels what their own calls may miss.
+	// normalWait is how long one call of any other node waits for changes. Such a node also gets changes from sentinels,
+	// which notice an unresponsive store earlier.
 	normalWait = 12 * time.Second
 	// minCallInterval is the minimum time between the starts of two calls. Changes in quick succession, as when all
 	// upstreams register at the same time, are read together. It is a tenth of the shortest time within which a
@@ -61,7 +64,7 @@
 	Changed           func(r *Replica)
 	ConnectionChanged func(r *Replica, c StoreConnection)
 	// Sentinel reports whether this node is one of the few that must notice soon when the store stops responding.
-	// Calls are priced, and the other nodes also get changes from their peers. If it is nil, the node is a sentinel.
+	// The platform charges for each call, and the other nodes also get changes from their peers. If it is nil, the node is a sentinel.
 	Sentinel func() bool
 	// Relayed reports whether messages arrive from enough peers that follow the table in the store, so that this node
 	// needs no calls of its own. If it is nil, they do not.
--- a/internal/state/revision/accept.go
+++ b/internal/state/revision/accept.go
@@ -7,24 +7,24 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// pending is an entry that is held but not known to be accepted.
+// pending is a log entry that this node holds but does not know to be accepted.
 type pending struct {
 	state *State
 	since time.Time
-	// heldSince holds, by member index, since when this node has known that the member holds the entry. lastAck holds when
-	// that was last reported.
+	// heldSince has, by member index, the time from which this node has known without a gap that the member holds the log
+	// entry, and lastAck the time at which that was last reported.
 	heldSince map[int]time.Time
 	lastAck   map[int]time.Time
-	// edit is the entry's change of the roster, or nil.
+	// edit is the log entry's change of the roster, or nil.
 	edit *cardamomyokev1.RosterEdit
-	// silent lists the members that the entry removes only because they were unresponsive. A member that reaches the table
-	// but no other node is alive, and serves until it reads of its removal.
+	// silent lists the members that the log entry removes only because they were unresponsive. A member that reaches the
+	// table but no other node is alive, and serves until it reads of its removal.
 	silent []*Member
 }
 
-// holders returns the members known to have held the entry at the given time whose latest acknowledgement is within ackTTL.
-// An older acknowledgement does not count, because a member that restarts after it has lost the entry. If several members
-// restart before the rest receive the entry, they could form a majority that never learns of it.
+// holders returns the members known to have held the log entry at the given time whose latest acknowledgement is within
+// ackTTL. An older acknowledgement does not count, because a member that restarts after it has lost the log entry. If
+// several members restart before the rest receive the log entry, they could form a majority that never learns of it.
 func (p *pending) holders(at, now time.Time) bitset {
 	out := newBitset(len(p.state.Roster.members))
 	for i, first := range p.heldSince {
@@ -35,7 +35,7 @@
 	return out
 }
 
-// recordHolders records which members hold entry seq and therefore all earlier entries.
+// recordHolders records which members hold log entry seq and therefore all earlier log entries.
 func (n *Node) recordHolders(holders bitset, seq uint64, now time.Time) {
 	s := n.stateAt(seq)
 	if s == nil {
@@ -59,8 +59,8 @@
 	}
 }
 
-// accept emits the effect that marks the newest acceptable entry as accepted in the table. Only an origin does this, since
-// the acknowledgements arrive there.
+// accept emits the effect that marks the newest acceptable log entry as accepted in the table. Only an origin does this,
+// since the acknowledgements arrive there.
 func (n *Node) accept() {
 	if !n.isOrigin() || n.now.Before(n.acceptAt) || n.oldestPending() == nil {
 		return
@@ -82,13 +82,13 @@
 	n.publishHolds()
 }
 
-// acceptable reports whether no node can act on the state before the entry, now or later.
+// acceptable reports whether no node can act on the state before the log entry, now or later.
 //
-// Each member that holds the entry puts it in force in time by itself. A missing member (one that may not hold the entry)
-// has stopped if nothing can have kept it fresh. A read of the table that began after the commit would have shown it the
-// entry. A majority without the entry is impossible if the members that hold it leave too few others, in each roster that
-// the missing member may use. Any older basis of its freshness has expired once stopTimeout, which exceeds StaleAfter, has
-// passed since the last of those members received the entry.
+// Each member that holds the log entry puts it in force in time by itself. A missing member (one that may not hold the log
+// entry) has stopped if nothing can have kept it fresh. A read of the table that began after the commit would have shown it
+// the log entry. A majority without the log entry is impossible if the members that hold it leave too few others, in each
+// roster that the missing member may use. Any older basis of its freshness has expired once stopTimeout, which exceeds
+// StaleAfter, has passed since the last of those members received the log entry.
 func (n *Node) acceptable(p *pending) bool {
 	missing := n.missingFor(p)
 	if len(missing) == 0 {
@@ -116,9 +116,9 @@
 	return true
 }
 
-// removedNames returns the nodes known to be dead: pending entries remove them because they left or were reported dead by
-// an operator or the host list. None of them can be part of a majority that keeps a missing node fresh. This includes a
-// later incarnation of such a node, which does not act as a member before it holds the entry that adds it again.
+// removedNames returns the nodes known to be dead: pending log entries remove them because they left or were reported dead
+// by an operator or the host list. None of them can be part of a majority that keeps a missing node fresh. This includes a
+// later incarnation of such a node, which does not act as a member before it holds the log entry that adds it again.
 func (n *Node) removedNames() map[string]bool {
 	out := map[string]bool{}
 	for _, p := range n.pending {
@@ -129,8 +129,8 @@
 	return out
 }
 
-// missingFor returns the nodes that may neither hold the entry nor be aware that they must stop: members that have not
-// acknowledged it, and nodes that were unresponsive and are removed for that by this or an earlier pending entry.
+// missingFor returns the nodes that may neither hold the log entry nor be aware that they must stop: members that have not
+// acknowledged it, and nodes that were unresponsive and are removed for that by this or an earlier pending log entry.
 func (n *Node) missingFor(p *pending) []*Member {
 	removed := n.removedNames()
 	var out []*Member
@@ -153,7 +153,7 @@
 	return out
 }
 
-// addedAfter reports whether an unresponsive node that pending entry i removed has become a member again. It requested
+// addedAfter reports whether an unresponsive node that pending log entry i removed has become a member again. It requested
 // that because it had read of its removal.
 func (n *Node) addedAfter(i int, name string) bool {
 	for _, p := range n.pending[i:] {
--- a/internal/state/revision/ack.go
+++ b/internal/state/revision/ack.go
@@ -50,7 +50,7 @@
 	c.holds = bitset(m.GetHolds())
 }
 
-// recordReply adds the nodes that m covers to the round of the heartbeat that it answers.
+// recordReply adds the nodes that m covers to the round of the heartbeat that it acknowledges.
 func (n *Node) recordReply(m *Ack) {
 	s := n.stateAt(m.GetStaged())
 	for _, r := range n.rounds {
@@ -67,8 +67,8 @@
 	n.scheduleAck(n.ackDelay())
 }
 
-// certify creates a certificate if a majority answered a heartbeat that started here. A node that restarted and has not
-// recovered does not count itself, because it has lost its record of the entries that it acknowledged.
+// certify creates a certificate if a majority acknowledged a heartbeat that started here. A node that restarted and has not
+// recovered does not count itself, because it has lost its record of the log entries that it acknowledged.
 func (n *Node) certify(r *round) {
 	if r.origin != n.incarnation || r.roster != n.roster() {
 		return
@@ -112,9 +112,9 @@
 	}
 }
 
-// acknowledge sends a scheduled acknowledgement that is due. Entries that the parent lacks and the first answer to a
-// heartbeat are sent immediately; other acknowledgements are spaced by minAckInterval, so that one message covers many
-// nodes.
+// acknowledge sends a scheduled acknowledgement that is due. Log entries that the parent lacks and the first
+// acknowledgement of a heartbeat are sent immediately; other acknowledgements are spaced by minAckInterval, so that one
+// message covers many nodes.
 func (n *Node) acknowledge() {
 	if n.ackAt.IsZero() || n.parent == "" || n.now.Before(n.ackAt) {
 		return
@@ -155,7 +155,8 @@
 	n.emit(&SendAck{member, m})
 }
 
-// holds returns the members known to hold the newest entry that this node holds: itself and those that its children report.
+// holds returns the members known to hold the newest log entry that this node holds: itself and those that its children
+// report.
 func (n *Node) holds() bitset {
 	r := n.roster()
 	out := newBitset(len(r.members))
--- a/internal/state/revision/agent/agent.go
+++ b/internal/state/revision/agent/agent.go
@@ -1,7 +1,7 @@
 // Package agent runs a revision.Node in a process: it carries out the node's effects against the platform and the other
 // nodes, and publishes the node's views to request handlers.
 //
-// An entry and a slot wire it in the same way:
+// Entry processes and slot processes use it in the same way:
 //
 //	a := agent.New(agent.Config{
 //		Self: member, Incarnation: inc, Seeds: peers, Platform: client, Transport: agent.NewRPC(httpClient, "https"), Loop: loop, ...
@@ -154,7 +154,7 @@
 type NotReadyError struct{ Node string }
 
 // Error implements error.
-func (e *NotReadyError) Error() string { return e.Node + " holds no configuration yet" }
+func (e *NotReadyError) Error() string { return e.Node + " has no configuration in force yet" }
 
 // HandleCatchUp returns the full state for another node. Errors: *NotReadyError and those of ctx.
 func (a *Agent) HandleCatchUp(ctx context.Context) (*cardamomyokev1.CatchUpResponse, error) {
@@ -171,7 +171,7 @@
 	}
 }
 
-// Change commits an operator's change; see store.Store.Change. It returns before the entry is accepted; see Wait.
+// Change commits an operator's change; see store.Store.Change. It returns before the log entry is accepted; see Wait.
 func (a *Agent) Change(ctx context.Context, meta *cardamomyokev1.ChangeMeta, build store.Build) (*revision.Entry, error) {
 	e, err := a.store.Change(ctx, a.View().Newest, meta, build)
 	if err == nil {
@@ -193,7 +193,7 @@
 	a.post(func(now time.Time) []revision.Effect { return a.node.OnCommitted(now, e) })
 }
 
-// Wait returns the first view in which entry seq is accepted, or the newest view when ctx is done.
+// Wait returns the first view in which log entry seq is accepted, or the newest view when ctx is done.
 func (a *Agent) Wait(ctx context.Context, seq uint64) *revision.View {
 	for {
 		changed := a.Changed()
--- a/internal/state/revision/agent/failure_test.go
+++ b/internal/state/revision/agent/failure_test.go
@@ -198,8 +198,8 @@
 	})
 }
 
-// The table goes down between commit and acceptance. Every node holds the entry but cannot learn whether it is accepted, so
-// each puts it in force by itself within seconds. When the table is back, the entry is accepted.
+// The table goes down between commit and acceptance. Every node holds the log entry but cannot learn whether it is accepted,
+// so each puts it in force by itself within seconds. When the table is back, the log entry is accepted.
 func TestOutageAfterCommitPutsInForce(t *testing.T) {
 	runCluster(t, 11, 3, func(c *cluster) {
 		e := c.change("a-0", 1)
--- a/internal/state/revision/agent/scenario_test.go
+++ b/internal/state/revision/agent/scenario_test.go
@@ -78,7 +78,7 @@
 	replacements    int
 }
 
-// acceptance is when the checks first saw an entry accepted.
+// acceptance is when the checks first saw a log entry accepted.
 type acceptance struct {
 	seq uint64
 	at  time.Time
@@ -392,7 +392,7 @@
 }
 
 // Concurrent operators change and read the configuration while random faults occur. The history must stay linearizable, and
-// no node may take work without an accepted entry for longer than staleAfter.
+// no node may take work without an accepted log entry for longer than staleAfter.
 func TestScenarios(t *testing.T) {
 	scenarios := []struct {
 		name   string
--- a/internal/state/revision/catchup.go
+++ b/internal/state/revision/catchup.go
@@ -26,7 +26,8 @@
 	return n.finish()
 }
 
-// catchUp requests the full state of a peer that still holds a later entry than this node after its entries were merged.
+// catchUp requests the full state of a peer that still holds a later log entry than this node after its log entries were
+// merged.
 func (n *Node) catchUp(from string, peerStaged uint64) {
 	if n.staged() >= peerStaged || n.now.Sub(n.catchUpAt) < n.options.HeartbeatInterval {
 		return
--- a/internal/state/revision/effects.go
+++ b/internal/state/revision/effects.go
@@ -29,26 +29,27 @@
 	Msg *Ack
 }
 
-// ReadHead reads the head row and the entries after After, and passes the result or the error to OnHead.
+// ReadHead reads the head row and the log entries after After, and passes the result or the error to OnHead.
 type ReadHead struct {
 	After uint64
 	// Full requests the newest checkpoint too, for a node that has no state.
 	Full bool
-	// Holds requests the rows in which other nodes report which members hold which entry.
+	// Holds requests the rows in which other nodes report which members hold which log entry.
 	Holds bool
 }
 
-// Accept marks State.Seq as accepted in the head row, unless a later entry is accepted already, and calls OnAccepted.
+// Accept marks State.Seq as accepted in the head row, unless a later log entry is accepted already, and calls
+// OnAccepted.
 type Accept struct{ State *State }
 
-// WriteHolds writes to the table which members hold an entry, for nodes that this one does not reach.
+// WriteHolds writes to the table which members hold a log entry, for nodes that this one does not reach.
 type WriteHolds struct{ Row *cardamomyokev1.Holds }
 
 // CatchUp fetches the state of another node and calls OnCatchUp, also if that fails.
 type CatchUp struct{ From *Member }
 
-// EditRoster commits an entry that changes the roster and passes it to OnCommitted. A failure need not be reported: the
-// node repeats the effect.
+// EditRoster commits a log entry that changes the roster and passes it to OnCommitted. A failure need not be reported:
+// the node repeats the effect.
 type EditRoster struct {
 	Edit   *cardamomyokev1.RosterEdit
 	Reason string
--- a/internal/state/revision/heartbeat.go
+++ b/internal/state/revision/heartbeat.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// round records which members answered one heartbeat.
+// round records which members acknowledged one heartbeat.
 type round struct {
-	// origin is the incarnation that started the heartbeat. The node's name would not do: the answer to a heartbeat of its
-	// previous incarnation could count for one of the same number now, and the majority would certify an outdated state.
+	// origin is the incarnation that started the heartbeat. The node's name would not do: the acknowledgement of a heartbeat
+	// of its previous incarnation could count for one of the same number now, and the majority would certify an outdated
+	// state.
 	origin    string
 	heartbeat uint64
 	start     time.Time
--- a/internal/state/revision/membership.go
+++ b/internal/state/revision/membership.go
@@ -74,9 +74,9 @@
 	return e
 }
 
-// editRoster emits the effect that commits all open requests as one entry, or else the removal of members that have been
-// unresponsive for removeAfter. Only an origin does this; otherwise a thousand nodes that start together would race for the
-// head row.
+// editRoster emits the effect that commits all open requests as one log entry, or else the removal of members that have
+// been unresponsive for removeAfter. Only an origin does this; otherwise a thousand nodes that start together would race
+// for the head row.
 func (n *Node) editRoster() {
 	if !n.isOrigin() || len(n.states) == 0 || n.staged() < n.committed || n.now.Sub(n.rosterEditAt) < minEditInterval {
 		return
@@ -97,7 +97,7 @@
 	n.emit(&EditRoster{e, reason})
 }
 
-// markAlive updates lastSeen of the members that answered a heartbeat that started here.
+// markAlive updates lastSeen of the members that acknowledged a heartbeat that started here.
 func (n *Node) markAlive(r *round) {
 	for i, m := range r.roster.members {
 		if r.alive.has(i) {
--- a/internal/state/revision/node.go
+++ b/internal/state/revision/node.go
@@ -34,7 +34,8 @@
 	leaving     bool
 	seeds       []*Member
 
-	// states holds the state after each entry, from the older of the accepted one and the one in force to the newest held.
+	// states holds consecutive states: from that after the accepted log entry or the one in force, whichever is older, to
+	// that after the newest held log entry.
 	states      []*State
 	inForce     *State
 	log         []*Entry
@@ -42,13 +43,13 @@
 	accepted    uint64
 	floors      []floor
 	missing     []string   // as reported by the last heartbeat
-	tableReadAt time.Time  // start of the newest table read of which this node holds all committed entries
+	tableReadAt time.Time  // start of the newest table read of which this node holds all committed log entries
 	newestCert  quorumCert // forwarded to the children
 	certBasis   time.Time  // basis of the newest certificate that applies to this node
 
 	parent       string
 	parentAt     time.Time
-	parentStaged uint64 // newest entry held by the parent
+	parentStaged uint64 // newest log entry held by the parent
 	joinAt       time.Time
 	joinNext     int
 	children     map[string]*child
@@ -97,8 +98,8 @@
 	at time.Time
 }
 
-// quorumCert certifies that a majority held no entry after seq at some time after basis. The majority is one of all members
-// if all is set, and one of each data centre in centres.
+// quorumCert certifies that a majority held no log entry after seq at some time after basis. The majority is one of all
+// members if all is set, and one of each data centre in centres.
 type quorumCert struct {
 	seq     uint64
 	basis   time.Time
@@ -146,7 +147,7 @@
 	return 0
 }
 
-// stateAt returns the state after entry seq, or nil if it is not retained.
+// stateAt returns the state after log entry seq, or nil if it is not retained.
 func (n *Node) stateAt(seq uint64) *State {
 	for _, s := range n.states {
 		if s.Seq == seq {
@@ -209,14 +210,14 @@
 	return n.finish()
 }
 
-// OnCommitted processes an entry that this node itself has committed in the table.
+// OnCommitted processes a log entry that this node itself has committed in the table.
 func (n *Node) OnCommitted(now time.Time, e *Entry) []Effect {
 	n.begin(now)
 	n.merge([]*Entry{e}, e.GetSeq(), 0)
 	return n.finish()
 }
 
-// OnAccepted processes the outcome of Accept: the newest accepted entry, or 0 if the write failed.
+// OnAccepted processes the outcome of Accept: the newest accepted log entry, or 0 if the write failed.
 func (n *Node) OnAccepted(now time.Time, seq uint64) []Effect {
 	n.begin(now)
 	n.acceptAt = n.now
@@ -228,7 +229,8 @@
 	return n.finish()
 }
 
-// merge records committed entries and sequence numbers from any source, and stages the entries that follow the held ones.
+// merge records committed log entries and sequence numbers from any source, and stages the log entries that follow the held
+// ones.
 func (n *Node) merge(entries []*Entry, committed, accepted uint64) {
 	before := [3]uint64{n.staged(), n.committed, n.accepted}
 	for _, e := range entries {
@@ -244,7 +246,7 @@
 	}
 }
 
-// stage applies e and holds it. An entry that this node cannot apply is not held, so it is never accepted while the node
+// stage applies e and holds it. A log entry that this node cannot apply is not held, so it is never accepted while the node
 // is a member, and the list of pending nodes names it.
 func (n *Node) stage(e *Entry) {
 	next, err := n.head().Apply(e)
@@ -273,7 +275,7 @@
 	n.pending = append(n.pending, p)
 }
 
-// reset replaces the held states and entries by a later state.
+// reset replaces the held states and log entries by a later state.
 func (n *Node) reset(s *State) {
 	if len(n.states) > 0 && s.Seq <= n.staged() {
 		return
@@ -286,7 +288,7 @@
 	n.scheduleAck(n.ackDelay())
 }
 
-// entriesAfter returns the held entries after seq, or nil if there are none or the log no longer retains all of them.
+// entriesAfter returns the held log entries after seq, or nil if there are none or the log no longer retains all of them.
 func (n *Node) entriesAfter(seq uint64) []*Entry {
 	if len(n.log) == 0 || n.log[0].GetSeq() > seq+1 || seq >= n.staged() {
 		return nil
@@ -294,9 +296,9 @@
 	return n.log[seq+1-n.log[0].GetSeq():]
 }
 
-// advance puts the accepted entries in force. If the newest table read that this node is aware of is older than ForceAfter,
-// it puts all held entries in force: otherwise a node that is partitioned just before an entry is accepted would work
-// without it for the whole partition. A committed entry is never revoked, so this is early but not wrong.
+// advance puts the accepted log entries in force. If the newest table read that this node is aware of is older than
+// ForceAfter, it puts all held log entries in force: otherwise a node that is partitioned just before a log entry is accepted
+// would work without it for the whole partition. A committed log entry is never revoked, so this is early but not wrong.
 func (n *Node) advance() {
 	if len(n.states) == 0 || !n.recovered() {
 		return
@@ -339,8 +341,8 @@
 		return time.Time{}
 	}
 	basis := n.tableReadAt
-	// A majority proves which entries are held, not which are accepted. While an entry is held but not in force, only the
-	// table can show that it is not accepted yet. Otherwise a node that is paused right after could serve without it for
+	// A majority proves which log entries are held, not which are accepted. While a log entry is held but not in force, only
+	// the table can show that it is not accepted yet. Otherwise a node that is paused right after could serve without it for
 	// ForceAfter longer.
 	if n.certBasis.After(basis) && n.inForce.Seq == n.staged() {
 		basis = n.certBasis
@@ -348,15 +350,15 @@
 	return basis.Add(n.options.StaleAfter)
 }
 
-// mergeTableRead records that a read of the table that began at basis showed no committed entry after seq.
+// mergeTableRead records that a read of the table that began at basis showed no committed log entry after seq.
 func (n *Node) mergeTableRead(basis time.Time, seq uint64) {
 	if n.staged() < seq || len(n.states) == 0 {
-		return // this node lacks a committed entry
+		return // this node lacks a committed log entry
 	}
 	if basis.After(n.tableReadAt) {
 		n.tableReadAt = basis
 	}
-	n.recover(basis)
+	n.endRecovery(basis)
 }
 
 // mergeCert records a majority's certificate.
@@ -374,15 +376,16 @@
 	if v.basis.After(n.certBasis) {
 		n.certBasis = v.basis
 	}
-	n.recover(v.basis.Add(-restartQuarantine))
+	n.endRecovery(v.basis.Add(-restartWait))
 }
 
-// recover ends the recovery of a restarted node, which has lost its record of the entries that it acknowledged. The basis
-// must be later than the node's start: an entry that the previous incarnation acknowledged was committed before that, so a
-// read of the table shows it, and every majority contains a node that acknowledged it too. A majority counts only once the
-// acknowledgements of the previous incarnation have expired everywhere (restartQuarantine). Until then, they may be combined
-// with those of nodes that received the entry only after they had answered the heartbeat behind this certificate.
-func (n *Node) recover(basis time.Time) {
+// endRecovery ends the recovery of a restarted node, which has lost its record of the log entries that it acknowledged. The
+// basis must be later than the node's start: a log entry that the previous incarnation acknowledged was committed before
+// that, so a read of the table shows it, and every majority contains a node that acknowledged it too. A majority counts only
+// once the acknowledgements of the previous incarnation have expired everywhere (restartWait). Until then, they may be
+// combined with those of nodes that received the log entry only after they had acknowledged the heartbeat behind this
+// certificate.
+func (n *Node) endRecovery(basis time.Time) {
 	if basis.Before(n.startedAt) {
 		return
 	}
--- a/internal/state/revision/node_test.go
+++ b/internal/state/revision/node_test.go
@@ -52,9 +52,9 @@
 	return n.OnAck(now, &Ack{From: name, Incarnation: name, Nonce: nonce, Staged: staged, Holds: holds, MaxStaged: staged})
 }
 
-// Counterexample found by Spin: a node acknowledges an entry, restarts and recovers from nodes that lack the entry; then
-// the last of those acknowledges it. With the old acknowledgement all nodes seem to hold the entry, but the restarted node
-// and another one could serve without it forever. So an acknowledgement counts only while it is repeated.
+// Counterexample found by Spin: a node acknowledges a log entry, restarts and recovers from nodes that lack the log entry;
+// then the last of those acknowledges it. With the old acknowledgement all nodes seem to hold the log entry, but the
+// restarted node and another one could serve without it forever. So an acknowledgement counts only while it is repeated.
 func TestAcknowledgementExpires(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, repeated := range []bool{true, false} {
@@ -86,7 +86,7 @@
 	for _, tc := range []struct {
 		after time.Duration
 		want  bool
-	}{{time.Second, false}, {restartQuarantine - time.Second, false}, {restartQuarantine + time.Second, true}} {
+	}{{time.Second, false}, {restartWait - time.Second, false}, {restartWait + time.Second, true}} {
 		now := start.Add(tc.after)
 		n.begin(now)
 		n.mergeCert(quorumCert{seq: 1, basis: now, all: true})
--- a/internal/state/revision/options.go
+++ b/internal/state/revision/options.go
@@ -7,11 +7,11 @@
 	// HeartbeatInterval is the time between heartbeats, and between two reads of the table by a poller; default 1s.
 	HeartbeatInterval time.Duration
 	// StaleAfter is how long a node takes new work after the newest moment for which it knows that it held every committed
-	// entry; default 4s.
+	// log entry; default 4s.
 	StaleAfter time.Duration
 	// ForceAfter is the maximum age of the newest table read that a node is aware of. When that read is older, the node puts
-	// in force the entries that it holds, without waiting for their acceptance; default 2s. It is also the grace period for
-	// work that was decided on the previous revision.
+	// in force the log entries that it holds, without waiting for their acceptance; default 2s. It is also the grace period
+	// for work that was decided on the previous revision.
 	ForceAfter time.Duration
 	// Fanout is the number of children that a node has in its data centre; default 3.
 	Fanout int
@@ -38,7 +38,7 @@
 	return o
 }
 
-// stopTimeout returns the time, counted from the last acknowledgement, after which a node that has not acknowledged an
+// stopTimeout returns the time, counted from the last acknowledgement, after which a node that has not acknowledged a log
 // entry has stopped taking new work. It exceeds StaleAfter because clocks may run at slightly different rates.
 func (o Options) stopTimeout() time.Duration { return o.StaleAfter + o.StaleAfter/8 }
 
@@ -58,14 +58,14 @@
 	pollLead        = 200 * time.Millisecond // by which an origin's table read precedes the heartbeat that carries its result
 	readTimeout     = 3 * time.Second        // after which a read of the table counts as lost
 	holdsDelay      = 700 * time.Millisecond // without acceptance, before acknowledgements are exchanged through the table
-	maxLogEntries   = 256                    // entries retained for nodes that lack some
+	maxLogEntries   = 256                    // log entries retained for nodes that lack some
 	maxNonces       = 64
 	// ackTTL is how long an acknowledgement counts if no later heartbeat repeats it.
 	ackTTL = 4 * time.Second
-	// restartQuarantine is how long a restarted node that receives no table read neither relies on a majority nor counts in
+	// restartWait is how long a restarted node that receives no table read neither relies on a majority nor counts in
 	// one. It must exceed the time for which an acknowledgement of the previous incarnation can count: up to childTimeout at
 	// each of up to seven nodes on its way up the tree, then ackTTL.
-	restartQuarantine = 30 * time.Second
-	maxFloors         = 8
-	maxRounds         = 4
+	restartWait = 30 * time.Second
+	maxFloors   = 8
+	maxRounds   = 4
 )
--- a/internal/state/revision/roster.go
+++ b/internal/state/revision/roster.go
@@ -12,18 +12,18 @@
 // Member is a node that must hold each revision.
 type Member = cardamomyokev1.Member
 
-// Roster is the set of members after one entry of the log, with the order that defines the message tree. It is immutable
-// and shared by all states between two changes of the roster.
+// Roster is the set of members after one log entry, with the order that defines the message tree. It is immutable and shared
+// by all states between two changes of the roster.
 //
 // Data centres are sorted by the hash of their names, and the members of a data centre by the hash of theirs. Within a
 // data centre the members form a heap: the parent of the member at position i is the member at (i-1)/fanout. The parent of
 // the first member of the data centre at position k is the first member of the data centre at (k-1)/centreFanout. The
 // parent of a node always precedes it in this order, so no loop can form, whichever nodes fail or replace a parent.
 type Roster struct {
-	members []*Member // sorted by name
-	index   map[string]int
-	centres []centre // sorted by the hash of their names
-	rank    []int    // position of each member in the order of all members, by index
+	members   []*Member // sorted by name
+	index     map[string]int
+	centres   []centre // sorted by the hash of their names
+	treeOrder []int    // position of each member in the order of the message tree, by index
 }
 
 // centreFanout is the number of child data centres of a data centre. A node that sent heartbeats to all data centres would
@@ -50,11 +50,11 @@
 		r.centres = append(r.centres, centre{name, order})
 	}
 	slices.SortFunc(r.centres, func(a, b centre) int { return compareHash(a.name, b.name) })
-	r.rank = make([]int, len(members))
+	r.treeOrder = make([]int, len(members))
 	next := 0
 	for _, c := range r.centres {
 		for _, i := range c.order {
-			r.rank[i] = next
+			r.treeOrder[i] = next
 			next++
 		}
 	}
@@ -81,7 +81,7 @@
 func (r *Roster) before(a, b string) bool {
 	i, ok := r.index[a]
 	j, known := r.index[b]
-	return ok && known && r.rank[i] < r.rank[j]
+	return ok && known && r.treeOrder[i] < r.treeOrder[j]
 }
 
 // position returns the position of a member in its data centre and that data centre's position, or -1, -1 if name is no
--- a/internal/state/revision/state.go
+++ b/internal/state/revision/state.go
@@ -7,17 +7,17 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/config"
 )
 
-// Entry is one step of the log.
+// LogEntry is one step of the configuration log.
 type Entry = cardamomyokev1.LogEntry
 
-// State is the result of applying the log up to one entry. It is immutable.
+// State is the result of applying the log up to one log entry. It is immutable.
 type State struct {
 	Seq    uint64
 	Config *config.Snapshot // nil before the first operator's change
 	Roster *Roster
 }
 
-// SequenceError reports that an entry does not directly follow the state it was applied to.
+// SequenceError reports that a log entry does not directly follow the state it was applied to.
 type SequenceError struct{ State, Entry uint64 }
 
 // Error implements error.
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("entry %d does not follow state %d", e.Entry, e.State)
 }
 
-// Empty returns the state before the first entry.
+// Empty returns the state before the first log entry.
 func Empty() *State { return &State{Roster: NewRoster(nil)} }
 
 // Revision returns the revision of the configuration; 0 if there is none.
--- a/internal/state/revision/store/change.go
+++ b/internal/state/revision/store/change.go
@@ -15,7 +15,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision"
 )
 
-// maxPending is the number of entries waiting for acceptance at which operators' changes are refused.
+// maxPending is the number of log entries waiting for acceptance at which operators' changes are refused.
 const maxPending = 64
 
 // systemOperator is the operator named in changes that the system makes by itself.
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("operation %s was used for another change", e.Operation)
 }
 
-// UnknownError reports that the outcome of a change is unknown: it may be committed already, or may still be committed.
+// UnknownOutcomeError reports that the outcome of a change is unknown: it may be committed already, or may still be committed.
 type UnknownError struct {
 	Operation string
 	Cause     error
@@ -62,10 +62,10 @@
 // Build returns the edits of a change, given the committed state that it is applied to.
 type Build func(*revision.State) ([]*cardamomyokev1.Edit, error)
 
-// Change commits an operator's change and returns its entry. have is the newest state that the caller has, from which the
-// committed state is derived. A change that is repeated with the same operation id returns the entry of the first call.
-// Errors: *config.FieldError, *RaceError, *PendingError, *ReusedError (nothing was committed);
-// *platform.UnavailableError (nothing was committed by this call); *UnknownError.
+// Change commits an operator's change and returns its log entry. have is the newest state that the caller has, from which the
+// committed state is derived. A change that is repeated with the same operation id returns the log entry of the first call.
+// Errors: *config.FieldError, *RaceError, *PendingError, *ReusedError (nothing was committed); *platform.UnavailableError
+// (nothing was committed by this call); *UnknownOutcomeError.
 func (s *Store) Change(ctx context.Context, have *revision.State, meta *cardamomyokev1.ChangeMeta, build Build) (*revision.Entry, error) {
 	if err := config.CheckMeta(meta); err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 	})
 }
 
-// EditRoster commits a change of the roster and returns its entry. The errors are those of Change.
+// EditRoster commits a change of the roster and returns its log entry. The errors are those of Change.
 func (s *Store) EditRoster(ctx context.Context, have *revision.State, e *cardamomyokev1.RosterEdit, meta *cardamomyokev1.ChangeMeta) (*revision.Entry, error) {
 	if meta.GetOperator() == "" {
 		meta = &cardamomyokev1.ChangeMeta{
@@ -97,8 +97,8 @@
 	})
 }
 
-// propose appends the entry that build returns to the log. If another write changes the head row first, that is no conflict
-// by itself: build decides again on the newer state.
+// propose appends the log entry that build returns to the log. If another write changes the head row first, that is no
+// conflict by itself: build decides again on the newer state.
 func (s *Store) propose(ctx context.Context, have *revision.State, meta *cardamomyokev1.ChangeMeta,
 	build func(*revision.State, *cardamomyokev1.Head) (*revision.Entry, error)) (*revision.Entry, error) {
 	var earlier error
@@ -114,7 +114,7 @@
 			return nil, unknownOr(meta, earlier, err)
 		}
 		// A refusal here is final, also after an attempt whose response was lost: that attempt is conditional on the head's
-		// version, so it can only still be applied to the state for which build returned its entry.
+		// version, so it can only still be applied to the state for which build returned its log entry.
 		e, err := build(have, h.Head)
 		if err != nil {
 			return nil, err
@@ -131,8 +131,8 @@
 	return nil, &UnknownError{meta.GetOperationId(), earlier}
 }
 
-// storedEntry returns the entry as stored in the table. If the response to an earlier attempt was lost, that attempt may be
-// the one that was applied; it differs from e only in its time stamp.
+// storedEntry returns the log entry as stored in the table. If the response to an earlier attempt was lost, that attempt may
+// be the one that was applied; it differs from e only in its time stamp.
 func (s *Store) storedEntry(ctx context.Context, e *revision.Entry, earlier error) *revision.Entry {
 	if earlier == nil {
 		return e
@@ -144,7 +144,7 @@
 	return first
 }
 
-// headAndOperation reads the head and the operation's row in one consistent read, and returns the operation's entry if it
+// headAndOperation reads the head and the operation's row in one consistent read, and returns the operation's log entry if it
 // is committed.
 func (s *Store) headAndOperation(ctx context.Context, id string) (head, *revision.Entry, error) {
 	rows, err := s.platform.Get(ctx, keyHead, prefixOp+id)
@@ -159,7 +159,7 @@
 	return h, e, err
 }
 
-// unknownOr returns err, or *UnknownError if an earlier attempt may have been applied or may still be.
+// unknownOr returns err, or *UnknownOutcomeError if an earlier attempt may have been applied or may still be.
 func unknownOr(meta *cardamomyokev1.ChangeMeta, earlier, err error) error {
 	var unknown *platform.UnknownOutcomeError
 	if errors.As(earlier, &unknown) {
@@ -175,7 +175,7 @@
 	return e, nil
 }
 
-// applyCommitted returns the state after the newest committed entry. It starts from have or, if that is newer, from the
+// applyCommitted returns the state after the newest committed log entry. It starts from have or, if that is newer, from the
 // checkpoint.
 func (s *Store) applyCommitted(ctx context.Context, have *revision.State, h *cardamomyokev1.Head) (*revision.State, error) {
 	if have == nil {
@@ -205,7 +205,7 @@
 	e.Meta = meta
 	e.CommittedAtUnixMs = s.clock().UnixMilli()
 	if _, err := st.Apply(e); err != nil {
-		return nil, err // an entry that cannot be applied is never stored
+		return nil, err // a log entry that cannot be applied is never stored
 	}
 	value, err := proto.Marshal(e)
 	if err != nil {
@@ -219,13 +219,13 @@
 	return e, err
 }
 
-// Operation returns the entry that an operation committed, or nil if there is none.
+// Operation returns the log entry that an operation committed, or nil if there is none.
 func (s *Store) Operation(ctx context.Context, id string) (*revision.Entry, error) {
 	_, e, err := s.headAndOperation(ctx, id)
 	return e, err
 }
 
-// entry reads the entry that the row of an operation refers to.
+// entry reads the log entry that the row of an operation refers to.
 func (s *Store) entry(ctx context.Context, op platform.Row) (*revision.Entry, error) {
 	key := prefixLog + string(op.Value)
 	rows, err := s.platform.Get(ctx, key)
@@ -242,7 +242,7 @@
 	return h.Head, err
 }
 
-// StateAt returns the state after the newest entry of revision rev. Errors: *config.FieldError if there is no such
+// StateAt returns the state after the newest log entry of revision rev. Errors: *config.FieldError if there is no such
 // revision.
 func (s *Store) StateAt(ctx context.Context, rev uint64) (*revision.State, error) {
 	h, err := s.head(ctx)
@@ -277,7 +277,7 @@
 	return s.applyCommitted(ctx, have, h.Head)
 }
 
-// Before returns up to limit entries before seq, newest first; seq 0 starts with the newest entry.
+// Before returns up to limit log entries before seq, newest first; seq 0 starts with the newest log entry.
 func (s *Store) Before(ctx context.Context, seq, limit uint64) ([]*revision.Entry, error) {
 	if seq == 0 {
 		h, err := s.head(ctx)
--- a/internal/state/revision/store/store.go
+++ b/internal/state/revision/store/store.go
@@ -1,13 +1,14 @@
-// Package store keeps the log of the configuration in the platform's table and object store.
+// Package store keeps the configuration log in the platform's table and object store. It commits changes, marks log entries
+// as accepted, and reads the log for nodes and operators.
 //
 // Rows:
-//   - `config/head` holds the newest committed and the newest accepted entry;
-//   - `config/log/SEQ` is an entry, written once in the same transaction as the head;
-//   - `config/op/ID` holds the sequence number of the entry that an operation committed;
+//   - `config/head` holds the newest committed and the newest accepted log entry;
+//   - `config/log/SEQ` is a log entry, written once in the same transaction as the head;
+//   - `config/op/ID` holds the sequence number of the log entry that an operation committed;
 //   - `config/holds/NODE` holds acknowledgements, for nodes that do not reach each other.
 //
-// Object `config/state/SEQ` is a checkpoint of an accepted entry. A read of the head that begins after a commit shows that
-// commit; every rule of acceptance depends on this.
+// Object `config/state/SEQ` is a checkpoint of an accepted log entry. A read of the head that begins after a commit shows
+// that commit; every rule of acceptance depends on this.
 package store
 
 import (
@@ -49,7 +50,8 @@
 	clock    func() time.Time
 }
 
-// New returns a store. clock provides the time stamps of entries, which are informative only, and the start times of reads.
+// New returns a store. clock provides the time stamps of log entries, which are informative only, and the start times of
+// reads.
 func New(p Platform, clock func() time.Time) *Store { return &Store{p, clock} }
 
 func logKey(seq uint64) string    { return fmt.Sprintf("%s%020d", prefixLog, seq) }
@@ -89,8 +91,8 @@
 	return h, decode(keyHead, rows[0].Value, h.Head)
 }
 
-// ReadHead reads the head row and the entries after `after`. If full is set it starts at the newest checkpoint; if holds is
-// set it also reads the acknowledgements stored in the table.
+// ReadHead reads the head row and the log entries after `after`. If full is set it starts at the newest checkpoint; if
+// holds is set it also reads the acknowledgements stored in the table.
 func (s *Store) ReadHead(ctx context.Context, after uint64, full, holds bool) revision.HeadRead {
 	rd := revision.HeadRead{Started: s.clock()}
 	rd.Err = s.readHead(ctx, &rd, after, full)
@@ -128,7 +130,7 @@
 	return revision.FromProto(p)
 }
 
-// Entries returns the entries after `after`, up to and including last.
+// Entries returns the log entries after `after`, up to and including last.
 func (s *Store) Entries(ctx context.Context, after, last uint64) ([]*revision.Entry, error) {
 	var out []*revision.Entry
 	for after < last {
@@ -180,8 +182,8 @@
 	return err
 }
 
-// Accept marks the entry of st as accepted, unless a later one is, and returns the newest accepted entry. It also writes a
-// checkpoint when checkpointInterval entries have been accepted since the last one.
+// Accept marks the log entry of st as accepted, unless a later one is, and returns the newest accepted log entry. It also
+// writes a checkpoint when checkpointInterval log entries have been accepted since the last one.
 func (s *Store) Accept(ctx context.Context, st *revision.State) (uint64, error) {
 	var lastErr error
 	for range maxAttempts {
@@ -216,9 +218,8 @@
 	return s.platform.PutObject(ctx, stateName(st.Seq), data)
 }
 
-// commit writes the head and the fresh rows in one transaction, on condition that the head is unchanged and no fresh row
-// exists yet.
-func (s *Store) commit(ctx context.Context, op ids.Operation, h head, fresh []platform.Put) (platform.Result, error) {
+// commit writes the head and newRows in one transaction, on condition that the head is unchanged and none of newRows exists.
+func (s *Store) commit(ctx context.Context, op ids.Operation, h head, newRows []platform.Put) (platform.Result, error) {
 	value, err := proto.Marshal(h.Head)
 	if err != nil {
 		return platform.Result{}, &CorruptError{keyHead, err}
@@ -226,9 +227,9 @@
 	t := platform.Txn{
 		Operation: op,
 		Checks:    []platform.Check{{Key: keyHead, Version: h.version}},
-		Puts:      append([]platform.Put{{Key: keyHead, Value: value}}, fresh...),
+		Puts:      append([]platform.Put{{Key: keyHead, Value: value}}, newRows...),
 	}
-	for _, p := range fresh {
+	for _, p := range newRows {
 		t.Checks = append(t.Checks, platform.Check{Key: p.Key})
 	}
 	return s.platform.Commit(ctx, t)
--- a/internal/state/revision/view.go
+++ b/internal/state/revision/view.go
@@ -11,14 +11,14 @@
 type View struct {
 	// InForce is the state that applies to new work; nil before the node has one.
 	InForce *State
-	// FreshUntil is the deadline for new work: after it InForce may be out of date without the node's notice.
+	// FreshUntil is the deadline for new work: after it InForce may be out of date and the node cannot detect that.
 	FreshUntil time.Time
 	// TableReadAt is when the newest table read began that this node is aware of.
 	TableReadAt time.Time
-	// Committed and Accepted are the newest entries that the node knows to be committed and accepted; Staged is the newest
-	// entry that it holds.
+	// Committed and Accepted are the newest log entries that the node knows to be committed and accepted; Staged is the
+	// newest log entry that it holds.
 	Committed, Accepted, Staged uint64
-	// Pending names the nodes that acceptance waits for; empty if no entry is pending.
+	// Pending names the nodes that acceptance waits for; empty if no log entry is pending.
 	Pending []string
 	// Newest is the newest state that the node holds; nil before it has one.
 	Newest *State
