--- a/internal/state/audit/audit_test.go
+++ b/internal/state/audit/audit_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// An attacker with access to the table removes or changes rows afterwards, so that a regulator would see a false
-// record. Each manipulation must be detected by the hashes, the heads or the register.
+// Guards against a false record that a regulator takes for the true one. An attacker with access to the table removes
+// or changes rows afterwards; each manipulation must be detected by the hashes, the heads or the register.
 func TestVerifyDetectsTampering(t *testing.T) {
 	if got := faults(validAudit()); got != "" {
 		t.Fatalf("a valid audit has faults: %s", got)
@@ -97,8 +97,8 @@
 	}
 }
 
-// Rows are written while a reader lists the audit. Rows and chains added after the heads were read must not be reported
-// as faults.
+// Guards against faults reported for rows and chains that are added after the heads were read, because rows are written
+// while a reader lists the audit.
 func TestVerifyAllowsRowsWrittenAfterHeads(t *testing.T) {
 	before := validAudit()
 	more, _ := audit.HeadOf(before[0]).Link([]*audit.Row{row(audit.KindInForce, "4")})
@@ -131,8 +131,8 @@
 	}
 }
 
-// The table is unavailable until the buffer overflows, and the newest rows are lost. Once there is capacity again, one
-// row must record how many rows were lost, so that the gap is visible.
+// Guards against an invisible gap in the audit. The table is unavailable until the buffer overflows, and the newest
+// rows are lost. Once there is capacity again, one row must record how many rows were lost.
 func TestOverflowIsRecordedAsRow(t *testing.T) {
 	b := audit.Buffer{Actor: "e1"}
 	at := time.Unix(100, 0)
--- a/internal/state/audit/writer/writer_test.go
+++ b/internal/state/audit/writer/writer_test.go
@@ -79,8 +79,9 @@
 	t.Fatalf("the rows are not written: %v", err)
 }
 
-// Responses of the table are lost after the writes took effect, first of the registration, then of the rows. Meanwhile
-// another row is recorded. Each row must be in the chain once; retried in another transaction, it would be there twice.
+// Guards against rows that are in the chain twice. Responses of the table are lost after the writes took effect, first
+// of the registration, then of the rows, while another row is recorded. Retried in another transaction, the rows would
+// be appended again.
 func TestLostResponsesWriteEachRowOnce(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	w := newWriter(s, "a")
@@ -99,7 +100,8 @@
 	}
 }
 
-// The table is unavailable while rows are recorded. No row within the buffer's bound may be lost or reordered.
+// Guards against rows within the buffer's bound that are lost or reordered because the table is unavailable while they
+// are recorded.
 func TestRowsSurviveTableOutage(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	w := newWriter(s, "a")
@@ -118,8 +120,8 @@
 	}
 }
 
-// Many nodes start at the same time, as after the outage of a data centre, and conflict at the end of the register.
-// Each must be registered.
+// Guards against a node that is not registered because many nodes start at the same time, as after the outage of a data
+// centre, and conflict at the end of the register.
 func TestNodesRegisterConcurrently(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	var all sync.WaitGroup
@@ -134,8 +136,8 @@
 	}
 }
 
-// An attacker truncates a node's chain and resets its head. The writer must report a conflict instead of appending
-// rows.
+// Guards against a writer that appends rows to a chain that an attacker has truncated, with its head reset. It must
+// report a conflict instead.
 func TestWriterStopsOnModifiedChain(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	w := newWriter(s, "a")
@@ -156,8 +158,8 @@
 	}
 }
 
-// The object store is unavailable at first. Afterwards the archive must hold every row once, in the sequence of the
-// chain.
+// Guards against rows that are missing, repeated or out of sequence in the archive because the object store is
+// unavailable at first.
 func TestArchiveAfterOutage(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	w := newWriter(s, "a")
@@ -206,8 +208,9 @@
 	}
 }
 
-// An entry commits changes and crashes before it writes their rows. Several entries find the changes in the log at the
-// same time, and a response is lost. Each change must have one row, with its objects before and after.
+// Guards against changes without an audit row, or with two. An entry process commits changes and crashes before it
+// writes their rows; several others find the changes in the log at the same time, and a response is lost. Each change
+// must have one row, with its objects before and after.
 func TestChangesOfDeadEntryAreAudited(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	l := store.New(s, func() time.Time { return at })
--- a/internal/state/catalog/catalog_test.go
+++ b/internal/state/catalog/catalog_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// All hosts of a service lose power and restart. Their new incarnations register immediately, while the old registry
-// entries remain for some heartbeats. If both counted, half of the requests would go to incarnations that have ended
-// and be refused.
+// Guards against requests to incarnations that have ended. All hosts of a service lose power and restart; the new
+// incarnations register immediately, while the old registry entries remain for some heartbeats. If both counted, half
+// of the requests would go to ended incarnations and be refused.
 func TestLaterEntryReplacesEarlierAtSameAddress(t *testing.T) {
 	u := catalog.NewUpstreams([]*catalog.Upstream{
 		{ID: "old", Service: "s", Address: "10.0.0.1:1", Version: 5},
--- a/internal/state/catalog/configuration.go
+++ b/internal/state/catalog/configuration.go
@@ -142,9 +142,9 @@
 }
 
 // New returns an indexed configuration. accounts maps each key to its account.
-func New(version ids.Revision, routes []*Route, services []*Service, accounts map[string]*Account, limits Limits) *Configuration {
+func New(revision ids.Revision, routes []*Route, services []*Service, accounts map[string]*Account, limits Limits) *Configuration {
 	c := &Configuration{
-		Version:  version,
+		Version:  revision,
 		Services: make(map[ids.Service]*Service, len(services)),
 		Limits:   limits,
 		routes:   map[string][]*Route{},
--- a/internal/state/claims/ledger_test.go
+++ b/internal/state/claims/ledger_test.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// A client resends a request with the same key after the first attempt finished. Both the same slot and another slot
-// must return the stored outcome instead of running the request again.
+// Guards against a second run of a request that a client resends with the same key after the first attempt finished.
+// Both the same slot and another slot must return the stored outcome.
 func TestResendReturnsStoredOutcome(t *testing.T) {
 	mem := memtable.NewMemory()
 	first := newHarness(t, mem, "s1")
@@ -156,8 +156,8 @@
 	other.wantVerdicts(map[uint64][]string{3: {"outcome printed"}, 4: {"start"}})
 }
 
-// Claims share a transaction, and the keys of some of them are taken. The claim with a free key must be written by a
-// later transaction instead of failing with the others.
+// Guards against a claim that fails because of others: claims share a transaction, and the keys of some of them are
+// taken. The claim with a free key must be written by a later transaction.
 func TestConflictDoesNotFailOtherClaimsInBatch(t *testing.T) {
 	mem := memtable.NewMemory()
 	holder := newHarness(t, mem, "s1")
@@ -181,7 +181,8 @@
 	h.wantVerdicts(map[uint64][]string{10: {"start"}, 2: {"running"}, 3: {"running"}, 4: {"start"}})
 }
 
-// A client reuses its key for a request with another body. It must be refused, without effect on the first request.
+// Guards against a client that reuses its key for a request with another body and gets the response of the first. The
+// request must be refused, without effect on the first.
 func TestKeyReusedWithAnotherBodyIsRefused(t *testing.T) {
 	mem := memtable.NewMemory()
 	h := newHarness(t, mem, "s1")
@@ -195,8 +196,8 @@
 	other.wantVerdicts(map[uint64][]string{3: {"idempotency-key-reused"}})
 }
 
-// The table applies the claim and its response is lost. The resend with the same operation id must return the first
-// result, so that the request starts once.
+// Guards against a claim without a verdict because the table applies it and the response is lost. The resend with the
+// same operation id must return the first result, so that the request starts once.
 func TestLostResponseIsResolvedByResend(t *testing.T) {
 	h := newHarness(t, memtable.NewMemory(), "s1")
 	h.submit(request(1, "k", "a"))
@@ -210,8 +211,9 @@
 	h.wantVerdicts(map[uint64][]string{1: {"start"}})
 }
 
-// The claim's transaction is delayed until after the deadline, when the client has been refused as "not run". An empty
-// transaction must have fenced it by then, so that it does not take the key and a resend can run.
+// Guards against a key taken by a claim that was refused. The claim's transaction is delayed until after the deadline,
+// when the client has been refused as "not run". An empty transaction must have fenced it by then, so that a resend can
+// run.
 func TestDelayedTransactionIsFenced(t *testing.T) {
 	h := newHarness(t, memtable.NewMemory(), "s1")
 	h.submit(request(1, "k", "a"))
@@ -232,8 +234,9 @@
 	h.wantVerdicts(map[uint64][]string{1: {"deadline-cannot-be-met"}, 2: {"start"}})
 }
 
-// The claim was written, but the response is lost until after the deadline, when the client has been refused as "not
-// run". The row must be deleted, because its attempt never starts, so that a resend can run.
+// Guards against a key that stays taken by an attempt that never starts. The claim was written, but the response is
+// lost until after the deadline, when the client has been refused as "not run". The row must be deleted, so that a
+// resend can run.
 func TestClaimConfirmedAfterDeadlineIsReleased(t *testing.T) {
 	h := newHarness(t, memtable.NewMemory(), "s1")
 	h.submit(request(1, "k", "a"))
@@ -251,8 +254,8 @@
 	h.wantVerdicts(map[uint64][]string{1: {"deadline-cannot-be-met"}, 2: {"store-unavailable"}, 3: {"start"}})
 }
 
-// A duplicate of an attempt that was refused as "not run" is delayed in the network. It must not run, also when the
-// original was refused by the upstream after the claim.
+// Guards against a delayed duplicate of an attempt that runs after the original was refused as "not run", also if the
+// upstream refused the original after the claim.
 func TestDelayedDuplicateOfRefusedAttemptIsRefused(t *testing.T) {
 	h := newHarness(t, memtable.NewMemory(), "s1")
 	h.submit(request(1, "k", "a"))
@@ -273,7 +276,7 @@
 	})
 }
 
-// A duplicate of a finished attempt arrives late and must not run. At first the ledger still holds the decided attempt.
+// Guards against a late duplicate of a finished attempt that runs. At first the ledger still holds the decided attempt.
 // Later a duplicate with a new deadline conflicts with the row; that the row names the same attempt must not start it.
 func TestDelayedDuplicateOfFinishedAttemptDoesNotStart(t *testing.T) {
 	h := newHarness(t, memtable.NewMemory(), "s1")
@@ -291,8 +294,8 @@
 	h.wantVerdicts(map[uint64][]string{1: {"start", "outcome-unknown", "outcome x"}})
 }
 
-// A slot crashes during a request and the client resends it. The resend must get "running" until the deadline and
-// "outcome unknown" after it, and must never run.
+// Guards against a second run of a request whose slot crashed and that the client resends. The resend must get
+// "running" until the deadline and "outcome unknown" after it.
 func TestCrashedSlotLeavesOutcomeUnknown(t *testing.T) {
 	mem := memtable.NewMemory()
 	crashed := newHarness(t, mem, "s1")
@@ -309,8 +312,8 @@
 	h.wantVerdicts(map[uint64][]string{2: {"running"}, 3: {"outcome-unknown"}})
 }
 
-// Resends of a request whose upstream crashed, and of one whose response was too large to store, must get "outcome
-// unknown".
+// Guards against another response than "outcome unknown" to resends of a request whose upstream crashed, or whose
+// response was too large to store.
 func TestLostAndOversizedOutcomesAreUnknown(t *testing.T) {
 	mem := memtable.NewMemory()
 	h := newHarness(t, mem, "s1")
@@ -335,8 +338,8 @@
 	}
 }
 
-// Claims that arrive within one interval must share a transaction, so that the write rate does not grow with the claim
-// rate.
+// Guards against a write rate that grows with the claim rate: claims that arrive within one interval must share a
+// transaction.
 func TestClaimsAreBatched(t *testing.T) {
 	h := newHarness(t, memtable.NewMemory(), "s1")
 	for i := range uint64(300) {
@@ -349,8 +352,9 @@
 	}
 }
 
-// The slot is paused while the table's response is in flight, resumes after the deadline and reads the response first.
-// The claim was written, but the request must be refused as "not run" and must not start.
+// Guards against a request that starts after its deadline. The slot is paused while the table's response is in flight,
+// resumes after the deadline and reads the response first: the claim was written, but the request must be refused as
+// "not run".
 func TestPausedSlotDoesNotStartAfterTheDeadline(t *testing.T) {
 	h := newHarness(t, memtable.NewMemory(), "s1")
 	h.submit(request(1, "k", "a"))
@@ -359,8 +363,9 @@
 	h.wantVerdicts(map[uint64][]string{1: {"deadline-cannot-be-met"}})
 }
 
-// Two claims share a transaction whose response is lost, and the key of one is taken meanwhile. When that key is free
-// again, the delayed transaction arrives. Without the fence it would take both keys for attempts that never start.
+// Guards against keys taken for attempts that never start. Two claims share a transaction whose response is lost, and
+// the key of one is taken meanwhile. When that key is free again, the delayed transaction arrives; without the fence it
+// would take both keys.
 func TestConflictAfterLostResponseIsFenced(t *testing.T) {
 	mem := memtable.NewMemory()
 	h := newHarness(t, mem, "s1")
--- a/internal/state/claims/random_test.go
+++ b/internal/state/claims/random_test.go
@@ -238,8 +238,8 @@
 	}
 }
 
-// Clients resend requests through two slots while the table loses responses, delays writes and refuses, slots crash and
-// duplicates of attempts arrive late. Each request must run at most once, and "not run" must stay true.
+// Guards against a request that runs twice, and against a false "not run". Clients resend requests through two slots
+// while the table loses responses, delays writes and refuses, slots crash and duplicates of attempts arrive late.
 func TestAtMostOnceUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(randomSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/state/claims/store_test.go
+++ b/internal/state/claims/store_test.go
@@ -32,7 +32,7 @@
 	return r
 }
 
-// 200 concurrent claims must all start, and share a few transactions.
+// Guards against one transaction per claim: 200 concurrent claims must all start, and share a few transactions.
 func TestStoreBatchesConcurrentClaims(t *testing.T) {
 	withStore(t, nil, func(t *testing.T, s *Store, table *memtable.Table) {
 		var wg sync.WaitGroup
@@ -54,8 +54,8 @@
 	})
 }
 
-// A claim that cannot be written must be refused as not run: immediately if the table reports that it is unavailable,
-// and at its deadline if the table does not respond.
+// Guards against callers that wait for a claim that cannot be written. It must be refused as not run: immediately if
+// the table reports that it is unavailable, and at its deadline if the table does not respond.
 func TestStoreRefusesDuringAnOutage(t *testing.T) {
 	fault, delay := memtable.Unavailable, time.Duration(0)
 	plan := func() (memtable.Fault, time.Duration) { return fault, delay }
@@ -75,7 +75,8 @@
 	})
 }
 
-// The caller disconnects while its claim is being written. The request must not run, and the key must be free again.
+// Guards against a request that runs, or whose key stays taken, although its caller disconnects while the claim is
+// being written.
 func TestStoreReleasesCancelledClaim(t *testing.T) {
 	slow := func() (memtable.Fault, time.Duration) { return memtable.None, 500 * time.Millisecond }
 	withStore(t, slow, func(t *testing.T, s *Store, table *memtable.Table) {
@@ -94,8 +95,8 @@
 	})
 }
 
-// Expired claims must be deleted. A key that was released and claimed again is in two lists; its claim must stay when
-// the first list expires.
+// Guards against expired claims that are never deleted, and against the deletion of a live claim: a key that was
+// released and claimed again is in two lists, and its claim must stay when the first list expires.
 func TestSweeperRemovesExpiredClaims(t *testing.T) {
 	withStore(t, nil, func(t *testing.T, s *Store, table *memtable.Table) {
 		claim := func(seq uint64, key string, retention time.Duration) {
--- a/internal/state/config/apply_test.go
+++ b/internal/state/config/apply_test.go
@@ -31,7 +31,7 @@
 	}}
 }
 
-// The error of Apply must name the edit that is invalid, and Apply must not change its base.
+// Guards against an error of Apply that does not name the invalid edit, and against an Apply that changes its base.
 func TestApplyErrorNamesEdit(t *testing.T) {
 	tests := map[string]struct {
 		edits []*cardamomyokev1.Edit
@@ -65,7 +65,8 @@
 	}
 }
 
-// For any two configurations, applying the edits of Diff must turn the first into the second.
+// Guards against edits of Diff that, for some pair of configurations, do not turn the first into the second when they
+// are applied.
 func TestDiffApplyRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		generate := func(label string) *cardamomyokev1.Configuration {
--- a/internal/state/config/check_test.go
+++ b/internal/state/config/check_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// Each invalid field must be reported under its own path.
+// Guards against an error that names another field than the invalid one.
 func TestSnapshotErrorNamesField(t *testing.T) {
 	tests := map[string]func(*cardamomyokev1.Configuration){
 		"":                           func(*cardamomyokev1.Configuration) {},
--- a/internal/state/lease/deadholder_test.go
+++ b/internal/state/lease/deadholder_test.go
@@ -53,8 +53,8 @@
 	return h
 }
 
-// Two nodes that do not reach each other, but both reach the table, consider each other dead. They must not depose each other
-// again and again.
+// Guards against two nodes that acquire a duty from each other again and again. They do not reach each other, but both
+// reach the table, and each considers the other dead.
 func TestPartitionedNodesDoNotDeposeEachOther(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := &row{}
@@ -73,11 +73,11 @@
 		fences[r.Fence] = true
 	}
 	if len(fences) > 2 {
-		t.Errorf("the duty changed hands %d times", len(fences)-1)
+		t.Errorf("the holder changed %d times", len(fences)-1)
 	}
 }
 
-// A dead holder must be replaced long before its lease expires.
+// Guards against a dead holder that is replaced only when its lease expires.
 func TestDeadHolderIsReplacedEarly(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := &row{}
--- a/internal/state/lease/manager/manager.go
+++ b/internal/state/lease/manager/manager.go
@@ -1,5 +1,5 @@
-// Package manager runs the lease holders of one process against the platform's table, and provides the operators' actions on
-// leases.
+// Package manager acquires and renews the duties of one process: it runs a lease.Contender for each against the platform's
+// table, and provides the operators' actions on leases.
 package manager
 
 import (
@@ -93,7 +93,7 @@
 	m.execute(now, d, h, h.SetWanted(now, want))
 }
 
-// Tick advances all holders to now; the control loop calls it.
+// Tick advances all contenders to now; the control loop calls it.
 func (m *Manager) Tick(now time.Time) {
 	for d, h := range m.holders {
 		m.execute(now, d, h, h.Tick(now))
--- a/internal/state/lease/manager/manager_test.go
+++ b/internal/state/lease/manager/manager_test.go
@@ -128,8 +128,9 @@
 	return nil
 }
 
-// A holder is paused in the middle of an action and resumes after another node has acquired the duty. Its own check must
-// fail, the table must reject its write in flight, and the slot's fence filter must reject its order.
+// Guards against an action of a holder that is paused in the middle of it and resumes after another node has acquired the
+// duty. Its own check must fail, the table must reject its write in flight, and the slot's fence filter must reject its
+// order.
 func TestPausedHolderIsFenced(t *testing.T) {
 	runProcesses(t, 1, false, func(s *standin.Store, ps []*process, _ *rand.Rand) {
 		old := waitForHolder(t, ps, nil)
@@ -162,8 +163,8 @@
 	})
 }
 
-// Responses are lost, writes take effect late, nodes are partitioned and the table goes down, repeatedly. There must never be
-// two holders, and one process must hold the duty within a minute after the last fault.
+// Guards against two holders at the same time while responses are lost, writes take effect late, nodes are partitioned and
+// the table goes down, repeatedly; and against a duty that no process holds within a minute after the last fault.
 func TestOneHolderUnderFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		runProcesses(t, 10+seed, false, func(s *standin.Store, ps []*process, rng *rand.Rand) {
@@ -187,8 +188,8 @@
 	}
 }
 
-// During a long outage of the table the holder's lease expires and no node acquires it, so control decisions wait while
-// traffic continues. After the outage one node must acquire it again.
+// Guards against a duty that no node acquires again after a long outage of the table. During the outage the holder's lease
+// expires and no node acquires it, so control decisions wait while traffic continues.
 func TestLeaseExpiresDuringTableOutage(t *testing.T) {
 	runProcesses(t, 2, false, func(s *standin.Store, ps []*process, _ *rand.Rand) {
 		waitForHolder(t, ps, nil)
@@ -204,7 +205,8 @@
 	})
 }
 
-// An operator releases a duty while its holder is alive. The holder's fencing token must be outdated immediately.
+// Guards against writes and orders of a live holder whose duty an operator has released. The holder's fencing token must be
+// outdated immediately.
 func TestForcedReleaseRaisesFence(t *testing.T) {
 	runProcesses(t, 3, true, func(s *standin.Store, ps []*process, _ *rand.Rand) {
 		before := waitForHolder(t, ps, nil).held()
@@ -223,8 +225,8 @@
 	})
 }
 
-// Several gateways allocate fencing tokens concurrently, for the case that one of them has to lead while the table is down.
-// Two leaders with the same token would give two maps the same version, so no token may be allocated twice, and each must be
+// Guards against two leaders with the same fencing token, which would give two maps the same version. Several gateways
+// allocate tokens concurrently, for the case that one of them has to lead while the table is down; each token must be
 // larger than those before it.
 func TestFencesAreAllocatedOnce(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
@@ -259,8 +261,8 @@
 	}
 }
 
-// A takeover takes effect but its response is lost, so the row names this incarnation. That is not evidence of a later holder,
-// which would make this node drop a duty that no other node holds.
+// Guards against a node that drops a duty that no other node holds. Its takeover takes effect but the response is lost, so
+// the row names this incarnation, which is not evidence of a later holder.
 func TestOwnTakeoverDoesNotCountAsOthers(t *testing.T) {
 	h := lease.NewHolder(duty, "a", "life-1", time.Second, rand.New(rand.NewPCG(1, 1)))
 	now := time.Unix(0, 0)
--- a/internal/state/membership/addresses.go
+++ b/internal/state/membership/addresses.go
@@ -29,7 +29,7 @@
 	return slices.Clip(local[:min(len(local), maxAddresses)]), slices.Clip(remote[:min(len(remote), maxAddresses)])
 }
 
-// OtherEntries returns all entries but this one that are not draining, by name, including those that are only in the
+// OtherEntries returns all entries but this one that are not leaving, by name, including those that are only in the
 // roster. Decisions on which all entries must agree, such as which entry aggregates a client's demand, use this set.
 // Each entry receives digests only from its own neighbours: if 360 entries used only those, a client's demand would be
 // aggregated in as many places.
--- a/internal/state/membership/large_test.go
+++ b/internal/state/membership/large_test.go
@@ -8,9 +8,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/membership"
 )
 
-// In a deployment of 360 entries, a client with a limit got many times that limit. Each entry receives digests only
-// from a few neighbours; it classified the other 330 as dead, so it granted each new client a 28th of its limit instead
-// of a 360th, and chose an aggregator among its own neighbours, to which no other entry sent its share of the demand.
+// Guards against a client that gets many times its limit, as in a deployment of 360 entries. Each entry receives
+// digests only from a few neighbours; it classified the other 330 as dead, so it granted each new client a 28th of its
+// limit instead of a 360th, and chose an aggregator among its own neighbours, to which no other entry sent its share of
+// the demand.
 func TestRosterEntriesWithoutDigestsCount(t *testing.T) {
 	const entries, received = 360, 28
 	var list []membership.Identity
@@ -35,7 +36,7 @@
 	}
 	members.Receive(digest("e001", "1", 1000, leaving), now)
 	if got := len(members.OtherEntries()); got != entries-2 {
-		t.Errorf("%d other entries after one is draining, want %d", got, entries-2)
+		t.Errorf("%d other entries after one is leaving, want %d", got, entries-2)
 	}
 	if local, _ := members.Addresses(""); len(local) == 0 || local[0] != "h-e002" {
 		t.Errorf("clients are sent to %v, want only live entries, by name", local)
--- a/internal/state/membership/memberlist.go
+++ b/internal/state/membership/memberlist.go
@@ -157,7 +157,7 @@
 		return false
 	}
 	if string(m.Incarnation) != d.GetIncarnation() {
-		// The new incarnation does not inherit the state of the old one: a draining node that was replaced under its
+		// The new incarnation does not inherit the state of the old one: a leaving node that was replaced under its
 		// name is live.
 		m.machine = chart.Start()
 		l.targetsOutdated = true
@@ -257,7 +257,7 @@
 	return out
 }
 
-// EntryCount returns the number of entries that are not draining, including this node if it is an entry. Entries in the
+// EntryCount returns the number of entries that are not leaving, including this node if it is an entry. Entries in the
 // roster count even if no digest of them arrives: of 360 entries, one receives digests from a few neighbours only, and
 // if it classified the others as dead, it would grant clients and itself a share of each limit that is ten times too
 // large.
--- a/internal/state/membership/membership_test.go
+++ b/internal/state/membership/membership_test.go
@@ -83,8 +83,9 @@
 	return now
 }
 
-// Clients must not receive the address of an entry whose digests stop arriving, and must receive it again after its
-// next digest, because any newer digest refutes a suspicion. A node without digests for long is forgotten.
+// Guards against clients that receive the address of an entry whose digests have stopped arriving, or do not receive it
+// again after the entry's next digest, because any newer digest refutes a suspicion. A node without digests for long is
+// forgotten.
 func TestSilentEntryIsSuspectUntilNextDigest(t *testing.T) {
 	list := membership.New(self("me", entryRole, "a"), membership.Defaults(), t0)
 	list.Receive(digest("x", "1", 1, live), t0)
@@ -102,7 +103,7 @@
 	}
 }
 
-// Clients of an entry whose host was paused for a minute must still receive addresses when it resumes: the entry was
+// Guards against clients of an entry that receive no addresses after its host was paused for a minute: the entry was
 // unresponsive, not the other nodes.
 func TestPausedNodeKeepsOthersLive(t *testing.T) {
 	list := membership.New(self("me", entryRole, "a"), membership.Defaults(), t0)
@@ -128,8 +129,8 @@
 	return out
 }
 
-// At the target size no node sends digests to more nodes than the budget allows, each slot sends them to eight entries,
-// and each entry receives digests from some slots.
+// Guards against a node that, at the target size, sends digests to more nodes than the budget allows, and against an
+// entry that receives digests from no slot. Each slot sends them to eight entries.
 func TestSubsetsAtTheTargetSize(t *testing.T) {
 	all := roster(360, 780, 6)
 	sendersOf := map[string]int{}
@@ -157,7 +158,8 @@
 	}
 }
 
-// The death of one entry moves few slots: only those that sent digests to it choose another one.
+// Guards against the death of one entry that moves many slots: only those that sent digests to it may choose another
+// one.
 func TestDeadEntryMovesFewSlots(t *testing.T) {
 	all := roster(60, 130, 1)
 	moved := 0
@@ -202,8 +204,8 @@
 	return out
 }
 
-// An entry that replaces another one starts while the table is unavailable: it is in no roster and has only seeds. Its
-// peers add it when they receive its digests.
+// Guards against an entry that no peer adds because it replaces another one while the table is unavailable: it is in no
+// roster and has only seeds. Its peers must add it when they receive its digests.
 func TestNodeOutsideRosterIsAdded(t *testing.T) {
 	newEntry := membership.New(self("new", entryRole, "a"), membership.Defaults(), t0)
 	if got := addresses(newEntry.DueTargets([]string{"d-x"}, t0, true)); !got["d-x"] {
@@ -219,9 +221,9 @@
 	}
 }
 
-// While two regions are partitioned, clients in one must not receive addresses of the other; soon after the partition
-// ends they must receive them again. Without probes each side would treat the other as dead and send it no more
-// digests.
+// Guards against two regions that stay apart after a partition. While they are partitioned, clients in one must not
+// receive addresses of the other; soon after the partition ends they must receive them again. Without probes each side
+// would treat the other as dead and send it no more digests.
 func TestPartitionedRegionsReconnect(t *testing.T) {
 	all := roster(6, 0, 2)
 	lists := map[string]*membership.MemberList{}
--- a/internal/state/platform/client_test.go
+++ b/internal/state/platform/client_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// The response to a commit is lost after the write took effect, and the client retries with the same operation ID.
-// The caller must see one successful write, not a conflict with its own write.
+// Guards against a caller that gets a conflict with its own write. The response to a commit is lost after the write
+// took effect, and the client retries with the same operation ID.
 func TestLostResponseIsResolvedByOperationID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore(standin.Limits{})
@@ -42,8 +42,8 @@
 	})
 }
 
-// A delayed write takes effect after the platform has become unavailable for the retries. The caller must get an
-// unknown outcome, never "unavailable", because the first attempt may still take effect.
+// Guards against "unavailable" for a write that may still take effect: a delayed write takes effect after the
+// platform has become unavailable for the retries. The caller must get an unknown outcome.
 func TestLateWriteIsNeverReportedUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore(standin.Limits{})
@@ -64,8 +64,8 @@
 	})
 }
 
-// During a long outage a node must call the platform about once per second instead of on every call, and recover by
-// itself after the outage.
+// Guards against a node that calls the platform on every call during a long outage, instead of about once per second,
+// or does not recover by itself after the outage.
 func TestCircuitBreakerLimitsCallsDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.NewStore(standin.Limits{})
@@ -156,7 +156,8 @@
 	}
 }
 
-// A write that was rejected or never sent is unavailable; one whose response is lost has an unknown outcome.
+// Guards against a write whose response is lost and that is reported as unavailable. Only a write that was rejected
+// or never sent is unavailable; the other has an unknown outcome.
 func TestHTTPDistinguishesNotSentFromUnknown(t *testing.T) {
 	s := standin.NewStore(standin.Limits{})
 	h := serve(t, s)
--- a/internal/state/registry/registry_test.go
+++ b/internal/state/registry/registry_test.go
@@ -67,9 +67,9 @@
 	return states, found
 }
 
-// An upstream restarts under its ID between two heartbeats, so its registry entry never disappears. Then the last
-// heartbeat of the previous incarnation arrives late and reports draining. Requests must still go to the new
-// incarnation, whose start time is the smaller one because the upstream's clock was set back.
+// Guards against requests to a past incarnation. An upstream restarts under its ID between two heartbeats, so its
+// registry entry never disappears. Then the last heartbeat of the previous incarnation arrives late and reports
+// draining. The new incarnation has the smaller start time, because the upstream's clock was set back.
 func TestLateEntryOfPastIncarnationIsIgnored(t *testing.T) {
 	w := newTable()
 	r := registry.New(w.decode)
@@ -95,8 +95,8 @@
 	}
 }
 
-// A registry entry is overwritten by an unreadable row, then written again by its upstream, which has restarted
-// meanwhile. A late heartbeat must not bring back the incarnation before the restart.
+// Guards against a late heartbeat that brings back the incarnation before a restart. A registry entry is overwritten by
+// an unreadable row, then written again by its upstream, which has restarted meanwhile.
 func TestUnreadableEntryDoesNotHideRestart(t *testing.T) {
 	w := newTable()
 	r := registry.New(w.decode)
@@ -115,10 +115,10 @@
 	}
 }
 
-// A false, well-formed registry entry has the address of a healthy upstream and, as the later registry entry, takes the
-// address over. The healthy upstream receives the first request sent there and does not run it; its response proves
-// that the registry entry is false. From then on the owner must be used, for as long as the false registry entry exists
-// and however often it is rewritten.
+// Guards against a healthy upstream without requests: a false, well-formed registry entry has its address and, as the
+// later one, takes the address over. The healthy upstream receives the first request sent there and does not run it;
+// its response proves that the registry entry is false. From then on the owner must be used, for as long as the false
+// registry entry exists and however often it is rewritten.
 func TestAddressReturnsToOwnerAfterReject(t *testing.T) {
 	w := newTable()
 	r := registry.New(w.decode)
@@ -147,8 +147,8 @@
 	}
 }
 
-// An upstream registers before its service is configured. It must be used as soon as the service is, although its
-// registry entry does not change. Until then it must not take over the address of another upstream.
+// Guards against an upstream that stays unused because it registers before its service is configured and its registry
+// entry does not change afterwards. Until then it must not take over the address of another upstream.
 func TestUpstreamOfServiceConfiguredLater(t *testing.T) {
 	w := newTable()
 	r := registry.New(w.decode)
@@ -165,8 +165,8 @@
 	}
 }
 
-// Another writer adds 5,000 unreadable registry entries. Each must be decoded and reported once, and
-// not again with every change of another registry entry.
+// Guards against a cost of each change that grows with unreadable registry entries. Another writer adds 5,000; each
+// must be decoded and reported once, and not again with every change of another registry entry.
 func TestForeignEntriesAreDecodedOnce(t *testing.T) {
 	w := newTable()
 	r := registry.New(w.decode)
--- a/internal/state/replica/follower.go
+++ b/internal/state/replica/follower.go
@@ -63,8 +63,9 @@
 	// restored.
 	Changed           func(r *Replica)
 	ConnectionChanged func(r *Replica, c StoreConnection)
-	// Sentinel reports whether this node is one of the few that must notice soon when the store stops responding.
-	// The platform charges for each call, and the other nodes also get changes from their peers. If it is nil, the node is a sentinel.
+	// Sentinel reports whether this node is one of the few that must notice soon when the store stops responding. The
+	// platform charges for each call, and the other nodes also get changes from their peers. If it is nil, the node is
+	// a sentinel.
 	Sentinel func() bool
 	// Relayed reports whether messages arrive from enough peers that follow the table in the store, so that this node
 	// needs no calls of its own. If it is nil, they do not.
--- a/internal/state/replica/follower_test.go
+++ b/internal/state/replica/follower_test.go
@@ -66,8 +66,8 @@
 	return changes, version, ctx.Err()
 }
 
-// The store accepts calls for five seconds and responds to none. Then it recovers and a configuration changes. The
-// pending call never gets a response; the change must be seen well before that call times out.
+// Guards against a change that is seen only when a hung call times out. The store accepts calls for five seconds and
+// responds to none. Then it recovers and a configuration changes; the pending call never gets a response.
 func TestChangeIsSeenSoonAfterStoreRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &source{rows: map[string]platform.Row{}}
@@ -122,8 +122,9 @@
 	return f.n
 }
 
-// A node gets changes from peers that follow the store, and makes no calls. Then the peers become unresponsive while
-// a configuration changes. The node must see the change immediately by a call of its own.
+// Guards against a change that a node misses because its peers become unresponsive while a configuration changes. The
+// node got changes from peers that follow the store, and made no calls; it must see this change immediately by a call
+// of its own.
 func TestNodeFollowsStoreWhenPeersGoSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := &source{rows: map[string]platform.Row{}}
--- a/internal/state/replica/replica.go
+++ b/internal/state/replica/replica.go
@@ -6,7 +6,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// Replica is the copy of one table. It is safe for concurrent use.
+// Replica is a node's copy of one table of the platform's store. It is safe for concurrent use.
 type Replica struct {
 	name string
 	mu   sync.Mutex
--- a/internal/state/replica/replica_test.go
+++ b/internal/state/replica/replica_test.go
@@ -66,8 +66,8 @@
 	return out
 }
 
-// Copies follow the feed, read full tables, and pull from each other, in any sequence. A row's version must never
-// decrease in a copy, and a copy that pulled from one that is up to date must be up to date.
+// Guards against a row whose version decreases in a copy, and against a copy that is not up to date after it pulled
+// from one that is. Copies follow the feed, read full tables, and pull from each other, in any sequence.
 func TestReplicasOnlyMoveForward(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		src := &source{rows: map[string]platform.Row{}}
@@ -131,8 +131,8 @@
 	newest[c] = seen
 }
 
-// A node that was partitioned for long pulls from one that no longer retains each removed row. It must get the full
-// table, or a removed row would stay in its copy.
+// Guards against removed rows that stay in the copy of a node that was partitioned for long and pulls from one that
+// no longer retains each removed row. It must get the full table.
 func TestReplicaFarBehindGetsFullTable(t *testing.T) {
 	src := &source{rows: map[string]platform.Row{}}
 	src.put("kept", "v")
@@ -158,9 +158,9 @@
 	}
 }
 
-// Two gateways restart one after the other while the store is unreachable. The first pulls the table from a peer that
-// has followed it from the start. The second pulls from the first, which gossips its newest change. If it gets
-// nothing, it handles requests by the old configuration for as long as it trusts the first.
+// Guards against a gateway that handles requests by an old configuration because a pulled copy serves no other. Two
+// gateways restart one after the other while the store is unreachable. The first pulls the table from a peer that has
+// followed it from the start; the second pulls from the first, which gossips its newest change.
 func TestPulledReplicaServesOthers(t *testing.T) {
 	src := &source{rows: map[string]platform.Row{}}
 	first, second, third := replica.NewReplica("t"), replica.NewReplica("t"), replica.NewReplica("t")
@@ -179,9 +179,9 @@
 	}
 }
 
-// A gateway starts after the latest change, the removal of a row, and reads the full table. Its peers gossip the
-// version of that change. The gateway lacks nothing: requesting the change would cost each peer a response per
-// digest, forever.
+// Guards against requests for a change that a gateway does not lack, which would cost each peer a response per
+// digest, forever. The gateway starts after the latest change, the removal of a row, and reads the full table; its
+// peers gossip the version of that change.
 func TestFullReplicaHasEarlierRemovals(t *testing.T) {
 	src := &source{rows: map[string]platform.Row{}}
 	src.put("kept", "v")
--- a/internal/state/revision/accept.go
+++ b/internal/state/revision/accept.go
@@ -129,7 +129,7 @@
 	return out
 }
 
-// missingFor returns the nodes that may neither hold the log entry nor be aware that they must stop: members that have not
+// missingFor returns the nodes that may lack the log entry without being aware that they must stop: members that have not
 // acknowledged it, and nodes that were unresponsive and are removed for that by this or an earlier pending log entry.
 func (n *Node) missingFor(p *pending) []*Member {
 	removed := n.removedNames()
--- a/internal/state/revision/agent/agent_test.go
+++ b/internal/state/revision/agent/agent_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A change must be accepted within a second while all nodes and the table are healthy, and be in force on every node.
+// Guards against a change that takes longer than a second to be accepted, or is not in force on every node, while all
+// nodes and the table are healthy.
 func TestChangeIsInForceOnAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
--- a/internal/state/revision/agent/failure_test.go
+++ b/internal/state/revision/agent/failure_test.go
@@ -32,9 +32,9 @@
 	})
 }
 
-// One host reaches neither the table nor any node, so it cannot learn of a change and must have stopped before the change
-// is accepted. Operators see the change pending for about five seconds, then accepted; the isolated host refuses its
-// callers as "not run" after four seconds.
+// Guards against a change that is accepted while an isolated host still takes work without it, or never. One host reaches
+// neither the table nor any node, so it cannot learn of the change: operators see the change pending for about five
+// seconds, then accepted; the host refuses its callers as "not run" after four seconds.
 func TestIsolatedHostOnlyDelaysAcceptance(t *testing.T) {
 	runCluster(t, 2, 3, func(c *cluster) {
 		c.partition(true, "b-1")
@@ -53,8 +53,9 @@
 	})
 }
 
-// A rack with two of the five hosts of a data centre fails. Two are no majority of their data centre, so they stop even if
-// they still reach each other, and acceptance is delayed by seconds only.
+// Guards against acceptance that waits for long after a rack with two of the five hosts of a data centre has failed. Two
+// are no majority of their data centre, so they stop even if they still reach each other, and acceptance is delayed by
+// seconds only.
 func TestFailedRackOnlyDelaysAcceptance(t *testing.T) {
 	runCluster(t, 3, 5, func(c *cluster) {
 		c.partition(true, "b-1", "b-2")
@@ -63,9 +64,9 @@
 	})
 }
 
-// A live data centre is partitioned from the table and all other data centres. It serves its callers all the time, on the
-// accepted configuration, and operators see the change pending on its nodes. After the partition the change is accepted
-// within seconds.
+// Guards against refused callers, and against an accepted change that a live node lacks, when a data centre is partitioned
+// from the table and all other data centres. It serves its callers all the time, on the accepted configuration, and
+// operators see the change pending on its nodes. After the partition the change is accepted within seconds.
 func TestPartitionedDataCentreDelaysAcceptance(t *testing.T) {
 	runCluster(t, 4, 3, func(c *cluster) {
 		isolated := c.names("b")
@@ -91,8 +92,8 @@
 	})
 }
 
-// A data centre reaches no other one, but all reach the table, through which their acknowledgements are combined. A change
-// is accepted within seconds.
+// Guards against a change that stays pending because a data centre reaches no other one, although all reach the table,
+// through which their acknowledgements are combined. The change is accepted within seconds.
 func TestAcknowledgementsAreCombinedThroughTheTable(t *testing.T) {
 	runCluster(t, 5, 3, func(c *cluster) {
 		c.partition(false, c.names("b")...)
@@ -103,8 +104,8 @@
 	})
 }
 
-// During a table outage of an hour, callers are served. An operator's change is refused during the outage and accepted after
-// it.
+// Guards against refused callers during a table outage of an hour. An operator's change is refused during the outage and
+// accepted after it.
 func TestTableOutageDoesNotStopTraffic(t *testing.T) {
 	runCluster(t, 6, 3, func(c *cluster) {
 		c.store.SetFaults(standin.PartTable, standin.Faults{Outage: true})
@@ -125,8 +126,8 @@
 	})
 }
 
-// All nodes are restarted one after the other during a table outage. Each adopts the state that a majority holds before it
-// serves, so no caller is served on an older configuration than before.
+// Guards against a caller that is served on an older configuration than before, when all nodes are restarted one after the
+// other during a table outage. Each must adopt the state that a majority holds before it serves.
 func TestRollingRestartDuringOutageKeepsRevision(t *testing.T) {
 	runCluster(t, 7, 3, func(c *cluster) {
 		c.store.SetFaults(standin.PartTable, standin.Faults{Outage: true})
@@ -143,8 +144,9 @@
 	})
 }
 
-// All nodes restart at the same moment during a table outage, so no node knows which configuration is in force. Every
-// request is refused as "not run" until the table is back; serving on an old configuration would be worse.
+// Guards against requests served on an old configuration after all nodes restart at the same moment during a table outage,
+// so that no node knows which configuration is in force. Every request must be refused as "not run" until the table is
+// back.
 func TestRestartOfAllNodesDuringOutageRefusesRequests(t *testing.T) {
 	runCluster(t, 8, 2, func(c *cluster) {
 		c.store.SetFaults(standin.PartTable, standin.Faults{Outage: true})
@@ -164,8 +166,9 @@
 	})
 }
 
-// A process is paused while a change is accepted. After the deadline in its view it refuses requests as "not run", during the
-// pause and on resuming, although its control loop has not run; then it learns of the change.
+// Guards against a process that is paused while a change is accepted and takes work on the old configuration when it
+// resumes. After the deadline in its view it must refuse requests as "not run", although its control loop has not run; then
+// it learns of the change.
 func TestPausedNodeIsStaleOnResume(t *testing.T) {
 	runCluster(t, 9, 3, func(c *cluster) {
 		resume := c.members["b-1"].pause()
@@ -180,8 +183,8 @@
 	})
 }
 
-// A host dies and is replaced by one of another name. Once the dead node is known to be unable to serve, it is removed from
-// the roster, so a later change is accepted without delay.
+// Guards against a dead host, replaced by one of another name, that delays each later change. Once the dead node is known
+// to be unable to serve, it must be removed from the roster.
 func TestDeadMemberIsRemoved(t *testing.T) {
 	runCluster(t, 10, 3, func(c *cluster) {
 		c.kill("b-1")
@@ -198,8 +201,9 @@
 	})
 }
 
-// The table goes down between commit and acceptance. Every node holds the log entry but cannot learn whether it is accepted,
-// so each puts it in force by itself within seconds. When the table is back, the log entry is accepted.
+// Guards against a log entry that no node puts in force because the table goes down between commit and acceptance. Every
+// node holds the log entry but cannot learn whether it is accepted, so each must put it in force by itself within seconds.
+// When the table is back, the log entry is accepted.
 func TestOutageAfterCommitPutsInForce(t *testing.T) {
 	runCluster(t, 11, 3, func(c *cluster) {
 		e := c.change("a-0", 1)
@@ -212,7 +216,7 @@
 	})
 }
 
-// A node leaves the roster on shutdown. The next change must not wait for it.
+// Guards against a change that waits for a node that left the roster on shutdown.
 func TestLeavingNodeDoesNotDelayAcceptance(t *testing.T) {
 	runCluster(t, 12, 3, func(c *cluster) {
 		c.members["c-2"].agent.Leave(context.Background())
--- a/internal/state/revision/agent/scenario_test.go
+++ b/internal/state/revision/agent/scenario_test.go
@@ -391,8 +391,9 @@
 	tr.start(replacement, names...)
 }
 
-// Concurrent operators change and read the configuration while random faults occur. The history must stay linearizable, and
-// no node may take work without an accepted log entry for longer than staleAfter.
+// Guards against a history of configuration changes that is not linearizable, and against a node that takes work without an
+// accepted log entry for longer than staleAfter. Concurrent operators change and read the configuration while random faults
+// occur.
 func TestScenarios(t *testing.T) {
 	scenarios := []struct {
 		name   string
--- a/internal/state/revision/node_test.go
+++ b/internal/state/revision/node_test.go
@@ -52,9 +52,10 @@
 	return n.OnAck(now, &Ack{From: name, Incarnation: name, Nonce: nonce, Staged: staged, Holds: holds, MaxStaged: staged})
 }
 
-// Counterexample found by Spin: a node acknowledges a log entry, restarts and recovers from nodes that lack the log entry;
-// then the last of those acknowledges it. With the old acknowledgement all nodes seem to hold the log entry, but the
-// restarted node and another one could serve without it forever. So an acknowledgement counts only while it is repeated.
+// Guards against a restarted node and another one that could serve without a log entry forever (a counterexample found by
+// Spin). A node acknowledges the log entry, restarts and recovers from nodes that lack it; then the last of those
+// acknowledges it. With the old acknowledgement all nodes seem to hold the log entry, so an acknowledgement must count only
+// while it is repeated.
 func TestAcknowledgementExpires(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, repeated := range []bool{true, false} {
@@ -71,8 +72,8 @@
 	}
 }
 
-// The other half of the same case: while an acknowledgement of its previous incarnation may count, a restarted node neither
-// relies on a majority's certificate nor counts in a majority.
+// Guards against the other half of the same case: while an acknowledgement of its previous incarnation may count, a
+// restarted node must neither rely on a majority's certificate nor count in a majority.
 func TestRestartedNodeWaitsForOldAcknowledgementsToExpire(t *testing.T) {
 	start := time.Unix(1000, 0)
 	donor, _ := originOfThree(start)
--- a/internal/state/revision/store/change.go
+++ b/internal/state/revision/store/change.go
@@ -45,7 +45,8 @@
 	return fmt.Sprintf("operation %s was used for another change", e.Operation)
 }
 
-// UnknownOutcomeError reports that the outcome of a change is unknown: it may be committed already, or may still be committed.
+// UnknownOutcomeError reports that the outcome of a change is unknown: it may be committed already, or may still
+// be.
 type UnknownError struct {
 	Operation string
 	Cause     error
