--- a/internal/state/config/config.go
+++ b/internal/state/config/config.go
@@ -1,4 +1,6 @@
 // Package config checks and edits the operators' configuration, and indexes it in immutable snapshots for request handlers.
+// It decides which configurations and edits are valid, for the nodes that apply the configuration log and for operators
+// whose changes are committed to it.
 package config
 
 import (
