--- a/internal/state/lease/manager/manager.go
+++ b/internal/state/lease/manager/manager.go
@@ -1,5 +1,5 @@
-// Package manager runs the lease holders of one process against the platform's table, and provides the operators' actions on
-// leases.
+// Package manager acquires and renews the duties of one process: it runs a lease.Contender for each against the platform's
+// table, and provides the operators' actions on leases.
 package manager
 
 import (
@@ -34,7 +34,7 @@
 	Loop        *control.Loop
 	Rand        *rand.Rand
 	Logger      log.Logger
-	// HolderDead reports whether a holder is known to be dead; see lease.Holder.SetHolderDead. It may be nil.
+	// HolderDead reports whether a holder is known to be dead; see lease.Contender.SetHolderDead. It may be nil.
 	HolderDead func(holder string, incarnation ids.Incarnation) bool
 	// OnAcquired is called on the control loop when this node has acquired a duty, for the audit log. It may be nil.
 	OnAcquired func(now time.Time, h lease.HeldLease)
@@ -93,7 +93,7 @@
 	m.execute(now, d, h, h.SetWanted(now, want))
 }
 
-// Tick advances all holders to now; the control loop calls it.
+// Tick advances all contenders to now; the control loop calls it.
 func (m *Manager) Tick(now time.Time) {
 	for d, h := range m.holders {
 		m.execute(now, d, h, h.Tick(now))
--- a/internal/state/revision/agent/scenario_test.go
+++ b/internal/state/revision/agent/scenario_test.go
@@ -78,7 +78,7 @@
 	replacements    int
 }
 
-// acceptance is when the checks first saw an entry accepted.
+// acceptance is when the checks first saw a log entry accepted.
 type acceptance struct {
 	seq uint64
 	at  time.Time
@@ -391,8 +391,9 @@
 	tr.start(replacement, names...)
 }
 
-// Concurrent operators change and read the configuration while random faults occur. The history must stay linearizable, and
-// no node may take work without an accepted entry for longer than staleAfter.
+// Guards against a history of configuration changes that is not linearizable, and against a node that takes work without an
+// accepted log entry for longer than staleAfter. Concurrent operators change and read the configuration while random faults
+// occur.
 func TestScenarios(t *testing.T) {
 	scenarios := []struct {
 		name   string
