--- a/internal/experts/expertmap/errors.go
+++ b/internal/experts/expertmap/errors.go
@@ -10,7 +10,8 @@
 type FailedError struct {
 	To     MapID
 	Reason Reason
-	Rank   Rank
+	// Rank is the rank that caused the failure. It is also 0 if no rank did.
+	Rank Rank
 	// Current is the map that the ranks run, as far as they have reported it.
 	Current MapID
 }
@@ -20,8 +21,8 @@
 	return fmt.Sprintf("switch to map %s: %s (rank %d; the group runs map %s)", e.To, e.Reason, e.Rank, e.Current)
 }
 
-// StepPassedError reports that an engine has started a step that its group runs under another map. The protocol rules
-// this out, so the engine has run past its limit.
+// StepPassedError reports that an engine has started a step that its group runs under another map. The protocol
+// excludes this, so the engine has run past its limit.
 type StepPassedError struct {
 	Rank  Rank
 	Next  Step
--- a/internal/experts/expertmap/group_test.go
+++ b/internal/experts/expertmap/group_test.go
@@ -177,8 +177,8 @@
 		g.fail("rank %d is the first to switch to %s, without a certificate", r, o.To)
 	}
 	for rank, inc := range g.acks[held.Ballot] {
-		if held.Roster[rank] != inc {
-			g.fail("rank %d switches, but rank %d acknowledged as %d, not %d", r, rank, inc, held.Roster[rank])
+		if held.Incarnations[rank] != inc {
+			g.fail("rank %d switches, but rank %d acknowledged as %d, not %d", r, rank, inc, held.Incarnations[rank])
 		}
 	}
 }
@@ -204,9 +204,9 @@
 	return true
 }
 
-// settle delivers all messages, executes all orders and advances the clock until each rank has run that many more
+// runSteps delivers all messages, executes all orders and advances the clock until each rank has run that many more
 // steps. It fails the test if the group does not get there.
-func (g *group) settle(steps Step) {
+func (g *group) runSteps(steps Step) {
 	g.t.Helper()
 	goal := steps
 	for _, e := range g.engines {
@@ -252,14 +252,14 @@
 	return text
 }
 
-// boot switches the group to its first map.
-func (g *group) boot() {
+// switchToFirstMap switches the group to its first map.
+func (g *group) switchToFirstMap() {
 	g.t.Helper()
 	g.addProposer("boot")
 	g.propose("boot", 1, MapID{1, "first"})
-	g.settle(3)
+	g.runSteps(3)
 	if len(g.results) != 1 || g.results[0].Err != nil {
-		g.fail("boot: %+v %s", g.results, g.describe())
+		g.fail("switch to the first map: %+v %s", g.results, g.describe())
 	}
 	g.results = nil
 }
--- a/internal/experts/expertmap/history.go
+++ b/internal/experts/expertmap/history.go
@@ -36,10 +36,11 @@
 	State       charts.State
 	Since       time.Time
 	Engine      EngineReport
-	// Held is the ballot of the proposal that the slot has capped; zero if there is none.
+	// Held is the ballot of the proposal that the slot holds, from the cap request until the slot has switched or
+	// aborted; zero if there is none.
 	Held Ballot
 	To   MapID
-	// Waiting lists the ranks whose answer or acknowledgement the slot is waiting for.
+	// Waiting lists the ranks whose RecoverReply or acknowledgement the slot is waiting for.
 	Waiting []Rank
 	History []HistoryEntry
 }
@@ -60,9 +61,9 @@
 func (s *Slot) waiting() []Rank {
 	var ranks []Rank
 	for _, p := range s.peers() {
-		unanswered := s.State() == StateRecovering && s.answers[p.Rank] == nil
+		recovering := s.State() == StateRecovering && s.recoverReplies[p.Rank] == nil
 		unacked := s.State() == StateCapped && !s.acks[p.Rank]
-		if unanswered || unacked {
+		if recovering || unacked {
 			ranks = append(ranks, p.Rank)
 		}
 	}
--- a/internal/experts/expertmap/messages.go
+++ b/internal/experts/expertmap/messages.go
@@ -11,14 +11,14 @@
 
 // The reasons for refusals and failures.
 const (
-	ReasonNone      Reason = ""
-	ReasonNotStaged Reason = "weights-not-staged"
-	ReasonBusy      Reason = "holds-another-proposal"
-	ReasonOtherMap  Reason = "runs-another-map"
-	ReasonRoster    Reason = "roster-names-another-incarnation"
-	ReasonPassed    Reason = "step-passed"
-	ReasonAhead     Reason = "last-switch-still-ahead"
-	ReasonFenced    Reason = "older-fencing-number"
+	ReasonNone             Reason = ""
+	ReasonNotStaged        Reason = "weights-not-staged"
+	ReasonBusy             Reason = "holds-another-proposal"
+	ReasonOtherMap         Reason = "runs-another-map"
+	ReasonOtherIncarnation Reason = "roster-names-another-incarnation"
+	ReasonPassed           Reason = "step-passed"
+	ReasonAhead            Reason = "last-switch-still-ahead"
+	ReasonFenced           Reason = "older-fencing-number"
 	// ReasonRefused: the slot has already refused this proposal or has seen it aborted, and does not change its vote.
 	ReasonRefused Reason = "refused-before"
 	// ReasonWeights: the engine could not load the weights.
@@ -71,7 +71,7 @@
 }
 
 // Refusal (slot to requester, may be relayed by any node) states that this incarnation has not acknowledged the
-// proposal and never will. If the roster names the incarnation, the refusal proves that the proposal is aborted.
+// proposal and never will. If the proposal addresses the incarnation, the refusal proves that the proposal is aborted.
 type Refusal struct {
 	Ballot      Ballot
 	Rank        Rank
@@ -83,8 +83,8 @@
 	Fence ids.Fence
 }
 
-// Certificate (proposer or slot to slot) is the proof that every incarnation in the roster has acknowledged the
-// proposal.
+// Certificate (proposer or slot to slot) is the proof that every incarnation that the proposal addresses has
+// acknowledged it.
 type Certificate struct {
 	Ballot Ballot
 	// Acks holds, by rank, the incarnation that acknowledged.
@@ -100,28 +100,28 @@
 	Incarnation Incarnation
 }
 
-// Recover (restarted slot to each peer) asks the peer for its state. By answering, the peer promises not to take part
-// in any proposal whose roster names an older incarnation of the sender.
+// Recover (restarted slot to each peer) requests the peer's state. By replying, the peer promises not to take part in
+// any proposal that addresses an older incarnation of the sender.
 type Recover struct {
 	Rank        Rank
 	Incarnation Incarnation
 }
 
-// Answer (slot to restarted slot) is the reply to Recover.
-type Answer struct {
+// RecoverReply (slot to restarted slot) is the reply to a Recover.
+type RecoverReply struct {
 	Rank        Rank
 	Incarnation Incarnation
-	// Asker is the incarnation that sent the Recover.
-	Asker Incarnation
-	// Map and Start are the newest map that the answering slot has seen, on its own engine or in its peers' answers,
+	// Requester is the incarnation that sent the Recover.
+	Requester Incarnation
+	// Map and Start are the newest map that the replying slot has seen, on its own engine or in its peers' replies,
 	// and that map's first step.
 	Map   MapID
 	Start Step
 }
 
 // Superseded (slot to restarted slot) reports that the peer has already seen a later incarnation of the sender. If
-// the sender is in fact the newer one, because its host's clock was set back, it chooses a larger number and asks
-// again.
+// the sender is in fact the newer one, because its host's clock was set back, it chooses a larger number and sends
+// Recover again.
 type Superseded struct {
 	Rank        Rank
 	Incarnation Incarnation
@@ -136,5 +136,5 @@
 func (Certificate) message()  {}
 func (Outcome) message()      {}
 func (Recover) message()      {}
-func (Answer) message()       {}
+func (RecoverReply) message() {}
 func (Superseded) message()   {}
--- a/internal/experts/expertmap/node/engine.go
+++ b/internal/experts/expertmap/node/engine.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// executeQueue sends all queued orders. It repeats an order until the engine answers, since the slot relies on every
-// order being answered.
+// executeQueue sends all queued orders. It repeats an order until the engine responds, since the slot relies on a
+// report after every order.
 func (w *engineWorker) executeQueue(ctx context.Context) {
 	for {
 		o, ok := w.pop()
@@ -115,7 +115,7 @@
 	w.report(r)
 }
 
-// retry calls f until it succeeds; it returns false once ctx has ended.
+// retry calls f until it succeeds; it returns false once ctx is done.
 func retry(ctx context.Context, f func(context.Context) error) bool {
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, engineTimeout)
--- a/internal/experts/expertmap/node/node_test.go
+++ b/internal/experts/expertmap/node/node_test.go
@@ -20,17 +20,17 @@
 func TestMessageRoundTrip(t *testing.T) {
 	b := expertmap.Ballot{Fence: 3, Proposer: 4, Seq: 5}
 	m, n := expertmap.MapID{Version: 6, Name: "six"}, expertmap.MapID{Version: 7, Name: "seven"}
-	roster := []expertmap.Incarnation{8, 9}
+	incarnations := []expertmap.Incarnation{8, 9}
 	messages := []expertmap.Message{
 		expertmap.StageRequest{Ballot: b, Map: m, Round: 2},
 		expertmap.StageReply{Ballot: b, Round: 2, Rank: 1, Incarnation: 9, Ready: true, Reason: "r", Current: m, Since: 10, Next: 11, StepTime: 12},
-		expertmap.CapRequest{Proposal: expertmap.Proposal{Ballot: b, From: m, To: n, Start: 13, Roster: roster}},
+		expertmap.CapRequest{Proposal: expertmap.Proposal{Ballot: b, From: m, To: n, Start: 13, Incarnations: incarnations}},
 		expertmap.Ack{Ballot: b, Rank: 1, Incarnation: 9},
 		expertmap.Refusal{Ballot: b, Rank: 1, Incarnation: 9, Reason: "r", Next: 11, Fence: 3},
-		expertmap.Certificate{Ballot: b, Acks: roster},
+		expertmap.Certificate{Ballot: b, Acks: incarnations},
 		expertmap.Outcome{Ballot: b, Committed: true, Rank: 1, Incarnation: 9},
 		expertmap.Recover{Rank: 1, Incarnation: 9},
-		expertmap.Answer{Rank: 1, Incarnation: 9, Asker: 8, Map: m, Start: 10},
+		expertmap.RecoverReply{Rank: 1, Incarnation: 9, Requester: 8, Map: m, Start: 10},
 		expertmap.Superseded{Rank: 1, Incarnation: 9, Known: 14},
 	}
 	from, to := expertmap.Addr{Proposer: "p"}, expertmap.Addr{Rank: 1}
@@ -111,8 +111,8 @@
 	})
 }
 
-// Engines that respond to only every other call must still execute each order, because the worker repeats it until
-// the engine responds. The group switches, and the slot's status contains the history.
+// Guards against a switch that never ends because an engine does not respond to every call. The worker must repeat an
+// order until the engine responds. The slot's status must contain the history.
 func TestGroupSwitchesWithFlakyEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/experts/expertmap/node/proposer.go
+++ b/internal/experts/expertmap/node/proposer.go
@@ -36,13 +36,13 @@
 	return &Proposer{opts: o, node: o.Node, machine: expertmap.NewProposer(o.Config)}
 }
 
-// Run ticks the proposer until ctx ends.
+// Run ticks the proposer until ctx is done.
 func (p *Proposer) Run(ctx context.Context) {
 	tick(ctx, p.opts.Poll, func() { p.post(p.machine.Tick) })
 }
 
 // Propose switches the group to a map under the lease's fencing token and waits for the result. It returns
-// *expertmap.FailedError if the switch fails and *expertmap.BusyError if one is in progress. If ctx ends first, it
+// *expertmap.FailedError if the switch fails and *expertmap.BusyError if one is in progress. If ctx is done first, it
 // aborts the switch as Stop does, and the slots finish what they have begun.
 func (p *Proposer) Propose(ctx context.Context, fence ids.Fence, to expertmap.MapID) (expertmap.Result, error) {
 	done := make(chan expertmap.Result, 1)
--- a/internal/experts/expertmap/node/slot.go
+++ b/internal/experts/expertmap/node/slot.go
@@ -54,7 +54,7 @@
 	return s
 }
 
-// Run polls the engine and ticks the slot until ctx ends.
+// Run polls the engine and ticks the slot until ctx is done.
 func (s *Slot) Run(ctx context.Context) {
 	go s.worker.run(ctx)
 	tick(ctx, s.opts.Poll, func() { s.post(s.machine.Tick) })
--- a/internal/experts/expertmap/node/wire.go
+++ b/internal/experts/expertmap/node/wire.go
@@ -41,17 +41,17 @@
 	return &pb.MapBallot{Fence: uint64(b.Fence), Proposer: b.Proposer, Seq: b.Seq}
 }
 
-func toRoster(numbers []uint64) []expertmap.Incarnation {
-	roster := make([]expertmap.Incarnation, len(numbers))
+func toIncarnations(numbers []uint64) []expertmap.Incarnation {
+	incarnations := make([]expertmap.Incarnation, len(numbers))
 	for i, n := range numbers {
-		roster[i] = expertmap.Incarnation(n)
+		incarnations[i] = expertmap.Incarnation(n)
 	}
-	return roster
+	return incarnations
 }
 
-func fromRoster(roster []expertmap.Incarnation) []uint64 {
-	numbers := make([]uint64, len(roster))
-	for i, n := range roster {
+func fromIncarnations(incarnations []expertmap.Incarnation) []uint64 {
+	numbers := make([]uint64, len(incarnations))
+	for i, n := range incarnations {
 		numbers[i] = uint64(n)
 	}
 	return numbers
@@ -68,7 +68,7 @@
 	case expertmap.CapRequest:
 		p := m.Proposal
 		e.Body = &pb.MapEnvelope_CapRequest{CapRequest: &pb.MapProposal{
-			Ballot: fromBallot(p.Ballot), From: fromMap(p.From), To: fromMap(p.To), Start: uint64(p.Start), Roster: fromRoster(p.Roster),
+			Ballot: fromBallot(p.Ballot), From: fromMap(p.From), To: fromMap(p.To), Start: uint64(p.Start), Roster: fromIncarnations(p.Incarnations),
 		}}
 	case expertmap.Ack:
 		e.Body = &pb.MapEnvelope_Ack{Ack: &pb.MapAck{Ballot: fromBallot(m.Ballot), Rank: uint32(m.Rank), Incarnation: uint64(m.Incarnation)}}
@@ -78,16 +78,16 @@
 			Next: uint64(m.Next), Fence: uint64(m.Fence),
 		}}
 	case expertmap.Certificate:
-		e.Body = &pb.MapEnvelope_Certificate{Certificate: &pb.MapCertificate{Ballot: fromBallot(m.Ballot), Acks: fromRoster(m.Acks)}}
+		e.Body = &pb.MapEnvelope_Certificate{Certificate: &pb.MapCertificate{Ballot: fromBallot(m.Ballot), Acks: fromIncarnations(m.Acks)}}
 	case expertmap.Outcome:
 		e.Body = &pb.MapEnvelope_Outcome{Outcome: &pb.MapOutcome{
 			Ballot: fromBallot(m.Ballot), Committed: m.Committed, Rank: uint32(m.Rank), Incarnation: uint64(m.Incarnation),
 		}}
 	case expertmap.Recover:
 		e.Body = &pb.MapEnvelope_Recover{Recover: &pb.MapRecover{Rank: uint32(m.Rank), Incarnation: uint64(m.Incarnation)}}
-	case expertmap.Answer:
+	case expertmap.RecoverReply:
 		e.Body = &pb.MapEnvelope_Answer{Answer: &pb.MapAnswer{
-			Rank: uint32(m.Rank), Incarnation: uint64(m.Incarnation), Asker: uint64(m.Asker), Map: fromMap(m.Map), Start: uint64(m.Start),
+			Rank: uint32(m.Rank), Incarnation: uint64(m.Incarnation), Asker: uint64(m.Requester), Map: fromMap(m.Map), Start: uint64(m.Start),
 		}}
 	case expertmap.Superseded:
 		e.Body = &pb.MapEnvelope_Superseded{Superseded: &pb.MapSuperseded{
@@ -119,7 +119,7 @@
 		m := b.CapRequest
 		return expertmap.CapRequest{Proposal: expertmap.Proposal{
 			Ballot: toBallot(m.GetBallot()), From: toMap(m.GetFrom()), To: toMap(m.GetTo()),
-			Start: expertmap.Step(m.GetStart()), Roster: toRoster(m.GetRoster()),
+			Start: expertmap.Step(m.GetStart()), Incarnations: toIncarnations(m.GetRoster()),
 		}}, nil
 	case *pb.MapEnvelope_Ack:
 		m := b.Ack
@@ -131,7 +131,7 @@
 			Reason: expertmap.Reason(m.GetReason()), Next: expertmap.Step(m.GetNext()), Fence: ids.Fence(m.GetFence()),
 		}, nil
 	case *pb.MapEnvelope_Certificate:
-		return expertmap.Certificate{Ballot: toBallot(b.Certificate.GetBallot()), Acks: toRoster(b.Certificate.GetAcks())}, nil
+		return expertmap.Certificate{Ballot: toBallot(b.Certificate.GetBallot()), Acks: toIncarnations(b.Certificate.GetAcks())}, nil
 	case *pb.MapEnvelope_Outcome:
 		m := b.Outcome
 		return expertmap.Outcome{
@@ -142,9 +142,9 @@
 		return expertmap.Recover{Rank: expertmap.Rank(b.Recover.GetRank()), Incarnation: expertmap.Incarnation(b.Recover.GetIncarnation())}, nil
 	case *pb.MapEnvelope_Answer:
 		m := b.Answer
-		return expertmap.Answer{
+		return expertmap.RecoverReply{
 			Rank: expertmap.Rank(m.GetRank()), Incarnation: expertmap.Incarnation(m.GetIncarnation()),
-			Asker: expertmap.Incarnation(m.GetAsker()), Map: toMap(m.GetMap()), Start: expertmap.Step(m.GetStart()),
+			Requester: expertmap.Incarnation(m.GetAsker()), Map: toMap(m.GetMap()), Start: expertmap.Step(m.GetStart()),
 		}, nil
 	case *pb.MapEnvelope_Superseded:
 		m := b.Superseded
--- a/internal/experts/expertmap/proposer.go
+++ b/internal/experts/expertmap/proposer.go
@@ -12,7 +12,8 @@
 
 // The states of a proposer; the chart map_proposer defines the transitions.
 const (
-	StateIdle       charts.State = "idle"
+	StateIdle charts.State = "idle"
+	// StateProbing: the weights are loaded, and a last round trip obtains each rank's step, delay and incarnation.
 	StateProbing    charts.State = "probing"
 	StateCapping    charts.State = "capping"
 	StateCertifying charts.State = "certifying"
@@ -48,7 +49,7 @@
 
 // ProposerConfig configures a Proposer.
 type ProposerConfig struct {
-	// ID is generated at random each time the process starts, so that no two incarnations share a ballot.
+	// ID is generated at random each time the process starts, so that no two runs of a proposer share a ballot.
 	ID     uint64
 	Ranks  int
 	Timing ProposerTiming
@@ -74,9 +75,10 @@
 	switched    []bool
 	refusal     *Refusal
 	attempts    int
-	// leadFactor multiplies the lead; it doubles with each refusal because of a passed step.
-	leadFactor float64
-	failure    *FailedError
+	// exchangeFactor multiplies the time that startStep allows for the exchange with the slots; it doubles with each
+	// refusal because of a passed step.
+	exchangeFactor float64
+	failure        *FailedError
 	// retryAt is when the current state sends its messages again, wait the interval between such repeats, and
 	// expireAt when the state times out; zero means no timeout.
 	retryAt  time.Time
@@ -105,7 +107,7 @@
 		return nil, &BusyError{p.to}
 	}
 	p.fence, p.to = fence, to
-	p.attempts, p.leadFactor = 0, 1
+	p.attempts, p.exchangeFactor = 0, 1
 	p.failure = nil
 	p.proposal = Proposal{}
 	return p.fire(now, "propose"), nil
--- a/internal/experts/expertmap/proposer_cap.go
+++ b/internal/experts/expertmap/proposer_cap.go
@@ -13,26 +13,26 @@
 	p.acked = make([]bool, p.cfg.Ranks)
 	p.switched = make([]bool, p.cfg.Ranks)
 	p.proposal = Proposal{
-		Ballot: Ballot{p.fence, p.cfg.ID, p.seq},
-		From:   p.replies[0].Current,
-		To:     p.to,
-		Start:  p.startStep(now),
-		Roster: make([]Incarnation, p.cfg.Ranks),
+		Ballot:       Ballot{p.fence, p.cfg.ID, p.seq},
+		From:         p.replies[0].Current,
+		To:           p.to,
+		Start:        p.startStep(now),
+		Incarnations: make([]Incarnation, p.cfg.Ranks),
 	}
 	for r, reply := range p.replies {
-		p.proposal.Roster[r] = reply.Incarnation
+		p.proposal.Incarnations[r] = reply.Incarnation
 	}
 	return p.sendCap()
 }
 
 func (p *Proposer) sendCap() []Effect { return p.sendToPending(p.acked, CapRequest{p.proposal}) }
 
-func (p *Proposer) inRoster(b Ballot, r Rank, inc Incarnation) bool {
-	return b == p.proposal.Ballot && int(r) < len(p.proposal.Roster) && p.proposal.Roster[r] == inc
+func (p *Proposer) isAddressed(b Ballot, r Rank, inc Incarnation) bool {
+	return b == p.proposal.Ballot && int(r) < len(p.proposal.Incarnations) && p.proposal.Incarnations[r] == inc
 }
 
 func (p *Proposer) onAck(now time.Time, m Ack) []Effect {
-	if p.State() != StateCapping || !p.inRoster(m.Ballot, m.Rank, m.Incarnation) {
+	if p.State() != StateCapping || !p.isAddressed(m.Ballot, m.Rank, m.Incarnation) {
 		return nil
 	}
 	p.acked[m.Rank] = true
@@ -46,17 +46,17 @@
 // holds the proposal, so Tick repeats the cap request with the certificate; the reply to it reports how the proposal
 // ended.
 func (p *Proposer) sendCertificate() []Effect {
-	cert := Certificate{Ballot: p.proposal.Ballot, Acks: slices.Clone(p.proposal.Roster)}
+	cert := Certificate{Ballot: p.proposal.Ballot, Acks: slices.Clone(p.proposal.Incarnations)}
 	return p.sendToPending(p.switched, cert)
 }
 
 func (p *Proposer) onRefusal(now time.Time, m Refusal) []Effect {
-	if !p.inRoster(m.Ballot, m.Rank, m.Incarnation) {
+	if !p.isAddressed(m.Ballot, m.Rank, m.Incarnation) {
 		return nil
 	}
 	p.refusal = &m
 	if m.Reason == ReasonPassed {
-		p.leadFactor *= 2
+		p.exchangeFactor *= 2
 	}
 	return p.refused(now, m.Reason, m.Rank)
 }
--- a/internal/experts/expertmap/proposer_stage.go
+++ b/internal/experts/expertmap/proposer_stage.go
@@ -57,6 +57,7 @@
 func (p *Proposer) alreadySwitched(now time.Time, m StageReply) []Effect {
 	p.failure = nil
 	p.proposal.Start = m.Since
+	// The chart's event "failed" only triggers the report, which without p.failure is a success.
 	return p.fire(now, "failed")
 }
 
@@ -76,7 +77,7 @@
 	}
 	// The cap request, the acknowledgement and the certificate cross the network once each, and the engine executes
 	// two orders. The report of the fastest rank is at most one round trip plus ReportAge old.
-	exchange := p.leadFactor * p.cfg.Timing.Margin * float64(2*trip+2*p.cfg.Timing.OrderTime)
+	exchange := p.exchangeFactor * p.cfg.Timing.Margin * float64(2*trip+2*p.cfg.Timing.OrderTime)
 	age := float64(now.Sub(p.roundSentAt) + p.cfg.Timing.ReportAge)
 	steps := math.Ceil((exchange + age) / float64(stepTime))
 	return next + Step(steps) + 1
--- a/internal/experts/expertmap/proposer_test.go
+++ b/internal/experts/expertmap/proposer_test.go
@@ -8,9 +8,9 @@
 // Guards against a proposer that waits forever: it receives one acknowledgement, but the others and all messages that
 // the slots send while they finish among themselves are lost. Seen over loopback with 16 ranks (cardamomyoke-bench
 // mapswitch).
-func TestProposerLearnsOutcomeAfterLostMessages(t *testing.T) {
+func TestProposerReceivesOutcomeAfterLostMessages(t *testing.T) {
 	g := newGroup(t, 3)
-	g.boot()
+	g.switchToFirstMap()
 	p := g.addProposer("a")
 	to := MapID{2, "next"}
 	g.propose("a", 2, to)
@@ -25,27 +25,28 @@
 	if p.State() != StateCapping || g.engines[0].Map != to {
 		t.Fatalf("proposer %s, engines run %s", p.State(), g.engines[0].Map)
 	}
-	g.settle(100)
+	g.runSteps(100)
 	if len(g.results) != 1 || g.results[0].Err != nil {
 		t.Fatalf("proposer %s, results %+v", p.State(), g.results)
 	}
 }
 
-// A rank is further ahead than its report said, so it refuses the first proposal because the step has passed; callers
-// see at most a longer time to first token. The next proposal must double the lead.
-func TestRefusalForPassedStepDoublesLead(t *testing.T) {
+// Guards against a switch whose proposals are all refused because their first step has passed on a rank that is further
+// ahead than its report said. The next proposal must allow twice the time for the exchange. Callers see at most a
+// longer time to first token.
+func TestRefusalForPassedStepDoublesExchangeTime(t *testing.T) {
 	g := newGroup(t, 3)
-	g.boot()
+	g.switchToFirstMap()
 	p := g.addProposer("a")
 	g.propose("a", 2, MapID{2, "next"})
 	for p.State() != StateCapping {
 		g.round()
 	}
 	first := p.proposal.Start - g.engines[0].Next
-	refusal := Refusal{Ballot: p.proposal.Ballot, Rank: 1, Incarnation: p.proposal.Roster[1], Reason: ReasonPassed}
+	refusal := Refusal{Ballot: p.proposal.Ballot, Rank: 1, Incarnation: p.proposal.Incarnations[1], Reason: ReasonPassed}
 	g.proposerEffects("a", p.Receive(g.now, refusal))
-	g.settle(100)
-	if len(g.results) != 1 || g.results[0].Err != nil || g.results[0].Attempts != 2 || p.leadFactor != 2 || first == 0 {
-		t.Fatalf("results %+v, lead %v, first %d", g.results, p.leadFactor, first)
+	g.runSteps(100)
+	if len(g.results) != 1 || g.results[0].Err != nil || g.results[0].Attempts != 2 || p.exchangeFactor != 2 || first == 0 {
+		t.Fatalf("results %+v, factor %v, first %d", g.results, p.exchangeFactor, first)
 	}
 }
--- a/internal/experts/expertmap/random_test.go
+++ b/internal/experts/expertmap/random_test.go
@@ -139,17 +139,17 @@
 
 func runRandomFaults(t *rapid.T, ranks, crashes, losses int) {
 	g := newGroup(t, ranks)
-	g.boot()
+	g.switchToFirstMap()
 	g.addProposer("a")
 	g.addProposer("b")
 	c := &randomGroup{group: g, crashes: crashes, losses: losses}
 	t.Repeat(c.actions(t))
-	c.settle(5)
-	c.settleProposers()
+	c.runSteps(5)
+	c.waitForProposers()
 }
 
-// settleProposers fails the test if a proposer does not learn how its proposal ended.
-func (c *randomGroup) settleProposers() {
+// waitForProposers fails the test if a proposer does not receive the outcome of its proposal.
+func (c *randomGroup) waitForProposers() {
 	const rounds = 200
 	for range rounds {
 		c.round()
@@ -172,7 +172,8 @@
 	checkSeeds(t, 5, 6, 0)
 }
 
-// The same guarantees when engines lose their state too, alone or together with their slots.
+// Guards against the failures of TestRandomFaultsOfThreeRanks when engines lose their state too, alone or together with
+// their slots.
 func TestRandomFaultsWithEngineRestarts(t *testing.T) {
 	checkSeeds(t, 3, 3, 2)
 }
--- a/internal/experts/expertmap/replay_test.go
+++ b/internal/experts/expertmap/replay_test.go
@@ -27,7 +27,7 @@
 
 func newReplay(t *testing.T) *replay {
 	r := &replay{group: newGroup(t, 3)}
-	r.boot()
+	r.switchToFirstMap()
 	for _, e := range r.engines {
 		r.firstStep = max(r.firstStep, e.Next)
 	}
@@ -96,7 +96,7 @@
 		prop.From, prop.To, prop.Start = MapID{2, "of-0"}, MapID{3, "of-1"}, r.firstStep+2
 	}
 	for rank, n := range incarnations {
-		prop.Roster = append(prop.Roster, r.incarnations[rank][n])
+		prop.Incarnations = append(prop.Incarnations, r.incarnations[rank][n])
 	}
 	r.proposals[p] = prop
 }
@@ -173,17 +173,18 @@
 }
 
 func (r *replay) answer(k, i int) {
-	asker := r.slots[i].Incarnation()
-	r.slotEffects(k, r.slots[k].Receive(r.now, Addr{Rank: Rank(i)}, Recover{Rank(i), asker}))
+	requester := r.slots[i].Incarnation()
+	r.slotEffects(k, r.slots[k].Receive(r.now, Addr{Rank: Rank(i)}, Recover{Rank(i), requester}))
 	r.deliverAll(i, func(m Message) bool {
-		a, ok := m.(Answer)
-		return ok && a.Asker == asker && a.Rank == Rank(k)
+		a, ok := m.(RecoverReply)
+		return ok && a.Requester == requester && a.Rank == Rank(k)
 	})
 }
 
-// Each mutant of the specification lacks one safeguard, and Spin has found how a step then runs under two maps or the
-// group waits forever. The real code goes through the same events: no step may run under two maps, the first rank to
-// switch must have the certificate, and the group must continue in the end.
+// Guards against code that lacks a safeguard of the specification. Each mutant of the specification lacks one, and Spin
+// has found how a step then runs under two maps or the group waits forever. The real code goes through the same events:
+// no step may run under two maps, the first rank to switch must have the certificate, and the group must continue in
+// the end.
 func TestSpecificationCounterexamples(t *testing.T) {
 	var plan struct {
 		Runs []struct{ Name, Mutant string } `yaml:"runs"`
@@ -211,12 +212,12 @@
 			}
 			for p := range r.proposals {
 				for i := range r.ranks {
-					if r.proposals[p].Roster != nil {
+					if r.proposals[p].Incarnations != nil {
 						r.net = append(r.net, envelope{Addr{Proposer: "a"}, Addr{Rank: Rank(i)}, CapRequest{r.proposals[p]}})
 					}
 				}
 			}
-			r.settle(4)
+			r.runSteps(4)
 		})
 	}
 }
--- a/internal/experts/expertmap/slot.go
+++ b/internal/experts/expertmap/slot.go
@@ -24,7 +24,7 @@
 
 // SlotTiming holds the slot's timeouts. Safety depends on none of them.
 type SlotTiming struct {
-	// Retry is the delay before an unanswered request is sent again. A failed load of weights is repeated after a
+	// Retry is the delay before a request without a reply is sent again. A failed load of weights is repeated after a
 	// multiple of it, restageFactor.
 	Retry time.Duration `yaml:"retry"`
 	// PeerTimeout is how long a capped slot waits for the proposer before it sends the cap request to its peers
@@ -55,12 +55,12 @@
 	cfg     SlotConfig
 	machine charts.Machine
 	inc     Incarnation
-	// known holds, by rank, the newest incarnation that the slot has seen; it accepts a roster only if it names
-	// exactly these.
+	// known holds, by rank, the newest incarnation that the slot has seen; it accepts a proposal only if that
+	// addresses exactly these.
 	known []Incarnation
-	// answers holds, by rank, the peers' answers to this incarnation's Recover.
-	answers []*Answer
-	engine  EngineReport
+	// recoverReplies holds, by rank, the peers' replies to this incarnation's Recover.
+	recoverReplies []*RecoverReply
+	engine         EngineReport
 	// orders is the number of the last order issued; the engine is busy until its report carries that number.
 	orders uint64
 	// staging is the map that was staged last or is being staged. stageRequester and stageRequest are the sender and
@@ -73,7 +73,7 @@
 	requesters []Addr
 	// atLimit is set once the engine has reached held's first step.
 	atLimit bool
-	// deferred is set once the slot has left it to a peer to request the outcome of held.
+	// deferred is set once the slot relies on a peer that requests the outcome of held.
 	deferred bool
 	// acks holds, by rank, whether the slot has received an acknowledgement of held.
 	acks []bool
@@ -98,7 +98,7 @@
 	s.inc = inc
 	s.known = make([]Incarnation, s.cfg.Ranks)
 	s.known[s.cfg.Rank] = inc
-	s.answers = make([]*Answer, s.cfg.Ranks)
+	s.recoverReplies = make([]*RecoverReply, s.cfg.Ranks)
 	s.staging, s.stageRequester, s.stageRequest = MapID{}, Addr{}, StageRequest{}
 	s.dropProposal()
 	s.floor = Ballot{}
@@ -135,8 +135,8 @@
 		return s.onOutcome(now, m)
 	case Recover:
 		return s.onRecover(m)
-	case Answer:
-		return s.onAnswer(now, m)
+	case RecoverReply:
+		return s.onRecoverReply(now, m)
 	case Superseded:
 		return s.onSuperseded(now, m)
 	}
--- a/internal/experts/expertmap/slot_recover.go
+++ b/internal/experts/expertmap/slot_recover.go
@@ -11,21 +11,21 @@
 	return s.sendRecover()
 }
 
-// sendRecover sends Recover to the peers that have not answered yet.
+// sendRecover sends Recover to the peers that have not replied yet.
 func (s *Slot) sendRecover() []Effect {
 	var effects []Effect
 	for _, p := range s.peers() {
-		if s.answers[p.Rank] == nil {
+		if s.recoverReplies[p.Rank] == nil {
 			effects = append(effects, Send{p, Recover{Rank: s.cfg.Rank, Incarnation: s.inc}})
 		}
 	}
 	return effects
 }
 
-// onRecover answers a restarted peer. The answer is a promise: from now on the slot accepts no roster that names an
-// older incarnation of the peer. Without it, the old acknowledgement could complete a certificate after the restarted
-// peer has run on. A slot that is recovering itself answers too; otherwise two slots that restarted together would
-// wait for each other.
+// onRecover replies to a restarted peer. The reply is a promise: from now on the slot accepts no proposal that
+// addresses an older incarnation of the peer. Without it, the old acknowledgement could complete a certificate after
+// the restarted peer has continued to run steps. A slot that is recovering itself replies too; otherwise two slots that
+// restarted together would wait for each other.
 func (s *Slot) onRecover(m Recover) []Effect {
 	if m.Rank == s.cfg.Rank || int(m.Rank) >= s.cfg.Ranks {
 		return nil
@@ -36,13 +36,13 @@
 	}
 	switch s.State() {
 	case StateStarting, StateSwitching:
-		// The engine has not reported yet, or has not confirmed the switch; the peer asks again.
+		// The engine has not reported yet, or has not confirmed the switch; the peer sends Recover again.
 		return nil
 	}
 	s.known[m.Rank] = m.Incarnation
 	newest, start := s.newest()
-	return []Effect{Send{to, Answer{
-		Rank: s.cfg.Rank, Incarnation: s.inc, Asker: m.Incarnation, Map: newest, Start: start,
+	return []Effect{Send{to, RecoverReply{
+		Rank: s.cfg.Rank, Incarnation: s.inc, Requester: m.Incarnation, Map: newest, Start: start,
 	}}}
 }
 
@@ -55,27 +55,27 @@
 	return s.startRecovery(now)
 }
 
-func (s *Slot) onAnswer(now time.Time, m Answer) []Effect {
-	if s.State() != StateRecovering || m.Asker != s.inc || int(m.Rank) >= s.cfg.Ranks || m.Rank == s.cfg.Rank {
+func (s *Slot) onRecoverReply(now time.Time, m RecoverReply) []Effect {
+	if s.State() != StateRecovering || m.Requester != s.inc || int(m.Rank) >= s.cfg.Ranks || m.Rank == s.cfg.Rank {
 		return nil
 	}
 	if m.Incarnation < s.known[m.Rank] {
 		return nil
 	}
 	s.known[m.Rank] = m.Incarnation
-	s.answers[m.Rank] = &m
+	s.recoverReplies[m.Rank] = &m
 	for _, p := range s.peers() {
-		if s.answers[p.Rank] == nil {
+		if s.recoverReplies[p.Rank] == nil {
 			return nil
 		}
 	}
 	return s.fire(now, "heard-all")
 }
 
-// newest returns the newest map, and its first step, that this slot's engine or the peers' answers name.
+// newest returns the newest map, and its first step, that this slot's engine or the peers' replies name.
 func (s *Slot) newest() (MapID, Step) {
 	m, start := s.engine.Map, s.engine.Start
-	for _, a := range s.answers {
+	for _, a := range s.recoverReplies {
 		if a != nil && a.Map.Version > m.Version {
 			m, start = a.Map, a.Start
 		}
--- a/internal/experts/expertmap/slot_test.go
+++ b/internal/experts/expertmap/slot_test.go
@@ -8,12 +8,12 @@
 func TestSwitchWithoutFaults(t *testing.T) {
 	for _, ranks := range []int{1, 3, 16} {
 		g := newGroup(t, ranks)
-		g.boot()
+		g.switchToFirstMap()
 		g.addProposer("a")
 		for v := uint64(2); v < 5; v++ {
 			to := MapID{v, "next"}
 			g.propose("a", 2, to)
-			g.settle(40)
+			g.runSteps(40)
 			if len(g.results) != 1 || g.results[0].Err != nil || g.results[0].To != to {
 				t.Fatalf("%d ranks: %+v %s", ranks, g.results, g.describe())
 			}
@@ -27,15 +27,15 @@
 	}
 }
 
-// One rank cannot load the new map's weights. The proposer must abort the switch before any rank caps, and the group
-// continues under its old map.
+// Guards against a group that stops because one rank cannot load the new map's weights. The proposer must abort the
+// switch before any rank caps, and the group continues under its old map.
 func TestLoadFailureEndsSwitchBeforeAnyCap(t *testing.T) {
 	g := newGroup(t, 3)
-	g.boot()
+	g.switchToFirstMap()
 	g.engines[1].CannotLoad = true
 	g.addProposer("a")
 	g.propose("a", 2, MapID{2, "next"})
-	g.settle(20)
+	g.runSteps(20)
 	var failed *FailedError
 	if len(g.results) != 1 || !errors.As(g.results[0].Err, &failed) || failed.Reason != ReasonWeights || failed.Rank != 1 {
 		t.Fatalf("%+v", g.results)
@@ -52,35 +52,36 @@
 // TestRandomFaultsOfThreeRanks with seed 23467980.
 func TestSlotRefusesCapBeforeItsMapIsInForce(t *testing.T) {
 	g := newGroup(t, 3)
-	g.boot()
+	g.switchToFirstMap()
 	for _, e := range g.engines {
 		e.previous, e.Map, e.Start = e.Map, MapID{2, "ahead"}, e.Next+50
 	}
 	for r := range g.ranks {
 		g.start(r)
 	}
-	g.settle(5)
+	g.runSteps(5)
 	next := MapID{3, "next"}
-	roster := []Incarnation{g.slots[0].inc, g.slots[1].inc, g.slots[2].inc}
+	incarnations := []Incarnation{g.slots[0].inc, g.slots[1].inc, g.slots[2].inc}
 	for r, s := range g.slots {
 		g.slotEffects(r, s.Receive(g.now, Addr{Proposer: "a"}, StageRequest{Ballot: Ballot{2, 1, 0}, Map: next}))
 		effects := s.Receive(g.now, Addr{Proposer: "a"}, CapRequest{Proposal{
-			Ballot{2, 1, 1}, MapID{2, "ahead"}, next, g.engines[r].Next + 3, roster,
+			Ballot{2, 1, 1}, MapID{2, "ahead"}, next, g.engines[r].Next + 3, incarnations,
 		}})
 		refusal, ok := effects[0].(Send).Message.(Refusal)
 		if !ok || refusal.Reason != ReasonAhead || s.State() == StateLimiting {
 			t.Fatalf("rank %d: %+v in state %s", r, effects, s.State())
 		}
 	}
-	g.settle(60)
+	g.runSteps(60)
 }
 
-// capAllRanks brings a booted group to the point where every rank has capped map 2, and returns the proposal.
+// capAllRanks brings a group that has its first map to the point where every rank has capped map 2, and returns the
+// proposal.
 func capAllRanks(t *testing.T, g *group) Proposal {
 	t.Helper()
 	p := Proposal{Ballot: Ballot{2, 7, 1}, From: MapID{1, "first"}, To: MapID{2, "next"}, Start: g.engines[0].Next + 2}
 	for _, s := range g.slots {
-		p.Roster = append(p.Roster, s.Incarnation())
+		p.Incarnations = append(p.Incarnations, s.Incarnation())
 	}
 	from := Addr{Proposer: "a"}
 	for r, s := range g.slots {
@@ -100,22 +101,22 @@
 }
 
 // Guards against a rank that continues alone under the old map. Rank 0 has the certificate and its engine has
-// switched, but the slot has no report of it yet when the restarted slot of rank 1 sends Recover. An answer "not
-// switched" would let rank 1 abort, so rank 0 must not answer before its engine reports.
-func TestSwitchingSlotDoesNotAnswerRecover(t *testing.T) {
+// switched, but the slot has no report of it yet when the restarted slot of rank 1 sends Recover. A reply "not
+// switched" would let rank 1 abort, so rank 0 must not reply before its engine reports.
+func TestSwitchingSlotDoesNotReplyToRecover(t *testing.T) {
 	g := newGroup(t, 3)
-	g.boot()
+	g.switchToFirstMap()
 	p := capAllRanks(t, g)
-	g.slotEffects(0, g.slots[0].Receive(g.now, Addr{Proposer: "a"}, Certificate{p.Ballot, p.Roster}))
+	g.slotEffects(0, g.slots[0].Receive(g.now, Addr{Proposer: "a"}, Certificate{p.Ballot, p.Incarnations}))
 	g.engines[0].Apply(g.orders[0][0])
 	g.orders[0] = nil
 	g.start(1)
 	request := Recover{1, g.slots[1].Incarnation()}
 	if got := g.slots[0].Receive(g.now, Addr{Rank: 1}, request); got != nil {
-		t.Fatalf("answered %+v", got)
+		t.Fatalf("replied %+v", got)
 	}
 	g.report(0)
-	g.settle(5)
+	g.runSteps(5)
 	if g.engines[1].Map != p.To || g.engines[2].Map != p.To {
 		t.Fatalf("the switch was lost: %s", g.describe())
 	}
@@ -126,7 +127,7 @@
 // incarnation, and the proposal is aborted.
 func TestEngineRestartVoidsAcknowledgement(t *testing.T) {
 	g := newGroup(t, 3)
-	g.boot()
+	g.switchToFirstMap()
 	p := capAllRanks(t, g)
 	before := g.slots[2].Incarnation()
 	restarted := newEngine(g.engines[2].Next)
@@ -136,7 +137,7 @@
 	if s := g.slots[2]; s.Incarnation() <= before || s.State() != StateRecovering {
 		t.Fatalf("incarnation %d after %d, state %s", s.Incarnation(), before, s.State())
 	}
-	g.settle(5)
+	g.runSteps(5)
 	for r, e := range g.engines {
 		if e.Map != p.From {
 			t.Fatalf("rank %d runs map %s", r, e.Map)
@@ -145,11 +146,11 @@
 }
 
 // Guards against a group that waits forever. A slot restarts on a host whose clock was set back, so its incarnation
-// is smaller than the last one and peers take its Recover for a late copy. They reply Superseded, and it must choose
+// is smaller than the last one and peers mistake its Recover for a late copy. They reply Superseded, and it must choose
 // a larger number.
 func TestSlotRestartWithClockBehind(t *testing.T) {
 	g := newGroup(t, 3)
-	g.boot()
+	g.switchToFirstMap()
 	p := capAllRanks(t, g)
 	known := g.slots[1].Incarnation()
 	g.lastIncarnation = 0
@@ -157,7 +158,7 @@
 	if g.slots[1].Incarnation() >= known {
 		t.Fatal("the new incarnation is not smaller")
 	}
-	g.settle(5)
+	g.runSteps(5)
 	if got := g.slots[1].Incarnation(); got <= known {
 		t.Fatalf("incarnation %d after %d", got, known)
 	}
--- a/internal/experts/expertmap/slot_vote.go
+++ b/internal/experts/expertmap/slot_vote.go
@@ -72,7 +72,7 @@
 
 // onCap caps the proposal, refuses it, or replies with its outcome.
 func (s *Slot) onCap(now time.Time, from Addr, p Proposal) []Effect {
-	if !s.mayVote() || len(p.Roster) != s.cfg.Ranks || p.To.Version < s.engine.Map.Version {
+	if !s.mayVote() || len(p.Incarnations) != s.cfg.Ranks || p.To.Version < s.engine.Map.Version {
 		return nil
 	}
 	if s.held != nil && s.held.Ballot == p.Ballot {
@@ -81,13 +81,13 @@
 	if s.hasSwitched(p) {
 		return []Effect{s.outcome(from, p.Ballot, true)}
 	}
-	named := p.Roster[s.cfg.Rank]
+	named := p.Incarnations[s.cfg.Rank]
 	if named > s.inc {
 		return nil
 	}
 	if named < s.inc {
-		// The older incarnation's vote is unknown, but every peer has answered this incarnation. No peer had switched
-		// by then, and each answer keeps the peer from accepting a certificate with the older incarnation. The
+		// The older incarnation's vote is unknown, but every peer has replied to this incarnation. No peer had switched
+		// by then, and each reply keeps the peer from accepting a certificate with the older incarnation. The
 		// proposal can therefore never be committed, and a capped group need not wait for a vote that never comes.
 		return []Effect{s.outcome(from, p.Ballot, false)}
 	}
@@ -116,9 +116,9 @@
 	return nil
 }
 
-// deferToPeer lets a peer that has already sent its request find out the outcome. If every rank of a large group sent
-// requests to every other, processing them would take longer than the request is worth. The slot defers only once,
-// since that peer may not reach the ranks that this slot can reach.
+// deferToPeer lets a peer that has already sent its request obtain the outcome. If every rank of a large group sent
+// requests to every other, processing them would take longer than waiting for one peer's result. The slot defers only
+// once, since that peer may not reach the ranks that this slot can reach.
 func (s *Slot) deferToPeer(now time.Time, from Addr) {
 	if from.IsProposer() || s.deferred {
 		return
@@ -128,7 +128,7 @@
 }
 
 // raiseFloor records a ballot that the slot refused or held. A late copy must not be capped after a refusal, since
-// the refusal lets other ranks run on under the old map.
+// the refusal lets other ranks continue under the old map.
 func (s *Slot) raiseFloor(b Ballot) {
 	if b.Compare(s.floor) > 0 {
 		s.floor = b
@@ -147,8 +147,8 @@
 		return ReasonBusy
 	case p.From != s.engine.Map:
 		return ReasonOtherMap
-	case !s.rosterIsCurrent(p):
-		return ReasonRoster
+	case !s.incarnationsAreCurrent(p):
+		return ReasonOtherIncarnation
 	case s.engine.Next < s.engine.Start || p.Start <= s.engine.Start && !p.From.IsZero():
 		// The engine remembers only one map before its newest. A second switch that is scheduled while the first is
 		// still ahead would make it run the steps before the first one under the wrong map.
@@ -161,8 +161,9 @@
 	return ReasonNone
 }
 
-// rosterIsCurrent reports whether the roster names exactly the newest incarnations that the slot has seen.
-func (s *Slot) rosterIsCurrent(p Proposal) bool { return slices.Equal(p.Roster, s.known) }
+// incarnationsAreCurrent reports whether the proposal addresses exactly the newest incarnations that the slot has
+// seen.
+func (s *Slot) incarnationsAreCurrent(p Proposal) bool { return slices.Equal(p.Incarnations, s.known) }
 
 // onLimitReport acknowledges only a limit that the engine has confirmed, since the engine may have started the step
 // before the order arrived.
@@ -236,14 +237,14 @@
 // onAck records an acknowledgement. When all are present, the slot has the certificate; it switches and sends it to
 // its peers.
 func (s *Slot) onAck(now time.Time, m Ack) []Effect {
-	if s.State() != StateCapped || !s.holds(m.Ballot) || !s.inRoster(m.Rank, m.Incarnation) {
+	if s.State() != StateCapped || !s.holds(m.Ballot) || !s.isAddressed(m.Rank, m.Incarnation) {
 		return nil
 	}
 	s.acks[m.Rank] = true
 	if slices.Contains(s.acks, false) {
 		return nil
 	}
-	cert := Certificate{Ballot: s.held.Ballot, Acks: slices.Clone(s.held.Roster)}
+	cert := Certificate{Ballot: s.held.Ballot, Acks: slices.Clone(s.held.Incarnations)}
 	effects := s.onCertificate(now, cert)
 	if len(effects) == 0 {
 		return nil
@@ -251,18 +252,18 @@
 	return append(effects, s.sendToPeers(cert)...)
 }
 
-func (s *Slot) inRoster(r Rank, inc Incarnation) bool {
-	return int(r) < len(s.held.Roster) && s.held.Roster[r] == inc
+func (s *Slot) isAddressed(r Rank, inc Incarnation) bool {
+	return int(r) < len(s.held.Incarnations) && s.held.Incarnations[r] == inc
 }
 
-// onCertificate switches, unless a member of the roster has restarted since the slot capped. That member's new
-// incarnation was told that this slot had not switched and may have aborted the proposal for that reason, so the slot
-// waits for its outcome.
+// onCertificate switches, unless the slot of another rank has restarted since this slot capped. This slot has replied
+// to the new incarnation that it had not switched, and the new incarnation may have aborted the proposal for that
+// reason, so this slot waits for its outcome.
 func (s *Slot) onCertificate(now time.Time, m Certificate) []Effect {
 	if s.State() != StateCapped || !s.holds(m.Ballot) {
 		return nil
 	}
-	if !slices.Equal(m.Acks, s.held.Roster) || !s.rosterIsCurrent(*s.held) {
+	if !slices.Equal(m.Acks, s.held.Incarnations) || !s.incarnationsAreCurrent(*s.held) {
 		return nil
 	}
 	return s.fire(now, "certificate")
@@ -271,7 +272,7 @@
 // onRefusal aborts the held proposal: its certificate would need the acknowledgement of an incarnation that never
 // gives it.
 func (s *Slot) onRefusal(now time.Time, m Refusal) []Effect {
-	if !s.holds(m.Ballot) || !s.inRoster(m.Rank, m.Incarnation) {
+	if !s.holds(m.Ballot) || !s.isAddressed(m.Rank, m.Incarnation) {
 		return nil
 	}
 	return s.fire(now, "aborted")
@@ -287,8 +288,8 @@
 	return s.fire(now, "aborted")
 }
 
-// onSwitchReport waits until the engine reports the new map. An order can get lost with the slot, and a peer that was
-// told of a switch that no engine has made could run on alone under the new map.
+// onSwitchReport waits until the engine reports the new map. An order can get lost with the slot, and a peer to which a
+// switch was reported that no engine has made could continue alone under the new map.
 func (s *Slot) onSwitchReport(now time.Time) []Effect {
 	if s.engine.Map != s.held.To {
 		return nil
--- a/internal/experts/expertmap/types.go
+++ b/internal/experts/expertmap/types.go
@@ -19,7 +19,8 @@
 const NoLimit Step = math.MaxUint64
 
 // Incarnation identifies one run of a rank's slot. A later incarnation has a larger number unless the host's clock
-// was set back; Superseded handles that case.
+// was set back; Superseded handles that case. It is separate from ids.Incarnation, which identifies the process; this
+// one also changes when the engine restarts.
 type Incarnation uint64
 
 // MapID identifies an expert map. The zero value means no map; an engine without a map runs no step.
@@ -55,14 +56,14 @@
 // String formats the ballot as FENCE/PROPOSER/SEQUENCE.
 func (b Ballot) String() string { return fmt.Sprintf("%d/%x/%d", b.Fence, b.Proposer, b.Seq) }
 
-// Proposal asks a group to run step Start and all later steps under map To instead of From.
+// Proposal is a request to a group to run step Start and all later steps under map To instead of From.
 type Proposal struct {
 	Ballot Ballot
 	From   MapID
 	To     MapID
 	Start  Step
-	// Roster holds, by rank, the incarnations that the proposal addresses.
-	Roster []Incarnation
+	// Incarnations holds, by rank, the slot incarnations that the proposal addresses.
+	Incarnations []Incarnation
 }
 
 // Addr is the source or destination of a message: a proposer if Proposer is set, otherwise the slot of a rank.
@@ -134,7 +135,7 @@
 	To   MapID
 }
 
-// Alarm reports a state that the protocol rules out to the operators.
+// Alarm reports to the operators a state that the protocol excludes.
 type Alarm struct{ Err error }
 
 // Result reports the outcome of a switch to the owner of a proposer.
--- a/internal/experts/lockstep/balance.go
+++ b/internal/experts/lockstep/balance.go
@@ -7,8 +7,8 @@
 
 // RankLimits bounds the experts of each set on one rank.
 type RankLimits struct {
-	// Placements is the maximum number of experts of one set on a rank.
-	Placements int
+	// MaxPerRank is the maximum number of experts of one set on a rank.
+	MaxPerRank int
 	// Spare is the maximum number of experts of one set that a rank may load in one switch.
 	Spare int
 }
@@ -84,8 +84,8 @@
 
 const (
 	none = -1
-	// minGain is the cost that a round must save; the search ends with the first round that saves less.
-	minGain = 1e-6
+	// minRoundGain is the cost that a round must save; the search ends with the first round that saves less.
+	minRoundGain = 1e-6
 	// maxOverloaded is how many of the most loaded ranks a round tries to relieve. Where the first cannot be
 	// relieved, the next may be, and the capacity that this frees may then allow a change to the first.
 	maxOverloaded = 2
@@ -104,7 +104,7 @@
 	s.sortRanks()
 	order := s.order
 	found, best := false, change{}
-	lowest := s.cost() - minGain
+	lowest := s.cost() - minRoundGain
 	try := func(c change) {
 		if !s.allowed(c) {
 			return
@@ -175,7 +175,7 @@
 		size--
 		loads -= s.loadsNeeded(rank, out)
 	}
-	return size <= s.limits.Placements && size >= 1 && loads <= s.limits.Spare
+	return size <= s.limits.MaxPerRank && size >= 1 && loads <= s.limits.Spare
 }
 
 func (s *search) loadsNeeded(rank, e int) int {
--- a/internal/experts/lockstep/balance_test.go
+++ b/internal/experts/lockstep/balance_test.go
@@ -47,7 +47,7 @@
 			for i := range speed {
 				speed[i] = 1
 			}
-			limits := lockstep.RankLimits{Placements: c.placements, Spare: 2}
+			limits := lockstep.RankLimits{MaxPerRank: c.placements, Spare: 2}
 			p := roundRobin(c.experts, c.ranks)
 			for range c.switches {
 				next := lockstep.Balance(p, demand, speed, limits, 0.001)
@@ -80,7 +80,7 @@
 				loads++
 			}
 		}
-		if len(list) > limits.Placements || loads > limits.Spare {
+		if len(list) > limits.MaxPerRank || loads > limits.Spare {
 			t.Fatalf("rank %d holds %d experts and loads %d", r, len(list), loads)
 		}
 	}
@@ -98,9 +98,9 @@
 			for i := range speed {
 				speed[i] = 1
 			}
-			limits := lockstep.RankLimits{Placements: 3, Spare: 2}
+			limits := lockstep.RankLimits{MaxPerRank: 3, Spare: 2}
 			if size.experts/size.ranks == 4 {
-				limits.Placements = 5
+				limits.MaxPerRank = 5
 			}
 			p := roundRobin(size.experts, size.ranks)
 			demand := [][]float64{popularity(rng, size.experts, 0.52)}
--- a/internal/experts/lockstep/controller.go
+++ b/internal/experts/lockstep/controller.go
@@ -44,7 +44,7 @@
 	RankClient RankClient
 	Logger     log.Logger
 	// Group returns the current group, or nil if there is none. Fence returns the leader's fencing token, or 0 while
-	// this node does not lead.
+	// this node is not the leader.
 	Group func() *Group
 	Fence func() ids.Fence
 	// Standby reports whether this node may become the leader soon; it may be nil.
@@ -55,8 +55,8 @@
 	Period, HalfLife time.Duration
 	// Serials counts the tasks of all controllers of this node.
 	Serials *Serials
-	// PeriodFactor returns the factor by which the period is longer because this node leads other groups too; it may
-	// be nil.
+	// PeriodFactor returns the factor by which the period is longer because this node is the leader of other groups
+	// too; it may be nil.
 	PeriodFactor func() int
 	// Sample is the number of ranks whose counts are read in each check. Local ranks, which can be read at no cost to
 	// the group, are read first, and SampleLocal limits them instead of Sample.
@@ -72,7 +72,7 @@
 	OnSwitched func(before, after float64, copies int)
 }
 
-// Controller adapts the map of one group to the demand while its node leads. Only Run's goroutine may use it.
+// Controller adapts the map of one group to the demand while its node is the leader. Only Run's goroutine may use it.
 type Controller struct {
 	o      ControllerOptions
 	demand *Demand
@@ -85,8 +85,8 @@
 	// placement is the placement in use at version; nil if it must be read.
 	placement Placement
 	version   uint64
-	// switchedAt is the pass of the last switch.
-	switchedAt      uint64
+	// switchPass is the pass of the last switch.
+	switchPass      uint64
 	fence           ids.Fence
 	unfinishedSince time.Time
 	wasComplete     bool
@@ -99,7 +99,7 @@
 	return &Controller{o: o, demand: NewDemand(o.HalfLife)}
 }
 
-// Run controls the group until ctx ends.
+// Run controls the group until ctx is done.
 func (c *Controller) Run(ctx context.Context) {
 	timer := time.NewTimer(c.o.Period)
 	defer timer.Stop()
@@ -162,7 +162,8 @@
 	return c.period()
 }
 
-// recentlyFormed is how long a group counts as newly formed; within some passes it has counted enough.
+// recentlyFormed is how long a group counts as newly formed. In that time its ranks normally collect
+// Options.MinCounts counts.
 const recentlyFormed = 2 * time.Second
 
 // countsDue reports whether a newly formed group should be checked again soon because it has too few counts.
@@ -298,7 +299,7 @@
 		c.reset()
 		return false
 	}
-	c.placement, c.version, c.switchedAt = plan.Placement, task.Version, sw.Pass()
+	c.placement, c.version, c.switchPass = plan.Placement, task.Version, sw.Pass()
 	if c.o.OnSwitched != nil {
 		c.o.OnSwitched(plan.Before, plan.After, plan.Copies)
 	}
--- a/internal/experts/lockstep/counts.go
+++ b/internal/experts/lockstep/counts.go
@@ -66,7 +66,7 @@
 			case err != nil:
 				_ = level.Debug(c.o.Logger).Log("msg", "no counts", "rank", rank, "err", err)
 			case !validCounts(counts, s.group.experts()):
-				_ = level.Warn(c.o.Logger).Log("msg", "counts ignored", "reason", "they are not of the service's experts", "rank", rank)
+				_ = level.Warn(c.o.Logger).Log("msg", "counts ignored", "reason", "their shape is not that of the service's experts", "rank", rank)
 			default:
 				reads[i] = &read{rank, since, counts}
 			}
--- a/internal/experts/lockstep/group_test.go
+++ b/internal/experts/lockstep/group_test.go
@@ -17,7 +17,7 @@
 	placement               map[uint64]string // content of each version, to detect two maps with the same version
 }
 
-// group is a group of ranks in lock-step. pass is the last pass that has begun.
+// group is a group of ranks in lockstep. pass is the last pass that has begun.
 type group struct {
 	ranks []*rank
 	pass  uint64
--- a/internal/experts/lockstep/loadplacement.go
+++ b/internal/experts/lockstep/loadplacement.go
@@ -20,7 +20,7 @@
 	if c.placement != nil && c.version == version {
 		return true
 	}
-	if c.placement != nil && version < c.version && s.pass <= c.switchedAt {
+	if c.placement != nil && version < c.version && s.pass <= c.switchPass {
 		return false // the reports are from before the last switch
 	}
 	held := make([]*HeldExperts, len(s.upstreams))
--- a/internal/experts/lockstep/newlyformed_test.go
+++ b/internal/experts/lockstep/newlyformed_test.go
@@ -23,9 +23,9 @@
 	return s.testService.Counts(ctx, u, sets)
 }
 
-// A newly formed group runs on its first map, which ignores the demand, and callers who waited for the group get slow
-// responses until it is switched. The leader's second check finds too few counts; the next one must not be a full
-// period later.
+// Guards against slow responses to callers who waited for a group to form. It runs on its first map, which ignores the
+// demand, until it is switched. The leader's second check finds too few counts; the next one must not be a full period
+// later.
 func TestNewlyFormedGroupIsSwitchedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, list := newTestService([]string{"a"}, 2)
--- a/internal/experts/lockstep/restart_test.go
+++ b/internal/experts/lockstep/restart_test.go
@@ -33,10 +33,10 @@
 	return orders
 }
 
-// A rank restarts during a switch (before it has prepared the map, while the group is held, or while ranks are
-// armed), and its group forms with the same epoch. Its acknowledgement is void: if the switch counted it, the group
-// would be released with a rank that has no map to switch to, and callers would wait or get output from two maps. The
-// switch must fail as with a new epoch.
+// Guards against a group that is released with a rank that has no map to switch to; callers would wait or get output
+// from two maps. The rank restarts during a switch (before it has prepared the map, while the group is held, or while
+// ranks are armed), its group forms with the same epoch, and its acknowledgement is void. The switch must fail as with
+// a new epoch.
 func TestSwitchFailsWhenRankRestarts(t *testing.T) {
 	now := time.Unix(0, 0)
 	for _, state := range []string{string(statePreparing), string(stateHolding), string(stateArming)} {
@@ -55,7 +55,7 @@
 	}
 }
 
-// Reports with unchanged start times, including late ones, must not end a switch.
+// Guards against a switch that is ended by reports with unchanged start times, including late ones.
 func TestSwitchContinuesWithSameIncarnations(t *testing.T) {
 	now := time.Unix(0, 0)
 	sw := NewSwitch(restartedTask(now))
@@ -68,8 +68,8 @@
 	}
 }
 
-// A rank that restarts counts from 0. If its counts were compared with those of its previous incarnation, the new
-// counts would be lost or distorted, and the map would follow a demand that does not exist.
+// Guards against a map that follows a demand that does not exist. A rank that restarts counts from 0; if its counts
+// were compared with those of its previous incarnation, the new counts would be lost or distorted.
 func TestCountsOfDifferentIncarnationsAreNotCompared(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
 	d := NewDemand(time.Hour)
@@ -95,8 +95,8 @@
 	return Report{Group: "g"}, nil
 }
 
-// An upstream may restart under its id as a rank of another group, so its group must be read again. Otherwise a
-// switch would include ranks of two groups.
+// Guards against a switch that includes ranks of two groups. An upstream may restart under its id as a rank of another
+// group, so its group must be read again.
 func TestNewIncarnationIsQueriedForItsGroup(t *testing.T) {
 	g, ranks := NewGroupIndex(), &countingClient{}
 	for _, started := range []int64{1, 1, 2} {
--- a/internal/experts/lockstep/runswitch.go
+++ b/internal/experts/lockstep/runswitch.go
@@ -42,7 +42,7 @@
 	reply Reply
 }
 
-// runSwitch runs a switch until it finishes or ctx ends.
+// runSwitch runs a switch until it finishes or ctx is done.
 func (c *Controller) runSwitch(ctx context.Context, s *snapshot, sw *Switch, orders []Order) {
 	replies := make(chan orderResult)
 	finished := make(chan struct{})
--- a/internal/experts/lockstep/serials_test.go
+++ b/internal/experts/lockstep/serials_test.go
@@ -13,9 +13,9 @@
 	return c.newerFence(&snapshot{reports: reports})
 }
 
-// A leader is paused while another one takes over, switches the group, holds it again and dies. When the first
-// resumes, all nodes still consider it the leader, but the ranks refuse its orders and the group stays held. It must
-// detect from the ranks' versions that its fencing token is obsolete.
+// Guards against a group that stays held. A leader is paused while another one takes over, switches the group, holds it
+// again and dies. When the first resumes, all nodes still consider it the leader, but the ranks refuse its orders. It
+// must detect from the ranks' versions that its fencing token is obsolete.
 func TestStaleFenceIsDetectedFromRankVersions(t *testing.T) {
 	c := NewController(ControllerOptions{Serials: NewSerials(), Logger: log.NewNopLogger()})
 	c.fence = 6
@@ -28,8 +28,8 @@
 	}
 }
 
-// A leader that runs for hours starts more tasks than one fencing token has versions for. The next versions would be
-// those of a later leader, and two maps would share one.
+// Guards against two maps with one version. A leader that runs for hours starts more tasks than one fencing token has
+// versions for, and the next versions would be those of a later leader.
 func TestFenceVersionsAreExhausted(t *testing.T) {
 	c := NewController(ControllerOptions{Serials: NewSerials(), Logger: log.NewNopLogger()})
 	c.fence = 6
--- a/internal/experts/lockstep/servicecontroller.go
+++ b/internal/experts/lockstep/servicecontroller.go
@@ -35,7 +35,7 @@
 	return &ServiceController{o: o, groups: NewGroupIndex(), running: map[string]*Running{}}
 }
 
-// Run controls the groups until ctx ends.
+// Run controls the groups until ctx is done.
 func (s *ServiceController) Run(ctx context.Context) {
 	timer := time.NewTimer(groupIndexInterval)
 	defer timer.Stop()
@@ -90,7 +90,7 @@
 	}
 }
 
-// isStandby reports whether the node updates the group index without leading.
+// isStandby reports whether the node updates the group index although it is not the leader.
 //
 // If a leader dies while it holds a group, the group is paused until its successor releases it. The successor must
 // not spend that time reading each rank's group.
--- a/internal/experts/lockstep/servicecontroller_test.go
+++ b/internal/experts/lockstep/servicecontroller_test.go
@@ -117,9 +117,9 @@
 	}
 }
 
-// A service has three groups whose ranks are listed in mixed order. If they were treated as one group, a switch would
-// leave out two thirds of each group's ranks, and callers would get wrong responses from passes under two maps. Each
-// group must be switched separately, to a map of its own ranks.
+// Guards against wrong responses from passes under two maps. A service has three groups whose ranks are listed in mixed
+// order; if they were treated as one group, a switch would leave out two thirds of each group's ranks. Each group must
+// be switched separately, to a map of its own ranks.
 func TestEachGroupIsSwitchedSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, list := newTestService([]string{"a", "bb", "ccc"}, 2)
@@ -177,8 +177,8 @@
 	}
 }
 
-// A leader dies while it holds a group. The group would stay paused while its successor first reads the group of
-// every rank, so a standby must keep its group index up to date.
+// Guards against a long pause of a group whose leader dies while it holds the group. The group would stay paused while
+// the successor first reads the group of every rank, so a standby must keep its group index up to date.
 func TestStandbyKeepsGroupIndex(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -189,7 +189,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s, list := newTestService([]string{"a"}, 2)
 				ranks := &slowReports{testService: s}
-				var leads atomic.Bool
+				var isLeader atomic.Bool
 				checked := make(chan time.Time, 1)
 				wake := make(chan struct{}, 1)
 				controller := lockstep.NewServiceController(lockstep.ControllerOptions{
@@ -198,7 +198,7 @@
 						return &lockstep.Group{Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, Placements: 4, Spare: 2}}}
 					},
 					Fence: func() ids.Fence {
-						if leads.Load() {
+						if isLeader.Load() {
 							return 7
 						}
 						return 0
@@ -217,9 +217,9 @@
 				go controller.Run(ctx)
 				time.Sleep(3 * time.Second)
 				if got := ranks.reports.Load(); got != c.before {
-					t.Errorf("%d reports before it leads, want %d", got, c.before)
+					t.Errorf("%d reports before it is the leader, want %d", got, c.before)
 				}
-				leads.Store(true)
+				isLeader.Store(true)
 				began := time.Now()
 				wake <- struct{}{}
 				took := (<-checked).Sub(began)
@@ -253,8 +253,8 @@
 	return since, counts, err
 }
 
-// The configuration names fewer experts than the ranks have. The leader must not decide anything on such data, and
-// must not crash, since it also serves the requests of all services.
+// Guards against a leader that crashes or switches a group if the configuration names fewer experts than the ranks
+// have. The leader also serves the requests of all services.
 func TestUnknownExpertsPreventSwitch(t *testing.T) {
 	for _, heldToo := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/experts/lockstep/switch.go
+++ b/internal/experts/lockstep/switch.go
@@ -9,6 +9,9 @@
 
 var chart = charts.MustLoad("map_orders")
 
+// States and events of the chart map_orders, which explains them. In stateGuarding a second rank is to hold the pass of
+// another leader's unfinished switch (evRescue starts its undo); in stateClearing the ranks are disarmed. evUnneeded
+// reports that the held pass needs only a release, because the unfinished switch is complete.
 const (
 	statePreparing charts.State = "preparing"
 	stateHolding   charts.State = "holding"
--- a/internal/experts/lockstep/switch_test.go
+++ b/internal/experts/lockstep/switch_test.go
@@ -12,7 +12,7 @@
 
 var seeds = flag.Int("lockstep.seeds", 400, "random runs of two leaders against one group")
 
-// leader is a node that switches the group's map. It may be paused, and two may lead at the same time.
+// leader is a node that switches the group's map. It may be paused, and there may be two at the same time.
 type leader struct {
 	fence, serial uint64
 	sw            *lockstep.Switch
@@ -146,7 +146,7 @@
 }
 
 // Guards against a pass that begins under two maps, by version or by content; callers would get a wrong token without
-// any error. The leading gateway is paused at random, another takes over, orders and replies get lost, and some
+// any error. The leader is paused at random, another takes over, orders and replies get lost, and some
 // orders are executed seconds later.
 func TestNoPassBeginsWithTwoMaps(t *testing.T) {
 	done, undone := 0, 0
@@ -175,7 +175,8 @@
 	return w
 }
 
-// These seeds have mixed maps before; the name of each case is the cause.
+// Guards against passes under two maps, which an earlier version of the code began with these seeds; the name of each
+// case is the cause.
 func TestPreviouslyFailingSeeds(t *testing.T) {
 	for seed, cause := range map[int]string{
 		2362: "ranks armed for the pass before the held one were disarmed, one of them too late",
@@ -184,8 +185,9 @@
 	}
 }
 
-// One leader has armed all ranks for pass 6 and released it; another holds pass 7 and dies. If the next leader
-// disarmed the ranks for pass 6, which is not held, that pass could begin first and some ranks would have switched.
+// Guards against a complete switch that is undone. One leader has armed all ranks for pass 6 and released it; another
+// holds pass 7 and dies. If the next leader disarmed the ranks for pass 6, which is not held, that pass could begin
+// first and some ranks would have switched.
 func TestCompleteSwitchIsReportedPending(t *testing.T) {
 	held := uint64(7)
 	unfinished := lockstep.FindUnfinishedSwitch([]lockstep.Report{
@@ -197,8 +199,8 @@
 	}
 }
 
-// A hold is executed late, for the pass before the one that all ranks are armed for, and callers would wait forever.
-// The switch ahead is complete and must not be undone; only the hold must be released.
+// Guards against callers that wait forever. A hold is executed late, for the pass before the one that all ranks are
+// armed for. The switch ahead is complete and must not be undone; only the hold must be released.
 func TestHoldBeforeCompleteSwitchIsReleased(t *testing.T) {
 	g := newGroup(3)
 	g.pass = 5
@@ -224,8 +226,8 @@
 	}
 }
 
-// The leading gateway dies at any moment of a switch. A group that stayed held would pause its callers' streams
-// forever, so the next leader must undo the switch and passes must begin again.
+// Guards against streams that pause forever because the leader dies at any moment of a switch and the group stays held.
+// The next leader must undo the switch, and passes must begin again.
 func TestUnfinishedSwitchIsUndone(t *testing.T) {
 	for stop := range 60 {
 		t.Run(fmt.Sprint(stop), func(t *testing.T) {
@@ -251,8 +253,8 @@
 	}
 }
 
-// Without faults the switch holds one rank, arms all and releases the group, and every rank has the new map from the
-// same pass on.
+// Guards against a switch that fails without faults. It must hold one rank, arm all and release the group, and every
+// rank must have the new map from the same pass on.
 func TestSwitchWithoutFaults(t *testing.T) {
 	g := newGroup(4)
 	now := time.Unix(0, 0)
@@ -289,8 +291,8 @@
 	}
 }
 
-// A rank crashes while the others are armed, and the group forms again with its first map. The switch must fail,
-// since its orders name the previous epoch.
+// Guards against a switch that continues in a new epoch. A rank crashes while the others are armed, and the group forms
+// again with its first map. The switch must fail, since its orders name the previous epoch.
 func TestNewEpochFailsSwitch(t *testing.T) {
 	g := newGroup(2)
 	now := time.Unix(0, 0)
@@ -308,8 +310,8 @@
 	}
 }
 
-// The ranks of a large group respond later than those of a small one. If all orders were sent again while the group
-// is held, it would be held even longer.
+// Guards against a large group that is held too long, because its ranks respond later than those of a small one and all
+// orders are sent again meanwhile.
 func TestFirstResendAllowsForLargeGroup(t *testing.T) {
 	const ranks, half = 192, 25 * time.Millisecond
 	now := time.Unix(1000, 0)
@@ -330,7 +332,7 @@
 		t.Fatalf("%d of %d ranks are to be armed", len(arms), ranks)
 	}
 	if again := sw.Tick(now.Add(2 * half)); len(again) > 0 {
-		t.Errorf("%d orders are sent again before the ranks can have answered", len(again))
+		t.Errorf("%d orders are sent again before the ranks can have replied", len(again))
 	}
 	if again := sw.Tick(now.Add(4 * half)); len(again) != ranks {
 		t.Errorf("%d orders are sent again after that", len(again))
--- a/internal/experts/placement/decision.go
+++ b/internal/experts/placement/decision.go
@@ -6,10 +6,11 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/placement/expert"
 )
 
-// PlanTimeout is the time after which the caller drops a plan of CauseSkew whose weights are not all loaded, and asks
-// for a new decision. It guards against this failure: a rank that has to load weights slows down after the plan was
-// made, has no slack left to load in, and the group keeps its old map, with the slow rank, for as long as the plan
-// waits. At the limit of bytes per minute a plan takes three minutes.
+// PlanTimeout is the time after which a caller should drop a plan of CauseSkew whose weights are not all loaded, and
+// call Decide again. The benchmark of package rebalance uses it; package rebalance itself limits a switch by its own
+// switchTimeout, which has the same value. It guards against this failure: a rank that has to load weights slows down
+// after the plan was made, has no slack left to load in, and the group keeps its old map, with the slow rank, for as
+// long as the plan waits. At the limit of bytes per minute a plan takes three minutes.
 const PlanTimeout = 5 * time.Minute
 
 // Reason is the reason to keep the current map.
@@ -19,7 +20,8 @@
 const (
 	// ReasonPaused: the operator has paused rebalancing.
 	ReasonPaused Reason = "paused"
-	// ReasonNoData: too few windows of tokens are complete to distinguish a gain from noise.
+	// ReasonNoData: too few windows of tokens are complete to distinguish a gain from noise, or the caller made no
+	// decision in this round.
 	ReasonNoData Reason = "no-data"
 	// ReasonNoGain: no better map was found.
 	ReasonNoGain Reason = "no-gain"
@@ -44,7 +46,7 @@
 	CauseStall Cause = "stalled-rank"
 )
 
-// Plan is a new map with the moves that lead to it from the current one.
+// Plan is a new map with the moves that produce it from the current one.
 type Plan struct {
 	Cause Cause
 	Map   *expert.Map
--- a/internal/experts/placement/doc.go
+++ b/internal/experts/placement/doc.go
@@ -1,8 +1,9 @@
 // Package placement decides which ranks of a model group hold which experts, and when moving experts is worth its
-// cost.
+// cost. Entries use it with packages rebalance and expertmap, for groups whose slots control each engine's steps;
+// gateways use package lockstep, for engines that keep their group in lockstep themselves and take orders per pass.
 //
-// A Policy processes reports of tokens and step times, which arrive late and with gaps. Decide returns either a Plan
-// (a new map and the moves that lead to it) or the Reason to keep the current map. The package is pure: the caller
+// A Policy processes reports of tokens and step times, which arrive late and with gaps. Decide returns either a Plan (a
+// new expert map and the moves that produce it) or the Reason to keep the current map. The package is pure: the caller
 // passes in the time, and equal inputs give equal decisions. Package staging paces the loading of weights; package
 // expert holds the map itself.
 //
--- a/internal/experts/placement/drain.go
+++ b/internal/experts/placement/drain.go
@@ -8,9 +8,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/placement/expert"
 )
 
-// drain removes every expert from the stalled ranks at any cost, because the group cannot complete a step with them.
+// evacuate removes every expert from the stalled ranks at any cost, because the group cannot complete a step with them.
 // Only experts whose last replica is on a stalled rank are loaded elsewhere.
-func (p *Policy) drain(d Decision, current *expert.Map, speed, pop []float64) Decision {
+func (p *Policy) evacuate(d Decision, current *expert.Map, speed, pop []float64) Decision {
 	if pop == nil {
 		pop = uniformPopularity(p.group.Shape)
 	}
--- a/internal/experts/placement/expert/expert_test.go
+++ b/internal/experts/placement/expert/expert_test.go
@@ -50,7 +50,7 @@
 		a, b := drawMap(t, "a", shape), drawMap(t, "b", shape)
 		got, err := a.Apply(b.Version(), expert.Diff(a, b))
 		if err != nil || !got.Equal(b) || got.Hash() != b.Hash() {
-			t.Fatalf("the moves do not lead to the target map (%v)", err)
+			t.Fatalf("the moves do not produce the target map (%v)", err)
 		}
 		if a.Version() != b.Version() && a.Hash() == b.Hash() {
 			t.Fatal("two versions share a hash")
--- a/internal/experts/placement/improve.go
+++ b/internal/experts/placement/improve.go
@@ -24,10 +24,10 @@
 	Before, After float64
 }
 
-// Improve searches for a better map under the given popularity (each cell's share of its layer's tokens) and speeds.
-// It balances shares, then adds replicas that each pay for their loading, then frees the slots of the replicas that
-// do least. A rank's present replicas and those to be loaded must fit in its slots together, because the current map
-// is in use until the switch.
+// Improve searches for a better map under the given popularity (each cell's share of its layer's tokens) and speeds. It
+// balances shares, then adds replicas that each pay for their loading, then frees the slots of the replicas that take
+// the fewest tokens. A rank's present replicas and those to be loaded must fit in its slots together, because the
+// current map is in use until the switch.
 func Improve(g Group, o Options, current *expert.Map, pop, speed []float64) (Improvement, error) {
 	old := newDraft(g, current, pop, speed)
 	next := bestDraft(g, o, old)
@@ -39,8 +39,8 @@
 }
 
 // bestDraft returns the best draft found. The loads must still pay back after slots are freed, and fewer loads are
-// tried if they do not. Otherwise, with memory nearly full, many loads push out replicas that do more than the new
-// ones, the whole plan looks worthless, and the map never changes.
+// tried if they do not. Otherwise, with memory nearly full, many loads displace replicas that take more tokens than the
+// new ones, the complete plan does not pay back, and the map never changes.
 func bestDraft(g Group, o Options, old *draft) *draft {
 	balanced := old.clone()
 	balanced.balance()
--- a/internal/experts/placement/layer.go
+++ b/internal/experts/placement/layer.go
@@ -50,8 +50,8 @@
 	return ly
 }
 
-// clone returns a copy for a search to change. The inner slices of holders are replaced and never changed in place,
-// so the copy shares them.
+// clone returns a copy for a search to change. The inner slices of holders are replaced and never changed in place
+// (only put inserts in place, before the first clone), so the copy shares them.
 func (ly *layer) clone() *layer {
 	c := *ly
 	c.holders = slices.Clone(ly.holders)
--- a/internal/experts/placement/placement_test.go
+++ b/internal/experts/placement/placement_test.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// A caller that decodes the same map again for each decision must not reset the noise estimate: without an estimate
-// no plan is ever made.
+// Guards against a policy that never makes a plan, because its caller decodes the same map again for each decision and
+// each copy resets the noise estimate.
 func TestDecodedCopyOfMapIsNoChange(t *testing.T) {
 	p := placement.NewPolicy(smallGroup)
 	m := packMap(t, smallGroup, zipf(smallGroup.Shape, 0))
@@ -150,7 +150,7 @@
 	t.Fatal("no plan followed the drift within 40 windows")
 }
 
-// Loads that cannot pay back, or that exceed the limit of bytes per minute, must not be planned.
+// Guards against plans with loads that cannot pay back or that exceed the limit of bytes per minute.
 func TestMoveWeightAndBudgetLimitLoads(t *testing.T) {
 	pop := zipf(smallGroup.Shape, 4)
 	m := packMap(t, smallGroup, zipf(smallGroup.Shape, 0))
@@ -180,7 +180,7 @@
 	}
 }
 
-// A rank at half speed delays every step of its group unless it gets half of the work.
+// Guards against a rank at half speed that delays every step of its group because it does not get half of the work.
 func TestStragglerGetsWorkInProportionToSpeed(t *testing.T) {
 	p := placement.NewPolicy(smallGroup)
 	pop := zipf(smallGroup.Shape, 0)
@@ -230,7 +230,7 @@
 	plan := d.Plan
 	got, err := old.Apply(plan.Map.Version(), plan.Moves)
 	if err != nil || got.Hash() != plan.Map.Hash() {
-		t.Fatalf("the moves do not lead to the plan's map (%v)", err)
+		t.Fatalf("the moves do not produce the plan's map (%v)", err)
 	}
 	if plan.Map.Version() != old.Version()+1 {
 		t.Fatalf("version %d after %d", plan.Map.Version(), old.Version())
@@ -274,8 +274,8 @@
 	return g
 }
 
-// Plans under random shifts of popularity, speeds and missing reports must satisfy checkPlan, and two policies with equal
-// inputs must make equal decisions.
+// Guards against plans that violate checkPlan under random shifts of popularity, speeds and missing reports, and
+// against different decisions of two policies with equal inputs.
 func TestPlansKeepInvariants(t *testing.T) {
 	plans := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/experts/placement/policy.go
+++ b/internal/experts/placement/policy.go
@@ -71,7 +71,7 @@
 	speed := p.speeds.relative(stalled)
 	pop := p.Popularity()
 	if holdsAny(current, d.Stalled) {
-		return p.drain(d, current, speed, pop)
+		return p.evacuate(d, current, speed, pop)
 	}
 	if pop == nil || !p.noise.ready() {
 		d.Stay = ReasonNoData
--- a/internal/experts/placement/popularity.go
+++ b/internal/experts/placement/popularity.go
@@ -51,8 +51,8 @@
 	// window.
 	windows  int
 	variance float64
-	// lead is the moving average, over windows, of how much smaller its squared forecast error was than that of the
-	// longest average. leadSquare is the moving average of the square of that difference.
+	// lead is the moving average, over windows, of how much smaller this average's squared forecast error was than that
+	// of the longest average. leadSquare is the moving average of the square of that difference.
 	lead, leadSquare float64
 }
 
@@ -82,7 +82,7 @@
 	return done
 }
 
-// advance moves next to the next open window, past any gap in one step.
+// advance sets p.next to the oldest window that has reports or, past a gap, to the oldest one that is still accepted.
 func (p *popularity) advance() {
 	next := p.newest - openWindows + 1
 	for number := range p.open {
--- a/internal/experts/placement/popularity_test.go
+++ b/internal/experts/placement/popularity_test.go
@@ -62,7 +62,8 @@
 	}
 }
 
-// A short average that is best only by chance must rarely be used: its estimate swings, and experts would move.
+// Guards against moves of experts that only follow noise. A short average that is best only by chance must rarely be
+// used, because its estimate swings.
 func TestShortMemoryIsRarelyChosenOnNoise(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	p := newPopularity(twoRanks)
--- a/internal/experts/placement/search.go
+++ b/internal/experts/placement/search.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// load is a replica that a layer may get.
-type load struct{ expert, rank int }
+// addition is a replica that a layer may get.
+type addition struct{ expert, rank int }
 
 // improve tries up to maxLayerLoads additional replicas in layer l, one after the other, and keeps as many of them as
 // save most after their price.
@@ -54,7 +54,7 @@
 	scale := float64(len(s.draft.layers)) * s.draft.idealTime()
 	best, bestNet, bestCount := start, 0.0, 0
 	free := slices.Clone(s.free)
-	var tried []load
+	var tried []addition
 	for now := start; len(tried) < min(maxLayerLoads, s.loads); {
 		next, ld, ok := bestLoad(now, free)
 		if !ok {
@@ -72,7 +72,7 @@
 	s.apply(l, best, tried[:bestCount])
 }
 
-func (s *search) apply(l int, ly *layer, loads []load) {
+func (s *search) apply(l int, ly *layer, loads []addition) {
 	s.draft.layers[l] = ly
 	for _, ld := range loads {
 		s.free[ld.rank]--
@@ -83,22 +83,22 @@
 }
 
 // bestLoad returns a copy of the layer with the one additional replica that helps its slowest rank most.
-func bestLoad(ly *layer, free []int) (*layer, load, bool) {
+func bestLoad(ly *layer, free []int) (*layer, addition, bool) {
 	slow, _ := ly.slowest()
 	var best *layer
-	var chosen load
+	var chosen addition
 	for _, e := range heaviestExperts(ly, slow) {
 		for _, r := range fastestRanks(ly, e, free) {
 			c := ly.clone()
 			c.add(e, r)
 			c.waterFill(e)
 			if best == nil || c.score() < best.score() {
-				best, chosen = c, load{e, r}
+				best, chosen = c, addition{e, r}
 			}
 		}
 	}
 	if best == nil {
-		return nil, load{}, false
+		return nil, addition{}, false
 	}
 	best.balance()
 	return best, chosen, true
--- a/internal/experts/placement/staging/staging_test.go
+++ b/internal/experts/placement/staging/staging_test.go
@@ -46,7 +46,7 @@
 	return most
 }
 
-// Random loads must exceed neither the slack of a step, nor the store's rate, nor the limit of bytes per minute.
+// Guards against random loads that exceed the slack of a step, the store's rate or the limit of bytes per minute.
 func TestStagingKeepsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ranks, size = 3, 4 << 20
@@ -88,7 +88,8 @@
 	})
 }
 
-// Two plans within a minute share one budget: a new plan must not start with an unused one.
+// Guards against two plans within a minute that load twice the limit of bytes, because the second one starts with an
+// unused budget.
 func TestBudgetIsSharedByPlans(t *testing.T) {
 	b := staging.NewBudget(100 << 10)
 	limits := staging.Limits{StoreRate: 1 << 30, CopyRate: 1 << 30}
--- a/internal/experts/placement/stall.go
+++ b/internal/experts/placement/stall.go
@@ -41,10 +41,10 @@
 	s.waiting[r.Rank] = r.Waiting && r.Step >= s.newestStep
 }
 
-// stalledRanks returns which ranks are stalled; none is before the group has made no progress for StallAfter. A rank
-// that has recently reported that it waits is healthy. Unless a majority of ranks is healthy, no rank counts as
-// stalled: a reader of the reports that is partitioned from part of the group would otherwise mistake the silent
-// ranks for dead and drain them all.
+// stalledRanks returns which ranks are stalled. No rank counts as stalled until the group has made no progress for
+// StallAfter. A rank that has recently reported that it waits is healthy. Unless a majority of ranks is healthy, no
+// rank counts as stalled: a reader of the reports that is partitioned from some of the ranks would otherwise mistake
+// the unresponsive ranks for stalled ones and evacuate them all.
 func (s *stalls) stalledRanks(now time.Time) []bool {
 	stalled := make([]bool, len(s.lastReport))
 	if s.lastProgress.IsZero() || now.Sub(s.lastProgress) < StallAfter {
@@ -64,9 +64,9 @@
 	return stalled
 }
 
-// idleRanks returns which ranks hold no experts, according to used, and have completed no step for idleAfter. It
-// guards against this failure: a rank was drained, the others step on without it, so it no longer counts as stalled,
-// and it gets its experts back while it is dead.
+// idleRanks returns which ranks hold no experts, according to used, and have completed no step for idleAfter. It guards
+// against this failure: a rank was evacuated, the others run steps without it, so it no longer counts as stalled, and
+// it gets its experts back while it is dead.
 func (s *stalls) idleRanks(now time.Time, used []int) []bool {
 	out := make([]bool, len(used))
 	for r := range used {
--- a/internal/experts/placement/stall_test.go
+++ b/internal/experts/placement/stall_test.go
@@ -9,10 +9,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/placement"
 )
 
-// A rank hangs in the middle of a step and stops reporting; in lockstep the other ranks wait at the barrier forever
-// and report that they wait, so the callers' streams stop. After StallAfter the hung rank's experts must move to
-// other ranks.
-func TestStalledRankIsDrained(t *testing.T) {
+// Guards against callers' streams that stop for good. A rank hangs in the middle of a step and stops reporting; in
+// lockstep the other ranks wait at the barrier forever and report that they wait. After StallAfter the hung rank's
+// experts must move to other ranks.
+func TestStalledRankIsEvacuated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pop := zipf(smallGroup.Shape, rapid.IntRange(0, 7).Draw(t, "hot"))
 		m := packMap(t, smallGroup, pop)
@@ -58,8 +58,8 @@
 	return now
 }
 
-// Ranks that do not report for a reason other than a stall must keep their experts.
-func TestUnprovenStallsDoNotDrain(t *testing.T) {
+// Guards against the evacuation of ranks that do not report for a reason other than a stall.
+func TestUnprovenStallsDoNotEvacuate(t *testing.T) {
 	pop := zipf(smallGroup.Shape, 0)
 	m := packMap(t, smallGroup, pop)
 	tests := map[string]func(p *placement.Policy) time.Time{
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestDrainWithoutCapacityReportsReason(t *testing.T) {
+func TestEvacuationWithoutCapacityReportsReason(t *testing.T) {
 	g := smallGroup
 	g.Slots = 4
 	pop := zipf(smallGroup.Shape, 0)
--- a/internal/experts/rebalance/audit_test.go
+++ b/internal/experts/rebalance/audit_test.go
@@ -32,7 +32,8 @@
 	return expertmap.Result{To: to, Start: 42, Err: p.err}, p.err
 }
 
-// A switch that succeeded is recorded with both maps, the first step and the cause; one that failed is not recorded.
+// Guards against an audit without a switch that succeeded, or with one that failed. A row must name both maps, the
+// first step and the cause.
 func TestSwitchesAreAudited(t *testing.T) {
 	for _, c := range []struct {
 		err  error
@@ -42,7 +43,7 @@
 		s := platform.NewStore(platform.Limits{})
 		g := rebalance.New(t.Context(), rebalance.Options{
 			Group: "g", Config: &cardamomyokev1.ModelGroup{Name: "g", Ranks: 2, Experts: 4, Layers: 1},
-			Ranks: ranksWithoutMap{}, Proposer: fixedProposer{c.err}, Objects: s, Weights: s, Logger: log.NewNopLogger(),
+			RankClient: ranksWithoutMap{}, Proposer: fixedProposer{c.err}, Objects: s, Weights: s, Logger: log.NewNopLogger(),
 			Audit: func(_ time.Time, r *audit.Row) {
 				name, rest, _ := strings.Cut(r.GetAfter(), " (")
 				_, step, _ := strings.Cut(rest, ") ")
--- a/internal/experts/rebalance/group.go
+++ b/internal/experts/rebalance/group.go
@@ -18,8 +18,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// Ranks fetches the report of a rank from its slot. The report omits the token counts if its window is the known one.
-type Ranks interface {
+// RankClient reads the report of a rank from its slot. The report omits the token counts if its window is the known
+// one.
+type RankClient interface {
 	Report(ctx context.Context, group ids.Group, rank int, known uint64) (*cardamomyokev1.GetRankReportResponse, error)
 }
 
@@ -28,14 +29,14 @@
 	Propose(ctx context.Context, fence ids.Fence, to expertmap.MapID) (expertmap.Result, error)
 }
 
-// Options configures a Group.
+// Options configures a GroupRebalancer.
 type Options struct {
-	Group    ids.Group
-	Config   *cardamomyokev1.ModelGroup
-	Ranks    Ranks
-	Proposer Proposer
-	Objects  platform.Objects
-	Weights  platform.Weights
+	Group      ids.Group
+	Config     *cardamomyokev1.ModelGroup
+	RankClient RankClient
+	Proposer   Proposer
+	Objects    platform.Objects
+	Weights    platform.Weights
 	// Audit records each switch. If it is nil, switches are only logged.
 	Audit  func(now time.Time, r *audit.Row)
 	Logger log.Logger
@@ -60,8 +61,8 @@
 	defaultStoreRate = 1 << 30
 )
 
-// Group carries out the duty for one model group. It must be used by one goroutine.
-type Group struct {
+// GroupRebalancer carries out the duty for one model group. It must be used by one goroutine.
+type GroupRebalancer struct {
 	opts   Options
 	shape  expert.Shape
 	group  placement.Group
@@ -73,8 +74,8 @@
 	current *expert.Map
 }
 
-// New returns a Group without any reports or map.
-func New(ctx context.Context, o Options) *Group {
+// New returns a GroupRebalancer without any reports or map.
+func New(ctx context.Context, o Options) *GroupRebalancer {
 	shape := expert.Shape{
 		Ranks: int(o.Config.GetRanks()), Experts: int(o.Config.GetExperts()), Layers: int(o.Config.GetLayers()),
 	}
@@ -84,7 +85,7 @@
 		ExpertBytes: expertBytes,
 		StoreRate:   storeRate(ctx, o),
 	}
-	return &Group{opts: o, shape: shape, group: g, policy: placement.NewPolicy(g), windows: make([]uint64, shape.Ranks)}
+	return &GroupRebalancer{opts: o, shape: shape, group: g, policy: placement.NewPolicy(g), windows: make([]uint64, shape.Ranks)}
 }
 
 func memorySlots(s expert.Shape) int {
@@ -103,7 +104,7 @@
 // RunRound runs one round: it collects reports, decides, and switches the group if there is a better map. It returns
 // the decision's reason to keep the map, or "" after a switch. Errors come from the platform, the ranks or the
 // switch; the next round starts from the map that the ranks then run.
-func (g *Group) RunRound(ctx context.Context, now time.Time, fence ids.Fence) (placement.Reason, error) {
+func (g *GroupRebalancer) RunRound(ctx context.Context, now time.Time, fence ids.Fence) (placement.Reason, error) {
 	reports := g.collectReports(ctx)
 	if len(reports) == 0 {
 		return placement.ReasonNoData, nil
@@ -131,7 +132,7 @@
 
 // decisionDue reports whether to decide in this round: there is a new window, or so much time has passed that a rank
 // may have stalled. A decision costs milliseconds, so it is not repeated for reports that were processed before.
-func (g *Group) decisionDue(reports []*cardamomyokev1.GetRankReportResponse, now time.Time) bool {
+func (g *GroupRebalancer) decisionDue(reports []*cardamomyokev1.GetRankReportResponse, now time.Time) bool {
 	isDue := now.Sub(g.lastDecision) >= decideInterval
 	for _, r := range reports {
 		if r.GetWindow() != g.windows[r.GetRank()] {
@@ -147,14 +148,14 @@
 
 // collectReports requests the reports of all ranks concurrently. Ranks that do not respond are omitted, which the
 // policy tolerates.
-func (g *Group) collectReports(ctx context.Context) []*cardamomyokev1.GetRankReportResponse {
+func (g *GroupRebalancer) collectReports(ctx context.Context) []*cardamomyokev1.GetRankReportResponse {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	out := make([]*cardamomyokev1.GetRankReportResponse, g.shape.Ranks)
 	var wg sync.WaitGroup
 	for i := range out {
 		wg.Go(func() {
-			if r, err := g.opts.Ranks.Report(ctx, g.opts.Group, i, g.windows[i]); err == nil && int(r.GetRank()) == i {
+			if r, err := g.opts.RankClient.Report(ctx, g.opts.Group, i, g.windows[i]); err == nil && int(r.GetRank()) == i {
 				out[i] = r
 			}
 		})
@@ -178,7 +179,7 @@
 
 // loadCurrentMap reads the map in force. The ranks are the authority on its name and version; its content comes from
 // the object store.
-func (g *Group) loadCurrentMap(ctx context.Context, reports []*cardamomyokev1.GetRankReportResponse) error {
+func (g *GroupRebalancer) loadCurrentMap(ctx context.Context, reports []*cardamomyokev1.GetRankReportResponse) error {
 	newest := reports[0]
 	for _, r := range reports {
 		if r.GetMapVersion() > newest.GetMapVersion() {
@@ -201,7 +202,7 @@
 }
 
 // startFirstMap switches a group without a map to its first one, which assumes that all experts are equally popular.
-func (g *Group) startFirstMap(ctx context.Context, fence ids.Fence) error {
+func (g *GroupRebalancer) startFirstMap(ctx context.Context, fence ids.Fence) error {
 	popularity := make([]float64, g.shape.Cells())
 	for i := range popularity {
 		popularity[i] = 1 / float64(g.shape.Experts)
@@ -220,7 +221,7 @@
 }
 
 // switchTo stores the map and switches the group to it.
-func (g *Group) switchTo(ctx context.Context, fence ids.Fence, m *expert.Map, cause string) error {
+func (g *GroupRebalancer) switchTo(ctx context.Context, fence ids.Fence, m *expert.Map, cause string) error {
 	ctx, cancel := context.WithTimeout(ctx, switchTimeout)
 	defer cancel()
 	data, err := m.MarshalBinary()
@@ -242,7 +243,7 @@
 }
 
 // auditSwitch records a switch in the audit. It must be called before g.current is replaced by the new map.
-func (g *Group) auditSwitch(result expertmap.Result, m *expert.Map, cause string) {
+func (g *GroupRebalancer) auditSwitch(result expertmap.Result, m *expert.Map, cause string) {
 	if g.opts.Audit == nil {
 		return
 	}
--- a/internal/experts/rebalance/group_test.go
+++ b/internal/experts/rebalance/group_test.go
@@ -32,7 +32,8 @@
 	layers  = 2
 )
 
-// testbed is a group of ranks in lockstep with one slot per rank. Entries that lead it are started with startLeader.
+// testbed is a group of ranks in lockstep with one slot per rank. Entries that hold its lease are started with
+// startHolder.
 type testbed struct {
 	group   *group.Group
 	store   *platform.Store
@@ -70,7 +71,7 @@
 	return &rebalance.Directory{Members: b.roster, Client: http.DefaultClient, Scheme: "http"}
 }
 
-// serve starts a process with a control loop and an RPC port, and adds it to the roster.
+// serve starts a process with a control loop and a control port, and adds it to the roster.
 func (b *testbed) serve(t *testing.T, m *cardamomyokev1.Member, mux *http.ServeMux) *control.Loop {
 	t.Helper()
 	server := httptest.NewServer(mux)
@@ -106,8 +107,8 @@
 	go slot.Run(t.Context())
 }
 
-// startLeader starts an entry that leads the group, as the holder of its lease does.
-func (b *testbed) startLeader(t *testing.T, name string) *rebalance.Group {
+// startHolder starts an entry that acts as the holder of the group's lease.
+func (b *testbed) startHolder(t *testing.T, name string) *rebalance.GroupRebalancer {
 	t.Helper()
 	mux := http.NewServeMux()
 	hub := node.NewHub()
@@ -127,7 +128,7 @@
 			Name: "g", Ranks: ranks, Experts: experts, Layers: layers,
 			Rebalancing: &cardamomyokev1.Rebalancing{MoveWeight: 0.001, HorizonS: 3600, Hysteresis: 0.01, MaxBytesPerMinute: 1 << 40},
 		},
-		Ranks: b.directory(), Proposer: proposer, Objects: b.store, Weights: b.store, Logger: log.NewNopLogger(),
+		RankClient: b.directory(), Proposer: proposer, Objects: b.store, Weights: b.store, Logger: log.NewNopLogger(),
 	})
 }
 
@@ -144,11 +145,12 @@
 	}
 }
 
-// A group without a map must start stepping as soon as a holder of its lease runs a round. When popularity shifts
-// permanently, it must switch to another map and keep stepping; in each step all ranks use the same map.
+// Guards against a group that never gets a map, or keeps it when popularity shifts permanently. It must run steps as
+// soon as a holder of its lease has run a round, and must continue while it switches to another map; in each step all
+// ranks use the same map.
 func TestGroupGetsFirstMapAndFollowsShift(t *testing.T) {
 	b := startTestbed(t)
-	leader := b.startLeader(t, "entry-1")
+	leader := b.startHolder(t, "entry-1")
 	if _, err := leader.RunRound(t.Context(), time.Now(), 1); err != nil {
 		t.Fatal(err)
 	}
@@ -201,25 +203,26 @@
 	}
 }
 
-// When the holder of the lease dies and another entry takes over, the successor reads the map in force from the ranks
-// and the object store. It must not switch the group back to a first map.
+// Guards against a group that is switched back to a first map when the holder of the lease dies and another entry takes
+// over. The successor must read the map in force from the ranks and the object store.
 func TestSuccessorReadsMapFromRanks(t *testing.T) {
 	b := startTestbed(t)
-	if _, err := b.startLeader(t, "entry-1").RunRound(t.Context(), time.Now(), 1); err != nil {
+	if _, err := b.startHolder(t, "entry-1").RunRound(t.Context(), time.Now(), 1); err != nil {
 		t.Fatal(err)
 	}
-	successor := b.startLeader(t, "entry-2")
+	successor := b.startHolder(t, "entry-2")
 	if _, err := successor.RunRound(t.Context(), time.Now(), 2); err != nil {
 		t.Fatal(err)
 	}
 	b.checkOneMap(t, 1)
 }
 
-// While the object store is down the group keeps its map: no new one is started, and the round returns the error.
+// Guards against a switch to a map that the object store does not have because it is down. The group must keep its map,
+// and the round returns the error.
 func TestNoNewMapWithoutObjectStore(t *testing.T) {
 	b := startTestbed(t)
 	b.store.SetFaults(platform.PartObjects, platform.Faults{Outage: true})
-	_, err := b.startLeader(t, "entry-1").RunRound(t.Context(), time.Now(), 1)
+	_, err := b.startHolder(t, "entry-1").RunRound(t.Context(), time.Now(), 1)
 	if err == nil {
 		t.Fatal("a map was started that no other node could read")
 	}
@@ -228,8 +231,8 @@
 	}
 }
 
-// A rank without a slot in the roster must prevent the switch, and the others keep their map: without all
-// acknowledgements there is no certificate.
+// Guards against a switch of a group of which one rank has no slot in the roster. The other ranks must keep their map:
+// without all acknowledgements there is no certificate.
 func TestNoSwitchWithoutEveryRank(t *testing.T) {
 	b := startTestbed(t)
 	b.mu.Lock()
@@ -237,10 +240,10 @@
 	b.mu.Unlock()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	_, err := b.startLeader(t, "entry-1").RunRound(ctx, time.Now(), 1)
+	_, err := b.startHolder(t, "entry-1").RunRound(ctx, time.Now(), 1)
 	if !errors.Is(err, context.DeadlineExceeded) || version(b) != 0 {
 		t.Fatalf("got %v, map version %d", err, version(b))
 	}
 }
 
-var _ rebalance.Ranks = (*rebalance.Directory)(nil)
+var _ rebalance.RankClient = (*rebalance.Directory)(nil)
--- a/internal/experts/rebalance/runner.go
+++ b/internal/experts/rebalance/runner.go
@@ -25,7 +25,7 @@
 	roundInterval = 2 * time.Second
 	// checkInterval is the time between two checks of the configuration and the roster.
 	checkInterval = time.Second
-	// candidateCount is the number of entries that contend for a group's lease, so that a lost holder has a
+	// candidateCount is the number of entries that contend for a group's lease, so that a dead holder has a
 	// successor.
 	candidateCount = 3
 )
@@ -123,7 +123,7 @@
 	})
 	r.opts.Hub.AddProposer(name, proposer)
 	go proposer.Run(ctx)
-	var duty *Group
+	var rebalancer *GroupRebalancer
 	tick := time.NewTicker(roundInterval)
 	defer tick.Stop()
 	for {
@@ -131,31 +131,31 @@
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			duty = r.runRound(ctx, now, name, duty, proposer)
+			rebalancer = r.runRound(ctx, now, name, rebalancer, proposer)
 		}
 	}
 }
 
-// runRound runs one round if the lease is held. Otherwise it drops the group's state, because the next holder
-// decides.
-func (r *Runner) runRound(ctx context.Context, now time.Time, name ids.Group, duty *Group, p *node.Proposer) *Group {
+// runRound runs one round if the lease is held and returns the group's state for the next one. Otherwise it drops the
+// state, because the next holder decides.
+func (r *Runner) runRound(ctx context.Context, now time.Time, name ids.Group, rebalancer *GroupRebalancer, p *node.Proposer) *GroupRebalancer {
 	held := r.opts.Leases.Held(DutyOf(name))
 	snap := r.opts.Config.Current()
 	if !held.ValidAt(now) || snap.Group(name) == nil {
 		return nil
 	}
-	if duty == nil {
-		duty = New(ctx, Options{
-			Group: name, Config: snap.Group(name), Ranks: r.opts.Directory, Proposer: p,
+	if rebalancer == nil {
+		rebalancer = New(ctx, Options{
+			Group: name, Config: snap.Group(name), RankClient: r.opts.Directory, Proposer: p,
 			Objects: r.opts.Objects, Weights: r.opts.Weights, Audit: r.opts.Audit, Logger: r.opts.Logger,
 		})
 	}
-	duty.opts.Config = snap.Group(name)
-	stay, err := duty.RunRound(ctx, now, held.Fence)
+	rebalancer.opts.Config = snap.Group(name)
+	stay, err := rebalancer.RunRound(ctx, now, held.Fence)
 	if err != nil {
 		_ = level.Warn(r.opts.Logger).Log("msg", "rebalancing round failed", "group", name, "err", err)
 	} else if stay != "" {
 		_ = level.Debug(r.opts.Logger).Log("msg", "expert map stays", "group", name, "reason", stay)
 	}
-	return duty
+	return rebalancer
 }
