--- a/internal/experts/expertmap/node/doc.go
+++ b/internal/experts/expertmap/node/doc.go
@@ -8,7 +8,7 @@
 //	tr := node.NewTransport(ctx, httpClient, resolve)      // resolve: address -> base URL, false if unknown
 //	slot := node.NewSlot(node.SlotOptions{Group: g, Config: cfg, Engine: engine, Loop: loop, Transport: tr, Logger: l})
 //	hub.AddSlot(g, slot)
-//	go slot.Run(ctx)                                       // until the process ends
+//	go slot.Run(ctx)                                       // until ctx is done
 //
 // Set cfg.Incarnation to node.NewIncarnation(). The rank and the group's size come from the configuration.
 //
--- a/internal/experts/expertmap/node/transport.go
+++ b/internal/experts/expertmap/node/transport.go
@@ -40,7 +40,7 @@
 	queues  map[string]chan *pb.MapEnvelope
 }
 
-// NewTransport returns a transport whose goroutines end with ctx.
+// NewTransport returns a transport whose goroutines end when ctx is done.
 func NewTransport(ctx context.Context, client connect.HTTPClient, resolve Resolve) *ConnectTransport {
 	return &ConnectTransport{client: client, resolve: resolve, ctx: ctx, queues: map[string]chan *pb.MapEnvelope{}}
 }
--- a/internal/experts/expertmap/node/wire.go
+++ b/internal/experts/expertmap/node/wire.go
@@ -9,7 +9,7 @@
 	pb "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// UnknownMessageError reports a message or an envelope body of a type that this version does not know.
+// UnknownMessageError reports a message or an envelope body of a type that this version does not support.
 type UnknownMessageError struct{ Body any }
 
 // Error implements error.
@@ -107,7 +107,7 @@
 	}
 }
 
-// decode returns an envelope's message; it returns *UnknownMessageError for a body that this version does not know.
+// decode returns an envelope's message; it returns *UnknownMessageError for a body that this version does not support.
 func decode(e *pb.MapEnvelope) (expertmap.Message, error) {
 	switch b := e.GetBody().(type) {
 	case *pb.MapEnvelope_StageRequest:
--- a/internal/experts/lockstep/demand.go
+++ b/internal/experts/lockstep/demand.go
@@ -11,10 +11,10 @@
 // Demand estimates which experts are in demand from the counts of the ranks. The ranks may be read at different
 // times, and some not at all.
 type Demand struct {
-	half  time.Duration
-	last  map[int]reading
-	value [][]float64
-	at    time.Time
+	halfLife  time.Duration
+	last      map[int]reading
+	value     [][]float64
+	decayedAt time.Time
 }
 
 type reading struct {
@@ -24,7 +24,7 @@
 
 // NewDemand returns an empty estimate in which counts decay with the given half-life.
 func NewDemand(half time.Duration) *Demand {
-	return &Demand{half: half, last: map[int]reading{}}
+	return &Demand{halfLife: half, last: map[int]reading{}}
 }
 
 // Observe records one rank's counts. The first counts after a restart or a new epoch are only the base for the next
@@ -41,19 +41,19 @@
 	d.decay(now)
 	for s := range counts {
 		for e := range counts[s] {
-			// A count below the previous one means that the rank has started to count from 0 again.
+			// A count below the previous one indicates that the rank has started to count from 0 again.
 			d.value[s][e] += max(0, counts[s][e]-old.counts[s][e])
 		}
 	}
 }
 
 func (d *Demand) decay(now time.Time) {
-	if d.at.IsZero() {
-		d.at = now
+	if d.decayedAt.IsZero() {
+		d.decayedAt = now
 		return
 	}
-	keep := math.Exp2(-now.Sub(d.at).Seconds() / d.half.Seconds())
-	d.at = now
+	keep := math.Exp2(-now.Sub(d.decayedAt).Seconds() / d.halfLife.Seconds())
+	d.decayedAt = now
 	if keep == 1 {
 		return
 	}
--- a/internal/experts/lockstep/doc.go
+++ b/internal/experts/lockstep/doc.go
@@ -7,10 +7,9 @@
 // that controls it. A rank that holds a pass keeps the group from beginning it, and a rank that is armed for a pass
 // switches to its prepared map at that pass.
 //
-// A placement lists the experts of each rank, by set of layers. Within a set of
-// layers the experts' work is done when the most loaded rank is done, and the ranks that hold an expert share its
-// tokens evenly. The cost of a placement is therefore its skew, the load of the most loaded rank divided by the mean
-// load.
+// A placement lists the experts of each rank, by set of layers. Within a set of layers the experts' work is done when
+// the most loaded rank is done, and the ranks that hold an expert share its tokens evenly. The cost of a placement is
+// therefore its skew, the load of the most loaded rank divided by the mean load.
 //
 // Demand estimates which experts are in demand, Balance searches for a better placement, Decide checks whether it is
 // worth the cost of moving weights, and Switch carries it out with the engines' own orders. All four are pure: their
--- a/internal/experts/lockstep/running.go
+++ b/internal/experts/lockstep/running.go
@@ -8,8 +8,8 @@
 	wake chan struct{}
 }
 
-// Start calls run in a new goroutine. The context that run gets ends with ctx or on Stop; the channel receives a
-// value on Wake.
+// Start calls run in a new goroutine. The context that run gets is done when ctx is done or Stop is called; the
+// channel receives a value on Wake.
 func Start(ctx context.Context, run func(ctx context.Context, wake <-chan struct{})) *Running {
 	ctx, cancel := context.WithCancel(ctx)
 	r := &Running{stop: cancel, wake: make(chan struct{}, 1)}
--- a/internal/experts/lockstep/serials.go
+++ b/internal/experts/lockstep/serials.go
@@ -50,7 +50,7 @@
 
 // newerFence returns the later fencing token that makes the leader's current one obsolete, or 0.
 //
-// A leader that was paused may get no message that another one was the leader in the meantime. All its orders would be
+// A leader that was paused may not be aware that another one was the leader in the meantime. All its orders would be
 // refused, and a group that the other leader has held would stay held. The versions in the ranks' reports reveal the
 // later token.
 func (c *Controller) newerFence(s *snapshot) ids.Fence {
--- a/internal/experts/lockstep/switch_test.go
+++ b/internal/experts/lockstep/switch_test.go
@@ -146,8 +146,8 @@
 }
 
 // Guards against a pass that begins under two maps, by version or by content; callers would get a wrong token without
-// any error. The leader is paused at random, another takes over, orders and replies get lost, and some
-// orders are executed seconds later.
+// any error. The leader is paused at random, another takes over, orders and replies get lost, and some orders are
+// executed seconds later.
 func TestNoPassBeginsWithTwoMaps(t *testing.T) {
 	done, undone := 0, 0
 	for seed := range *seeds {
--- a/internal/experts/lockstep/unfinished.go
+++ b/internal/experts/lockstep/unfinished.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// UnfinishedSwitch is a switch that a leader started and that is not finished.
+// UnfinishedSwitch describes a held group: the switch that a leader started and that is not finished or, if Ahead is
+// set, a hold that is left although the switch is complete.
 type UnfinishedSwitch struct {
 	// Holders are the ranks that hold Pass, the earliest held pass.
 	Holders []int
--- a/internal/experts/placement/expert/map.go
+++ b/internal/experts/placement/expert/map.go
@@ -16,7 +16,7 @@
 	Ranks, Experts, Layers int
 }
 
-// Cells returns the number of experts over all layers.
+// Cells returns the number of cells: the experts of all layers.
 func (s Shape) Cells() int { return s.Experts * s.Layers }
 
 // Cell returns the index of a layer's expert in lists that are sorted by layer, then expert.
@@ -30,14 +30,15 @@
 	Share int
 }
 
-// Map is one version of the placement. It is immutable and safe for concurrent use.
+// Map is one version of a group's expert map. It is immutable and safe for concurrent use.
 type Map struct {
 	version  uint64
 	shape    Shape
 	replicas [][]Replica
 }
 
-// InvalidError describes why a map is invalid. Layer and Expert are 0 if the fault is not one of a single expert.
+// InvalidError describes why a map is invalid. Layer and Expert are also 0 if the fault concerns no single
+// expert.
 type InvalidError struct {
 	Layer, Expert int
 	Reason        string
--- a/internal/experts/placement/layer.go
+++ b/internal/experts/placement/layer.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// waterFill distributes one expert's tokens over its holders by water-filling, and returns the largest change of a
-// share.
+// waterFill distributes one expert's tokens over its holders so that all that get a share finish at the same time
+// (water-filling), and returns the largest change of a share.
 func (ly *layer) waterFill(e int) float64 {
 	holders, replicaShares := ly.holders[e], ly.shares[e]
 	for i, r := range holders {
--- a/internal/experts/placement/staging/budget.go
+++ b/internal/experts/placement/staging/budget.go
@@ -7,7 +7,7 @@
 const budgetSeconds = 61
 
 // Budget enforces a limit of bytes in any minute. It is shared by successive plans: a new plan starts with what the
-// previous one left.
+// previous one has not used.
 type Budget struct {
 	limit   uint64
 	seconds [budgetSeconds]uint64
--- a/internal/experts/rebalance/directory.go
+++ b/internal/experts/rebalance/directory.go
@@ -28,7 +28,7 @@
 type Directory struct {
 	// Members returns the roster's members.
 	Members func() []*cardamomyokev1.Member
-	// Client and Scheme are used to call members.
+	// Client and Scheme are used for calls to members.
 	Client connect.HTTPClient
 	Scheme string
 	mu     sync.Mutex
@@ -52,7 +52,7 @@
 	return m.GetGroup() == string(group) && m.GetRank() == uint32(to.Rank)
 }
 
-// Report implements Ranks.
+// Report implements RankClient.
 func (d *Directory) Report(ctx context.Context, group ids.Group, rank int, known uint64) (*cardamomyokev1.GetRankReportResponse, error) {
 	url, ok := d.Resolve(group, expertmap.Addr{Rank: expertmap.Rank(rank)})
 	if !ok {
