--- a/internal/experts/lockstep/order.go
+++ b/internal/experts/lockstep/order.go
@@ -38,12 +38,12 @@
 const (
 	// ReplyLost: no response arrived. The order may have been executed, or may be executed seconds later.
 	ReplyLost Reply = iota
-	// ReplyBegun: the rank accepted the order.
+	// ReplyAccepted: the rank accepted the order.
 	ReplyBegun
 	// ReplyHolds: the rank is already in the state that the order requests.
 	ReplyHolds
 	// ReplyPrepared: the rank has prepared the map of the order. Some ranks reply so immediately, some reply
-	// ReplyBegun first.
+	// ReplyAccepted first.
 	ReplyPrepared
 	// ReplyRefused: the order does not fit the rank's state and changed nothing.
 	ReplyRefused
