--- a/internal/experts/placement/layer.go
+++ b/internal/experts/placement/layer.go
@@ -50,8 +50,8 @@
 	return ly
 }
 
-// clone returns a copy for a search to change. The inner slices of holders are replaced and never changed in place,
-// so the copy shares them.
+// clone returns a copy for a search to change. The inner slices of holders are replaced and never changed in place
+// (only put inserts in place, before the first clone), so the copy shares them.
 func (ly *layer) clone() *layer {
 	c := *ly
 	c.holders = slices.Clone(ly.holders)
@@ -153,8 +153,8 @@
 	}
 }
 
-// waterFill distributes one expert's tokens over its holders by water-filling, and returns the largest change of a
-// share.
+// waterFill distributes one expert's tokens over its holders so that all that get a share finish at the same time
+// (water-filling), and returns the largest change of a share.
 func (ly *layer) waterFill(e int) float64 {
 	holders, replicaShares := ly.holders[e], ly.shares[e]
 	for i, r := range holders {
