--- a/cmd/cardamomyoke-agent/main.go
+++ b/cmd/cardamomyoke-agent/main.go
@@ -27,7 +27,7 @@
 func main() {
 	os.Exit(program.Main(program.Program{
 		Name:     "cardamomyoke-agent",
-		Help:     "Passes reads and orders on to the rank of a model group beside it.",
+		Help:     "Relays reads and orders to the rank of a model group on the same host.",
 		Settings: func() settings.Checker { return &agent.Settings{} },
 		Run:      run,
 	}, os.Args[1:]))
--- a/cmd/cardamomyoke-gateway/main.go
+++ b/cmd/cardamomyoke-gateway/main.go
@@ -34,7 +34,7 @@
 func main() {
 	os.Exit(program.Main(program.Program{
 		Name:     "cardamomyoke-gateway",
-		Help:     "Takes callers' requests and sends them straight to upstreams.",
+		Help:     "Accepts callers' requests and sends them directly to upstreams.",
 		Settings: func() settings.Checker { return &gateway.Settings{} },
 		Run:      run,
 	}, os.Args[1:]))
@@ -84,11 +84,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	if err := t.Close(ctx); err != nil {
-		_ = level.Warn(logger).Log("msg", "spans lost", "reason", "the exporter did not take them at the end", "err", err)
+		_ = level.Warn(logger).Log("msg", "spans lost", "reason", "the exporter did not accept them before exit", "err", err)
 	}
 }
 
-// watch reloads the settings when their file changes or SIGHUP arrives, until ctx ends.
+// watch reloads the settings when their file changes or SIGHUP arrives, until ctx is done.
 func watch(ctx context.Context, o program.Options, signals <-chan os.Signal, logger log.Logger, reload func(*gateway.Settings) []string) {
 	w := &settings.Watcher{
 		File: o.SettingsFile, Interval: reloadInterval, Signals: signals,
--- a/cmd/cardamomyoke-standin/main.go
+++ b/cmd/cardamomyoke-standin/main.go
@@ -20,7 +20,7 @@
 )
 
 func main() {
-	app := kingpin.New("cardamomyoke-standin", "Stand-ins for what surrounds cardamomyoke; for tests and the demo.")
+	app := kingpin.New("cardamomyoke-standin", "Stand-ins for the platform, engines and plain services; for tests and the demo.")
 	registerPlatform(app)
 	registerEngine(app)
 	registerPlain(app)
@@ -60,14 +60,14 @@
 	var o engine.Options
 	cmd := app.Command("engine", "A model engine.")
 	address := cmd.Flag("listen", "Address, IP:PORT.").Required().String()
-	cmd.Flag("batch", "Requests that run at once.").Default("8").IntVar(&o.Batch)
+	cmd.Flag("batch", "Maximum number of requests that run concurrently.").Default("8").IntVar(&o.Batch)
 	cmd.Flag("step", "Time of a step.").Default("6ms").DurationVar(&o.Step)
 	cmd.Flag("prompt-token", "Time of a prompt token that is not cached.").Default("20us").DurationVar(&o.PromptTokenTime)
 	cmd.Flag("cache-blocks", "Blocks that the prefix cache holds.").Default("4096").IntVar(&o.CacheBlocks)
 	cmd.Flag("cache-lag", "How late cache events are.").Default("300ms").DurationVar(&o.CacheLag)
-	cmd.Flag("cache-gap", "One cache event in so many is lost; 0 for none.").Default("10").IntVar(&o.CacheGap)
-	cmd.Flag("honour-fence", "Refuse orders with an old fencing number.").BoolVar(&o.HonourFence)
-	cmd.Flag("crash", "Text in a prompt that takes the engine down.").StringVar(&o.CrashText)
+	cmd.Flag("cache-gap", "Every N-th cache event is lost; 0 loses none.").Default("10").IntVar(&o.CacheGap)
+	cmd.Flag("honour-fence", "Refuse orders with an old fencing token.").BoolVar(&o.HonourFence)
+	cmd.Flag("crash", "Text that crashes the engine if a prompt contains it.").StringVar(&o.CrashText)
 	cmd.Flag("load-lag", "How old a load report is.").Default("200ms").DurationVar(&o.LoadLag)
 	cmd.Action(func(*kingpin.ParseContext) error {
 		o.OnCrash = func() { os.Exit(1) }
--- a/internal/base/charts/charts.go
+++ b/internal/base/charts/charts.go
@@ -1,9 +1,9 @@
 // Package charts interprets the state charts in the YAML files of its directory.
 //
 // A chart names its events and states. For each event, a state defines the next state and the actions that the owner must
-// carry out, or that the event is ignored. Load rejects a chart with an unreachable state or with an event that a state
-// neither handles nor ignores, so that a forgotten case is found when the program starts and not when a rare message
-// arrives.
+// carry out, or that the event is ignored. Load rejects a chart with an unreachable state or with an event that a
+// non-final state neither handles nor ignores, so that a forgotten case is found when the program starts and not when a
+// rare message arrives.
 package charts
 
 import (
@@ -61,15 +61,15 @@
 // Unwrap returns the cause, if there is one.
 func (e *InvalidError) Unwrap() error { return e.Cause }
 
-// UnhandledError reports that the chart does not declare an event.
-type UnhandledError struct {
+// UndeclaredEventError reports that the chart does not declare an event.
+type UndeclaredEventError struct {
 	Chart string
 	State State
 	Event Event
 }
 
 // Error implements error.
-func (e *UnhandledError) Error() string {
+func (e *UndeclaredEventError) Error() string {
 	return fmt.Sprintf("chart %s: state %s: event %s is not declared", e.Chart, e.State, e.Event)
 }
 
@@ -191,7 +191,7 @@
 // does not declare it returns *UnhandledError and leaves the state unchanged.
 func (m *Machine) Fire(ev Event) ([]Action, error) {
 	if !slices.Contains(m.chart.Events, ev) {
-		return nil, &UnhandledError{m.chart.Name, m.state, ev}
+		return nil, &UndeclaredEventError{m.chart.Name, m.state, ev}
 	}
 	tr, ok := m.chart.States[m.state].On[ev]
 	if !ok {
--- a/internal/base/charts/charts_test.go
+++ b/internal/base/charts/charts_test.go
@@ -54,7 +54,7 @@
 	if m.State() != "leaving" {
 		t.Fatalf("state %s", m.State())
 	}
-	var typed *UnhandledError
+	var typed *UndeclaredEventError
 	if _, err := m.Fire("no-such"); !errors.As(err, &typed) || m.State() != "leaving" {
 		t.Fatalf("got %v in %s", err, m.State())
 	}
--- a/internal/base/control/loop.go
+++ b/internal/base/control/loop.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Run runs the posted functions, and calls tick every period, until ctx ends.
+// Run runs the posted functions, and calls tick every period, until ctx is done.
 func (l *Loop) Run(ctx context.Context, period time.Duration, tick func(now time.Time)) {
 	defer close(l.done)
 	ticker := time.NewTicker(period)
--- a/internal/base/controlport/controlport.go
+++ b/internal/base/controlport/controlport.go
@@ -17,13 +17,13 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/keys"
 )
 
-// Port is the control listener of a daemon.
+// Port is the control port of a daemon.
 type Port struct {
 	Mux    *http.ServeMux
 	server *http.Server
 }
 
-// headerTimeout limits how long reading a request's header may take on the control listener.
+// headerTimeout limits how long reading a request's header may take on the control port.
 const headerTimeout = 5 * time.Second
 
 // Start serves mux on address, and adds /metrics, with the metrics of set and of the process, and /healthz to it. If
@@ -38,7 +38,7 @@
 	})
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("control listener: %w", err)
+		return nil, fmt.Errorf("control port: %w", err)
 	}
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
--- a/internal/base/failure/doc_test.go
+++ b/internal/base/failure/doc_test.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/failure"
 )
 
-// A code is added or its meaning changes, and docs/api.md is not updated: each code must have its row on that page.
+// Guards against a code that is added, or whose meaning changes, without an update of its row in docs/api.md.
 func TestEveryCodeIsInTheAPIPage(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/api.md")
 	if err != nil {
--- a/internal/base/httpclient/client.go
+++ b/internal/base/httpclient/client.go
@@ -53,7 +53,8 @@
 // Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Cause }
 
-// BrokenError reports that the connection failed after the client began to send the request, which may have arrived.
+// BrokenError reports that no matching response was read after the client began to send the request, which may have
+// arrived. Stage names the step that failed.
 type BrokenError struct {
 	Address string
 	Stage   string
--- a/internal/base/httpclient/exchange.go
+++ b/internal/base/httpclient/exchange.go
@@ -13,7 +13,7 @@
 	// maxInlineBody is the size in bytes of the largest request body that is written before the response is read. It fits
 	// the smallest send buffer in use, so the write does not block on a peer that responds before it reads the body.
 	maxInlineBody = 4 << 10
-	// maxMismatched is after how many consecutive responses to other requests the connection is closed.
+	// maxMismatched is the number of consecutive responses to other requests after which the connection is closed.
 	maxMismatched = 4
 )
 
--- a/internal/base/httpserver/server.go
+++ b/internal/base/httpserver/server.go
@@ -16,8 +16,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/monotonic"
 )
 
-// Handler responds to one request. It must call Respond once, or Stream and then End. ctx is cancelled when the caller
-// disconnects.
+// Handler responds to one request. It must call Respond or Fail once, or Stream and then End. ctx is cancelled when
+// the caller disconnects.
 type Handler func(ctx context.Context, x *Exchange)
 
 // sweepInterval is how often connections are checked against the timeouts of Limits.
@@ -84,7 +84,7 @@
 // Busy returns how many requests are running.
 func (s *Server) Busy() int { return int(s.busy.Load()) }
 
-// Drain closes every connection after its current request and waits until no request is running or ctx ends.
+// Drain closes every connection after its current request and waits until no request is running or ctx is done.
 func (s *Server) Drain(ctx context.Context) error {
 	s.closing.Store(true)
 	tick := time.NewTicker(10 * time.Millisecond)
--- a/internal/base/keys/keys.go
+++ b/internal/base/keys/keys.go
@@ -46,7 +46,7 @@
 	}
 	for _, f := range []struct{ path, value string }{{"$.tls.ca", s.CA}, {"$.tls.certificate", s.Certificate}, {"$.tls.key", s.Key}} {
 		if f.value == "" {
-			return &settings.KeyError{Path: f.path, Want: "a PEM file, as the other files of tls are named"}
+			return &settings.KeyError{Path: f.path, Want: "a PEM file, because another file of tls is set"}
 		}
 	}
 	return nil
@@ -121,7 +121,7 @@
 	return m, nil
 }
 
-// Run reloads the files whenever they change, until ctx ends.
+// Run reloads the files whenever they change, until ctx is done.
 func (s *Source) Run(ctx context.Context) {
 	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
--- a/internal/base/keys/roles.go
+++ b/internal/base/keys/roles.go
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("the certificate of %q does not have the role %q", e.Name, e.Role)
 }
 
-// OperatorError reports that a change names another operator than the certificate of the caller.
+// OperatorError reports that a change names an operator other than the one in the caller's certificate.
 type OperatorError struct{ Named, Certificate string }
 
 // Error implements error.
--- a/internal/base/monotonic/monotonic.go
+++ b/internal/base/monotonic/monotonic.go
@@ -2,7 +2,7 @@
 // pauses of the process.
 //
 // The host's wall clock may be set forward by seconds. Timeouts based on it would close idle connections just as callers
-// send their next requests, and would reset counts over the last seconds. The monotonic clock is never set.
+// send their next requests, and would empty counters that cover the last seconds. The monotonic clock is never set.
 package monotonic
 
 import (
@@ -16,7 +16,7 @@
 // for "never".
 func Nanos() int64 { return max(1, int64(time.Since(startTime))) }
 
-// Sleep blocks for d or until ctx ends.
+// Sleep blocks for d or until ctx is done.
 func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/base/program/program.go
+++ b/internal/base/program/program.go
@@ -31,7 +31,7 @@
 	Settings func() settings.Checker
 	// Flags adds the daemon's own flags to the run command; nil for none.
 	Flags func(run *kingpin.CmdClause)
-	// Run runs the daemon until ctx ends and then shuts it down gracefully.
+	// Run runs the daemon until ctx is done and then shuts it down gracefully.
 	Run func(ctx context.Context, set settings.Checker, o Options) error
 }
 
--- a/internal/base/settings/watch.go
+++ b/internal/base/settings/watch.go
@@ -23,7 +23,7 @@
 	Unchanged func()
 }
 
-// Run watches the file until ctx ends. current is the file's text as the process has read it.
+// Run watches the file until ctx is done. current is the file's text as the process has read it.
 func (w *Watcher) Run(ctx context.Context, current []byte) {
 	tick := time.NewTicker(w.Interval)
 	defer tick.Stop()
--- a/internal/node/agent/client.go
+++ b/internal/node/agent/client.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// IsLocal implements lockstep.RankClient.
+// ReadsWithoutPause implements lockstep.RankClient: it reports whether the rank is read through the agent on its own host.
 func (c *Client) IsLocal(u *catalog.Upstream) bool {
 	_, _, ok := c.agent(u)
 	return ok
@@ -181,7 +181,7 @@
 	return lockstep.HeldExperts{Epoch: res.GetEpoch(), Version: res.GetVersion(), Experts: decodeLists(res.GetSets())}, nil
 }
 
-// ReplyError is the error of a rank's reply to an order, forwarded by its agent.
+// ReplyError reports why an order of the agent to its rank got no reply or was refused, as forwarded by the agent.
 type ReplyError struct{ Reason string }
 
 // Error implements error.
--- a/internal/node/agent/codec.go
+++ b/internal/node/agent/codec.go
@@ -109,7 +109,8 @@
 	return lists
 }
 
-// encodeCells returns the cells in which next differs from prev, and false if the two have different shapes.
+// encodeCells returns the cells in which next differs from prev; a cell is the list of experts of one set on one rank.
+// It returns false if the two maps have different shapes.
 func encodeCells(prev, next lockstep.Placement) ([]*cardamomyokev1.MapCell, bool) {
 	if len(prev) != len(next) {
 		return nil, false
--- a/internal/node/agent/mapcache.go
+++ b/internal/node/agent/mapcache.go
@@ -10,37 +10,38 @@
 // maxMaps is the number of maps retained: the one in use, the one being prepared, and one whose switch was aborted.
 const maxMaps = 3
 
-// placementCache holds the newest maps by version. It is not safe for concurrent use.
-type placementCache struct {
-	versions []uint64
-	maps     map[uint64]lockstep.Placement
+// mapsByVersion holds the maxMaps expert maps added last, keyed by version. An expert map assigns experts to ranks. It
+// is not safe for concurrent use.
+type mapsByVersion struct {
+	versions  []uint64
+	byVersion map[uint64]lockstep.Placement
 }
 
-func (p *placementCache) get(version uint64) lockstep.Placement { return p.maps[version] }
+func (p *mapsByVersion) get(version uint64) lockstep.Placement { return p.byVersion[version] }
 
-func (p *placementCache) put(version uint64, m lockstep.Placement) {
-	if p.maps == nil {
-		p.maps = map[uint64]lockstep.Placement{}
+func (p *mapsByVersion) put(version uint64, m lockstep.Placement) {
+	if p.byVersion == nil {
+		p.byVersion = map[uint64]lockstep.Placement{}
 	}
-	if p.maps[version] == nil {
+	if p.byVersion[version] == nil {
 		p.versions = append(p.versions, version)
 	}
-	p.maps[version] = m
+	p.byVersion[version] = m
 	if len(p.versions) > maxMaps {
-		delete(p.maps, p.versions[0])
+		delete(p.byVersion, p.versions[0])
 		p.versions = p.versions[1:]
 	}
 }
 
-// mapCache holds the last map sent to each agent. It is safe for concurrent use.
+// mapCache holds the last map sent to each agent, for the gateways' client. It is safe for concurrent use.
 //
 // It allows sending only the difference between two maps, which is much smaller than a map. The size of a map grows
 // with the number of ranks and sets, and each rank gets the map. With full maps the bandwidth of the leader's network
 // link would limit how fast it can switch.
 type mapCache struct {
-	mu         sync.Mutex
-	placements placementCache
-	lastSent   map[string]uint64 // by host
+	mu       sync.Mutex
+	maps     mapsByVersion
+	lastSent map[string]uint64 // by host
 	// lastDifference and lastEncoded are the last results of difference and encoded. They are reused because a map is
 	// sent to all ranks, and nearly all of them got the same map before.
 	lastDifference difference
@@ -67,7 +68,7 @@
 func (m *mapCache) recordSent(host string, version uint64, p lockstep.Placement) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.placements.put(version, p)
+	m.maps.put(version, p)
 	m.lastSent[host] = version
 }
 
@@ -77,7 +78,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	base = m.lastSent[host]
-	from := m.placements.get(base)
+	from := m.maps.get(base)
 	if from == nil {
 		return 0, nil, false
 	}
--- a/internal/node/agent/server.go
+++ b/internal/node/agent/server.go
@@ -20,7 +20,7 @@
 	ranks lockstep.RankClient
 	rank  *catalog.Upstream
 	mu    sync.Mutex
-	maps  placementCache
+	maps  mapsByVersion
 	// newestOrder identifies the last order received. superseded is closed once a different order is received.
 	newestOrder orderKey
 	superseded  chan struct{}
@@ -128,7 +128,7 @@
 
 const (
 	// initialTryTimeout is the timeout of the first attempt to send an order to the rank, which runs on the same host. It
-	// doubles with each further attempt, up to maxTimeout, so that the reply of a slow rank is received in the end.
+	// doubles with each further attempt, up to maxTryTimeout, so that the reply of a slow rank is received in the end.
 	initialTryTimeout = 5 * time.Millisecond
 	maxTryTimeout     = 80 * time.Millisecond
 )
--- a/internal/node/daemon/daemon.go
+++ b/internal/node/daemon/daemon.go
@@ -1,5 +1,5 @@
 // Package daemon contains what the slot and entry daemons have in common: flags, logger, tracer, the node with its
-// configuration and RPC port, and an orderly shutdown.
+// configuration and control port, and a graceful shutdown.
 package daemon
 
 import (
--- a/internal/node/daemon/entrymain/entrymain.go
+++ b/internal/node/daemon/entrymain/entrymain.go
@@ -29,7 +29,7 @@
 	var configFile *string
 	return program.Program{
 		Name:     "cardamomyoke-entry",
-		Help:     "Takes callers' requests and routes them to slots.",
+		Help:     "Accepts callers' requests and routes them to slots.",
 		Settings: func() settings.Checker { return &entry.Settings{} },
 		Flags:    func(cmd *kingpin.CmdClause) { configFile = daemon.FixedConfigFlag(cmd) },
 		Run: func(ctx context.Context, set settings.Checker, o program.Options) error {
--- a/internal/node/daemon/node.go
+++ b/internal/node/daemon/node.go
@@ -35,19 +35,20 @@
 // NodeOptions configures a Node.
 type NodeOptions struct {
 	Self *revision.Member
-	// Seeds are RPC addresses of other nodes, IP:PORT, from which the node gets the configuration while the table is down.
+	// Seeds are control addresses of other nodes, IP:PORT, from which the node gets the configuration while the platform
+	// is unavailable.
 	Seeds []string
 	// Platform is the address of the platform service, IP:PORT.
 	Platform string
 	// Fixed is a configuration that never changes. It is nil in production.
 	Fixed *config.Snapshot
-	// Keys are the TLS keys for the RPC port and for RPC to other nodes. If nil, both are unencrypted.
+	// Keys are the TLS keys for the control port and for RPC to other nodes. If nil, both are unencrypted.
 	Keys   *keys.Source
 	Logger log.Logger
 }
 
-// Node holds what every daemon of the system needs: the control loop, the configuration, the platform client and the RPC
-// port.
+// Node holds what every daemon of the system needs: the control loop, the configuration, the platform client and the
+// control port.
 type Node struct {
 	Incarnation ids.Incarnation
 	Loop        *control.Loop
@@ -107,8 +108,8 @@
 	}
 }
 
-// CatchUpAudit starts to write the audit rows of changes whose own entry crashed before writing them, until ctx ends.
-// Entries call it.
+// CatchUpAudit starts to write the audit rows of changes whose own entry crashed before writing them, until ctx is
+// done. Entries call it.
 func (n *Node) CatchUpAudit(ctx context.Context) {
 	if n.Audit != nil {
 		go n.Audit.RunCatchUp(ctx, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), n.logger)
@@ -130,8 +131,8 @@
 	return source.HTTPClient(), "https"
 }
 
-// HandlerOptions returns the options of the operators' service on this node: authorization by certificate if the RPC port
-// uses TLS, otherwise none.
+// HandlerOptions returns the options of the operators' service on this node: authorization by certificate if the control
+// port uses TLS, otherwise none.
 func (n *Node) HandlerOptions() []connect.HandlerOption {
 	if n.keys == nil {
 		return nil
@@ -149,7 +150,7 @@
 	return out
 }
 
-// Run opens the RPC port and starts the control loop, which calls tick at each interval until Stop.
+// Run opens the control port and starts the control loop, which calls tick at each interval until Stop.
 func (n *Node) Run(set *metrics.Set, tick func(now time.Time)) error {
 	c, err := controlport.Start(n.address, n.Mux, set, n.keys, n.logger)
 	if err != nil {
@@ -202,7 +203,7 @@
 }
 
 // Leave removes the node from the roster, so that changes no longer wait for its acknowledgement, and writes the pending
-// audit rows. It is the last step of an orderly shutdown.
+// audit rows. It is the last step of a graceful shutdown.
 func (n *Node) Leave(ctx context.Context) {
 	if n.Agent == nil {
 		return
@@ -213,7 +214,7 @@
 	}
 }
 
-// Stop stops the agent, the control loop and the RPC port.
+// Stop stops the agent, the control loop and the control port.
 func (n *Node) Stop() {
 	if n.Agent != nil {
 		n.Agent.Close()
--- a/internal/node/daemon/runtime.go
+++ b/internal/node/daemon/runtime.go
@@ -58,8 +58,8 @@
 	return &Runtime{Logger: logger, Tracer: tracer, Node: NewNode(o.Node)}, nil
 }
 
-// Serve runs the component until ctx ends, with tick on the control loop. It then shuts down within grace: first the
-// component, so that no request in flight is interrupted, then the node's membership, so that no change waits for it.
+// Serve runs the component until ctx is done, with tick on the control loop. It then shuts down within grace: first
+// the component, so that no request in flight is interrupted, then the node's membership, so that no change waits for it.
 func (r *Runtime) Serve(ctx context.Context, c Component, tick func(now time.Time), grace time.Duration) error {
 	if err := r.Node.Run(c.Metrics(), tick); err != nil {
 		c.Kill()
--- a/internal/node/daemon/slotmain/slotmain.go
+++ b/internal/node/daemon/slotmain/slotmain.go
@@ -26,7 +26,7 @@
 	var configFile *string
 	return program.Program{
 		Name:     "cardamomyoke-slot",
-		Help:     "Runs beside an upstream and is the only process that hands it work or orders.",
+		Help:     "Runs on the same host as an upstream and is the only process that sends it requests and orders.",
 		Settings: func() settings.Checker { return &slot.Settings{} },
 		Flags:    func(cmd *kingpin.CmdClause) { configFile = daemon.FixedConfigFlag(cmd) },
 		Run: func(ctx context.Context, set settings.Checker, o program.Options) error {
--- a/internal/node/entry/audit_test.go
+++ b/internal/node/entry/audit_test.go
@@ -10,8 +10,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/audit"
 )
 
-// A request crashes an upstream together with another request, then crashes one alone, as a probe; the second crash is
-// reported twice. Only the change to refused must be recorded, once, with the end of the refusal and the client.
+// Guards against an audit that lacks a refusal, holds it twice or lists mere suspicions. A request crashes an upstream
+// together with another request, then crashes one while it runs alone, as a quarantine trial run; the second crash is
+// reported twice. Only the change to refused is recorded, once, with the end of the refusal and the client.
 func TestRefusalsAreRecordedOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := quarantine.NewPersistentTracker(nil, quarantine.Rules{Period: time.Minute}, quarantine.DefaultPersistentTrackerOptions())
--- a/internal/node/entry/entry.go
+++ b/internal/node/entry/entry.go
@@ -76,8 +76,8 @@
 const (
 	// defaultLoops is the number of event loops of the listener for callers.
 	defaultLoops = 2
-	// defaultQuarantine is the quarantine period until a configuration is loaded.
-	defaultQuarantine = 10 * time.Minute
+	// defaultQuarantinePeriod is the quarantine period until a configuration is loaded.
+	defaultQuarantinePeriod = 10 * time.Minute
 	// maxDigestSuspects is the maximum number of suspects per digest; more would not fit into its datagram.
 	maxDigestSuspects = 4
 	// tickInterval is the interval at which the control loop evaluates health.
@@ -124,7 +124,7 @@
 	if e.loop == nil {
 		e.loop = control.New()
 	}
-	e.quarantine = quarantine.NewPersistentTracker(d.Table, quarantine.Rules{Period: defaultQuarantine}, quarantine.DefaultPersistentTrackerOptions())
+	e.quarantine = quarantine.NewPersistentTracker(d.Table, quarantine.Rules{Period: defaultQuarantinePeriod}, quarantine.DefaultPersistentTrackerOptions())
 	e.state = newState(set, d.Config, e.limits, e.logger, now)
 	if d.Audit != nil {
 		e.state.record = d.Audit
@@ -242,7 +242,7 @@
 	before := e.lifecycle.State()
 	actions, err := e.lifecycle.Fire(ev)
 	if err != nil {
-		_ = level.Error(e.logger).Log("msg", "invalid entry state transition", "err", err)
+		_ = level.Error(e.logger).Log("msg", "event rejected by the entry's state chart", "err", err)
 		return
 	}
 	for _, a := range actions {
--- a/internal/node/entry/forward.go
+++ b/internal/node/entry/forward.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// fenceTimeout bounds a fence request, which asks a slot never to start an attempt.
+	// fenceTimeout bounds a fence request, by which a slot promises never to start an attempt.
 	fenceTimeout = 500 * time.Millisecond
 	// maxFailureBytes is the maximum number of bytes read of the body of a typed failure.
 	maxFailureBytes = 16 << 10
 )
 
-// try is one attempt at a request.
-type try struct {
+// outgoingAttempt is an attempt at a request that the entry sends to a slot.
+type outgoingAttempt struct {
 	id     ids.Attempt
 	to     *routing.Upstream
 	header attempt.Header
@@ -34,10 +34,10 @@
 	flight *routing.Flight
 }
 
-// newTry prepares an attempt on the upstream of the routing choice.
-func (e *Entry) newTry(r *request, v *view, c routing.Choice, body []byte, resume int, trace string) *try {
+// newAttempt prepares an attempt on the upstream of the routing choice.
+func (e *Entry) newAttempt(r *request, v *view, c routing.Choice, body []byte, resume int, trace string) *outgoingAttempt {
 	id := ids.Attempt{Entry: e.incarnation, Seq: e.sequence.Add(1)}
-	return &try{
+	return &outgoingAttempt{
 		id: id,
 		to: c.Upstream,
 		header: attempt.Header{
@@ -62,7 +62,7 @@
 	}
 }
 
-func (t *try) request() *fasthttp.Request {
+func (t *outgoingAttempt) request() *fasthttp.Request {
 	req := fasthttp.AcquireRequest()
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetRequestURI(attempt.PathRun)
@@ -77,7 +77,7 @@
 
 // send sends the attempt and returns the slot's response, which the caller must release. A refusal and a response to
 // another attempt are returned as errors. Errors: *failure.Error.
-func (e *Entry) send(ctx context.Context, t *try) (*httpclient.Response, error) {
+func (e *Entry) send(ctx context.Context, t *outgoingAttempt) (*httpclient.Response, error) {
 	req := t.request()
 	res, err := e.client.Do(ctx, t.to.Address, req)
 	fasthttp.ReleaseRequest(req) // by now it is written in full or abandoned
@@ -99,7 +99,7 @@
 // mismatched returns the failure for a response without the attempt's id. Either the slot could not parse the attempt,
 // or the response belongs to another attempt. In the latter case the outcome of this attempt is unknown. The caller
 // closes the connection in both cases.
-func (e *Entry) mismatched(res *httpclient.Response, t *try, got string) error {
+func (e *Entry) mismatched(res *httpclient.Response, t *outgoingAttempt, got string) error {
 	if got == "" && res.Header.StatusCode() >= fasthttp.StatusBadRequest {
 		return readFailure(res)
 	}
@@ -131,7 +131,7 @@
 }
 
 // resolveLost determines the outcome of an attempt whose connection failed, and returns it as a failure.
-func (e *Entry) resolveLost(ctx context.Context, t *try, err error) error {
+func (e *Entry) resolveLost(ctx context.Context, t *outgoingAttempt, err error) error {
 	var dial *httpclient.DialError
 	if errors.As(err, &dial) {
 		return failure.New(failure.CodeNoUpstream, err)
@@ -142,8 +142,8 @@
 	return failure.New(interruptedCode(ctx), err)
 }
 
-// interruptedCode returns the failure code of an attempt that may have run: the deadline or the cancellation if ctx has
-// ended, otherwise a failure of the upstream.
+// interruptedCode returns the failure code of an attempt that may have run: the deadline or the cancellation if ctx is
+// done, otherwise a failure of the upstream.
 func interruptedCode(ctx context.Context) failure.Code {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -154,9 +154,9 @@
 	return failure.CodeUpstreamFailed
 }
 
-// fence asks the slot to guarantee that it never starts the attempt, and reports whether it did. Only that guarantee
+// fence requests the slot's promise never to start the attempt, and reports whether the slot gave it. Only that promise
 // proves that the attempt did not run.
-func (e *Entry) fence(t *try) bool {
+func (e *Entry) fence(t *outgoingAttempt) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), fenceTimeout)
 	defer cancel()
 	req := &fasthttp.Request{}
--- a/internal/node/entry/handler.go
+++ b/internal/node/entry/handler.go
@@ -210,13 +210,13 @@
 
 func (e *Entry) runAttempt(ctx context.Context, v *view, c routing.Choice, m *modelResponse, trace string) error {
 	if m.r.chat == nil {
-		res, err := e.tryPlain(ctx, v, c, m.r, trace)
+		res, err := e.attemptPlain(ctx, v, c, m.r, trace)
 		if err != nil {
 			return err
 		}
 		return res.respond(m.x, m.r)
 	}
-	if err := e.tryModel(ctx, v, c, m, trace); err != nil {
+	if err := e.attemptModel(ctx, v, c, m, trace); err != nil {
 		return err
 	}
 	return m.complete(ctx)
--- a/internal/node/entry/model.go
+++ b/internal/node/entry/model.go
@@ -33,13 +33,13 @@
 	chunkPrefix, chunkSuffix, chunkBuf []byte
 }
 
-// tryModel runs one attempt and delivers its tokens. It returns nil once the response is complete.
-func (e *Entry) tryModel(ctx context.Context, v *view, c routing.Choice, m *modelResponse, trace string) error {
+// attemptModel runs one attempt and delivers its tokens. It returns nil once the response is complete.
+func (e *Entry) attemptModel(ctx context.Context, v *view, c routing.Choice, m *modelResponse, trace string) error {
 	body, err := m.body()
 	if err != nil {
 		return err
 	}
-	t := e.newTry(m.r, v, c, body, m.tokens, trace)
+	t := e.newAttempt(m.r, v, c, body, m.tokens, trace)
 	defer t.flight.End()
 	res, err := e.send(ctx, t)
 	if err != nil {
@@ -80,7 +80,7 @@
 
 // deliverEvents delivers the tokens of one attempt to the caller until its last event. Errors: *failure.Error,
 // *httpserver.ConnectionClosedError.
-func (e *Entry) deliverEvents(ctx context.Context, t *try, m *modelResponse, f *attempt.EventReader) error {
+func (e *Entry) deliverEvents(ctx context.Context, t *outgoingAttempt, m *modelResponse, f *attempt.EventReader) error {
 	for {
 		event, err := f.Next()
 		if err != nil {
--- a/internal/node/entry/plain.go
+++ b/internal/node/entry/plain.go
@@ -16,9 +16,9 @@
 	body   []byte
 }
 
-// tryPlain runs one attempt at a plain service and returns the complete response.
-func (e *Entry) tryPlain(ctx context.Context, v *view, c routing.Choice, r *request, trace string) (*plainResponse, error) {
-	t := e.newTry(r, v, c, r.body, 0, trace)
+// attemptPlain runs one attempt at a plain service and returns the complete response.
+func (e *Entry) attemptPlain(ctx context.Context, v *view, c routing.Choice, r *request, trace string) (*plainResponse, error) {
+	t := e.newAttempt(r, v, c, r.body, 0, trace)
 	defer t.flight.End()
 	res, err := e.send(ctx, t)
 	if err != nil {
@@ -34,9 +34,9 @@
 	return out, nil
 }
 
-func (a *plainResponse) respond(x *httpserver.Exchange, r *request) error {
-	return x.Respond(a.status, []httpserver.Header{
-		{Name: "Content-Type", Value: a.mime},
+func (p *plainResponse) respond(x *httpserver.Exchange, r *request) error {
+	return x.Respond(p.status, []httpserver.Header{
+		{Name: "Content-Type", Value: p.mime},
 		{Name: headerRequest, Value: r.id},
-	}, a.body)
+	}, p.body)
 }
--- a/internal/node/entry/settings.go
+++ b/internal/node/entry/settings.go
@@ -9,7 +9,7 @@
 // Settings are the static settings of an entry.
 type Settings struct {
 	host.Settings `yaml:",inline"`
-	// DataCentres holds the one-way latency from here to other data centres; for a missing one, defaultDistance applies.
+	// DataCentres holds the one-way latency from here to other data centres; for a missing one, defaultLatency applies.
 	DataCentres map[ids.DataCentre]settings.Duration `yaml:"data_centres"`
 }
 
--- a/internal/node/entry/shutdown.go
+++ b/internal/node/entry/shutdown.go
@@ -53,7 +53,7 @@
 	return time.Duration(v.config.Proto.GetPolicies().GetAddressKeepMs()) * time.Millisecond
 }
 
-// Kill stops the entry immediately, as a crash would. It is for tests.
+// Kill stops the entry immediately, as a crash would.
 func (e *Entry) Kill() { e.stop() }
 
 func (e *Entry) stop() {
--- a/internal/node/entry/state.go
+++ b/internal/node/entry/state.go
@@ -50,8 +50,8 @@
 const (
 	// cachedBlocks is the maximum number of prompt blocks remembered per upstream.
 	cachedBlocks = 8192
-	// defaultDistance is the one-way latency to a data centre that the settings do not list.
-	defaultDistance = 40 * time.Millisecond
+	// defaultLatency is the one-way latency to a data centre that the settings do not list.
+	defaultLatency = 40 * time.Millisecond
 )
 
 func newState(set *Settings, source config.Source, l *limits.Limiter, logger log.Logger, now time.Time) *state {
@@ -139,15 +139,15 @@
 	s.members.SetRoster(membership.FromRevision(r.Members()), now)
 }
 
-// missingReports is the number of consecutive slot reports that may be missing before the slot counts as silent.
-const missingReports = 3.5
+// missingDigests is the number of consecutive slot digests that may be missing before the slot counts as unresponsive.
+const missingDigests = 3.5
 
-// tick evaluates health and removes upstreams that have long been silent. The more entries there are, the less often a
-// slot reports to each, so the silence timeout follows the report interval; a fixed timeout would eject healthy
+// tick evaluates health and removes upstreams that have long been unresponsive. The more entries there are, the less
+// often a slot sends each a digest, so the timeout follows the digest interval; a fixed timeout would eject healthy
 // upstreams in a large deployment.
 func (s *state) tick(now time.Time) {
 	interval := s.members.SlotInterval()
-	s.tracker.SetSilentAfter(max(health.Defaults().SilentAfter, time.Duration(missingReports*float64(interval))))
+	s.tracker.SetSilentAfter(max(health.Defaults().SilentAfter, time.Duration(missingDigests*float64(interval))))
 	for _, c := range s.tracker.Evaluate(now) {
 		_ = level.Info(s.logger).Log("msg", "upstream changed", "upstream", c.Upstream, "from", c.From, "to", c.To, "reason", c.Reason)
 		s.record(now, &audit.Row{
@@ -216,7 +216,7 @@
 }
 
 func (s *state) queueOptions() admission.Options {
-	o := admission.Options{Reserve: admission.DefaultReserve, MaxWait: admission.DefaultMaxWait, Share: s.weight}
+	o := admission.Options{Reserve: admission.DefaultReserve, MaxWait: admission.DefaultMaxWait, Share: s.localShare}
 	for _, c := range s.snapshot.Proto.GetClasses() {
 		o.Classes = append(o.Classes, admission.Class{
 			Name: c.GetName(), Rank: int(c.GetRank()), QueueLimit: int(c.GetQueueLimit()),
@@ -249,7 +249,7 @@
 		Address:    u.digest.GetHttpAddress(),
 		Weight:     status.Weight,
 		Batch:      int(load.GetBatch()),
-		Distance:   s.distance(ids.DataCentre(u.digest.GetDataCentre())),
+		Distance:   s.latencyTo(ids.DataCentre(u.digest.GetDataCentre())),
 		Load: routing.Load{
 			TakenAt:         u.receivedAt,
 			Total:           countsOf(load.GetTotal()),
@@ -276,13 +276,13 @@
 	}
 }
 
-func (s *state) distance(dc ids.DataCentre) time.Duration {
+func (s *state) latencyTo(dc ids.DataCentre) time.Duration {
 	if dc == s.settings.DataCentre {
 		return 0
 	}
 	d, ok := s.settings.DataCentres[dc]
 	if !ok {
-		return defaultDistance
+		return defaultLatency
 	}
 	return d.Std()
 }
@@ -302,12 +302,12 @@
 	return sum / float64(n)
 }
 
-// minLocalShare keeps the weight of a client above 0 where almost none of its demand was seen.
+// minLocalShare keeps the local share of a client above 0 where almost none of its usage was seen.
 const minLocalShare = 0.01
 
-// weight returns a client's configured share times the fraction of its demand that arrives at this entry, so that the
+// localShare returns a client's configured share times the fraction of its usage that arrives at this entry, so that the
 // client gets its share across all entries rather than at each of them.
-func (s *state) weight(c ids.Client) float64 {
+func (s *state) localShare(c ids.Client) float64 {
 	return s.share(c) * max(minLocalShare, s.limits.LocalShare(c, time.Now()))
 }
 
@@ -317,8 +317,8 @@
 }
 
 // capacity returns the limit on the work that this entry runs concurrently: a fraction of the capacity of all upstreams.
-// The fraction is the part of all clients' fair-share work that arrives at this entry. It is the same for all entries
-// while there is no demand, or if there are too many entries to exchange demand in full.
+// The fraction is this entry's share of the work that all clients' fair shares allow. It is the same for all entries
+// while there is no usage, or if there are too many entries to exchange usage in full.
 func (s *state) capacity(list []*routing.Upstream, stepTime float64, now time.Time) admission.Capacity {
 	total := 0.0
 	for _, u := range list {
--- a/internal/node/entry/usage.go
+++ b/internal/node/entry/usage.go
@@ -12,10 +12,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/admission/limits"
 )
 
-// usageInterval is the interval between two reports of client demand.
+// usageInterval is the interval between two reports of the clients' usage.
 const usageInterval = time.Second
 
-// reportUsage sends the client demand at this entry to the entries that sum it. It runs on the control loop.
+// reportUsage sends the clients' usage at this entry to the entries that sum it. It runs on the control loop.
 func (e *Entry) reportUsage(now time.Time) {
 	if now.Sub(e.usageSentAt) < usageInterval {
 		return
@@ -25,15 +25,15 @@
 	self := ids.Node(e.settings.Name)
 	ring := limits.NewRing(append(slices.Collect(maps.Keys(peers)), self))
 	for node, records := range ring.Recipients(self, e.limits.Report(now)) {
-		// This entry includes its own demand directly when it sums; sending it to itself would count it twice.
+		// This entry includes its own usage directly when it sums; sending it to itself would count it twice.
 		if node != self {
 			e.sendUsage(peers[node].DigestAddress, limits.Encode(records), nil, now)
 		}
 	}
 }
 
-// receiveUsage merges another entry's demand and replies with the sums, or merges such a reply. With few entries, all
-// exchange their demand in full, and no reply is needed.
+// receiveUsage merges another entry's usage and replies with the sums, or merges such a reply. With few entries, all
+// exchange their usage in full, and no reply is needed.
 func (e *Entry) receiveUsage(d *cardamomyokev1.Digest, now time.Time) {
 	if d.GetSums() != nil {
 		e.limits.MergeSums(e.clientsByHash.Decode(d.GetSums()), now)
--- a/internal/node/gateway/candidates.go
+++ b/internal/node/gateway/candidates.go
@@ -29,7 +29,7 @@
 // electionInput collects this gateway's state and that of its peers for the decision whether to lead.
 func (e *experts) electionInput(now time.Time, c candidates) electionInput {
 	in := electionInput{
-		Ready:      e.g.control.node == stateReady,
+		Ready:      e.g.control.state == stateReady,
 		SeenFence:  e.leases.NewestFenceOfOthers(expertsDuty),
 		PendingFor: e.leases.PendingFor(now, expertsDuty),
 		Position:   e.position(c),
@@ -62,7 +62,8 @@
 	return slices.Index(c.names, e.g.Settings().Name)
 }
 
-// joiningOrIsolated reports whether this gateway has too little information about its peers to take a duty.
+// joiningOrIsolated reports whether this gateway has too little information about its peers to contend
+// for a duty.
 func (e *experts) joiningOrIsolated(now time.Time) bool {
 	return e.g.peers.joining(now) || e.g.peers.isolated(now)
 }
@@ -106,14 +107,15 @@
 
 // isStandby reports whether this gateway is among the first candidates to lead.
 func (e *experts) isStandby(now time.Time, c candidates) bool {
-	if e.g.control.node != stateReady || e.joiningOrIsolated(now) || !e.anyGroup() {
+	if e.g.control.state != stateReady || e.joiningOrIsolated(now) || !e.anyGroup() {
 		return false
 	}
 	return slices.Contains(c.names[:min(maxStandbys, len(c.names))], e.g.Settings().Name)
 }
 
 // allocateDue reports whether a spare token may be allocated now. It spreads the allocations of the standbys at random:
-// of several tokens allocated at the same moment only the newest can be used.
+// of several tokens allocated at the same moment only the newest can be used. If a token may be allocated, it also
+// schedules the next allocation; the first call only schedules.
 func (e *experts) allocateDue(now time.Time) bool {
 	first := e.allocateAt.IsZero()
 	if !first && now.Before(e.allocateAt) {
--- a/internal/node/gateway/demandshift_test.go
+++ b/internal/node/gateway/demandshift_test.go
@@ -14,8 +14,8 @@
 type shiftedGroup struct {
 	ranks, experts, sets, placements int
 	copyTime                         time.Duration
-	// expertShare is the share of a pass that the experts' work takes, exponent that of the Zipf distribution of their
-	// popularity.
+	// expertShare is the share of a pass that the experts' work takes. exponent is the exponent of the Zipf distribution
+	// of the experts' popularity.
 	expertShare, exponent float64
 }
 
@@ -107,9 +107,9 @@
 	return out
 }
 
-// The demand shifts to other experts every four seconds. Until the map follows, the most loaded rank has twice the mean
-// load or more, and each pass is so long that every stream of the group is late. The leader must react within some
-// passes; polling every 500 ms with a half-life of 500 ms was too slow.
+// Guards against a map that follows a shift of demand too slowly, as with polling every 500 ms and a half-life of 500 ms.
+// The demand shifts to other experts every four seconds. Until the map follows, within some passes, the most loaded rank
+// has twice the mean load or more, and each pass is so long that every stream of the group is late.
 func TestPlacementFollowsDemandShiftWithinSomePasses(t *testing.T) {
 	var before, after float64
 	var copiesBefore, copiesAfter int
@@ -124,8 +124,8 @@
 	}
 }
 
-// If a copy has the same price whatever the experts' share of a pass is, then where that share is large the map stays
-// behind the demand for copies that cost little, and every pass is long.
+// Guards against a copy price that does not depend on the experts' share of a pass. Where that share is large, cheap
+// copies would not be made: the map would lag behind the demand and every pass would be long.
 func TestCopyPriceScalesWithExpertShareOfPass(t *testing.T) {
 	// onePrice is what a second of copying must save, whatever the experts' share.
 	const onePrice = 6.1
--- a/internal/node/gateway/dialect.go
+++ b/internal/node/gateway/dialect.go
@@ -47,7 +47,7 @@
 	Attempt string
 	// NotRun is the upstream's promise that the request did not run and never will.
 	NotRun bool
-	// Sealed is set if the response carries the upstream's signature.
+	// Signed is set if the response carries the upstream's signature.
 	Sealed bool
 	// Culprit is the upstream at fault, if it is not the responding one.
 	Culprit ids.Upstream
--- a/internal/node/gateway/digests.go
+++ b/internal/node/gateway/digests.go
@@ -68,7 +68,7 @@
 
 func (p *peers) sendFailed(address string, err error) {
 	p.g.metrics.digestFailed()
-	_ = p.failures.Log("msg", "cannot send digest", "peer_address", address, "err", err)
+	_ = p.failures.Log("msg", "digest not sent", "peer_address", address, "err", err)
 }
 
 // header returns the fields about this gateway that each datagram contains.
--- a/internal/node/gateway/experts.go
+++ b/internal/node/gateway/experts.go
@@ -30,7 +30,7 @@
 	// the estimated demand.
 	//
 	// After a shift of demand, and until the map follows it, passes take longer than callers accept, and each stream is
-	// late by one of them. A shorter interval costs as much in copies as it gains in passes.
+	// late by one pass. With a shorter interval, additional copies would take as much time as shorter passes save.
 	pollInterval   = 250 * time.Millisecond
 	demandHalfLife = 300 * time.Millisecond
 	// sampledRanks is how many ranks are polled for their counts each time; polling remotely makes the group pause.
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -69,13 +69,13 @@
 	client      *httpclient.Client
 	view        atomic.Pointer[view]
 
-	followers []*replica.Follower
-	config    *replica.Follower
-	registry  *replica.Follower
-	peers     *peers
-	experts   *experts
-	suspects  *suspects
-	moves     *moves
+	followers        []*replica.Follower
+	configFollower   *replica.Follower
+	registryFollower *replica.Follower
+	peers            *peers
+	experts          *experts
+	suspects         *suspects
+	moves            *moves
 
 	servers struct{ callers, directory, readiness *httpserver.Server }
 	ranks   lockstep.RankClient
@@ -89,10 +89,10 @@
 type controlState struct {
 	config    *catalog.Configuration
 	upstreams *catalog.Upstreams
-	// entries determines which entries of the registry are valid upstreams.
-	entries  *registry.Registry
-	services map[ids.Service]*service
-	node     nodeState
+	// validEntries determines which registry entries are valid upstreams.
+	validEntries *registry.Registry
+	services     map[ids.Service]*service
+	state        nodeState
 }
 
 // Start opens the listeners and begins to follow the store. It returns *httpserver.ListenError or a network error.
@@ -116,14 +116,14 @@
 			DialTimeout: dialTimeout, IdleTimeout: upstreamIdleTimeout, SilentAfter: upstreamSilentAfter,
 		}),
 		control: controlState{
-			upstreams: catalog.NewUpstreams(nil), entries: registry.New(d.Decoder.Upstream),
-			services: map[ids.Service]*service{}, node: stateStarting,
+			upstreams: catalog.NewUpstreams(nil), validEntries: registry.New(d.Decoder.Upstream),
+			services: map[ids.Service]*service{}, state: stateStarting,
 		},
 	}
 	g.settings.Store(set)
-	g.config = g.newFollower(d.Feed, d.Decoder.ConfigurationTable())
-	g.registry = g.newFollower(d.Feed, d.Decoder.UpstreamTable())
-	g.followers = []*replica.Follower{g.config, g.registry}
+	g.configFollower = g.newFollower(d.Feed, d.Decoder.ConfigurationTable())
+	g.registryFollower = g.newFollower(d.Feed, d.Decoder.UpstreamTable())
+	g.followers = []*replica.Follower{g.configFollower, g.registryFollower}
 	g.publish()
 	g.suspects = newSuspects(d.Logger)
 	var err error
@@ -189,16 +189,16 @@
 // onStoreChange applies a change of the store's tables. If this gateway follows the store on behalf of its peers, it
 // announces the change to them immediately.
 func (g *Gateway) onStoreChange(now time.Time) {
-	g.reload(now)
-	if g.config.Following() || g.registry.Following() {
+	g.applyTables(now)
+	if g.configFollower.Following() || g.registryFollower.Following() {
 		g.peers.announce(now)
 	}
 }
 
-// reload applies the current rows of the replicated tables.
-func (g *Gateway) reload(now time.Time) {
-	before := g.control.node
-	config, err := g.decoder.Configuration(g.config.Replica.Rows())
+// applyTables applies the current rows of the replicated tables.
+func (g *Gateway) applyTables(now time.Time) {
+	before := g.control.state
+	config, err := g.decoder.Configuration(g.configFollower.Replica.Rows())
 	switch {
 	case err != nil:
 		_ = level.Error(g.logger).Log("msg", "keeping the previous configuration", "reason", "the new one cannot be decoded", "err", err)
@@ -208,7 +208,7 @@
 	g.control.upstreams = g.readUpstreams(now)
 	g.updateServices(now)
 	g.publish()
-	if g.control.node != before {
+	if g.control.state != before {
 		g.peers.sendToAll(now)
 	}
 }
@@ -219,8 +219,8 @@
 		before = g.control.config.Version
 	}
 	g.control.config = c
-	if g.control.node == stateStarting {
-		g.control.node = stateReady
+	if g.control.state == stateStarting {
+		g.control.state = stateReady
 	}
 	g.servers.callers.SetLimits(httpserver.Limits{
 		MaxHeaderBytes: c.Limits.HeaderBytes,
@@ -239,11 +239,11 @@
 		config:     g.control.config,
 		upstreams:  g.control.upstreams,
 		services:   g.control.services,
-		state:      g.control.node,
-		storeUp:    g.config.Connection().Up,
-		storeSince: g.config.Connection().Since,
+		state:      g.control.state,
+		storeUp:    g.configFollower.Connection().Up,
+		storeSince: g.configFollower.Connection().Since,
 	})
-	if g.control.config != nil && g.registry.Replica.Newest() > 0 {
+	if g.control.config != nil && g.registryFollower.Replica.Newest() > 0 {
 		g.startup.finish()
 	}
 }
@@ -294,7 +294,7 @@
 	merged.Name, merged.Listen, merged.DataCentre = old.Name, old.Listen, old.DataCentre
 	merged.Log, merged.RequestLog, merged.Tracing = old.Log, old.RequestLog, old.Tracing
 	g.settings.Store(&merged)
-	g.loop.Post(g.reload)
+	g.loop.Post(g.applyTables)
 	return needRestart
 }
 
--- a/internal/node/gateway/groupwatch.go
+++ b/internal/node/gateway/groupwatch.go
@@ -46,7 +46,7 @@
 	lastFailureAt time.Time
 	// groupSize is the number of ranks of one group; 0 until a rank has reported it.
 	groupSize int
-	// disabled reports whether a mechanism is switched off; nil if none is.
+	// disabled reports whether a mechanism is disabled; nil if none is.
 	disabled func(dispatch.Mechanism) bool
 	// ranksWatched holds the ranks that are closed and polled individually.
 	ranksWatched map[ids.UpstreamIncarnation]bool
@@ -71,7 +71,8 @@
 	}
 }
 
-// survey polls the other ranks after one has reported that its group is broken.
+// survey starts to watch the group after one of its ranks has reported that it is broken. This closes the gate unless
+// another rank reports an open group.
 func (w *groupWatch) survey(ctx context.Context, reason string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/node/gateway/leadership.go
+++ b/internal/node/gateway/leadership.go
@@ -47,8 +47,8 @@
 	// gateway should not lead.
 	Position int
 	// LowerSpares counts the peers whose spare token is lower than this gateway's, and yet newer than those of all
-	// leaders. They go first while the lease cannot be acquired: in the reverse sequence their tokens would be too old
-	// to be used.
+	// leaders. They go first while the lease cannot be acquired: in the reverse order their tokens would be too old to
+	// be used.
 	LowerSpares int
 }
 
@@ -83,7 +83,7 @@
 	return in.HeldFence != 0 || in.Position >= 0 && in.PendingFor >= takeoverDelay && now.Sub(l.leaderSeenAt) >= delay
 }
 
-// noteLeader records whether a peer leads.
+// noteLeader sets leaderSeenAt to now if a peer leads or this gateway is not a candidate, and on the first call.
 func (l *leadership) noteLeader(now time.Time, in electionInput) {
 	if in.Position < 0 || l.leaderSeenAt.IsZero() {
 		l.leaderSeenAt = now
--- a/internal/node/gateway/mechanism.go
+++ b/internal/node/gateway/mechanism.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/dispatch"
 )
 
-// Mechanisms of gateways that Settings.Off can switch off, in addition to those of package dispatch.
+// Mechanisms are features of gateways that Settings.Off can disable, in addition to those of package dispatch.
 const (
 	// mechanismClosedGroups: requests are held back while a group does not work.
 	mechanismClosedGroups dispatch.Mechanism = "closed-groups"
@@ -25,7 +25,7 @@
 	mechanismMaps dispatch.Mechanism = "maps"
 )
 
-// mechanisms returns all mechanisms that can be switched off.
+// mechanisms returns all mechanisms that can be disabled.
 func mechanisms() []dispatch.Mechanism {
 	own := []dispatch.Mechanism{mechanismClosedGroups, mechanismMoves, mechanismStandby, mechanismSuspects, mechanismStartWait, mechanismMaps}
 	return append(dispatch.Mechanisms(), own...)
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// disabled reports whether a mechanism is currently switched off.
+// disabled reports whether a mechanism is currently disabled.
 func (g *Gateway) disabled(m dispatch.Mechanism) bool { return slices.Contains(g.Settings().Off, m) }
 
 // disabledInDispatch returns the switched-off mechanisms for the pools.
--- a/internal/node/gateway/peers.go
+++ b/internal/node/gateway/peers.go
@@ -30,7 +30,7 @@
 	newPeerListInterval = 200 * time.Millisecond
 	// newPeerPeriod is how long a peer counts as new: until the others have listed it a few times.
 	newPeerPeriod = 1500 * time.Millisecond
-	// joinPeriod is how long a newly started gateway only discovers its peers, and takes no duty: peer lists travel to
+	// joinPeriod is how long a newly started gateway only discovers its peers, and contends for no duty: peer lists travel to
 	// the gateways in its settings and back.
 	joinPeriod = 450 * time.Millisecond
 	// joinInterval is the time between two requests for peer lists.
@@ -38,8 +38,8 @@
 	// unknownLeaderTimeout is how long after its start a gateway assumes that a leader without any message is alive but
 	// not discovered yet: the addresses of gateways that start together reach all within a second.
 	unknownLeaderTimeout = 1200 * time.Millisecond
-	// peerTimeout is the time without a message after which a peer is no longer given to callers, even if no gateway
-	// could tell whether it is dead: three digests and a margin.
+	// peerTimeout is the time without a message after which a peer's address is no longer given to callers, even if no
+	// gateway has declared it dead: three digests and a margin.
 	peerTimeout = 800 * time.Millisecond
 	// leaderTimeout is the time without a message after which a duty is taken over, in a small deployment: two digests
 	// and the network delay.
@@ -95,8 +95,8 @@
 
 	// newAddresses are addresses that have never received a digest.
 	newAddresses []string
-	// relaysAt is when enough peers that follow a table were last seen, by table.
-	relaysAt map[string]time.Time
+	// followersSeenAt is when enough peers that follow a table were last seen, by table.
+	followersSeenAt map[string]time.Time
 
 	// The fields below belong to the control loop. nextTarget is the index of the next digest's first target.
 	nextTarget     int
@@ -116,9 +116,9 @@
 		pulling:   map[string]bool{},
 		lags:      map[string]lag{},
 
-		relaysAt: map[string]time.Time{},
-		detector: newDetector(),
-		failures: logging.NewRateLimited(level.Warn(g.logger), maxSendFailureLogs, time.Now),
+		followersSeenAt: map[string]time.Time{},
+		detector:        newDetector(),
+		failures:        logging.NewRateLimited(level.Warn(g.logger), maxSendFailureLogs, time.Now),
 	}
 	var err error
 	if p.sender, err = digest.NewSender(); err != nil {
@@ -243,7 +243,7 @@
 }
 
 // live returns the peers that were seen within the scaled peerTimeout and are not known to be dead, in no particular
-// sequence.
+// order.
 func (p *peers) live(now time.Time) []*peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/node/gateway/peers_test.go
+++ b/internal/node/gateway/peers_test.go
@@ -131,7 +131,7 @@
 	g.settings.Store(&Settings{Name: "own", DataCentre: "near"})
 	return &peers{
 		g: g, ctx: t.Context(), http: http.DefaultClient, byName: map[string]*peer{}, pulling: map[string]bool{}, lags: map[string]lag{},
-		detector: newDetector(), relaysAt: map[string]time.Time{},
+		detector: newDetector(), followersSeenAt: map[string]time.Time{},
 	}, f
 }
 
@@ -166,7 +166,7 @@
 		t.Fatal("a gateway among 20 others follows the store itself")
 	}
 	g := p.g
-	g.peers, g.config = p, f
+	g.peers, g.configFollower = p, f
 	now := time.Now()
 	missing := func() failure.Code {
 		return failure.From(g.notFoundError(&view{storeUp: true}, failure.CodeUnknownService)).Code
--- a/internal/node/gateway/plain.go
+++ b/internal/node/gateway/plain.go
@@ -48,15 +48,15 @@
 	}
 	res.Release(true)
 	if res.Status >= fasthttp.StatusInternalServerError {
-		n.heldFailure = p
+		n.bufferedFailure = p
 		return &FailedError{t.Upstream().ID, res.Status}
 	}
 	return p.respond(n)
 }
 
-// unusable returns why a response must not reach the caller, or "". A success without the upstream's signature may not
-// be that upstream's; statuses that promise "not run" are valid only with the upstream's own promise, which attempt
-// handles before.
+// unusable returns why a response must not reach the caller, or "". A success without a signature may come from another
+// process. A status that means "not run" is valid only with the upstream's promise, and responses with a promise have
+// already been handled by attempt.
 func unusable(status int, info ResponseInfo) string {
 	switch {
 	case status/100 == 2 && !info.Sealed:
--- a/internal/node/gateway/registry.go
+++ b/internal/node/gateway/registry.go
@@ -20,7 +20,7 @@
 	if g.control.config != nil {
 		services = g.control.config.Services
 	}
-	next, findings := g.control.entries.Update(g.registry.Replica.Rows(), services)
+	next, findings := g.control.validEntries.Update(g.registryFollower.Replica.Rows(), services)
 	g.processFindings(findings, now)
 	g.logUpstreams(g.control.upstreams, next)
 	return next
@@ -58,10 +58,10 @@
 // reject excludes the registry entry of an upstream at whose address another upstream responded. It runs on the control
 // loop.
 func (g *Gateway) reject(u *catalog.Upstream, responder ids.Upstream, now time.Time) {
-	if !g.control.entries.Reject(u.Incarnation()) {
+	if !g.control.validEntries.Reject(u.Incarnation()) {
 		return
 	}
 	_ = level.Warn(g.logger).Log("msg", "registry entry rejected", "reason", "another upstream responds at its address", "upstream", u.Incarnation(),
 		"address", u.Address, "answered", responder, "entry_version", u.Version)
-	g.reload(now)
+	g.applyTables(now)
 }
--- a/internal/node/gateway/run.go
+++ b/internal/node/gateway/run.go
@@ -35,8 +35,8 @@
 	// lastEventAt is when the latest events were sent to the caller.
 	lastEventAt time.Time
 	upstream    ids.Upstream
-	// heldFailure is the upstream's own failure, which is relayed to the caller if no other attempt succeeds.
-	heldFailure *plainResponse
+	// bufferedFailure is the upstream's own failure, which is relayed to the caller if no other attempt succeeds.
+	bufferedFailure *plainResponse
 	// relayedFailure is set if the caller received heldFailure.
 	relayedFailure bool
 	// trace is the trace context for the next hop; empty if there is none.
@@ -204,9 +204,9 @@
 	switch {
 	case errors.As(err, &closed) || context.Cause(ctx) == context.Canceled:
 		return failure.New(failure.CodeCancelled, cause)
-	case n.heldFailure != nil && !n.x.Responded():
+	case n.bufferedFailure != nil && !n.x.Responded():
 		n.relayedFailure = true
-		return n.heldFailure.respond(n)
+		return n.bufferedFailure.respond(n)
 	case n.x.Responded():
 		return failure.New(failure.CodeIncompleteAnswer, cause)
 	case ctx.Err() != nil && n.mayHaveRun:
--- a/internal/node/gateway/sentinel.go
+++ b/internal/node/gateway/sentinel.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// minSentinels is the minimum number of gateways that follow the store: one may be dead while another is
-	// partitioned from the store.
+	// minSentinels is the minimum number of sentinels, the gateways that follow the store: one may be dead while another
+	// is partitioned from the store.
 	minSentinels = 3
-	// minRelays is how many live peers must follow the store for a gateway that does not: of two, one may have lost the
+	// minFollowers is how many live peers must follow the store for a gateway that does not: of two, one may have lost the
 	// store without having noticed yet.
-	minRelays = 2
-	// relayGrace is how long a gateway tolerates too few peers that follow the store: another peer replaces one that
+	minFollowers = 2
+	// followersGrace is how long a gateway tolerates too few peers that follow the store: another peer replaces one that
 	// died or lost the store, and notifies all.
-	relayGrace = 300 * time.Millisecond
+	followersGrace = 300 * time.Millisecond
 	// maxReplicaLag is how long a replica may lack an announced change before the gateway calls the store itself:
 	// several pulls from the nearest gateway and the sender of the digest.
 	maxReplicaLag = 600 * time.Millisecond
 )
 
-// sentinel reports whether this gateway is one of those that follow the store for its data centre: one of the first by
-// rendezvous hash of the live gateways that can reach the store. Each gateway computes it independently; if the views
-// of two differ for a moment, both follow the store.
+// sentinel reports whether this gateway is a sentinel, one of the few gateways of its data centre that follow the store
+// on behalf of the others: the first by rendezvous hash of the live gateways that can reach the store. Each gateway
+// computes it independently; if the views of two differ for a moment, both follow the store.
 func (p *peers) sentinel(now time.Time) bool {
 	own := p.g.Settings()
 	names := []string{own.Name}
@@ -58,21 +58,21 @@
 	if p.sentinel(now) || p.replicaLag(r, now) > maxReplicaLag {
 		return false
 	}
-	enough := p.relays(r, now) >= minRelays
+	enough := p.countFollowers(r, now) >= minFollowers
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if enough {
-		p.relaysAt[r.Name()] = now
+		p.followersSeenAt[r.Name()] = now
 	}
-	last := p.relaysAt[r.Name()]
+	last := p.followersSeenAt[r.Name()]
 	if began := p.startedAt.Add(joinPeriod); last.Before(began) {
 		last = began
 	}
-	return now.Sub(last) < relayGrace
+	return now.Sub(last) < followersGrace
 }
 
-// relays returns the number of live peers that follow a table in the store.
-func (p *peers) relays(r *replica.Replica, now time.Time) int {
+// countFollowers returns the number of live peers that follow a table in the store.
+func (p *peers) countFollowers(r *replica.Replica, now time.Time) int {
 	relays := 0
 	for _, k := range p.live(now) {
 		for _, n := range k.digest.GetNews() {
--- a/internal/node/gateway/services.go
+++ b/internal/node/gateway/services.go
@@ -12,7 +12,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// updateServices sets the upstreams and options of each service's gate.
+// updateServices creates, updates and removes services according to the configuration and the registry.
 func (g *Gateway) updateServices(now time.Time) {
 	if g.control.config == nil {
 		return
@@ -81,7 +81,8 @@
 }
 
 const (
-	// extraShare reserves the rest of the fixed number for gateways that started and stopped within a window.
+	// extraShare is the share of RetryBound.Extra that the present gateways use. The rest is for gateways that started and
+	// stopped within the window.
 	extraShare = 0.7
 	// spareNodes is how many gateways may start before all peers have received a message from them.
 	spareNodes = 2
--- a/internal/node/gateway/settings.go
+++ b/internal/node/gateway/settings.go
@@ -33,7 +33,7 @@
 	RequestLog LogBounds `yaml:"request_log"`
 	// Tracing exports a span for each hop of a request; without an exporter there are none.
 	Tracing tracing.Options `yaml:"tracing"`
-	// Off names the mechanisms that are switched off; none in normal operation.
+	// Off names the disabled mechanisms; none in normal operation.
 	Off []dispatch.Mechanism `yaml:"off"`
 }
 
@@ -46,7 +46,7 @@
 }
 
 const (
-	// defaultOrdinary covers two lines per request at twice the normal load of an entry host today, 12 a second.
+	// defaultOrdinary covers two lines per request at twice the normal load of a gateway host, 12 a second.
 	defaultOrdinary = 50
 	// defaultFailures covers an outage in which each request fails and is sent again, at five times that load.
 	defaultFailures = 150
@@ -98,7 +98,7 @@
 	Drain settings.Duration `yaml:"drain"`
 	// Grace is the time between SIGTERM and SIGKILL.
 	Grace settings.Duration `yaml:"grace"`
-	// Stability is how long after a fault a node counts as healthy again.
+	// Stability is the time after a fault until a node counts as healthy again.
 	Stability settings.Duration `yaml:"stability"`
 	// ConfigApply is the time within which an accepted configuration must be in force.
 	ConfigApply settings.Duration `yaml:"config_apply"`
--- a/internal/node/gateway/shutdown.go
+++ b/internal/node/gateway/shutdown.go
@@ -12,7 +12,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/httpserver"
 )
 
-// Run serves until ctx ends and then shuts down gracefully: requests in progress may finish within the grace time.
+// Run serves until ctx is done and then shuts down gracefully: requests in progress may finish within the grace time.
 func (g *Gateway) Run(ctx context.Context) error {
 	<-ctx.Done()
 	return g.shutdown()
@@ -60,9 +60,9 @@
 func (g *Gateway) setState(s nodeState) {
 	done := make(chan struct{})
 	g.loop.Post(func(now time.Time) {
-		g.control.node = s
+		g.control.state = s
 		g.publish()
-		// Before the digests are sent, so that they already report that this gateway has given up its duty.
+		// The tick releases the duty before the digests are sent, so that they already report it.
 		g.experts.tick(now)
 		g.peers.sendToAll(now)
 		close(done)
--- a/internal/node/gateway/startup.go
+++ b/internal/node/gateway/startup.go
@@ -67,6 +67,6 @@
 	}
 	began := time.Now()
 	finished := g.startup.wait(ctx, min(maxStartupWait, time.Duration(startupWaitShare*float64(call.Remaining))))
-	_ = g.requests.ordinary.Log("msg", "request waited for startup", "request", call.Attempt, "over", finished, "store_up", g.config.Connection().Up,
+	_ = g.requests.ordinary.Log("msg", "request waited for startup", "request", call.Attempt, "over", finished, "store_up", g.configFollower.Connection().Up,
 		"waited_ms", time.Since(began).Milliseconds(), "left_ms", call.Remaining.Milliseconds())
 }
--- a/internal/node/gateway/stream.go
+++ b/internal/node/gateway/stream.go
@@ -124,7 +124,8 @@
 }
 
 // eventsAfter drops the leading events up to the one with id last, which the caller already has, and returns the others
-// with the id of their last event. Ids are increasing numbers; events without a numeric id are kept.
+// with the id of their last event. Ids are increasing numbers; events without a numeric id are kept. The error
+// is always nil.
 func eventsAfter(events []byte, last string) ([]byte, string, error) {
 	lastNumber, err := strconv.ParseInt(last, 10, 64)
 	if err != nil {
--- a/internal/node/gateway/suspects.go
+++ b/internal/node/gateway/suspects.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	// quarantineLength is how long a request is refused after the last upstream that it crashed: many times the restart
+	// quarantinePeriod is how long a request is refused after the last upstream that it crashed: many times the restart
 	// time of an upstream or a group.
-	quarantineLength = time.Minute
-	// refuseAfterCrashes is how many upstreams must crash while they run a request before it is refused. Requests that
-	// ran on the same upstreams complete elsewhere, which clears them; the one that caused the crashes ran at three of
-	// them and never completed.
+	quarantinePeriod = time.Minute
+	// refuseAfterCrashes is how many upstreams must crash while they run a request before it is refused. A harmless
+	// request that ran on the same upstreams completes elsewhere, which clears it; one that causes crashes runs at three
+	// of them and never completes.
 	refuseAfterCrashes = 3
 	// maxDigestSuspects is the maximum number of suspects in a digest; the newest come first.
 	maxDigestSuspects = 16
@@ -61,7 +61,7 @@
 }
 
 func newSuspects(logger log.Logger) *suspects {
-	rules := quarantine.Rules{Period: quarantineLength, Crashes: refuseAfterCrashes}
+	rules := quarantine.Rules{Period: quarantinePeriod, Crashes: refuseAfterCrashes}
 	return &suspects{
 		// Evidence need not be durable: if all gateways crash together, three more crashes establish it again.
 		tracker:    quarantine.NewPersistentTracker(nil, rules, quarantine.PersistentTrackerOptions{}),
@@ -215,7 +215,7 @@
 	for _, r := range runs {
 		s.tracker.Merge(now, quarantine.Suspect{Fingerprint: r.Fingerprint, Client: r.Client, Evidence: []quarantine.Evidence{crash}})
 		lvl, _ := s.tracker.Snapshot().Classify(now, r.Fingerprint)
-		_ = level.Info(s.logger).Log("msg", "request suspected", "reason", "upstream died while it ran", "upstream", i, "proof", proof,
+		_ = level.Info(s.logger).Log("msg", "request suspected", "reason", "upstream crashed while running the request", "upstream", i, "proof", proof,
 			"fingerprint", r.Fingerprint, "client", r.Client, "level", lvl)
 	}
 }
--- a/internal/node/host/settings.go
+++ b/internal/node/host/settings.go
@@ -13,7 +13,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/tracing"
 )
 
-// Settings is embedded in the settings of each process.
+// Settings is embedded in the settings of entries and slots.
 type Settings struct {
 	// Name is the name of the host. It must be unique.
 	Name string `yaml:"name"`
@@ -39,7 +39,7 @@
 	Digests struct {
 		// Address is the UDP address to listen on, IP:PORT.
 		Address string `yaml:"address"`
-		// Seeds lists digest addresses of entries, IP:PORT. The addresses of other nodes are learned from them.
+		// Seeds lists digest addresses of entries, IP:PORT. They send the addresses of the other nodes.
 		Seeds []string `yaml:"seeds"`
 	} `yaml:"digests"`
 	// TLS configures the keys for the control port and for RPC to other nodes. If it is empty, both use plain text.
--- a/internal/node/operator/operator.go
+++ b/internal/node/operator/operator.go
@@ -1,4 +1,5 @@
-// Package operator implements the RPC service for operators, which each entry mounts on its RPC port with Handler.
+// Package operator implements the RPC service for operators, which each entry mounts on its control port with
+// Handler.
 //
 // Changes are committed through the revision agent. The response is sent once the change is accepted, or after wait_ms
 // with the nodes whose acknowledgement is still pending.
@@ -47,7 +48,7 @@
 
 // Auditor writes the audit rows; see internal/state/audit/writer.
 type Auditor interface {
-	// Committed is called after an entry of the configuration log was committed. It does not block.
+	// Committed is called after a log entry of the configuration was committed. It does not block.
 	Committed()
 	// Record records an action that is not in the configuration log. It does not block.
 	Record(now time.Time, r *cardamomyokev1.AuditRow)
--- a/internal/node/operator/status.go
+++ b/internal/node/operator/status.go
@@ -16,7 +16,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision/store"
 )
 
-// tableUpWithin is the maximum age of the newest table read that this node is aware of for the table to count as up.
+// tableUpWithin is the age at which the newest recorded read of the table is too old for the table to count as up.
 const tableUpWithin = 4 * time.Second
 
 func (s *Server) revisions() *cardamomyokev1.RevisionStatus {
--- a/internal/node/order/order.go
+++ b/internal/node/order/order.go
@@ -1,9 +1,9 @@
 // Package order stores the orders that operators give to engines, with fencing tokens, in the platform's table.
 //
 // The row orders/UPSTREAM holds the newest order for an upstream. The version of the row is the fencing token. An order
-// reaches an engine only through the slot on its host: the slot reads the row when it starts and when it is notified of
-// an order, and executes the order unless the token is lower than one that the slot has seen. So it does not matter for
-// safety whether an engine checks fencing tokens.
+// reaches an engine only through the slot on its host: the slot polls the row, and sends the order to the engine unless
+// the token is lower than one that the slot has seen. So it does not matter for safety whether an engine checks fencing
+// tokens.
 package order
 
 import (
--- a/internal/node/slot/digests.go
+++ b/internal/node/slot/digests.go
@@ -135,8 +135,8 @@
 			Batch:      uint32(s.settings.Upstream.Batch),
 			Total:      countsProto(total),
 			Yours:      countsProto(yours),
-			StepTimeUs: uint32(s.speed.step.value().Microseconds()),
-			Steps:      s.steps.Load(),
+			StepTimeUs: uint32(s.speed.tokenTime.value().Microseconds()),
+			Steps:      s.progress.Load(),
 
 			UpstreamDown: s.upstream.down.Load(),
 		},
--- a/internal/node/slot/handler.go
+++ b/internal/node/slot/handler.go
@@ -17,8 +17,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/config"
 )
 
-// job is an attempt that the slot processes.
-type job struct {
+// incomingAttempt is an attempt that the slot received from an entry.
+type incomingAttempt struct {
 	attempt.Header
 	service *cardamomyokev1.Service
 	body    []byte
@@ -63,7 +63,7 @@
 	h.Trace = span.Header()
 	ctx, cancel := context.WithTimeout(ctx, h.Remaining)
 	defer cancel()
-	j := &job{Header: h, body: x.Req.Body(), mime: string(x.Req.Header.ContentType())}
+	j := &incomingAttempt{Header: h, body: x.Req.Body(), mime: string(x.Req.Header.ContentType())}
 	err = s.run(ctx, x, j)
 	span.End(err)
 	s.metrics.countAttempt(err)
@@ -78,7 +78,7 @@
 }
 
 // run runs an attempt or refuses it. All refusals before the start of the attempt carry proof that it did not run.
-func (s *Slot) run(ctx context.Context, x *httpserver.Exchange, j *job) error {
+func (s *Slot) run(ctx context.Context, x *httpserver.Exchange, j *incomingAttempt) error {
 	if err := s.admit(j, time.Now()); err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 }
 
 // begin marks the attempt as started. It refuses a fenced attempt and a duplicate.
-func (s *Slot) begin(j *job) error {
+func (s *Slot) begin(j *incomingAttempt) error {
 	err := s.attempts.Begin(j.Attempt, time.Now())
 	if err == nil {
 		return nil
@@ -108,7 +108,7 @@
 	return refuse(failure.CodeNoUpstream, fmt.Errorf("begin: %w", err))
 }
 
-func (s *Slot) forward(ctx context.Context, x *httpserver.Exchange, j *job) error {
+func (s *Slot) forward(ctx context.Context, x *httpserver.Exchange, j *incomingAttempt) error {
 	if s.settings.Upstream.Kind == KindModel {
 		return s.forwardModel(ctx, x, j)
 	}
@@ -128,16 +128,16 @@
 	return fmt.Sprintf("attempt is for incarnation %s, this is %s", e.Got, e.Want)
 }
 
-// RevisionError reports that an entry decided on a configuration that this slot does not admit.
+// RevisionError reports that an attempt is based on a configuration revision that this slot does not admit.
 type RevisionError struct{ Got, InForce ids.Revision }
 
 // Error implements error.
 func (e *RevisionError) Error() string {
-	return fmt.Sprintf("attempt was decided on revision %d, but revision %d is in force", e.Got, e.InForce)
+	return fmt.Sprintf("attempt is based on revision %d, but revision %d is in force", e.Got, e.InForce)
 }
 
 // admit checks the preconditions of an attempt, and sets its service.
-func (s *Slot) admit(j *job, now time.Time) error {
+func (s *Slot) admit(j *incomingAttempt, now time.Time) error {
 	if s.draining.Load() {
 		return refuse(failure.CodeStopping, nil)
 	}
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// configFor returns the configuration in force. It refuses work decided on a superseded revision: an entry that resumes
+// configFor returns the configuration in force. It refuses work based on a superseded revision: an entry that resumes
 // after a pause may still act on a configuration that an operator has replaced, and the caller would get a response based
 // on the old one.
 func (s *Slot) configFor(r ids.Revision, now time.Time) (*config.Snapshot, error) {
--- a/internal/node/slot/model.go
+++ b/internal/node/slot/model.go
@@ -49,9 +49,9 @@
 // Error implements error.
 func (e *StalledError) Error() string { return fmt.Sprintf("engine sent nothing for %v", e.After) }
 
-// forwardModel runs an attempt on the engine and relays its tokens to the entry. If the entry disconnects, ctx ends,
-// which closes the connection to the engine and thereby cancels the request there.
-func (s *Slot) forwardModel(ctx context.Context, x *httpserver.Exchange, j *job) error {
+// forwardModel runs an attempt on the engine and relays its tokens to the entry. If the entry disconnects, ctx is
+// done, which closes the connection to the engine and thereby cancels the request there.
+func (s *Slot) forwardModel(ctx context.Context, x *httpserver.Exchange, j *incomingAttempt) error {
 	flight := s.work.start(j.Attempt.Entry, estimateOf(j), time.Now())
 	defer flight.End()
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -68,7 +68,7 @@
 	if code := res.Header.StatusCode(); code != fasthttp.StatusOK {
 		return engineStatus(code)
 	}
-	relay := &modelRelay{x: x, job: j, id: j.Attempt.String(), flight: flight, speed: &s.speed, steps: &s.steps, lastTokenAt: sent, stallTimeout: s.settings.Upstream.StopAfter.Or(defaultStallTimeout)}
+	relay := &modelRelay{x: x, job: j, id: j.Attempt.String(), flight: flight, speed: &s.speed, progress: &s.progress, lastTokenAt: sent, stallTimeout: s.settings.Upstream.StopAfter.Or(defaultStallTimeout)}
 	relay.stallTimer = relay.newStallTimer(cancel)
 	defer relay.stallTimer.Stop()
 	err = relay.relayEvents(ctx, res)
@@ -87,11 +87,11 @@
 	return t
 }
 
-func estimateOf(j *job) routing.Estimate {
+func estimateOf(j *incomingAttempt) routing.Estimate {
 	return routing.Estimate{FirstClass: j.Rank == 0, PromptTokens: len(j.body) / bytesPerToken, OutputTokens: j.Output}
 }
 
-func engineRequest(j *job) *fasthttp.Request {
+func engineRequest(j *incomingAttempt) *fasthttp.Request {
 	req := fasthttp.AcquireRequest()
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetRequestURI(enginePath)
@@ -143,10 +143,10 @@
 // modelRelay relays the events of one engine response to the entry.
 type modelRelay struct {
 	x             *httpserver.Exchange
-	job           *job
+	job           *incomingAttempt
 	flight        *routing.Flight
 	speed         *speed
-	steps         *atomic.Uint64
+	progress      *atomic.Uint64
 	lastTokenAt   time.Time
 	stallTimer    *time.Timer
 	stallTimeout  time.Duration
@@ -224,12 +224,12 @@
 func (r *modelRelay) recordToken() {
 	now := time.Now()
 	if r.nextIndex > r.job.Resume {
-		r.speed.step.add(now.Sub(r.lastTokenAt))
+		r.speed.tokenTime.add(now.Sub(r.lastTokenAt))
 	}
 	r.lastTokenAt = now
 	r.flight.Token(1)
 	r.stallTimer.Reset(r.stallTimeout)
-	r.steps.Add(1)
+	r.progress.Add(1)
 }
 
 // send writes r.event to the entry.
--- a/internal/node/slot/once.go
+++ b/internal/node/slot/once.go
@@ -14,7 +14,7 @@
 )
 
 // runOnce runs a request that must not be repeated. It starts only if this attempt holds the claim on the request's key.
-func (s *Slot) runOnce(ctx context.Context, x *httpserver.Exchange, j *job) error {
+func (s *Slot) runOnce(ctx context.Context, x *httpserver.Exchange, j *incomingAttempt) error {
 	if j.Key == "" {
 		return refuse(failure.CodeKeyRequired, nil)
 	}
@@ -58,7 +58,7 @@
 	return err
 }
 
-func claimOf(j *job, now time.Time) claims.Request {
+func claimOf(j *incomingAttempt, now time.Time) claims.Request {
 	return claims.Request{
 		Client:    j.Client,
 		Service:   j.Service,
--- a/internal/node/slot/orders.go
+++ b/internal/node/slot/orders.go
@@ -38,7 +38,7 @@
 	lastDelivered ids.Fence
 }
 
-// run polls for orders until ctx ends.
+// run polls for orders until ctx is done.
 func (o *orders) run(ctx context.Context) {
 	tick := time.NewTicker(ordersInterval)
 	defer tick.Stop()
--- a/internal/node/slot/plain.go
+++ b/internal/node/slot/plain.go
@@ -15,7 +15,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/policy/attempt"
 )
 
-// maxResponseBytes is the maximum size of the body of a plain service's response that is forwarded.
+// maxResponseBytes is the maximum size of an upstream's response that is read in full.
 const maxResponseBytes = 4 << 20
 
 // plainResponse is the complete response of a plain service.
@@ -27,19 +27,19 @@
 
 // forwardPlain runs an attempt on the plain service and forwards the response once it is complete: a truncated response
 // would look like a complete document to the caller.
-func (s *Slot) forwardPlain(ctx context.Context, x *httpserver.Exchange, j *job) error {
-	a, err := s.callPlain(ctx, j)
+func (s *Slot) forwardPlain(ctx context.Context, x *httpserver.Exchange, j *incomingAttempt) error {
+	res, err := s.callPlain(ctx, j)
 	if err != nil {
 		return err
 	}
-	return respondPlain(x, j, a)
+	return respondPlain(x, j, res)
 }
 
-func respondPlain(x *httpserver.Exchange, j *job, a *plainResponse) error {
-	return x.Respond(a.status, []httpserver.Header{attemptHeader(j.Attempt), {Name: "Content-Type", Value: a.mime}}, a.body)
+func respondPlain(x *httpserver.Exchange, j *incomingAttempt, res *plainResponse) error {
+	return x.Respond(res.status, []httpserver.Header{attemptHeader(j.Attempt), {Name: "Content-Type", Value: res.mime}}, res.body)
 }
 
-func (s *Slot) callPlain(ctx context.Context, j *job) (*plainResponse, error) {
+func (s *Slot) callPlain(ctx context.Context, j *incomingAttempt) (*plainResponse, error) {
 	flight := s.work.start(j.Attempt.Entry, estimateOf(j), time.Now())
 	defer flight.End()
 	sent := time.Now()
@@ -51,17 +51,17 @@
 	}
 	reusable := false
 	defer func() { res.Release(reusable) }()
-	a, err := readPlain(j, res)
+	out, err := readPlain(j, res)
 	if err != nil {
 		return nil, failure.New(failure.CodeUpstreamFailed, err)
 	}
 	reusable = true
-	s.speed.step.add(time.Since(sent))
-	s.steps.Add(1)
-	return a, nil
+	s.speed.tokenTime.add(time.Since(sent))
+	s.progress.Add(1)
+	return out, nil
 }
 
-func plainRequest(j *job) *fasthttp.Request {
+func plainRequest(j *incomingAttempt) *fasthttp.Request {
 	req := fasthttp.AcquireRequest()
 	req.Header.SetMethod(j.Method)
 	req.SetRequestURI(j.Target)
@@ -80,7 +80,7 @@
 	return req
 }
 
-func readPlain(j *job, res *httpclient.Response) (*plainResponse, error) {
+func readPlain(j *incomingAttempt, res *httpclient.Response) (*plainResponse, error) {
 	// If the service echoes the request id, a response to another request is detected here. If it does not, the response
 	// is assumed to belong to this one, since httpclient never shares a connection between concurrent requests.
 	if id := string(res.Header.Peek(engineHeaderID)); id != "" && id != j.Attempt.String() {
--- a/internal/node/slot/slot.go
+++ b/internal/node/slot/slot.go
@@ -1,7 +1,7 @@
 // Package slot implements the process that runs on the same host as an upstream and is the only one that sends it
 // requests and orders.
 //
-// A slot refuses attempts that must not start: fenced ones, those decided on a stale configuration, those past their
+// A slot refuses attempts that must not start: fenced ones, those based on a stale configuration, those past their
 // deadline and, while it drains, all. It starts each of the others exactly once, matches the upstream's response to its
 // attempt and reports the upstream's load to the entries.
 package slot
@@ -57,8 +57,9 @@
 	upstream       upstreamMonitor
 	stopClaims     context.CancelFunc
 	speed          speed
-	// steps counts the tokens and responses of the upstream. Entries detect a stall if it does not advance.
-	steps    atomic.Uint64
+	// progress counts the tokens and responses of the upstream; on the wire it is called steps. Entries detect a stall if
+	// it does not advance.
+	progress atomic.Uint64
 	draining atomic.Bool
 	server   *httpserver.Server
 	digests  *digests
@@ -67,8 +68,8 @@
 // claimTimeout is the time after which the response to a claim transaction counts as lost.
 const claimTimeout = 500 * time.Millisecond
 
-// defaultQuarantine is the quarantine period until a configuration is loaded.
-const defaultQuarantine = 10 * time.Minute
+// defaultQuarantinePeriod is the quarantine period until a configuration is loaded.
+const defaultQuarantinePeriod = 10 * time.Minute
 
 // defaultLoops is the number of event loops of a slot's listener.
 const defaultLoops = 1
@@ -121,7 +122,7 @@
 func quarantinePeriod(c config.Source) time.Duration {
 	snap := c.Current()
 	if snap == nil {
-		return defaultQuarantine
+		return defaultQuarantinePeriod
 	}
 	return time.Duration(snap.Proto.GetPolicies().GetQuarantineS()) * time.Second
 }
@@ -145,7 +146,7 @@
 	return err
 }
 
-// Kill stops the slot immediately, as a crash would. It is for tests.
+// Kill stops the slot immediately, as a crash would.
 func (s *Slot) Kill() {
 	s.stopClaims()
 	s.digests.stop()
--- a/internal/node/slot/speed.go
+++ b/internal/node/slot/speed.go
@@ -8,7 +8,7 @@
 
 // speed holds the moving average of the time between an engine's tokens, or of the response time of a plain service. It
 // is safe for concurrent use.
-type speed struct{ step average }
+type speed struct{ tokenTime average }
 
 // average is an exponentially weighted moving average of times, in nanoseconds.
 type average struct{ bits atomic.Uint64 }
--- a/internal/node/slot/upstream.go
+++ b/internal/node/slot/upstream.go
@@ -21,15 +21,15 @@
 	// probeInterval is the interval at which the slot probes its upstream; probeTimeout bounds one probe.
 	probeInterval = 250 * time.Millisecond
 	probeTimeout  = time.Second
-	// loadPath is the engine's path for load reports, which include the id of its process.
+	// loadPath is the engine's path for load reports, which include the start id of its process.
 	loadPath = "/v1/load"
 	// maxDigestSuspects is the maximum number of suspects per digest; more would not fit into its datagram.
 	maxDigestSuspects = 4
 )
 
-// acquirePermit waits for permission to run the job on the upstream. A suspected request may have to wait, or is refused
-// before its start.
-func (s *Slot) acquirePermit(ctx context.Context, j *job) (*quarantine.Permit, error) {
+// acquirePermit waits for permission to run the attempt on the upstream. A suspected request may have to wait, or is
+// refused before its start.
+func (s *Slot) acquirePermit(ctx context.Context, j *incomingAttempt) (*quarantine.Permit, error) {
 	r := quarantine.Running{
 		Fingerprint: quarantine.FingerprintOf(j.Client, sha256.Sum256(j.body)),
 		Client:      j.Client,
@@ -65,7 +65,7 @@
 	start atomic.Pointer[string]
 }
 
-// run probes the upstream until ctx ends.
+// run probes the upstream until ctx is done.
 func (m *upstreamMonitor) run(ctx context.Context, s *Slot) {
 	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
@@ -84,8 +84,8 @@
 	Start string `json:"start"`
 }
 
-// check probes the upstream. The upstream has crashed since the last probe if it newly refuses connections, or if its
-// process id has changed. If requests were running on it, the crash is counted and reported to the entries.
+// check probes the upstream. The upstream has crashed since the last probe if it newly refuses connections, or if the
+// start id of its process has changed. If requests were running on it, the crash is counted and reported to the entries.
 func (m *upstreamMonitor) check(s *Slot) {
 	start, err := s.probeUpstream()
 	var dial *httpclient.DialError
@@ -103,7 +103,7 @@
 	}
 }
 
-// probeUpstream returns the id of the engine's process, or "" if it reports none. For a plain service it only opens a
+// probeUpstream returns the start id of the engine's process, or "" if it reports none. For a plain service it only opens a
 // connection: a plain service has no path that is known to be free of side effects, so a request would be a real call,
 // possibly one that must not be repeated.
 func (s *Slot) probeUpstream() (string, error) {
