--- a/internal/base/httpclient/client_test.go
+++ b/internal/base/httpclient/client_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// The upstream sends a response twice, and the copy remains on the connection. If the connection were reused, the next
-// caller would receive the response to another request; it must be closed instead.
+// Guards against delivering a response to another request. The upstream sends a response twice, and the copy remains on
+// the connection; if the connection were reused, the next caller would receive it. The connection must be closed.
 func TestDuplicateResponseNeverReachesNextRequest(t *testing.T) {
 	p := startPeer(t, responseA+responseA, responseB)
 	c := httpclient.New(httpclient.Options{})
@@ -118,7 +118,7 @@
 	}
 }
 
-// The upstream closes an idle connection. It must not be reused, or the outcome of the next request would be unknown.
+// Guards against an unknown outcome because a request was sent on an idle connection that the upstream has closed.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	p := startPeer(t, responseA, "", responseB)
 	c := httpclient.New(httpclient.Options{})
@@ -136,7 +136,7 @@
 	}
 }
 
-// The connection breaks in mid-response. The caller must get an error and not a short response.
+// Guards against a truncated response that looks complete to the caller, after the connection broke in mid-response.
 func TestTruncatedResponseIsAnError(t *testing.T) {
 	tests := map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nA",
@@ -168,8 +168,8 @@
 	}
 }
 
-// A failed connect must be a DialError, which means that nothing was sent. Only then may the caller be told "not run"
-// without asking any slot.
+// Guards against a failed connect that is not reported as DialError, which means that nothing was sent. Only then may
+// the response promise "not run" without a fence request to the slot.
 func TestFailedConnectIsADialError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -184,8 +184,8 @@
 	}
 }
 
-// The caller disconnects while the response body is read. The read must fail immediately and the connection must not be
-// reused.
+// Guards against a read that continues, and a connection that is reused, after the caller disconnected while the
+// response body was read.
 func TestContextCancelAbortsBodyRead(t *testing.T) {
 	p := startPeer(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nA\r\n", responseB)
 	c := httpclient.New(httpclient.Options{})
--- a/internal/base/httpserver/outbox_test.go
+++ b/internal/base/httpserver/outbox_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// A burst of a long stream outgrows the buffer kept for reuse, and the stream goes on while the event loop sends the next
-// piece. If a buffer that is being sent were reused, the caller would receive bytes of later pieces in place of earlier
-// ones.
+// Guards against sending bytes of later pieces in place of earlier ones. A burst of a long stream outgrows the buffer
+// kept for reuse, and the stream goes on while the event loop sends the next piece; the buffer that is being sent must
+// not be reused.
 func TestFlushedBufferIsNotOverwritten(t *testing.T) {
 	var o outbox
 	send := func(text string, during string) {
--- a/internal/base/httpserver/server_test.go
+++ b/internal/base/httpserver/server_test.go
@@ -131,8 +131,8 @@
 	expectBody(t, r, "ok")
 }
 
-// The caller pipelines two requests on one connection. Both responses must arrive in order: the second request must not
-// start before the first response is sent, and must not be lost.
+// Guards against responses out of order and against a lost request, when the caller pipelines two requests on one
+// connection: the second must not start before the first response is sent.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	_, address := start(t, httpserver.Limits{}, func(_ context.Context, x *httpserver.Exchange) {
 		if string(x.Req.URI().Path()) == "/slow" {
@@ -147,8 +147,8 @@
 	expectBody(t, r, "/fast")
 }
 
-// The caller disconnects in mid-stream. Unless the handler's context is cancelled, the engine keeps working on a response
-// that no caller receives.
+// Guards against an engine that keeps working on a response that no caller receives. The caller disconnects in
+// mid-stream, which must cancel the handler's context.
 func TestDisconnectCancelsRequest(t *testing.T) {
 	cancelled := make(chan struct{})
 	_, address := start(t, httpserver.Limits{}, func(ctx context.Context, x *httpserver.Exchange) {
@@ -166,8 +166,8 @@
 	<-cancelled
 }
 
-// The handler returns in mid-stream. The connection must be closed without the last chunk, so that the caller sees a
-// truncated response. On an open connection it would wait forever.
+// Guards against a caller that waits forever because the handler returned in mid-stream and the connection stayed open.
+// It must be closed without the last chunk, so that the caller sees a truncated response.
 func TestUnfinishedStreamClosesConnection(t *testing.T) {
 	_, address := start(t, httpserver.Limits{}, func(ctx context.Context, x *httpserver.Exchange) {
 		_ = x.Stream(http.StatusOK, nil)
@@ -183,8 +183,8 @@
 	}
 }
 
-// The caller does not read its stream. The writer must block and, after the write timeout, the connection must be closed
-// and the request cancelled. Otherwise one slow reader could fill the entry's memory.
+// Guards against a caller that fills the entry's memory by not reading its stream. The writer must block and, after the
+// write timeout, the connection must be closed and the request cancelled.
 func TestSlowReaderIsDisconnected(t *testing.T) {
 	limits := httpserver.Limits{MaxUnreadBytes: 64 << 10, WriteTimeout: settings.Duration(300 * time.Millisecond)}
 	written := make(chan int, 1)
@@ -205,7 +205,7 @@
 	}
 }
 
-// A server that drains must complete the running requests and truncate no response.
+// Guards against truncated responses when a server drains: it must complete the running requests.
 func TestDrainCompletesRunningRequests(t *testing.T) {
 	entered := make(chan struct{})
 	release := make(chan struct{})
--- a/internal/base/keys/keys_test.go
+++ b/internal/base/keys/keys_test.go
@@ -120,11 +120,12 @@
 	}
 }
 
-// A caller without a certificate, with one of another authority or with an expired one calls a node, and an operator
-// impersonates a node. No such call may succeed, and the impostor must not receive requests meant for a node.
+// Guards against a call that succeeds with no certificate, one of another authority or an expired one, and against an
+// operator that impersonates a node and receives requests meant for it.
 //
-// The node refuses a certificate only after the caller has sent it. A caller that is writing its request at that time may
-// find the connection closed before it reads the reason: it then sees a network error, never a response of the handler.
+// The node refuses a certificate only after the caller has sent it. A caller that is writing its request at that time
+// may find the connection closed before it reads the reason: it then sees a network error, never a response of the
+// handler.
 func TestInvalidCertificatesAreRefused(t *testing.T) {
 	ca := keystest.New(t)
 	good := ca.Issue("ana", keys.RoleForce)
@@ -153,8 +154,9 @@
 	}
 }
 
-// The authority is replaced while the process runs. While the certificate is new and its key still old, the old pair must
-// stay in use. After that, certificates of the new authority must work without a restart, and old ones must be refused.
+// Guards against downtime when the authority is replaced while the process runs. While the certificate is new and its
+// key still old, the old pair must stay in use. After that, certificates of the new authority must work without a
+// restart, and old ones must be refused.
 func TestReload(t *testing.T) {
 	old, next := keystest.New(t), keystest.New(t)
 	files := old.Issue("e1", keys.RoleNode)
--- a/internal/base/logging/ratelimited_test.go
+++ b/internal/base/logging/ratelimited_test.go
@@ -12,8 +12,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/logging"
 )
 
-// The load triples for a second. The log must stay within its limit, and the first line of the next second must report
-// how many lines were suppressed.
+// Guards against a log that exceeds its limit, or hides that lines are missing, when the load triples for a second. The
+// first line of the next second must report how many lines were suppressed.
 func TestRateLimitedSuppressesAndCounts(t *testing.T) {
 	now := time.Unix(0, 0)
 	var out bytes.Buffer
@@ -42,8 +42,8 @@
 
 var _ io.Writer = blockedWriter{}
 
-// The process that reads the log stops, and the pipe is full. Requests that log must continue: lines that do not fit the
-// queue are dropped and counted. The test hangs if a line waits for the reader.
+// Guards against requests that hang because the process that reads the log has stopped and the pipe is full. Lines that
+// do not fit the queue must be dropped and counted. The test hangs if a line waits for the reader.
 func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	const queue, lines = 8, 1000
 	out := blockedWriter{make(chan struct{})}
--- a/internal/base/monotonic/pausedetector_test.go
+++ b/internal/base/monotonic/pausedetector_test.go
@@ -7,7 +7,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/monotonic"
 )
 
-// A paused host resumes and forwards requests that its callers have already cancelled. To prevent that, Observe must
+// Guards against a paused host that resumes and forwards requests that its callers have already cancelled. Observe must
 // report the pause while requests that arrived during it may still be read.
 func TestPauseDetectorReportsRecentPause(t *testing.T) {
 	begin := time.Unix(100, 0)
--- a/internal/base/settings/watch_test.go
+++ b/internal/base/settings/watch_test.go
@@ -19,8 +19,9 @@
 // Check implements settings.Checker.
 func (n *named) Check() error { return settings.CheckName("$.name", n.Name, "a name") }
 
-// An operator writes invalid settings, triggers a reload, and corrects them. The process must keep its settings, report
-// the error and apply the corrected settings. A signal without a change must be reported as such.
+// Guards against losing the settings in use when an operator writes invalid ones, triggers a reload, and corrects them.
+// The process must keep its settings, report the error and apply the corrected settings. A signal without a change must
+// be reported as such.
 func TestWatcherRejectsInvalidSettings(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.yaml")
 	write := func(text string) {
--- a/internal/base/tracing/tracing_test.go
+++ b/internal/base/tracing/tracing_test.go
@@ -36,8 +36,8 @@
 	return out
 }
 
-// Two processes share a trace through the traceparent header alone. The slot's span must be a child of the entry's
-// span, and both must belong to the trace that the caller started.
+// Guards against a trace that is split between two processes, which share it through the traceparent header alone. The
+// slot's span must be a child of the entry's span, and both must belong to the trace that the caller started.
 func TestSpansOfTwoProcessesShareOneTrace(t *testing.T) {
 	const caller = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 	file := filepath.Join(t.TempDir(), "spans.json")
@@ -69,7 +69,8 @@
 	}
 }
 
-// Without an exporter no span is recorded, but the caller's trace context must still reach the engine.
+// Guards against losing the caller's trace context on its way to the engine when no exporter is set and no span is
+// recorded.
 func TestTraceContextIsForwardedWithoutExporter(t *testing.T) {
 	const caller = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 	tr, err := tracing.New(t.Context(), "entry", tracing.Options{})
--- a/internal/node/agent/agent_test.go
+++ b/internal/node/agent/agent_test.go
@@ -121,8 +121,9 @@
 	return lockstep.Order{Op: lockstep.OpPrepare, Epoch: 1, Version: version, Placement: p, Wait: wait}
 }
 
-// A leader prepares three maps in sequence and sends the second as a difference. Then the agent is replaced by one
-// without a base map, which must get the third in full. With a wrong base the rank would have a mixture of two maps.
+// Guards against a rank with a mixture of two maps, because a difference was applied to a wrong base. A leader prepares
+// three maps in sequence and sends the second as a difference. Then the agent is replaced by one without a base map,
+// which must get the third in full.
 func TestMapDifferenceYieldsFullMap(t *testing.T) {
 	r := &fakeRank{}
 	h := startHost(t, r)
@@ -147,8 +148,8 @@
 	}
 }
 
-// A rank does not reply to its first orders and takes time to prepare the map. The agent must retry the order and reply
-// once the map is prepared, so that the gateway sends it only once.
+// Guards against a gateway that must send an order more than once, because the rank does not reply to its first orders
+// and takes time to prepare the map. The agent must retry the order and reply once the map is prepared.
 func TestAgentRepliesOnceMapIsPrepared(t *testing.T) {
 	r := &fakeRank{losses: 2, prepareAfter: 3}
 	h := startHost(t, r)
@@ -162,8 +163,8 @@
 	}
 }
 
-// A rank does not reply to its first orders. Without retries by the agent the group would be paused for the full
-// call timeout at each of them.
+// Guards against a group that is paused for the full call timeout at each order without a reply. A rank does not reply
+// to its first orders, and the agent must retry them.
 func TestAgentRetriesLostOrderWithinOneCall(t *testing.T) {
 	for _, op := range []lockstep.Op{lockstep.OpPrepare, lockstep.OpArm, lockstep.OpDisarm} {
 		r := &fakeRank{losses: 3, lossDelay: time.Minute}
@@ -180,8 +181,7 @@
 	}
 }
 
-// A rank is disarmed while the agent still retries the order to arm it. The retries must end, because they would arm
-// the rank again.
+// Guards against arming a rank again after it was disarmed, because the agent still retries the order to arm it.
 func TestNewOrderEndsRetriesOfPreviousOrder(t *testing.T) {
 	r := &fakeRank{ignoredOp: lockstep.OpArm, lossDelay: time.Minute}
 	h := startHost(t, r)
@@ -204,7 +204,7 @@
 	}
 }
 
-// The rank does not reply and the order allows no wait. The agent must report the reply as lost.
+// Guards against a lost reply that is not reported as lost. The rank does not reply and the order allows no wait.
 func TestAgentReportsLostReply(t *testing.T) {
 	r := &fakeRank{losses: 1}
 	h := startHost(t, r)
--- a/internal/node/agent/backoff_test.go
+++ b/internal/node/agent/backoff_test.go
@@ -7,9 +7,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// All hosts restart at the same time, and a gateway calls an agent before it listens. While the rank is reached
-// directly its reports lag, which delays the first map. So the backoff must start short and double, and a response must
-// end it.
+// Guards against a late first map after all hosts restart at the same time: a gateway calls an agent before it listens,
+// and while the rank is reached directly its reports lag. So the backoff must start short and double, and a response
+// must end it.
 func TestBackoffForStartingAgent(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := backoff{}
--- a/internal/node/daemon/node_test.go
+++ b/internal/node/daemon/node_test.go
@@ -51,9 +51,9 @@
 	}}, nil
 }
 
-// A node starts while the table is down and can get the configuration only from a seed, by RPC. It must succeed with a
-// valid node certificate. The seed must refuse a certificate of another authority, one of an operator, and a client
-// without a certificate.
+// Guards against a node that gets no configuration when it starts while the table is unavailable and can only get it
+// from a seed, by RPC, and against a seed that gives it to a caller with a certificate of another authority, with one
+// of an operator, or without one.
 func TestSeedServesConfigurationOnlyToNodeCertificates(t *testing.T) {
 	srv := httptest.NewServer(standin.Handler(standin.NewStore(standin.Limits{})))
 	t.Cleanup(srv.Close)
--- a/internal/node/gateway/groupwatch_test.go
+++ b/internal/node/gateway/groupwatch_test.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// A service has three ranks, and a group takes two. The third refuses every request, therefore looks idle, and would
-// get the next request as well, so callers are refused although a group could serve them. It must stay closed until its
-// own report says that its group is open, while the two others continue.
+// Guards against refusals by a service that could serve. It has three ranks, and a group needs two. The third refuses
+// every request, therefore looks idle, and would get the next request as well. It must stay closed until it reports
+// that its group is open, while the two others continue.
 func TestSpareRankIsClosedAlone(t *testing.T) {
 	ranks := &fakeRanks{size: 2, closed: map[ids.Upstream]bool{"u-2": true}}
 	w, list := newTestWatch(t, ranks, 3)
@@ -114,9 +114,9 @@
 	return !w.watching && len(w.ranksWatched) == 1 && w.ranksWatched[u.Incarnation()]
 }
 
-// While a rank is replaced, the registry lists both the new and the old one, so that there are more ranks than one
-// group takes, and the only group is broken. Tried one by one, each rank would refuse a request. None may get one until
-// the group is open.
+// Guards against requests that each rank of a broken group refuses in turn. While a rank is replaced, the registry
+// lists both the new and the old one, so that there are more ranks than one group needs, and the only group is broken.
+// No rank may get a request until the group is open.
 func TestBrokenGroupWithSpareRankIsClosedEntirely(t *testing.T) {
 	ranks := &fakeRanks{size: 2, closed: map[ids.Upstream]bool{"u-0": true, "u-1": true, "u-2": true}}
 	w, list := newTestWatch(t, ranks, 3)
@@ -137,8 +137,8 @@
 	}
 }
 
-// All ranks of the only group stall when one of them dies, and each would refuse requests. Requests must wait for the
-// group as a whole, and are placed when a rank reports that it is open again.
+// Guards against refusals while the ranks of the only group stall because one of them has died. Requests must wait for
+// the group as a whole, and are placed when a rank reports that it is open again.
 func TestBrokenGroupIsClosedEntirely(t *testing.T) {
 	ranks := &fakeRanks{size: 2, closed: map[ids.Upstream]bool{"u-0": true, "u-1": true}}
 	w, list := newTestWatch(t, ranks, 2)
--- a/internal/node/gateway/move_test.go
+++ b/internal/node/gateway/move_test.go
@@ -22,9 +22,9 @@
 	return w
 }
 
-// One rank of a group is slowed down twelvefold, another twofold; all callers wait for the first in each pass. Its
-// streams must be moved, as many as the retry budget allows, and no others: a stream that could not be sent again would
-// be truncated.
+// Guards against a very slow rank that delays all callers of its group: one rank is slowed down twelvefold, another
+// twofold, and all callers wait for the first in each pass. Its streams must be moved, as many as the retry budget
+// allows, and no others: a stream that could not be sent again would be truncated.
 func TestStreamsAreMovedFromVerySlowRank(t *testing.T) {
 	s := &service{group: &groupWatch{}, budget: retryBudget(2)}
 	m := newMoves()
@@ -52,7 +52,7 @@
 	}
 }
 
-// A stream that may not be resumed, or has no attempt left, must not be moved and ends where it is.
+// Guards against moving a stream that may not be resumed, or has no attempt left. It ends where it is.
 func TestOnlyResumableStreamsMayMove(t *testing.T) {
 	s := &service{group: &groupWatch{}, budget: retryBudget(9)}
 	last := movableRun(s, true)
@@ -74,8 +74,8 @@
 	}
 }
 
-// Moving a stream has already consumed its share of the retry budget, so the stream must be retried even if the budget
-// is used up.
+// Guards against a moved stream that is truncated because the retry budget is used up. Moving it has already consumed
+// its share of the budget.
 func TestMovedStreamIsRetriedWithoutBudget(t *testing.T) {
 	n := movableRun(&service{group: &groupWatch{}, budget: retryBudget(0)}, true)
 	n.r.route.Kind = catalog.KindStream
--- a/internal/node/gateway/pause_test.go
+++ b/internal/node/gateway/pause_test.go
@@ -21,8 +21,8 @@
 	return Call{HasRemaining: true, Remaining: d.remaining}, nil
 }
 
-// A gateway resumes after a pause of four seconds and sends an upstream a request that its caller cancelled long ago,
-// because the header still states remaining time.
+// Guards against sending an upstream a request that its caller cancelled long ago. A gateway resumes after a pause of
+// four seconds, and the header still states remaining time; the pause must count as age of the request.
 func TestProcessPauseCountsAsRequestAge(t *testing.T) {
 	service := &catalog.Service{Name: "s"}
 	route := &catalog.Route{Name: "r", Host: "h", Prefix: "/", Timeout: 8 * time.Second, Services: []catalog.WeightedService{{Service: "s", Weight: 1}}}
--- a/internal/node/gateway/peers_test.go
+++ b/internal/node/gateway/peers_test.go
@@ -20,9 +20,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/replica"
 )
 
-// A gateway's host has its wall clock ahead, the gateway starts, the clock is set back, and the gateway restarts. Its
-// new incarnation sorts before the old one. Peers must accept it once the old one is silent, or callers do not get its
-// address for half a minute. A late digest of a dead incarnation must not bring that one back.
+// Guards against a restarted gateway whose address callers do not get for half a minute. Its host's wall clock was
+// ahead at the first start and then set back, so the new incarnation sorts before the old one. Peers must accept it
+// once the old one is unresponsive; a late digest of a dead incarnation must not bring that one back.
 func TestEarlierIncarnationReplacesSilentPeer(t *testing.T) {
 	seen := time.Unix(1000, 0)
 	digest := func(incarnation string, sequence uint64) *cardamomyokev1.Digest {
@@ -47,8 +47,8 @@
 	}
 }
 
-// All gateways restart together, and the lease names one from which this gateway has received no message yet. Taking
-// over the duty would depose a leader that is alive, and the next gateway would do the same.
+// Guards against replacing a leader that is alive. All gateways restart together, and the lease names one from which
+// this gateway has received no message yet. If it took over the duty, the next gateway would do the same.
 func TestUnknownLeaderIsNotDead(t *testing.T) {
 	g := &Gateway{}
 	g.settings.Store(&Settings{Name: "own"})
@@ -74,8 +74,8 @@
 	}
 }
 
-// A leader of many gateways is busy as all restart, one of them receives no message from it for half a second, and
-// takes over its duty.
+// Guards against taking over the duty of a leader that is only busy. It leads many gateways that all restart, and one
+// of them receives no message from it for half a second.
 func TestBusyLeaderOfManyIsNotDead(t *testing.T) {
 	now := time.Now()
 	g := &Gateway{}
@@ -135,9 +135,8 @@
 	}, f
 }
 
-// The configuration changes. The nearest gateway announces the change as well, but returns nothing when pulled. Callers
-// would be served by the old configuration for as long as it is the nearest, so the sender of the digest must be pulled
-// next.
+// Guards against serving callers by an old configuration. The configuration changes, and the nearest gateway announces
+// the change as well, but returns nothing when pulled, so the sender of the digest must be pulled next.
 func TestPullFallsBackToSenderOfDigest(t *testing.T) {
 	p, f := laggingGateway(t, 80)
 	local := &fakePeer{response: &cardamomyokev1.PullResponse{}}
@@ -152,8 +151,8 @@
 	}
 }
 
-// No peer delivers a change that all announce. The gateway must not report that a route does not exist, which callers
-// would treat as final, and it must follow the store itself after some pulls.
+// Guards against reporting that a route does not exist, which callers would treat as final, while no peer delivers a
+// change that all announce. The gateway must follow the store itself after some pulls.
 func TestLaggingGatewayFollowsStoreItself(t *testing.T) {
 	p, f := laggingGateway(t, 80)
 	late := time.Now().Add(maxReplicaLag + time.Second)
@@ -187,7 +186,7 @@
 	}
 }
 
-// Peers announce a change that precedes this gateway's full read of the table. It must pull it from no peer.
+// Guards against needless pulls: peers announce a change that precedes this gateway's full read of the table.
 func TestVersionCoveredByFullReadIsNotPulled(t *testing.T) {
 	p, f := laggingGateway(t, 80)
 	f.Replica.Load([]platform.Row{{Key: "config", Version: 80}}, 95)
@@ -198,8 +197,8 @@
 	}
 }
 
-// The digest of a busy gateway arrives in parts, or a probe arrives between two digests. If that lost the gateway's
-// work, its peers would count too little and send more to upstreams that are full.
+// Guards against losing a busy gateway's work, because its digest arrives in parts or a probe arrives between two
+// digests. Its peers would count too little and send more to upstreams that are full.
 func TestDigestPartsAndProbesKeepPeerWork(t *testing.T) {
 	now := time.Unix(1000, 0)
 	part := func(sequence uint64, index, upstream uint32) *cardamomyokev1.Digest {
@@ -236,8 +235,8 @@
 	}
 }
 
-// Changes arrive faster than consecutive pulls, and each pull delivers the last change but one. If that counted as lag,
-// all gateways would call the store permanently.
+// Guards against all gateways calling the store permanently, because changes arrive faster than consecutive pulls. Each
+// pull delivers the last change but one, which must not count as lag.
 func TestReplicaThatKeepsUpHasNoLag(t *testing.T) {
 	p, f := laggingGateway(t, 80)
 	for version := uint64(81); version < 120; version++ {
--- a/internal/node/gateway/settings_test.go
+++ b/internal/node/gateway/settings_test.go
@@ -31,8 +31,8 @@
   retries: {ratio: 0.2, extra: 90, window: 10s}
 `
 
-// An operator switches a mechanism off, and then one whose name has a typo. The latter must be refused with the list of
-// valid names, and not leave the intended mechanism on.
+// Guards against a mechanism that stays enabled because an operator disabled it under a name with a typo. Such a name
+// must be refused with the list of valid names.
 func TestMechanismsAreDisabledByName(t *testing.T) {
 	var set Settings
 	if err := settings.Parse("off", []byte(settingsText+"off: [late-reading, moves]\n"), &set); err != nil {
@@ -50,7 +50,8 @@
 	}
 }
 
-// An operator prints the settings of a gateway, changes a key in the output, and uses the result.
+// Guards against printed settings that cannot be read again. An operator prints the settings of a gateway, changes a
+// key in the output, and uses the result.
 func TestPrintedSettingsCanBeRead(t *testing.T) {
 	var set, again Settings
 	if err := settings.Parse("first", []byte(settingsText), &set); err != nil {
--- a/internal/node/gateway/shutdown_test.go
+++ b/internal/node/gateway/shutdown_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A caller sends a request 3.3 s after the gateway's SIGTERM, long after its address was last given out. The stream
-// takes longer than the rest of the grace time and is truncated. Requests must be accepted only as long as callers
-// cache a directory response, and then be refused immediately.
+// Guards against truncating a stream that takes longer than the rest of the grace time. A caller sends its request 3.3
+// s after the gateway's SIGTERM, long after its address was last given out. Requests must be accepted only as long as
+// callers cache a directory response, and then be refused immediately.
 func TestLeavingPeriod(t *testing.T) {
 	for _, c := range []struct{ grace, directoryTTL, want time.Duration }{
 		{8 * time.Second, time.Second, 2800 * time.Millisecond},
--- a/internal/node/gateway/suspects_test.go
+++ b/internal/node/gateway/suspects_test.go
@@ -44,8 +44,9 @@
 
 func refuseDial(context.Context, string) error { return syscall.ECONNREFUSED }
 
-// Connections break under a request at several upstreams. Only upstreams that crashed count against the request: one
-// that still listens has only lost a response, and one that does not respond may be partitioned.
+// Guards against refusing a harmless request because connections broke under it at several upstreams. Only upstreams
+// that crashed count against it: one that still listens has only lost a response, and one that does not respond may be
+// partitioned.
 func TestOnlyCrashesCountAgainstRequest(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -70,8 +71,8 @@
 	}
 }
 
-// One crash breaks the same request twice, because it was sent again before the crash was detected, and two gateways
-// report it. It must count as one crash, or an innocent request would be refused.
+// Guards against refusing a harmless request because one crash counts several times: it breaks the same request twice,
+// which was sent again before the crash was detected, and two gateways report it.
 func TestCrashIsCountedOnce(t *testing.T) {
 	s, other := newSuspects(log.NewNopLogger()), newSuspects(log.NewNopLogger())
 	s.dial, other.dial = refuseDial, refuseDial
@@ -85,8 +86,8 @@
 	}
 }
 
-// Two upstreams crash for other reasons while a request runs there. Sent again, it completes, which shows that it is
-// harmless: at the next crash the earlier ones must not count.
+// Guards against counting earlier crashes against a request that is harmless. Two upstreams crash for other reasons
+// while it runs there; sent again, it completes, so at the next crash the earlier ones must not count.
 func TestCompletedRequestIsCleared(t *testing.T) {
 	s := newSuspects(log.NewNopLogger())
 	s.dial = refuseDial
@@ -100,7 +101,8 @@
 	}
 }
 
-// A request is refused with the time from which it may be tried once more, which is after its last crash.
+// Guards against a refusal that does not end, or ends before it said. A request is refused with the time from which it
+// may be tried once more, which is after its last crash.
 func TestQuarantineExpires(t *testing.T) {
 	s := newSuspects(log.NewNopLogger())
 	s.dial = refuseDial
@@ -118,9 +120,9 @@
 	}
 }
 
-// A request crashes an upstream three times in a row, and each time the upstream is back under its id before the check
-// whether it listens. Each new incarnation in the registry proves a crash, and the third must refuse the request. The
-// check alone would count none.
+// Guards against missing a crash because the upstream is back under its id before the check whether it listens, which
+// alone would count none. A request crashes an upstream three consecutive times. Each new incarnation in the registry
+// proves a crash, and the third must refuse the request.
 func TestRestartWithSameIDCountsAsCrash(t *testing.T) {
 	s := newSuspects(log.NewNopLogger())
 	s.dial = func(context.Context, string) error { return nil }
@@ -138,8 +140,8 @@
 	}
 }
 
-// A connection breaks under a request, and long afterwards its upstream restarts for another reason. That must count
-// against no request.
+// Guards against counting a restart for another reason against a request whose connection to that upstream broke long
+// before.
 func TestLateRestartIsNotACrash(t *testing.T) {
 	s := newSuspects(log.NewNopLogger())
 	s.dial = func(context.Context, string) error { return nil }
--- a/internal/node/host/settings_test.go
+++ b/internal/node/host/settings_test.go
@@ -20,7 +20,7 @@
 	return string(text)
 }
 
-// The shared settings must be checked for entries and for slots, and unknown keys must be refused for both.
+// Guards against shared settings that are checked for only one of entries and slots, or accept unknown keys.
 func TestSettingsOfEntriesAndSlots(t *testing.T) {
 	newEntry := func() settings.Checker { return &entry.Settings{} }
 	newSlot := func() settings.Checker { return &slot.Settings{} }
--- a/internal/node/slot/orders_test.go
+++ b/internal/node/slot/orders_test.go
@@ -87,8 +87,8 @@
 	return l.Table.Get(ctx, keys...)
 }
 
-// An operator replaced an order, and a stale read returns the old one to the slot again. An engine that ignores fencing
-// tokens would go back to the old version, so the slot must refuse to send it.
+// Guards against going back to an old version. An operator replaced an order, and a stale read returns the old one to
+// the slot again. The engine ignores fencing tokens, so the slot must refuse to send the old order.
 func TestStaleOrderIsNotDelivered(t *testing.T) {
 	store := standin.NewStore(standin.Limits{})
 	table := &staleTable{Table: store}
--- a/internal/node/slot/upstream_test.go
+++ b/internal/node/slot/upstream_test.go
@@ -11,9 +11,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/httpclient"
 )
 
-// An engine crashes in mid-stream because of the request that it runs. If the truncated stream did not count as a broken
-// connection, the slot would report a crash during which no request ran. The request would not be suspected, would be
-// resumed on another engine and would crash that as well.
+// Guards against a request that crashes one engine after the other unsuspected. An engine crashes in mid-stream because
+// of it. If the truncated stream did not count as a broken connection, the slot would report a crash during which no
+// request ran, and the request would be resumed on another engine.
 func TestTruncatedStreamCountsAsBrokenConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
