--- a/internal/base/charts/charts.go
+++ b/internal/base/charts/charts.go
@@ -188,7 +188,7 @@
 func (m *Machine) Final() bool { return m.chart.States[m.state].Final }
 
 // Fire applies an event and returns the actions to carry out, or nil if the event is ignored. For an event that the chart
-// does not declare it returns *UnhandledError and leaves the state unchanged.
+// does not declare it returns *UndeclaredEventError and leaves the state unchanged.
 func (m *Machine) Fire(ev Event) ([]Action, error) {
 	if !slices.Contains(m.chart.Events, ev) {
 		return nil, &UndeclaredEventError{m.chart.Name, m.state, ev}
--- a/internal/base/controlport/controlport.go
+++ b/internal/base/controlport/controlport.go
@@ -1,5 +1,5 @@
-// Package controlport provides the listener that daemons open in addition to the one for traffic. It serves RPC, metrics
-// and health checks.
+// Package controlport provides the control port, which daemons open in addition to the port for traffic. It serves RPC,
+// metrics and health checks.
 package controlport
 
 import (
--- a/internal/base/httpclient/client.go
+++ b/internal/base/httpclient/client.go
@@ -121,8 +121,8 @@
 // discarded.
 type Match func(*fasthttp.ResponseHeader) bool
 
-// Do sends req to address (IP:PORT) and reads the response header. The connection is closed when ctx ends, including while
-// the body is read. Errors: *DialError, *BrokenError.
+// Do sends req to address (IP:PORT) and reads the response header. The connection is closed when ctx is done, including
+// while the body is read. Errors: *DialError, *BrokenError.
 func (c *Client) Do(ctx context.Context, address string, req *fasthttp.Request) (*Response, error) {
 	return c.DoMatching(ctx, address, req, nil)
 }
--- a/internal/base/httpclient/client_test.go
+++ b/internal/base/httpclient/client_test.go
@@ -16,7 +16,7 @@
 )
 
 // peer is a server that responds to requests from a script: one response text for each request, "" to close the
-// connection. The last entry repeats.
+// connection. The last response repeats.
 type peer struct {
 	address string
 	conns   atomic.Int64
--- a/internal/node/agent/server.go
+++ b/internal/node/agent/server.go
@@ -127,10 +127,11 @@
 }
 
 const (
-	// initialTryTimeout is the timeout of the first attempt to send an order to the rank, which runs on the same host. It
-	// doubles with each further attempt, up to maxTryTimeout, so that the reply of a slow rank is received in the end.
-	initialTryTimeout = 5 * time.Millisecond
-	maxTryTimeout     = 80 * time.Millisecond
+	// initialAttemptTimeout is the timeout of the first attempt to send an order to the rank, which runs on the same host.
+	// It doubles with each further attempt, up to maxAttemptTimeout, so that the reply of a slow rank is received in the
+	// end.
+	initialAttemptTimeout = 5 * time.Millisecond
+	maxAttemptTimeout     = 80 * time.Millisecond
 )
 
 // orderUntilReply sends an order to the rank repeatedly until the rank replies, the time until is reached, or another
@@ -141,7 +142,7 @@
 // one was executed and the repetition has no effect, or the repetition is the only one that the rank receives.
 func (s *Server) orderUntilReply(ctx context.Context, o lockstep.Order, until time.Time) (lockstep.Reply, error) {
 	superseded := s.supersede(o)
-	for timeout := initialTryTimeout; ; timeout = min(2*timeout, maxTryTimeout) {
+	for timeout := initialAttemptTimeout; ; timeout = min(2*timeout, maxAttemptTimeout) {
 		next := time.After(timeout)
 		reply, err := s.orderOnce(ctx, o, timeout, until)
 		if reply != lockstep.ReplyLost || !time.Now().Before(until) {
--- a/internal/node/daemon/entrymain/entrymain.go
+++ b/internal/node/daemon/entrymain/entrymain.go
@@ -1,4 +1,5 @@
-// Package entrymain assembles the entry daemon: the entry, the operators' RPC service and the leased duties.
+// Package entrymain assembles the entry daemon: the entry, the operators' RPC service and the duties, tasks that one
+// entry at a time performs while it holds their lease.
 package entrymain
 
 import (
--- a/internal/node/daemon/slotmain/slotmain.go
+++ b/internal/node/daemon/slotmain/slotmain.go
@@ -1,4 +1,5 @@
-// Package slotmain assembles the slot daemon: the slot and, for an engine in a model group, its side of the map switch.
+// Package slotmain assembles the slot daemon: the slot and, for an engine that is a rank of a model group, its side of
+// the switch from one expert map to the next.
 package slotmain
 
 import (
--- a/internal/node/entry/addresses.go
+++ b/internal/node/entry/addresses.go
@@ -31,7 +31,7 @@
 }
 
 // serveAddresses responds with the addresses that callers may use. Each response is shuffled: callers use the first
-// address, so without the shuffle a burst of callers that ask the same entry would all connect to the same address.
+// address, so without the shuffle a burst of callers that query the same entry would all connect to the same address.
 func (e *Entry) serveAddresses(x *httpserver.Exchange) {
 	v := e.view.Load()
 	if v.config == nil {
--- a/internal/node/gateway/dialect.go
+++ b/internal/node/gateway/dialect.go
@@ -67,7 +67,7 @@
 	ReadResponse(h *fasthttp.ResponseHeader) ResponseInfo
 	// AttemptHeader returns the name of the response header field that carries the attempt's id.
 	AttemptHeader() string
-	// RetryAfter returns the header field that tells a caller when to retry.
+	// RetryAfter returns the header field that states when a caller may retry.
 	RetryAfter(d time.Duration) (name, value string)
 	// DirectoryPath is the path at which callers request gateway addresses, ReadinessPath that of the readiness check.
 	DirectoryPath() string
@@ -84,6 +84,6 @@
 	UpstreamTable() string
 	// Configuration decodes the configuration; it returns nil without an error if there is none yet.
 	Configuration(rows []platform.Row) (*catalog.Configuration, error)
-	// Upstream decodes one entry of the registry.
+	// Upstream decodes one registry entry.
 	Upstream(row platform.Row) (*catalog.Upstream, error)
 }
--- a/internal/node/gateway/experts.go
+++ b/internal/node/gateway/experts.go
@@ -40,7 +40,8 @@
 	sampledLocal = 24
 )
 
-// experts places the experts of all groups while this gateway is the leader.
+// experts places the experts of all model groups while this gateway is the leader: it decides which ranks hold which
+// experts, and switches the groups to new expert maps.
 type experts struct {
 	g      *Gateway
 	ctx    context.Context
--- a/internal/node/gateway/groupwatch.go
+++ b/internal/node/gateway/groupwatch.go
@@ -32,8 +32,8 @@
 	unknownGroupTimeout = 400 * time.Millisecond
 )
 
-// groupWatch polls a group from the first sign of a failure until it works again, and keeps the service's gate closed
-// meanwhile.
+// groupWatch polls the model groups of a service from the first sign of a failure until one works again, and keeps the
+// service's gate closed meanwhile: requests wait in the gate instead of being refused by each rank.
 type groupWatch struct {
 	ranks  lockstep.RankClient
 	gate   *dispatch.Gate
--- a/internal/node/gateway/handler.go
+++ b/internal/node/gateway/handler.go
@@ -125,7 +125,7 @@
 // yet.
 //
 // A gateway that has lost the store, or to which peers have announced a newer configuration, may lack a new route.
-// Callers treat a 404 as final, so the error tells them to retry instead.
+// Callers treat a 404 as final, so the error requests a retry instead.
 func (g *Gateway) notFoundError(v *view, code failure.Code) error {
 	if !v.storeUp || g.peers.replicaLag(g.configFollower.Replica, time.Now()) > 0 {
 		return failure.New(failure.CodeStaleRevision, failure.New(code, nil)).WithRetryAfter(notReadyRetryAfter)
--- a/internal/node/gateway/join.go
+++ b/internal/node/gateway/join.go
@@ -14,7 +14,7 @@
 func (p *peers) joining(now time.Time) bool { return now.Sub(p.startedAt) < joinPeriod }
 
 // isolated reports whether this gateway has several peers and received no message from any of them within
-// leaderTimeout. It cannot tell then whether a peer is dead, and takes over no duty.
+// leaderTimeout. It cannot determine then whether a peer is dead, and takes over no duty.
 func (p *peers) isolated(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/node/gateway/pull.go
+++ b/internal/node/gateway/pull.go
@@ -34,10 +34,10 @@
 	since   time.Time
 }
 
-// maxMissingVersions bounds a lag; beyond it the last entry also represents all later versions.
+// maxMissingVersions bounds a lag; beyond it the last version also represents all later ones.
 const maxMissingVersions = 16
 
-// missing returns the entries that the replica still lacks.
+// missing returns the versions that the replica still lacks.
 func (l lag) missing(r *replica.Replica) lag {
 	return slices.DeleteFunc(l, func(v missingVersion) bool { return r.Has(v.version) })
 }
--- a/internal/node/gateway/run.go
+++ b/internal/node/gateway/run.go
@@ -37,7 +37,7 @@
 	upstream    ids.Upstream
 	// bufferedFailure is the upstream's own failure, which is relayed to the caller if no other attempt succeeds.
 	bufferedFailure *plainResponse
-	// relayedFailure is set if the caller received heldFailure.
+	// relayedFailure is set if the caller received bufferedFailure.
 	relayedFailure bool
 	// trace is the trace context for the next hop; empty if there is none.
 	trace string
@@ -156,7 +156,7 @@
 	case errors.As(err, &dial):
 		n.unreached++
 	case errors.As(err, &refused) && refused.Status == statusOtherInstance:
-		// The addressed upstream is gone, so the request did not reach it.
+		// The addressed upstream no longer has this address, so the request did not reach it.
 		n.unreached++
 	case errors.As(err, &refused):
 		n.sent++
@@ -167,7 +167,7 @@
 	n.exclude = append(n.exclude, n.upstream)
 }
 
-// stopReason returns why the request must not be tried again, or "".
+// stopReason returns why the request must not be attempted again, or "".
 //
 // A request that is not repeatable must not run twice after its connection broke. Only two proofs permit another
 // attempt: no connection was made, or the upstream promised that it did not run.
--- a/internal/node/gateway/sentinel.go
+++ b/internal/node/gateway/sentinel.go
@@ -50,7 +50,7 @@
 // relayed reports whether this gateway need not follow a table in the store, because it receives the changes from peers
 // that do, or soon will.
 //
-// Without relayGrace, all gateways would call the store together when one that follows it dies or loses it.
+// Without followersGrace, all gateways would call the store together when one that follows it dies or loses it.
 func (p *peers) relayed(r *replica.Replica, now time.Time) bool {
 	if p.joining(now) {
 		return true
--- a/internal/node/gateway/services.go
+++ b/internal/node/gateway/services.go
@@ -35,7 +35,7 @@
 }
 
 // watchGroup creates the groupWatch of a service whose upstreams are ranks of a group. The group starts closed: a
-// gateway that starts does not know whether the group works, as all hosts may just have lost power.
+// gateway that starts has no evidence that the group works, as all hosts may just have lost power.
 func (g *Gateway) watchGroup(s *service, c *catalog.Service) {
 	if c.Engine == nil || c.Engine.Experts == nil {
 		return
--- a/internal/node/operator/operator.go
+++ b/internal/node/operator/operator.go
@@ -1,8 +1,9 @@
 // Package operator implements the RPC service for operators, which each entry mounts on its control port with
 // Handler.
 //
-// Changes are committed through the revision agent. The response is sent once the change is accepted, or after wait_ms
-// with the nodes whose acknowledgement is still pending.
+// Changes are committed through the revision agent (package revision/agent). The response is sent once the change is
+// accepted, which requires the acknowledgements of the nodes, or after wait_ms with the nodes whose acknowledgement is
+// still pending.
 package operator
 
 import (
--- a/internal/node/rank/rank.go
+++ b/internal/node/rank/rank.go
@@ -1,5 +1,6 @@
 // Package rank is the slot's client of its engine's rank in a model group. It also serves the rank's report to the
-// holder of the group's lease.
+// holder of the group's lease. A model group is a set of engines, its ranks, that run one model together step by step,
+// with its experts assigned to ranks by an expert map.
 //
 // The client reads the rank's state with GET PathRank and sends an order with POST PathOrders, both as JSON. The
 // protocol is safe for engines that ignore fencing tokens: each order names the map and the step to which it applies,
--- a/internal/node/slot/model.go
+++ b/internal/node/slot/model.go
@@ -68,7 +68,7 @@
 	if code := res.Header.StatusCode(); code != fasthttp.StatusOK {
 		return engineStatus(code)
 	}
-	relay := &modelRelay{x: x, job: j, id: j.Attempt.String(), flight: flight, speed: &s.speed, progress: &s.progress, lastTokenAt: sent, stallTimeout: s.settings.Upstream.StopAfter.Or(defaultStallTimeout)}
+	relay := &modelRelay{x: x, incoming: j, id: j.Attempt.String(), flight: flight, speed: &s.speed, progress: &s.progress, lastTokenAt: sent, stallTimeout: s.settings.Upstream.StopAfter.Or(defaultStallTimeout)}
 	relay.stallTimer = relay.newStallTimer(cancel)
 	defer relay.stallTimer.Stop()
 	err = relay.relayEvents(ctx, res)
@@ -143,7 +143,7 @@
 // modelRelay relays the events of one engine response to the entry.
 type modelRelay struct {
 	x             *httpserver.Exchange
-	job           *incomingAttempt
+	incoming      *incomingAttempt
 	flight        *routing.Flight
 	speed         *speed
 	progress      *atomic.Uint64
@@ -160,7 +160,7 @@
 }
 
 func (r *modelRelay) relayEvents(ctx context.Context, res *httpclient.Response) error {
-	r.nextIndex = r.job.Resume
+	r.nextIndex = r.incoming.Resume
 	for ev, err := range sse.Read(res.Body, nil) {
 		if err != nil {
 			return r.fail(r.truncated(err))
@@ -181,7 +181,7 @@
 
 // truncated returns the error for an engine response that ended before its last event.
 func (r *modelRelay) truncated(cause error) error {
-	return &attempt.TruncatedError{Attempt: r.job.Attempt, Tokens: r.nextIndex, Cause: cause}
+	return &attempt.TruncatedError{Attempt: r.incoming.Attempt, Tokens: r.nextIndex, Cause: cause}
 }
 
 // relayEvent relays one event and reports whether it was the last.
@@ -195,7 +195,7 @@
 	}
 	choice := r.chunk.Choices[0]
 	r.event = attempt.Event{
-		Attempt: r.job.Attempt.Seq, Index: uint32(r.chunk.Index), Text: choice.Delta.Content, Finish: choice.FinishReason,
+		Attempt: r.incoming.Attempt.Seq, Index: uint32(r.chunk.Index), Text: choice.Delta.Content, Finish: choice.FinishReason,
 	}
 	last := attempt.Last(&r.event)
 	if !last {
@@ -209,11 +209,11 @@
 // another id or index.
 func (r *modelRelay) checkChunk(c *engineChunk) error {
 	if c.ID != r.id {
-		return &attempt.MismatchError{Attempt: r.job.Attempt, Want: "its own id", Got: c.ID}
+		return &attempt.MismatchError{Attempt: r.incoming.Attempt, Want: "its own id", Got: c.ID}
 	}
 	if c.Index != r.nextIndex || len(c.Choices) != 1 {
 		return &attempt.MismatchError{
-			Attempt: r.job.Attempt,
+			Attempt: r.incoming.Attempt,
 			Want:    fmt.Sprintf("token %d", r.nextIndex),
 			Got:     fmt.Sprintf("token %d in %d choices", c.Index, len(c.Choices)),
 		}
@@ -223,7 +223,7 @@
 
 func (r *modelRelay) recordToken() {
 	now := time.Now()
-	if r.nextIndex > r.job.Resume {
+	if r.nextIndex > r.incoming.Resume {
 		r.speed.tokenTime.add(now.Sub(r.lastTokenAt))
 	}
 	r.lastTokenAt = now
@@ -236,7 +236,7 @@
 func (r *modelRelay) send(ctx context.Context) error {
 	if !r.streamStarted {
 		r.streamStarted = true
-		headers := []httpserver.Header{attemptHeader(r.job.Attempt), {Name: "Content-Type", Value: attempt.ContentType}}
+		headers := []httpserver.Header{attemptHeader(r.incoming.Attempt), {Name: "Content-Type", Value: attempt.ContentType}}
 		if err := r.x.Stream(fasthttp.StatusOK, headers); err != nil {
 			return err
 		}
@@ -264,7 +264,7 @@
 	if !r.streamStarted {
 		return e
 	}
-	r.event = attempt.Event{Attempt: r.job.Attempt.Seq, Index: uint32(r.nextIndex), Failure: string(e.Code)}
+	r.event = attempt.Event{Attempt: r.incoming.Attempt.Seq, Index: uint32(r.nextIndex), Failure: string(e.Code)}
 	if err := r.send(context.Background()); err == nil {
 		_ = r.x.End()
 	}
--- a/internal/node/slot/slot.go
+++ b/internal/node/slot/slot.go
@@ -1,9 +1,9 @@
 // Package slot implements the process that runs on the same host as an upstream and is the only one that sends it
-// requests and orders.
+// requests and orders. An upstream is an engine, which runs a model, or a plain service.
 //
-// A slot refuses attempts that must not start: fenced ones, those based on a stale configuration, those past their
-// deadline and, while it drains, all. It starts each of the others exactly once, matches the upstream's response to its
-// attempt and reports the upstream's load to the entries.
+// A slot refuses attempts that must not start: fenced ones, which it has promised never to start, those based on a
+// stale configuration, those past their deadline and, while it drains, all. It starts each of the others exactly once,
+// matches the upstream's response to its attempt and reports the upstream's load to the entries.
 package slot
 
 import (
--- a/internal/node/slot/upstream_test.go
+++ b/internal/node/slot/upstream_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	defer res.Release(false)
-	r := &modelRelay{job: &incomingAttempt{}}
+	r := &modelRelay{incoming: &incomingAttempt{}}
 	if err := r.relayEvents(t.Context(), res); !isBrokenConnection(err) {
 		t.Fatalf("%v does not count as a broken connection", err)
 	}
