--- a/internal/node/gateway/candidates.go
+++ b/internal/node/gateway/candidates.go
@@ -29,7 +29,7 @@
 // electionInput collects this gateway's state and that of its peers for the decision whether to lead.
 func (e *experts) electionInput(now time.Time, c candidates) electionInput {
 	in := electionInput{
-		Ready:      e.g.control.state == stateReady,
+		Ready:      e.g.control.ownState == stateReady,
 		SeenFence:  e.leases.NewestFenceOfOthers(expertsDuty),
 		PendingFor: e.leases.PendingFor(now, expertsDuty),
 		Position:   e.position(c),
@@ -107,7 +107,7 @@
 
 // isStandby reports whether this gateway is among the first candidates to lead.
 func (e *experts) isStandby(now time.Time, c candidates) bool {
-	if e.g.control.state != stateReady || e.joiningOrIsolated(now) || !e.anyGroup() {
+	if e.g.control.ownState != stateReady || e.joiningOrIsolated(now) || !e.anyGroup() {
 		return false
 	}
 	return slices.Contains(c.names[:min(maxStandbys, len(c.names))], e.g.Settings().Name)
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -92,7 +92,7 @@
 	// validEntries determines which registry entries are valid upstreams.
 	validEntries *registry.Registry
 	services     map[ids.Service]*service
-	state        nodeState
+	ownState     nodeState
 }
 
 // Start opens the listeners and begins to follow the store. It returns *httpserver.ListenError or a network error.
@@ -117,7 +117,7 @@
 		}),
 		control: controlState{
 			upstreams: catalog.NewUpstreams(nil), validEntries: registry.New(d.Decoder.Upstream),
-			services: map[ids.Service]*service{}, state: stateStarting,
+			services: map[ids.Service]*service{}, ownState: stateStarting,
 		},
 	}
 	g.settings.Store(set)
@@ -197,7 +197,7 @@
 
 // applyTables applies the current rows of the replicated tables.
 func (g *Gateway) applyTables(now time.Time) {
-	before := g.control.state
+	before := g.control.ownState
 	config, err := g.decoder.Configuration(g.configFollower.Replica.Rows())
 	switch {
 	case err != nil:
@@ -208,7 +208,7 @@
 	g.control.upstreams = g.readUpstreams(now)
 	g.updateServices(now)
 	g.publish()
-	if g.control.state != before {
+	if g.control.ownState != before {
 		g.peers.sendToAll(now)
 	}
 }
@@ -219,8 +219,8 @@
 		before = g.control.config.Version
 	}
 	g.control.config = c
-	if g.control.state == stateStarting {
-		g.control.state = stateReady
+	if g.control.ownState == stateStarting {
+		g.control.ownState = stateReady
 	}
 	g.servers.callers.SetLimits(httpserver.Limits{
 		MaxHeaderBytes: c.Limits.HeaderBytes,
@@ -239,7 +239,7 @@
 		config:     g.control.config,
 		upstreams:  g.control.upstreams,
 		services:   g.control.services,
-		state:      g.control.state,
+		state:      g.control.ownState,
 		storeUp:    g.configFollower.Connection().Up,
 		storeSince: g.configFollower.Connection().Since,
 	})
--- a/internal/node/gateway/shutdown.go
+++ b/internal/node/gateway/shutdown.go
@@ -60,7 +60,7 @@
 func (g *Gateway) setState(s nodeState) {
 	done := make(chan struct{})
 	g.loop.Post(func(now time.Time) {
-		g.control.state = s
+		g.control.ownState = s
 		g.publish()
 		// The tick releases the duty before the digests are sent, so that they already report it.
 		g.experts.tick(now)
