--- a/internal/base/httpclient/client.go
+++ b/internal/base/httpclient/client.go
@@ -53,7 +53,8 @@
 // Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Cause }
 
-// BrokenError reports that the connection failed after the client began to send the request, which may have arrived.
+// BrokenError reports that no matching response was read after the client began to send the request, which may have
+// arrived. Stage names the step that failed.
 type BrokenError struct {
 	Address string
 	Stage   string
@@ -120,8 +121,8 @@
 // discarded.
 type Match func(*fasthttp.ResponseHeader) bool
 
-// Do sends req to address (IP:PORT) and reads the response header. The connection is closed when ctx ends, including while
-// the body is read. Errors: *DialError, *BrokenError.
+// Do sends req to address (IP:PORT) and reads the response header. The connection is closed when ctx is done, including
+// while the body is read. Errors: *DialError, *BrokenError.
 func (c *Client) Do(ctx context.Context, address string, req *fasthttp.Request) (*Response, error) {
 	return c.DoMatching(ctx, address, req, nil)
 }
--- a/internal/node/daemon/entrymain/entrymain.go
+++ b/internal/node/daemon/entrymain/entrymain.go
@@ -1,4 +1,5 @@
-// Package entrymain assembles the entry daemon: the entry, the operators' RPC service and the leased duties.
+// Package entrymain assembles the entry daemon: the entry, the operators' RPC service and the duties, tasks that one
+// entry at a time performs while it holds their lease.
 package entrymain
 
 import (
@@ -29,7 +30,7 @@
 	var configFile *string
 	return program.Program{
 		Name:     "cardamomyoke-entry",
-		Help:     "Takes callers' requests and routes them to slots.",
+		Help:     "Accepts callers' requests and routes them to slots.",
 		Settings: func() settings.Checker { return &entry.Settings{} },
 		Flags:    func(cmd *kingpin.CmdClause) { configFile = daemon.FixedConfigFlag(cmd) },
 		Run: func(ctx context.Context, set settings.Checker, o program.Options) error {
--- a/internal/node/daemon/slotmain/slotmain.go
+++ b/internal/node/daemon/slotmain/slotmain.go
@@ -1,4 +1,5 @@
-// Package slotmain assembles the slot daemon: the slot and, for an engine in a model group, its side of the map switch.
+// Package slotmain assembles the slot daemon: the slot and, for an engine that is a rank of a model group, its side of
+// the switch from one expert map to the next.
 package slotmain
 
 import (
@@ -26,7 +27,7 @@
 	var configFile *string
 	return program.Program{
 		Name:     "cardamomyoke-slot",
-		Help:     "Runs beside an upstream and is the only process that hands it work or orders.",
+		Help:     "Runs on the same host as an upstream and is the only process that sends it requests and orders.",
 		Settings: func() settings.Checker { return &slot.Settings{} },
 		Flags:    func(cmd *kingpin.CmdClause) { configFile = daemon.FixedConfigFlag(cmd) },
 		Run: func(ctx context.Context, set settings.Checker, o program.Options) error {
--- a/internal/node/gateway/run.go
+++ b/internal/node/gateway/run.go
@@ -35,9 +35,9 @@
 	// lastEventAt is when the latest events were sent to the caller.
 	lastEventAt time.Time
 	upstream    ids.Upstream
-	// heldFailure is the upstream's own failure, which is relayed to the caller if no other attempt succeeds.
-	heldFailure *plainResponse
-	// relayedFailure is set if the caller received heldFailure.
+	// bufferedFailure is the upstream's own failure, which is relayed to the caller if no other attempt succeeds.
+	bufferedFailure *plainResponse
+	// relayedFailure is set if the caller received bufferedFailure.
 	relayedFailure bool
 	// trace is the trace context for the next hop; empty if there is none.
 	trace string
@@ -156,7 +156,7 @@
 	case errors.As(err, &dial):
 		n.unreached++
 	case errors.As(err, &refused) && refused.Status == statusOtherInstance:
-		// The addressed upstream is gone, so the request did not reach it.
+		// The addressed upstream no longer has this address, so the request did not reach it.
 		n.unreached++
 	case errors.As(err, &refused):
 		n.sent++
@@ -167,7 +167,7 @@
 	n.exclude = append(n.exclude, n.upstream)
 }
 
-// stopReason returns why the request must not be tried again, or "".
+// stopReason returns why the request must not be attempted again, or "".
 //
 // A request that is not repeatable must not run twice after its connection broke. Only two proofs permit another
 // attempt: no connection was made, or the upstream promised that it did not run.
@@ -204,9 +204,9 @@
 	switch {
 	case errors.As(err, &closed) || context.Cause(ctx) == context.Canceled:
 		return failure.New(failure.CodeCancelled, cause)
-	case n.heldFailure != nil && !n.x.Responded():
+	case n.bufferedFailure != nil && !n.x.Responded():
 		n.relayedFailure = true
-		return n.heldFailure.respond(n)
+		return n.bufferedFailure.respond(n)
 	case n.x.Responded():
 		return failure.New(failure.CodeIncompleteAnswer, cause)
 	case ctx.Err() != nil && n.mayHaveRun:
