--- a/internal/experts/lockstep/controller_test.go
+++ b/internal/experts/lockstep/controller_test.go
@@ -19,7 +19,7 @@
 	c := lockstep.NewController(lockstep.ControllerOptions{
 		RankClient: client, Logger: log.NewNopLogger(), Serials: lockstep.NewSerials(),
 		Group: func() *lockstep.Group {
-			return &lockstep.Group{Name: "a", Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, Placements: 4, Spare: 2}}}
+			return &lockstep.Group{Name: "a", Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, MaxPerRank: 4, Spare: 2}}}
 		},
 		Fence:  func() ids.Fence { return 7 },
 		Period: 500 * time.Millisecond, HalfLife: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
--- a/internal/experts/lockstep/counts.go
+++ b/internal/experts/lockstep/counts.go
@@ -29,7 +29,7 @@
 func (c *Controller) sampledRanks(s *snapshot) []int {
 	var local, remote []int
 	for r, u := range s.upstreams {
-		if c.o.RankClient.IsLocal(u) {
+		if c.o.RankClient.ReadsWithoutPause(u) {
 			local = append(local, r)
 		} else {
 			remote = append(remote, r)
--- a/internal/experts/lockstep/group_test.go
+++ b/internal/experts/lockstep/group_test.go
@@ -83,7 +83,7 @@
 		return r.prepare(o)
 	case lockstep.OpArm:
 		if r.armed != nil && *r.armed == (lockstep.Armed{Version: o.Version, Pass: o.Pass}) {
-			return lockstep.ReplyHolds
+			return lockstep.ReplyAlreadyApplied
 		}
 		if r.prepared != o.Version || begun || r.armed != nil {
 			return lockstep.ReplyRefused
@@ -96,7 +96,7 @@
 		r.armed = nil
 	case lockstep.OpHold:
 		if r.held != nil && *r.held == o.Pass {
-			return lockstep.ReplyHolds
+			return lockstep.ReplyAlreadyApplied
 		}
 		if begun || r.held != nil && *r.held > g.pass {
 			return lockstep.ReplyRefused
@@ -109,19 +109,19 @@
 		}
 		r.held = nil
 	}
-	return lockstep.ReplyBegun
+	return lockstep.ReplyAccepted
 }
 
 func (r *rank) prepare(o lockstep.Order) lockstep.Reply {
 	if r.prepared == o.Version && r.prepared != 0 {
-		return lockstep.ReplyHolds
+		return lockstep.ReplyAlreadyApplied
 	}
 	if o.Version <= r.newest || r.armed != nil {
 		return lockstep.ReplyRefused
 	}
 	r.newest, r.prepared = o.Version, o.Version
 	r.placement[o.Version] = fmt.Sprint(o.Placement)
-	return lockstep.ReplyBegun
+	return lockstep.ReplyAccepted
 }
 
 func (g *group) reports() []*lockstep.Report {
--- a/internal/experts/lockstep/order.go
+++ b/internal/experts/lockstep/order.go
@@ -39,9 +39,9 @@
 	// ReplyLost: no response arrived. The order may have been executed, or may be executed seconds later.
 	ReplyLost Reply = iota
 	// ReplyAccepted: the rank accepted the order.
-	ReplyBegun
-	// ReplyHolds: the rank is already in the state that the order requests.
-	ReplyHolds
+	ReplyAccepted
+	// ReplyAlreadyApplied: the rank is already in the state that the order requests.
+	ReplyAlreadyApplied
 	// ReplyPrepared: the rank has prepared the map of the order. Some ranks reply so immediately, some reply
 	// ReplyAccepted first.
 	ReplyPrepared
--- a/internal/experts/lockstep/policy.go
+++ b/internal/experts/lockstep/policy.go
@@ -59,7 +59,7 @@
 		return nil, 0
 	}
 	before = Skew(from, demand, speed)
-	limits := RankLimits{MaxPerRank: x.Placements, Spare: x.Spare}
+	limits := RankLimits{MaxPerRank: x.MaxPerRank, Spare: x.Spare}
 	to := Balance(from, demand, speed, limits, o.copyPrice(x.CopyTime, len(from), len(speed), share))
 	after := Skew(to, demand, speed)
 	if before-after < o.MinGain {
--- a/internal/experts/lockstep/rankclient.go
+++ b/internal/experts/lockstep/rankclient.go
@@ -14,8 +14,8 @@
 	Counts(ctx context.Context, u *catalog.Upstream, sets int) (CountStart, Counts, error)
 	// HeldExperts reads the rank's part of the map in use.
 	HeldExperts(ctx context.Context, u *catalog.Upstream) (HeldExperts, error)
-	// IsLocal reports whether reading the rank currently costs the group nothing.
-	IsLocal(u *catalog.Upstream) bool
+	// ReadsWithoutPause reports whether reading the rank currently costs the group nothing.
+	ReadsWithoutPause(u *catalog.Upstream) bool
 	// Order sends an order. The error explains ReplyLost and ReplyRefused.
 	Order(ctx context.Context, u *catalog.Upstream, o Order) (Reply, error)
 }
--- a/internal/experts/lockstep/restart_test.go
+++ b/internal/experts/lockstep/restart_test.go
@@ -28,7 +28,7 @@
 			t.Fatalf("stuck in %s", sw.State())
 		}
 		o := orders[0]
-		orders = append(orders[1:], sw.OnReply(now, o, ReplyBegun)...)
+		orders = append(orders[1:], sw.OnReply(now, o, ReplyAccepted)...)
 	}
 	return orders
 }
--- a/internal/experts/lockstep/servicecontroller_test.go
+++ b/internal/experts/lockstep/servicecontroller_test.go
@@ -93,7 +93,7 @@
 	return lockstep.HeldExperts{Epoch: g.epoch, Version: g.ranks[p.rank].inUse, Experts: [][]int{{p.rank, p.rank + 2}}}, nil
 }
 
-func (s *testService) IsLocal(*catalog.Upstream) bool { return true }
+func (s *testService) ReadsWithoutPause(*catalog.Upstream) bool { return true }
 
 func (s *testService) Order(_ context.Context, u *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
 	s.mu.Lock()
@@ -126,7 +126,7 @@
 		controller := lockstep.NewServiceController(lockstep.ControllerOptions{
 			RankClient: s, Logger: log.NewNopLogger(),
 			Group: func() *lockstep.Group {
-				return &lockstep.Group{Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, Placements: 4, Spare: 2}}}
+				return &lockstep.Group{Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, MaxPerRank: 4, Spare: 2}}}
 			},
 			Fence:  func() ids.Fence { return 7 },
 			Period: 500 * time.Millisecond, HalfLife: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
@@ -195,7 +195,7 @@
 				controller := lockstep.NewServiceController(lockstep.ControllerOptions{
 					RankClient: ranks, Logger: log.NewNopLogger(), Wake: wake,
 					Group: func() *lockstep.Group {
-						return &lockstep.Group{Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, Placements: 4, Spare: 2}}}
+						return &lockstep.Group{Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, MaxPerRank: 4, Spare: 2}}}
 					},
 					Fence: func() ids.Fence {
 						if isLeader.Load() {
@@ -262,7 +262,7 @@
 			controller := lockstep.NewServiceController(lockstep.ControllerOptions{
 				RankClient: &unknownExperts{s, heldToo}, Logger: log.NewNopLogger(),
 				Group: func() *lockstep.Group {
-					return &lockstep.Group{Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, Placements: 4, Spare: 2}}}
+					return &lockstep.Group{Upstreams: list, Engine: &catalog.Engine{Experts: &catalog.Experts{Sets: 1, PerSet: 4, MaxPerRank: 4, Spare: 2}}}
 				},
 				Fence:  func() ids.Fence { return 7 },
 				Period: 500 * time.Millisecond, HalfLife: 500 * time.Millisecond, Sample: 2, SampleLocal: 2,
--- a/internal/experts/lockstep/switch_test.go
+++ b/internal/experts/lockstep/switch_test.go
@@ -327,7 +327,7 @@
 	if len(holds) != 1 || holds[0].Op != lockstep.OpHold {
 		t.Fatalf("got %d orders, want one hold", len(holds))
 	}
-	arms := sw.OnReply(now, holds[0], lockstep.ReplyBegun)
+	arms := sw.OnReply(now, holds[0], lockstep.ReplyAccepted)
 	if len(arms) != ranks {
 		t.Fatalf("%d of %d ranks are to be armed", len(arms), ranks)
 	}
--- a/internal/node/agent/agent_test.go
+++ b/internal/node/agent/agent_test.go
@@ -55,7 +55,7 @@
 	return lockstep.HeldExperts{}, errLost
 }
 
-func (r *fakeRank) IsLocal(*catalog.Upstream) bool { return false }
+func (r *fakeRank) ReadsWithoutPause(*catalog.Upstream) bool { return false }
 
 func (r *fakeRank) Order(ctx context.Context, _ *catalog.Upstream, o lockstep.Order) (lockstep.Reply, error) {
 	if r.record(o) {
@@ -67,7 +67,7 @@
 	if o.Op == lockstep.OpPrepare {
 		r.preparing = o.Version
 	}
-	return lockstep.ReplyBegun, nil
+	return lockstep.ReplyAccepted, nil
 }
 
 // record records an order and reports whether it gets no reply.
@@ -138,7 +138,7 @@
 			h.restart(r)
 		}
 		reply, err := c.Order(t.Context(), h.upstream, prepare(uint64(i+1), p, 0))
-		if err != nil || reply != lockstep.ReplyBegun {
+		if err != nil || reply != lockstep.ReplyAccepted {
 			t.Fatalf("map %d: %v, %v", i, reply, err)
 		}
 		got := r.lastOrder()
--- a/internal/node/agent/client.go
+++ b/internal/node/agent/client.go
@@ -77,7 +77,7 @@
 }
 
 // ReadsWithoutPause implements lockstep.RankClient: it reports whether the rank is read through the agent on its own host.
-func (c *Client) IsLocal(u *catalog.Upstream) bool {
+func (c *Client) ReadsWithoutPause(u *catalog.Upstream) bool {
 	_, _, ok := c.agent(u)
 	return ok
 }
--- a/internal/node/agent/codec.go
+++ b/internal/node/agent/codec.go
@@ -10,11 +10,11 @@
 
 // replyCodes maps the replies of ranks to their wire values. A lost reply is sent as unspecified.
 var replyCodes = map[lockstep.Reply]cardamomyokev1.OrderReply{
-	lockstep.ReplyLost:     cardamomyokev1.OrderReply_ORDER_REPLY_UNSPECIFIED,
-	lockstep.ReplyBegun:    cardamomyokev1.OrderReply_ORDER_REPLY_BEGUN,
-	lockstep.ReplyHolds:    cardamomyokev1.OrderReply_ORDER_REPLY_HOLDS,
-	lockstep.ReplyRefused:  cardamomyokev1.OrderReply_ORDER_REPLY_REFUSED,
-	lockstep.ReplyPrepared: cardamomyokev1.OrderReply_ORDER_REPLY_PREPARED,
+	lockstep.ReplyLost:           cardamomyokev1.OrderReply_ORDER_REPLY_UNSPECIFIED,
+	lockstep.ReplyAccepted:       cardamomyokev1.OrderReply_ORDER_REPLY_BEGUN,
+	lockstep.ReplyAlreadyApplied: cardamomyokev1.OrderReply_ORDER_REPLY_HOLDS,
+	lockstep.ReplyRefused:        cardamomyokev1.OrderReply_ORDER_REPLY_REFUSED,
+	lockstep.ReplyPrepared:       cardamomyokev1.OrderReply_ORDER_REPLY_PREPARED,
 }
 
 func decodeReply(wire cardamomyokev1.OrderReply) lockstep.Reply {
--- a/internal/node/agent/server.go
+++ b/internal/node/agent/server.go
@@ -117,7 +117,7 @@
 	if o.Op != lockstep.OpPrepare {
 		return reply, err
 	}
-	for (reply == lockstep.ReplyBegun || reply == lockstep.ReplyHolds) && time.Now().Before(until) && ctx.Err() == nil {
+	for (reply == lockstep.ReplyAccepted || reply == lockstep.ReplyAlreadyApplied) && time.Now().Before(until) && ctx.Err() == nil {
 		if r, reportErr := s.ranks.Report(ctx, s.rank); reportErr == nil && r.Prepared == o.Version {
 			return lockstep.ReplyPrepared, nil
 		}
--- a/internal/node/entry/audit_test.go
+++ b/internal/node/entry/audit_test.go
@@ -21,8 +21,8 @@
 	var got []*audit.Row
 	for _, c := range []quarantine.Crash{
 		{ID: 1, At: now, Ran: []quarantine.Running{poison, other}},
-		{ID: 2, At: now, Ran: []quarantine.Running{poison}, Probe: true},
-		{ID: 2, At: now, Ran: []quarantine.Running{poison}, Probe: true},
+		{ID: 2, At: now, Ran: []quarantine.Running{poison}, RanAlone: true},
+		{ID: 2, At: now, Ran: []quarantine.Running{poison}, RanAlone: true},
 	} {
 		before := p.Snapshot()
 		p.Merge(now, c.Suspects()...)
--- a/internal/node/entry/forward.go
+++ b/internal/node/entry/forward.go
@@ -47,7 +47,7 @@
 			Client:      r.client,
 			Revision:    r.revision,
 			Remaining:   time.Until(r.deadline),
-			Rank:        r.class.GetRank(),
+			Priority:    r.class.GetRank(),
 			Key:         r.key,
 			Resume:      resume,
 			Output:      max(0, r.outputTokens-resume),
--- a/internal/node/entry/handler.go
+++ b/internal/node/entry/handler.go
@@ -140,7 +140,7 @@
 			m.finish = finishReasonLength
 			return m.complete(ctx)
 		}
-		d := session.Failed(retry.Attempt{Upstream: to, Err: err}, m.tokens, time.Now())
+		d := session.Failed(retry.FailedAttempt{Upstream: to, Err: err}, m.tokens, time.Now())
 		if d.Action == retry.ActionGiveUp {
 			return e.abort(ctx, m, d.Err)
 		}
--- a/internal/node/entry/state.go
+++ b/internal/node/entry/state.go
@@ -106,7 +106,7 @@
 		Upstream:    ids.Upstream(d.GetNode()),
 		Service:     ids.Service(d.GetSlot().GetService()),
 		Incarnation: ids.Incarnation(d.GetIncarnation()),
-		Leaving:     d.GetState() == cardamomyokev1.NodeState_NODE_STATE_LEAVING,
+		Draining:    d.GetState() == cardamomyokev1.NodeState_NODE_STATE_LEAVING,
 		Steps:       d.GetSlot().GetSteps(),
 		Running:     int(d.GetSlot().GetTotal().GetRunning()),
 		StepTime:    time.Duration(d.GetSlot().GetStepTimeUs()) * time.Microsecond,
@@ -219,7 +219,7 @@
 	o := admission.Options{Reserve: admission.DefaultReserve, MaxWait: admission.DefaultMaxWait, Share: s.localShare}
 	for _, c := range s.snapshot.Proto.GetClasses() {
 		o.Classes = append(o.Classes, admission.Class{
-			Name: c.GetName(), Rank: int(c.GetRank()), QueueLimit: int(c.GetQueueLimit()),
+			Name: c.GetName(), Priority: int(c.GetRank()), QueueLimit: int(c.GetQueueLimit()),
 		})
 	}
 	return o
@@ -249,7 +249,7 @@
 		Address:    u.digest.GetHttpAddress(),
 		Weight:     status.Weight,
 		Batch:      int(load.GetBatch()),
-		Distance:   s.latencyTo(ids.DataCentre(u.digest.GetDataCentre())),
+		Latency:    s.latencyTo(ids.DataCentre(u.digest.GetDataCentre())),
 		Load: routing.Load{
 			TakenAt:         u.receivedAt,
 			Total:           countsOf(load.GetTotal()),
--- a/internal/node/entry/usage.go
+++ b/internal/node/entry/usage.go
@@ -23,7 +23,7 @@
 	e.usageSentAt = now
 	peers := e.state.members.OtherEntries()
 	self := ids.Node(e.settings.Name)
-	ring := limits.NewRing(append(slices.Collect(maps.Keys(peers)), self))
+	ring := limits.NewEntrySet(append(slices.Collect(maps.Keys(peers)), self))
 	for node, records := range ring.Recipients(self, e.limits.Report(now)) {
 		// This entry includes its own usage directly when it sums; sending it to itself would count it twice.
 		if node != self {
--- a/internal/node/gateway/demandshift_test.go
+++ b/internal/node/gateway/demandshift_test.go
@@ -59,7 +59,7 @@
 // over all passes and the number of copies.
 func (g shiftedGroup) simulate(seed uint64, period, halfLife time.Duration, o lockstep.Options) (skew float64, copies int) {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	x := &catalog.Experts{Sets: g.sets, PerSet: g.experts, Placements: g.placements, Spare: 2, CopyTime: g.copyTime}
+	x := &catalog.Experts{Sets: g.sets, PerSet: g.experts, MaxPerRank: g.placements, Spare: 2, CopyTime: g.copyTime}
 	speed := make([]float64, g.ranks)
 	counts := make(lockstep.Counts, g.sets)
 	for s := range counts {
--- a/internal/node/gateway/dialect.go
+++ b/internal/node/gateway/dialect.go
@@ -48,9 +48,9 @@
 	// NotRun is the upstream's promise that the request did not run and never will.
 	NotRun bool
 	// Signed is set if the response carries the upstream's signature.
-	Sealed bool
-	// Culprit is the upstream at fault, if it is not the responding one.
-	Culprit ids.Upstream
+	Signed bool
+	// FaultyUpstream is the upstream at fault, if it is not the responding one.
+	FaultyUpstream ids.Upstream
 	// Instance is the responding upstream; empty if the response does not name it.
 	Instance ids.Upstream
 	// Load is nil if the upstream does not report it.
--- a/internal/node/gateway/gateway.go
+++ b/internal/node/gateway/gateway.go
@@ -202,7 +202,7 @@
 	switch {
 	case err != nil:
 		_ = level.Error(g.logger).Log("msg", "keeping the previous configuration", "reason", "the new one cannot be decoded", "err", err)
-	case config != nil && (g.control.config == nil || config.Version > g.control.config.Version):
+	case config != nil && (g.control.config == nil || config.Revision > g.control.config.Revision):
 		g.adopt(config)
 	}
 	g.control.upstreams = g.readUpstreams(now)
@@ -216,7 +216,7 @@
 func (g *Gateway) adopt(c *catalog.Configuration) {
 	before := ids.Revision(0)
 	if g.control.config != nil {
-		before = g.control.config.Version
+		before = g.control.config.Revision
 	}
 	g.control.config = c
 	if g.control.ownState == stateStarting {
@@ -230,7 +230,7 @@
 		IdleTimeout:    settings.Duration(c.Limits.IdleTimeout),
 		WriteTimeout:   settings.Duration(writeTimeout),
 	})
-	_ = level.Info(g.logger).Log("msg", "configuration in force", "version", c.Version, "before", before, "routes", c.Routes())
+	_ = level.Info(g.logger).Log("msg", "configuration in force", "version", c.Revision, "before", before, "routes", c.Routes())
 }
 
 // publish makes the current control state visible to requests.
--- a/internal/node/gateway/handler.go
+++ b/internal/node/gateway/handler.go
@@ -90,7 +90,7 @@
 	case v.state == stateClosing:
 		return r, failure.New(failure.CodeStopping, nil).WithRetryAfter(closingRetryAfter)
 	}
-	r.revision = v.config.Version
+	r.revision = v.config.Revision
 	path, _, _ := bytes.Cut(in.Header.RequestURI(), []byte("?"))
 	r.route = v.config.Route(string(in.Header.Host()), string(path))
 	if r.route == nil {
--- a/internal/node/gateway/log.go
+++ b/internal/node/gateway/log.go
@@ -50,7 +50,7 @@
 }
 
 // logPlaced logs the upstream of an attempt and the values behind the decision.
-func (g *Gateway) logPlaced(n *run, d dispatch.Decision) {
+func (g *Gateway) logPlaced(n *run, d dispatch.PlacementInputs) {
 	_ = g.requests.ordinary.Log("msg", "placed", "request", n.r.call.Attempt, "route", n.r.route.Name, "revision", n.r.revision,
 		"upstream", n.upstream, "attempt", n.sent+n.unreached+1, "load", d.Load, "usable", d.Usable, "waiting", d.Waiting,
 		"digests_age_ms", d.OthersAge.Milliseconds(), "waited_ms", n.placedAt.Sub(n.r.arrived).Milliseconds())
@@ -146,7 +146,7 @@
 	for _, e := range s.gate.TakeEjections() {
 		g.metrics.upstreamEjected(name, e.Cause)
 		_ = g.requests.failures.Log("msg", "upstream ejected", "service", name, "upstream", e.Upstream, "cause", e.Cause,
-			"in_row", e.Consecutive, "for_ms", e.For.Milliseconds())
+			"in_row", e.Consecutive, "for_ms", e.Length.Milliseconds())
 	}
 }
 
--- a/internal/node/gateway/mechanism.go
+++ b/internal/node/gateway/mechanism.go
@@ -49,8 +49,8 @@
 func (g *Gateway) disabled(m dispatch.Mechanism) bool { return slices.Contains(g.Settings().Off, m) }
 
 // disabledInDispatch returns the switched-off mechanisms for the pools.
-func (g *Gateway) disabledInDispatch() dispatch.Off {
-	off := dispatch.Off{}
+func (g *Gateway) disabledInDispatch() dispatch.DisabledMechanisms {
+	off := dispatch.DisabledMechanisms{}
 	for _, m := range g.Settings().Off {
 		off[m] = true
 	}
--- a/internal/node/gateway/metrics.go
+++ b/internal/node/gateway/metrics.go
@@ -22,7 +22,7 @@
 	gauge("requests_running", func() float64 { return float64(g.Busy()) })
 	gauge("configuration_version", func() float64 {
 		if c := g.view.Load().config; c != nil {
-			return float64(c.Version)
+			return float64(c.Revision)
 		}
 		return 0
 	})
--- a/internal/node/gateway/plain.go
+++ b/internal/node/gateway/plain.go
@@ -59,7 +59,7 @@
 // already been handled by attempt.
 func unusable(status int, info ResponseInfo) string {
 	switch {
-	case status/100 == 2 && !info.Sealed:
+	case status/100 == 2 && !info.Signed:
 		return "success without a signature"
 	case status/100 == 1 || status/100 == 3:
 		return "status is neither a success nor a failure"
--- a/internal/node/gateway/run.go
+++ b/internal/node/gateway/run.go
@@ -70,7 +70,7 @@
 		}
 		n.placedAt = time.Now()
 		n.upstream = ticket.Upstream().ID
-		n.g.logPlaced(n, ticket.Decision())
+		n.g.logPlaced(n, ticket.PlacementInputs())
 		err = n.tracedAttempt(ctx, ticket)
 		n.reportGroupFailure(ticket.Upstream(), err)
 		n.service.gate.Done(ticket, outcomeOf(ctx, err))
@@ -132,7 +132,7 @@
 	switch {
 	case info.NotRun:
 		discard(res)
-		return &RefusedError{t.Upstream().ID, res.Status, info.Culprit, info.Instance}
+		return &RefusedError{t.Upstream().ID, res.Status, info.FaultyUpstream, info.Instance}
 	case isStream(res) && n.r.route.Kind == catalog.KindStream && res.Status/100 == 2:
 		return n.relayStream(ctx, t, res, info)
 	default:
@@ -229,7 +229,7 @@
 	case n.mayHaveRun || n.x.Responded():
 		return n.finalError(ctx, err, "no upstream for another attempt")
 	}
-	var none *dispatch.NoUpstreamError
+	var none *dispatch.NoRegisteredUpstreamError
 	var full *dispatch.OverloadedError
 	switch {
 	case errors.As(err, &none):
--- a/internal/node/gateway/services.go
+++ b/internal/node/gateway/services.go
@@ -66,11 +66,11 @@
 	plainFill = 1.5
 )
 
-func dispatchOptions(c *catalog.Service, off dispatch.Off) dispatch.Options {
+func dispatchOptions(c *catalog.Service, off dispatch.DisabledMechanisms) dispatch.Options {
 	if c.Engine != nil {
-		return dispatch.Options{Engine: c.Engine, Fill: engineFill, LateFill: engineLateFill, Off: off}
+		return dispatch.Options{Engine: c.Engine, Fill: engineFill, LateFill: engineLateFill, Disabled: off}
 	}
-	return dispatch.Options{Fill: plainFill, LateFill: plainFill, Off: off}
+	return dispatch.Options{Fill: plainFill, LateFill: plainFill, Disabled: off}
 }
 
 // retryBound returns this gateway's share of the retries that all gateways may make.
--- a/internal/node/gateway/settings_test.go
+++ b/internal/node/gateway/settings_test.go
@@ -40,7 +40,7 @@
 	}
 	g := &Gateway{}
 	g.settings.Store(&set)
-	if got := []bool{g.disabled(mechanismMoves), g.disabledInDispatch()[dispatch.LateReading], g.disabled(mechanismMaps)}; !cmp.Equal(got, []bool{true, true, false}) {
+	if got := []bool{g.disabled(mechanismMoves), g.disabledInDispatch()[dispatch.LatePrefill], g.disabled(mechanismMaps)}; !cmp.Equal(got, []bool{true, true, false}) {
 		t.Fatalf("off: %v", got)
 	}
 	var wrong *settings.KeyError
--- a/internal/node/gateway/stream.go
+++ b/internal/node/gateway/stream.go
@@ -46,7 +46,7 @@
 // An upstream may fail within an event, and the stream then resumes on another one. Only complete events are relayed,
 // and none that the caller already has, so that no event consists of two halves.
 func (n *run) relayStream(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, info ResponseInfo) error {
-	if !info.Sealed {
+	if !info.Signed {
 		res.Release(false)
 		return &ResponseError{t.Upstream().ID, res.Status, "stream without a signature"}
 	}
--- a/internal/node/operator/errors.go
+++ b/internal/node/operator/errors.go
@@ -27,7 +27,7 @@
 		race    *store.RaceError
 		reused  *store.ReusedError
 		pending *store.PendingError
-		unknown *store.UnknownError
+		unknown *store.UnknownOutcomeError
 		lost    *platform.UnknownOutcomeError
 		down    *platform.UnavailableError
 	)
--- a/internal/node/operator/operator.go
+++ b/internal/node/operator/operator.go
@@ -109,7 +109,7 @@
 }
 
 // change commits the edits that build returns and waits up to waitMS for their acceptance.
-func (s *Server) change(ctx context.Context, meta *cardamomyokev1.ChangeMeta, waitMS uint32, build store.Build) (*cardamomyokev1.Outcome, *revision.Entry, error) {
+func (s *Server) change(ctx context.Context, meta *cardamomyokev1.ChangeMeta, waitMS uint32, build store.Build) (*cardamomyokev1.Outcome, *revision.LogEntry, error) {
 	if waitMS > maxWaitMS {
 		return nil, nil, &config.FieldError{Field: "wait_ms", Want: "0 to 60000"}
 	}
@@ -121,13 +121,13 @@
 	return s.wait(ctx, e, waitMS), e, nil
 }
 
-func (s *Server) wait(ctx context.Context, e *revision.Entry, waitMS uint32) *cardamomyokev1.Outcome {
+func (s *Server) wait(ctx context.Context, e *revision.LogEntry, waitMS uint32) *cardamomyokev1.Outcome {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(waitMS)*time.Millisecond)
 	defer cancel()
 	return outcome(e, s.o.Agent.Wait(ctx, e.GetSeq()))
 }
 
-func outcome(e *revision.Entry, v *revision.View) *cardamomyokev1.Outcome {
+func outcome(e *revision.LogEntry, v *revision.View) *cardamomyokev1.Outcome {
 	o := &cardamomyokev1.Outcome{Revision: e.GetRevision(), Seq: e.GetSeq(), State: cardamomyokev1.ChangeState_CHANGE_STATE_COMMITTED}
 	if v.Accepted >= e.GetSeq() {
 		o.State = cardamomyokev1.ChangeState_CHANGE_STATE_ACCEPTED
--- a/internal/node/slot/model.go
+++ b/internal/node/slot/model.go
@@ -88,7 +88,7 @@
 }
 
 func estimateOf(j *incomingAttempt) routing.Estimate {
-	return routing.Estimate{FirstClass: j.Rank == 0, PromptTokens: len(j.body) / bytesPerToken, OutputTokens: j.Output}
+	return routing.Estimate{FirstClass: j.Priority == 0, PromptTokens: len(j.body) / bytesPerToken, OutputTokens: j.Output}
 }
 
 func engineRequest(j *incomingAttempt) *fasthttp.Request {
@@ -98,7 +98,7 @@
 	req.Header.SetHost("engine")
 	req.Header.SetContentType("application/json")
 	req.Header.Set(engineHeaderID, j.Attempt.String())
-	req.Header.Set(engineHeaderRank, strconv.Itoa(int(j.Rank)))
+	req.Header.Set(engineHeaderRank, strconv.Itoa(int(j.Priority)))
 	req.Header.Set(engineHeaderResume, strconv.Itoa(j.Resume))
 	if j.Trace != "" {
 		req.Header.Set(attempt.HeaderTrace, j.Trace)
--- a/internal/policy/admission/limits/exchange.go
+++ b/internal/policy/admission/limits/exchange.go
@@ -24,32 +24,32 @@
 const FullExchangeUpTo = 16
 
 // EntrySet is the set of live entries. It selects, by rendezvous hashing, the entries that records are sent to.
-type Ring struct {
+type EntrySet struct {
 	entries []ids.Node
 	hashing *rendezvous.Rendezvous
 }
 
 // NewEntrySet returns the set of the given live entries, which must include this one.
-func NewRing(entries []ids.Node) *Ring {
+func NewEntrySet(entries []ids.Node) *EntrySet {
 	sorted := slices.Sorted(slices.Values(entries))
 	names := make([]string, len(sorted))
 	for i, e := range sorted {
 		names[i] = string(e)
 	}
-	return &Ring{sorted, rendezvous.New(names, xxhash.Sum64String)}
+	return &EntrySet{sorted, rendezvous.New(names, xxhash.Sum64String)}
 }
 
 // FullExchange reports whether each entry reports to every other one.
-func (s *Ring) FullExchange() bool { return len(s.entries) <= FullExchangeUpTo }
+func (s *EntrySet) FullExchange() bool { return len(s.entries) <= FullExchangeUpTo }
 
 // Aggregator returns the entry that sums a client's demand if the exchange is not full.
-func (s *Ring) Aggregator(client ids.Client) ids.Node {
+func (s *EntrySet) Aggregator(client ids.Client) ids.Node {
 	return ids.Node(s.hashing.Lookup(string(client)))
 }
 
 // Recipients splits a report of the entry self by recipient. In the full exchange an empty report is sent too, because
 // it indicates that there is no demand any more.
-func (s *Ring) Recipients(self ids.Node, report []Record) map[ids.Node][]Record {
+func (s *EntrySet) Recipients(self ids.Node, report []Record) map[ids.Node][]Record {
 	to := make(map[ids.Node][]Record)
 	if s.FullExchange() {
 		for _, e := range s.entries {
--- a/internal/policy/admission/limits/limiter_test.go
+++ b/internal/policy/admission/limits/limiter_test.go
@@ -24,7 +24,7 @@
 type cluster struct {
 	names    []ids.Node
 	limiters map[ids.Node]*limits.Limiter
-	entrySet *limits.Ring
+	entrySet *limits.EntrySet
 	// partition is the network partition that each entry is in.
 	partition map[ids.Node]int
 	now       time.Time
@@ -41,7 +41,7 @@
 		c.limiters[name] = limits.New(limits.Defaults(), n)
 		c.limiters[name].SetLimits(map[ids.Client]limits.Limit{client: limit})
 	}
-	c.entrySet = limits.NewRing(c.names)
+	c.entrySet = limits.NewEntrySet(c.names)
 	return c
 }
 
@@ -222,7 +222,7 @@
 
 func TestClientsAreSpreadOverAggregators(t *testing.T) {
 	names := newCluster(40, limits.Limit{}).names
-	entrySet := limits.NewRing(names)
+	entrySet := limits.NewEntrySet(names)
 	counts := make(map[ids.Node]int)
 	for i := range 30_000 {
 		counts[entrySet.Aggregator(ids.Client(fmt.Sprintf("client-%d", i)))]++
--- a/internal/policy/admission/queue.go
+++ b/internal/policy/admission/queue.go
@@ -13,7 +13,7 @@
 type Class struct {
 	Name string
 	// Priority orders the classes; 0 is served first.
-	Rank int
+	Priority int
 	// QueueLimit is the maximum number of waiting requests.
 	QueueLimit int
 }
@@ -106,7 +106,7 @@
 	}
 	q := &Queue{opts: opts, capacity: capacity, started: make(map[uint64]startedItem)}
 	q.rate.window = opts.RateWindow
-	sorted := slices.SortedFunc(slices.Values(opts.Classes), func(a, b Class) int { return cmp.Compare(a.Rank, b.Rank) })
+	sorted := slices.SortedFunc(slices.Values(opts.Classes), func(a, b Class) int { return cmp.Compare(a.Priority, b.Priority) })
 	for _, c := range sorted {
 		q.classes = append(q.classes, newClassQueue(c, opts.RateWindow))
 	}
--- a/internal/policy/admission/queue_test.go
+++ b/internal/policy/admission/queue_test.go
@@ -24,7 +24,7 @@
 var begin = time.Unix(1000, 0)
 
 func options() admission.Options {
-	return admission.Options{Classes: []admission.Class{{Name: letters, Rank: 1, QueueLimit: 50}, {Name: quotes, Rank: 0, QueueLimit: 50}}}
+	return admission.Options{Classes: []admission.Class{{Name: letters, Priority: 1, QueueLimit: 50}, {Name: quotes, Priority: 0, QueueLimit: 50}}}
 }
 
 // queueSim drives a queue as an entry does, on a virtual clock: each started request ends after its run time.
--- a/internal/policy/attempt/attempt_test.go
+++ b/internal/policy/attempt/attempt_test.go
@@ -22,7 +22,7 @@
 func TestHeaderRoundTrip(t *testing.T) {
 	want := attempt.Header{
 		Attempt: testAttempt, Incarnation: "s1", Service: "desk-model", Client: "c", Revision: 7, Remaining: 900 * time.Millisecond,
-		Rank: 2, Key: "k", Resume: 5, Suspicion: 2, Output: 40, Method: "POST", Target: "/slips?x=1", Trace: "00-a-b-01",
+		Priority: 2, Key: "k", Resume: 5, Suspicion: 2, Output: 40, Method: "POST", Target: "/slips?x=1", Trace: "00-a-b-01",
 	}
 	var h fasthttp.RequestHeader
 	want.Set(&h)
--- a/internal/policy/attempt/header.go
+++ b/internal/policy/attempt/header.go
@@ -48,7 +48,7 @@
 	// differ.
 	Remaining time.Duration
 	// Priority is the priority of the request's class; 0 is served first.
-	Rank uint32
+	Priority uint32
 	// Key is the caller's idempotency key; empty for repeatable requests.
 	Key string
 	// Resume is how many tokens the caller already has.
@@ -87,7 +87,7 @@
 	out.Set(HeaderClient, string(h.Client))
 	out.Set(HeaderRevision, strconv.FormatUint(uint64(h.Revision), 10))
 	out.Set(HeaderRemaining, strconv.FormatInt(h.Remaining.Milliseconds(), 10))
-	out.Set(HeaderRank, strconv.FormatUint(uint64(h.Rank), 10))
+	out.Set(HeaderRank, strconv.FormatUint(uint64(h.Priority), 10))
 	out.Set(HeaderResume, strconv.Itoa(h.Resume))
 	if h.Output > 0 {
 		out.Set(HeaderOutput, strconv.Itoa(h.Output))
@@ -116,7 +116,7 @@
 		Client:      ids.Client(r.text(HeaderClient)),
 		Revision:    ids.Revision(r.number(HeaderRevision)),
 		Remaining:   time.Duration(r.number(HeaderRemaining)) * time.Millisecond,
-		Rank:        uint32(r.number(HeaderRank)),
+		Priority:    uint32(r.number(HeaderRank)),
 		Resume:      int(r.number(HeaderResume)),
 		Key:         r.text(HeaderKey),
 		Method:      r.text(HeaderMethod),
--- a/internal/policy/dispatch/choice.go
+++ b/internal/policy/dispatch/choice.go
@@ -22,7 +22,7 @@
 // them.
 func (p *Pool) choices(n int, now time.Time) int {
 	unreported := p.unreported(now)
-	if unreported <= 0 || p.opts.Off[FewChoices] {
+	if unreported <= 0 || p.opts.Disabled[FewChoices] {
 		return n
 	}
 	return min(n, max(minChoices, int(float64(n)/(1+unreported))))
@@ -52,7 +52,7 @@
 // Near the limit, several gateways see the same slot as free. The request that comes second then waits in the
 // upstream's queue, where the gateway can no longer move or refuse it.
 func (p *Pool) beyondShare(now time.Time) bool {
-	if p.sharing.Gateways < 2 || p.opts.Off[SlotShare] {
+	if p.sharing.Gateways < 2 || p.opts.Disabled[SlotShare] {
 		return false
 	}
 	free, slots, own := 0.0, 0.0, 0.0
--- a/internal/policy/dispatch/group_replay_test.go
+++ b/internal/policy/dispatch/group_replay_test.go
@@ -90,7 +90,7 @@
 	for _, u := range list {
 		g.order = append(g.order, u.ID)
 	}
-	disabled := dispatch.Off{}
+	disabled := dispatch.DisabledMechanisms{}
 	for _, m := range off {
 		disabled[m] = true
 	}
@@ -98,7 +98,7 @@
 	for i := range gateways {
 		gw := &simulatedGateway{
 			pool: dispatch.NewPool(
-				dispatch.Options{Engine: engine, Fill: 1, LateFill: 0.6, Off: disabled}, rand.New(rand.NewPCG(seed, uint64(10+i)))),
+				dispatch.Options{Engine: engine, Fill: 1, LateFill: 0.6, Disabled: disabled}, rand.New(rand.NewPCG(seed, uint64(10+i)))),
 			waiting:  map[*dispatch.Ticket]caller{},
 			reportAt: g.now.Add(time.Duration(g.rng.Int64N(int64(interval)))),
 		}
--- a/internal/policy/dispatch/latereading.go
+++ b/internal/policy/dispatch/latereading.go
@@ -12,7 +12,7 @@
 // pass.
 func (p *Pool) beyondLatePrefill() bool {
 	e := p.opts.Engine
-	if p.opts.Off[LateReading] || e == nil || e.Chunk <= 0 || p.latePromptTokens <= 0 {
+	if p.opts.Disabled[LatePrefill] || e == nil || e.Chunk <= 0 || p.latePromptTokens <= 0 {
 		return false
 	}
 	perPass := float64(e.Chunk*e.Stride*len(p.order)) / float64(max(1, p.sharing.Gateways))
--- a/internal/policy/dispatch/mechanism.go
+++ b/internal/policy/dispatch/mechanism.go
@@ -13,7 +13,7 @@
 	// LateFill limits late requests to a share of the slots.
 	LateFill Mechanism = "late-fill"
 	// LatePrefill limits how much of a pass may be spent on the prefill of late requests.
-	LateReading Mechanism = "late-reading"
+	LatePrefill Mechanism = "late-reading"
 	// SlowRanks sends fewer requests to upstreams that are slower than normal.
 	SlowRanks Mechanism = "slow-ranks"
 	// EjectFailing ejects upstreams whose connections fail or that refuse requests.
@@ -24,8 +24,8 @@
 
 // Mechanisms lists all mechanisms of the pool.
 func Mechanisms() []Mechanism {
-	return []Mechanism{FewChoices, SlotShare, LateFill, LateReading, SlowRanks, EjectFailing, FirstResponseTime}
+	return []Mechanism{FewChoices, SlotShare, LateFill, LatePrefill, SlowRanks, EjectFailing, FirstResponseTime}
 }
 
 // DisabledMechanisms is the set of mechanisms that are disabled.
-type Off map[Mechanism]bool
+type DisabledMechanisms map[Mechanism]bool
--- a/internal/policy/dispatch/outlier.go
+++ b/internal/policy/dispatch/outlier.go
@@ -100,7 +100,7 @@
 	Cause       Outcome
 	Consecutive int
 	// Length is the duration of the ejection; 0 means permanently.
-	For time.Duration
+	Length time.Duration
 }
 
 func (u *upstreamState) ejection(cause Outcome, now time.Time) Ejection {
@@ -112,7 +112,7 @@
 		e.Consecutive = u.health.consecutiveRefused
 	}
 	if !u.health.replaced {
-		e.For = u.health.ejectedUntil.Sub(now)
+		e.Length = u.health.ejectedUntil.Sub(now)
 	}
 	return e
 }
--- a/internal/policy/dispatch/pool.go
+++ b/internal/policy/dispatch/pool.go
@@ -45,7 +45,7 @@
 	// requests that can no longer meet their target.
 	Fill, LateFill float64
 	// Disabled lists the mechanisms that are disabled.
-	Off Off
+	Disabled DisabledMechanisms
 }
 
 // Pool places the requests of one service. It is not safe for concurrent use.
@@ -160,7 +160,7 @@
 func (p *Pool) SetSlowdowns(slowdowns map[ids.UpstreamIncarnation]float64) {
 	for _, u := range p.order {
 		u.slowdown = slowdowns[u.listed.Incarnation()]
-		if p.opts.Off[SlowRanks] {
+		if p.opts.Disabled[SlowRanks] {
 			u.slowdown = 0
 		}
 	}
@@ -184,7 +184,7 @@
 		return t
 	}
 	if len(p.order) == 0 && !p.closed {
-		t.refuse(&NoUpstreamError{RetryAfter: noUpstreamRetry})
+		t.refuse(&NoRegisteredUpstreamError{RetryAfter: noUpstreamRetry})
 		return t
 	}
 	if wait := p.expectedWait(now); p.lost(now) || now.Add(wait).After(p.startBy(r)) {
@@ -248,7 +248,7 @@
 }
 
 // ejects reports whether an outcome may eject its upstream.
-func (p *Pool) ejects(o Outcome) bool { return o == OutcomeReplaced || !p.opts.Off[EjectFailing] }
+func (p *Pool) ejects(o Outcome) bool { return o == OutcomeReplaced || !p.opts.Disabled[EjectFailing] }
 
 // Waiting returns the number of waiting requests.
 func (p *Pool) Waiting() int { return len(p.waiting) }
@@ -319,7 +319,7 @@
 	}
 	best := p.leastLoaded(candidates, p.choices(len(candidates), now))
 	p.recordPlacement(now)
-	t.inputs = Decision{Load: p.load(best), Usable: len(candidates), Waiting: len(p.waiting)}
+	t.inputs = PlacementInputs{Load: p.load(best), Usable: len(candidates), Waiting: len(p.waiting)}
 	if !p.othersAt.IsZero() {
 		t.inputs.OthersAge = now.Sub(p.othersAt)
 	}
@@ -340,7 +340,7 @@
 	fill := p.opts.Fill
 	p.scratch = p.scratch[:0]
 	if p.late(r, now) {
-		if !p.opts.Off[LateFill] {
+		if !p.opts.Disabled[LateFill] {
 			fill = p.opts.LateFill
 		}
 		if p.beyondLatePrefill() {
--- a/internal/policy/dispatch/pool_test.go
+++ b/internal/policy/dispatch/pool_test.go
@@ -41,7 +41,7 @@
 	p := newPool(1, 4)
 	send(t, p, at(0), dispatch.OutcomeBroken)
 	send(t, p, at(0), dispatch.OutcomeBroken)
-	want := []dispatch.Ejection{{Upstream: "u-00", Cause: dispatch.OutcomeBroken, Consecutive: 2, For: 500 * time.Millisecond}}
+	want := []dispatch.Ejection{{Upstream: "u-00", Cause: dispatch.OutcomeBroken, Consecutive: 2, Length: 500 * time.Millisecond}}
 	if diff := cmp.Diff(want, p.TakeEjections()); diff != "" {
 		t.Fatal(diff)
 	}
@@ -103,7 +103,7 @@
 		if ticket.Upstream().ID != "u-01" {
 			t.Fatalf("placed at the busier %s", ticket.Upstream().ID)
 		}
-		if got := ticket.Decision(); got.Usable != 2 || got.OthersAge != 150*time.Millisecond {
+		if got := ticket.PlacementInputs(); got.Usable != 2 || got.OthersAge != 150*time.Millisecond {
 			t.Fatalf("decided by %+v", got)
 		}
 	}
@@ -113,7 +113,7 @@
 // immediately.
 func TestNoUpstream(t *testing.T) {
 	p := newPool(0, 0)
-	var none *dispatch.NoUpstreamError
+	var none *dispatch.NoRegisteredUpstreamError
 	if err := p.Submit(timedRequest(start), start).Err(); !errors.As(err, &none) || none.RetryAfter <= 0 {
 		t.Fatalf("got %v", err)
 	}
--- a/internal/policy/dispatch/reopening_test.go
+++ b/internal/policy/dispatch/reopening_test.go
@@ -28,7 +28,7 @@
 // arriving requests would be late too.
 func TestLatePromptsLeaveCapacityForOthers(t *testing.T) {
 	with, _, _ := simulateReopening()
-	without, _, _ := simulateReopening(dispatch.LateReading)
+	without, _, _ := simulateReopening(dispatch.LatePrefill)
 	if t.Logf("in time with it %d, without %d", with, without); with <= without {
 		t.Fatalf("%d in time with late reading limited, %d without", with, without)
 	}
--- a/internal/policy/dispatch/ticket.go
+++ b/internal/policy/dispatch/ticket.go
@@ -28,7 +28,7 @@
 	done      bool
 	// late is set if the request could no longer meet its target when it was placed.
 	late   bool
-	inputs Decision
+	inputs PlacementInputs
 	// decided is closed once the ticket is placed or refused. Only Gate uses it.
 	decided chan struct{}
 }
@@ -37,10 +37,10 @@
 func (t *Ticket) Upstream() *catalog.Upstream { return t.upstream }
 
 // PlacementInputs returns the inputs of the ticket's placement; it is the zero value if the request was not placed.
-func (t *Ticket) Decision() Decision { return t.inputs }
+func (t *Ticket) PlacementInputs() PlacementInputs { return t.inputs }
 
 // PlacementInputs holds the inputs of a placement, for logs.
-type Decision struct {
+type PlacementInputs struct {
 	// Load is the load of the chosen upstream: the fraction of its slots in use plus the number of passes needed for
 	// the prefill of the waiting prompts.
 	Load float64
@@ -61,10 +61,10 @@
 }
 
 // NoRegisteredUpstreamError reports that the service has no registered upstream.
-type NoUpstreamError struct{ RetryAfter time.Duration }
+type NoRegisteredUpstreamError struct{ RetryAfter time.Duration }
 
 // Error implements error.
-func (e *NoUpstreamError) Error() string { return "no upstream is registered" }
+func (e *NoRegisteredUpstreamError) Error() string { return "no upstream is registered" }
 
 // noUpstreamRetry is the Retry-After of a service without upstreams. A new upstream becomes known to the gateways in
 // half that time.
--- a/internal/policy/dispatch/wait.go
+++ b/internal/policy/dispatch/wait.go
@@ -112,7 +112,7 @@
 // before their target and be answered just after it, and requests behind them that still had time would become late. At
 // most half of the time from arrival to target is subtracted.
 func (p *Pool) late(r Request, now time.Time) bool {
-	if p.opts.Off[FirstResponseTime] {
+	if p.opts.Disabled[FirstResponseTime] {
 		return now.After(r.Target)
 	}
 	return now.Add(min(p.firstResponse, r.Target.Sub(r.Arrived)/2)).After(r.Target)
--- a/internal/policy/health/events.go
+++ b/internal/policy/health/events.go
@@ -33,7 +33,7 @@
 	Service     ids.Service
 	Incarnation ids.Incarnation
 	// Draining is set if the slot reports that it is draining and accepts no new work.
-	Leaving bool
+	Draining bool
 	// Steps is the number of steps that the engine has taken since it started.
 	Steps uint64
 	// Running is the number of requests in the engine.
--- a/internal/policy/health/tracker_test.go
+++ b/internal/policy/health/tracker_test.go
@@ -87,7 +87,7 @@
 		return
 	}
 	f.tracker.Apply(health.SlotReport{
-		Upstream: id, Service: service, Incarnation: s.incarnation, Leaving: s.draining,
+		Upstream: id, Service: service, Incarnation: s.incarnation, Draining: s.draining,
 		Steps: s.steps, Running: s.running, StepTime: s.stepTime,
 	}, f.now)
 }
@@ -295,7 +295,7 @@
 	f.slots["u1"].incarnation, f.slots["u1"].draining = incarnation2, false
 	f.run(time.Second)
 	f.sendHostListTakenAt(old, "u1")
-	f.tracker.Apply(health.SlotReport{Upstream: "u1", Service: service, Incarnation: incarnation1, Leaving: true}, f.now)
+	f.tracker.Apply(health.SlotReport{Upstream: "u1", Service: service, Incarnation: incarnation1, Draining: true}, f.now)
 	f.tracker.Apply(health.RefusedDraining{Upstream: "u1", Incarnation: incarnation1}, f.now)
 	f.wantStatus("u1", "returning", health.ReasonNone)
 	f.sendHostList("u1")
@@ -346,7 +346,7 @@
 			case 0, 1:
 				isDraining := rapid.IntRange(0, 9).Draw(rt, "leaving") == 0
 				tracker.Apply(health.SlotReport{
-					Upstream: id, Service: service, Incarnation: incarnation, Leaving: isDraining, Running: rapid.IntRange(0, 9).Draw(rt, "running"),
+					Upstream: id, Service: service, Incarnation: incarnation, Draining: isDraining, Running: rapid.IntRange(0, 9).Draw(rt, "running"),
 					Steps: rapid.Uint64Range(0, 3).Draw(rt, "steps"), StepTime: time.Duration(rapid.IntRange(0, 50).Draw(rt, "step")) * time.Millisecond,
 				}, now)
 				if s, ok := tracker.Status(id, now); ok && isDraining && s.Incarnation == incarnation {
--- a/internal/policy/health/upstream.go
+++ b/internal/policy/health/upstream.go
@@ -124,7 +124,7 @@
 		u.steps = ev.Steps
 		u.lastStepAt = now
 	}
-	if ev.Leaving {
+	if ev.Draining {
 		t.fire(u, eventDrain, now)
 		return
 	}
--- a/internal/policy/quarantine/evidence.go
+++ b/internal/policy/quarantine/evidence.go
@@ -38,10 +38,10 @@
 	// At is the time of the crash by the slot's clock.
 	At time.Time
 	// OnlyRequest is set if nothing else was running.
-	Lone bool
+	OnlyRequest bool
 	// RanAlone is set if nothing else was running because the request had to run alone. This evidence suffices to
 	// refuse the request, also on a node that has no evidence of the earlier crashes.
-	Probe bool
+	RanAlone bool
 	// Cleared is set once the request has run to completion.
 	Cleared bool
 }
@@ -156,10 +156,10 @@
 			continue
 		}
 		crashes++
-		if e.Lone {
+		if e.OnlyRequest {
 			onlyRequest++
 		}
-		if e.Probe {
+		if e.RanAlone {
 			ranAlone++
 		}
 		last = e.At
@@ -174,8 +174,8 @@
 		out.Evidence = append(out.Evidence, &cardamomyokev1.CrashEvidence{
 			Crash:   uint64(e.Crash),
 			AtMs:    e.At.UnixMilli(),
-			Lone:    e.Lone,
-			Probe:   e.Probe,
+			Lone:    e.OnlyRequest,
+			Probe:   e.RanAlone,
 			Cleared: e.Cleared,
 		})
 	}
@@ -198,11 +198,11 @@
 	s := Suspect{Fingerprint: Fingerprint(in.GetFingerprint()), Client: ids.Client(in.GetClient())}
 	for _, e := range in.GetEvidence() {
 		s.add(Evidence{
-			Crash:   CrashID(e.GetCrash()),
-			At:      time.UnixMilli(e.GetAtMs()),
-			Lone:    e.GetLone(),
-			Probe:   e.GetProbe(),
-			Cleared: e.GetCleared(),
+			Crash:       CrashID(e.GetCrash()),
+			At:          time.UnixMilli(e.GetAtMs()),
+			OnlyRequest: e.GetLone(),
+			RanAlone:    e.GetProbe(),
+			Cleared:     e.GetCleared(),
 		})
 	}
 	if o := in.GetOverride(); o != nil {
--- a/internal/policy/quarantine/guard.go
+++ b/internal/policy/quarantine/guard.go
@@ -185,10 +185,10 @@
 		stale := !r.brokenAt.IsZero() && now.Sub(r.brokenAt) > countBrokenFor
 		if !stale && !slices.Contains(crash.Ran, r.Running) {
 			crash.Ran = append(crash.Ran, r.Running)
-			crash.Probe = r.level == Alone
+			crash.RanAlone = r.level == Alone
 		}
 	}
-	crash.Probe = crash.Probe && len(crash.Ran) == 1
+	crash.RanAlone = crash.RanAlone && len(crash.Ran) == 1
 	// A run must not be reported twice: two reports of one crash would count as two crashes and refuse a harmless
 	// request.
 	g.broken = nil
--- a/internal/policy/quarantine/persistent_test.go
+++ b/internal/policy/quarantine/persistent_test.go
@@ -28,8 +28,8 @@
 			return got
 		}
 		a, b := tracker(), tracker()
-		a.Merge(time.Now(), Crash{ID: 1, At: time.Now(), Ran: []Running{poison}, Probe: true}.Suspects()...)
-		b.Merge(time.Now(), Crash{ID: 2, At: time.Now(), Ran: []Running{poison}, Probe: true}.Suspects()...)
+		a.Merge(time.Now(), Crash{ID: 1, At: time.Now(), Ran: []Running{poison}, RanAlone: true}.Suspects()...)
+		b.Merge(time.Now(), Crash{ID: 2, At: time.Now(), Ran: []Running{poison}, RanAlone: true}.Suspects()...)
 		time.Sleep(time.Minute)
 		rng := rand.New(rand.NewPCG(1, 1))
 		table.SetPlan(func() (memtable.Fault, time.Duration) {
--- a/internal/policy/quarantine/quarantine_test.go
+++ b/internal/policy/quarantine/quarantine_test.go
@@ -43,12 +43,12 @@
 	tr.Merge(start, Crash{ID: 2, At: start, Ran: []Running{poison, other}}.Suspects()...)
 	wantLevel(t, tr, start, poison.Fingerprint, Alone)
 	wantLevel(t, tr, start, other.Fingerprint, Suspected)
-	tr.Merge(start, Crash{ID: 3, At: start, Ran: []Running{poison}, Probe: true}.Suspects()...)
+	tr.Merge(start, Crash{ID: 3, At: start, Ran: []Running{poison}, RanAlone: true}.Suspects()...)
 	wantLevel(t, tr, start, poison.Fingerprint, Refused)
 	wantLevel(t, tr, start.Add(quarantineLength-1), poison.Fingerprint, Refused)
 	later := start.Add(quarantineLength)
 	wantLevel(t, tr, later, poison.Fingerprint, Alone)
-	tr.Merge(later, Crash{ID: 4, At: later, Ran: []Running{poison}, Probe: true}.Suspects()...)
+	tr.Merge(later, Crash{ID: 4, At: later, Ran: []Running{poison}, RanAlone: true}.Suspects()...)
 	wantLevel(t, tr, later, poison.Fingerprint, Refused)
 }
 
@@ -56,7 +56,7 @@
 // permitted or a clear one refused, and on every node the later decision must apply.
 func TestOperatorOverrides(t *testing.T) {
 	tr := NewTracker(Rules{Period: quarantineLength})
-	tr.Merge(start, Crash{ID: 1, At: start, Ran: []Running{poison}, Probe: true}.Suspects()...)
+	tr.Merge(start, Crash{ID: 1, At: start, Ran: []Running{poison}, RanAlone: true}.Suspects()...)
 	until := start.Add(time.Minute)
 	trust := Override{Kind: cardamomyokev1.OverrideKind_OVERRIDE_KIND_TRUST, Until: until, Stamp: start}
 	refuse := Override{Kind: cardamomyokev1.OverrideKind_OVERRIDE_KIND_REFUSE, Until: until, Stamp: start.Add(1)}
@@ -103,13 +103,13 @@
 	if saves := tr.Unsaved(start); len(saves) != 0 {
 		t.Fatalf("a request that is only suspected is written: %v", saves)
 	}
-	tr.Merge(start, Crash{ID: 2, At: start, Ran: []Running{poison}, Probe: true}.Suspects()...)
+	tr.Merge(start, Crash{ID: 2, At: start, Ran: []Running{poison}, RanAlone: true}.Suspects()...)
 	saves := tr.Unsaved(start)
 	if len(saves) != 1 || len(tr.Unsaved(start)) != 0 {
 		t.Fatalf("saves: %v", saves)
 	}
 	peer := NewTracker(Rules{Period: quarantineLength})
-	peer.Merge(start, Crash{ID: 9, At: start, Ran: []Running{poison}, Probe: true}.Suspects()...)
+	peer.Merge(start, Crash{ID: 9, At: start, Ran: []Running{poison}, RanAlone: true}.Suspects()...)
 	row := platform.Row{Key: saves[0].Put.Key, Version: 7, Value: peer.Unsaved(start)[0].Put.Value}
 	if err := tr.Load(start, row); err != nil {
 		t.Fatal(err)
--- a/internal/policy/quarantine/tracker.go
+++ b/internal/policy/quarantine/tracker.go
@@ -38,7 +38,7 @@
 	// Ran lists each request that was running, once, with its client.
 	Ran []Running
 	// RanAlone is set if the only running request was one that had to run alone.
-	Probe bool
+	RanAlone bool
 }
 
 // Running is one request on an upstream.
@@ -51,7 +51,7 @@
 func (c Crash) Suspects() []Suspect {
 	out := make([]Suspect, 0, len(c.Ran))
 	for _, r := range c.Ran {
-		e := Evidence{Crash: c.ID, At: c.At, Lone: len(c.Ran) == 1, Probe: c.Probe}
+		e := Evidence{Crash: c.ID, At: c.At, OnlyRequest: len(c.Ran) == 1, RanAlone: c.RanAlone}
 		out = append(out, Suspect{Fingerprint: r.Fingerprint, Client: r.Client, Evidence: []Evidence{e}})
 	}
 	return out
--- a/internal/policy/retry/session.go
+++ b/internal/policy/retry/session.go
@@ -45,7 +45,7 @@
 }
 
 // FailedAttempt describes a failed attempt.
-type Attempt struct {
+type FailedAttempt struct {
 	// Upstream is the upstream that the attempt was sent to; empty if none was chosen.
 	Upstream ids.Upstream
 	// Err is the failure. The decision depends on the Proof of a *failure.Error with a "not run" code.
@@ -103,7 +103,7 @@
 
 // Failed decides what follows a failed attempt. delivered is the number of tokens of the response, over all attempts,
 // that the caller has received.
-func (s *Session) Failed(a Attempt, delivered int, now time.Time) Decision {
+func (s *Session) Failed(a FailedAttempt, delivered int, now time.Time) Decision {
 	f := failure.From(a.Err)
 	notRun := f.Code.Meaning().NotRun && f.Proof != failure.ProofNone
 	if !notRun {
--- a/internal/policy/retry/session_test.go
+++ b/internal/policy/retry/session_test.go
@@ -51,7 +51,7 @@
 			s := retry.NewSession(tc.rules, retry.NewBudget(percent), now.Add(tc.left))
 			var d retry.Decision
 			for i, err := range tc.failures {
-				d = s.Failed(retry.Attempt{Upstream: ids.Upstream(fmt.Sprintf("u%d", i)), Err: err}, tc.delivered, now)
+				d = s.Failed(retry.FailedAttempt{Upstream: ids.Upstream(fmt.Sprintf("u%d", i)), Err: err}, tc.delivered, now)
 			}
 			if d.Action != tc.want {
 				t.Fatalf("%s, want %s (%v)", d.Action, tc.want, d.Err)
@@ -87,7 +87,7 @@
 			err := rapid.SampledFrom(outcomes).Draw(t, "outcome")
 			f := failure.From(err)
 			proved = proved && f.Code.Meaning().NotRun && f.Proof != failure.ProofNone
-			d := s.Failed(retry.Attempt{Upstream: "u", Err: err}, 0, now)
+			d := s.Failed(retry.FailedAttempt{Upstream: "u", Err: err}, 0, now)
 			if d.Action != retry.ActionGiveUp {
 				if !rules.Repeatable && !proved {
 					t.Fatalf("repeated a request that may have run")
@@ -112,7 +112,7 @@
 		retries := 0
 		for range requests {
 			s := retry.NewSession(retry.DefaultRules(true, true), budget, now.Add(time.Hour))
-			for s.Failed(retry.Attempt{Err: broken()}, 0, now).Action != retry.ActionGiveUp {
+			for s.Failed(retry.FailedAttempt{Err: broken()}, 0, now).Action != retry.ActionGiveUp {
 				retries++
 			}
 		}
@@ -143,7 +143,7 @@
 	s := retry.NewSession(rules, retry.NewBudget(percent), now.Add(time.Hour))
 	var backoffs []time.Duration
 	for range rules.MaxAttempts - 1 {
-		backoffs = append(backoffs, s.Failed(retry.Attempt{Err: broken()}, 0, now).After)
+		backoffs = append(backoffs, s.Failed(retry.FailedAttempt{Err: broken()}, 0, now).After)
 	}
 	if diff := cmp.Diff([]time.Duration{rules.Backoff, 2 * rules.Backoff}, backoffs); diff != "" {
 		t.Fatal(diff)
--- a/internal/policy/routing/expectedwait/expectedwait.go
+++ b/internal/policy/routing/expectedwait/expectedwait.go
@@ -137,7 +137,7 @@
 	cached := min(req.PromptTokens, u.Cached.Match(req.Blocks)*req.BlockTokens)
 	ahead := p.promptAhead(u, req.FirstClass, now)
 	perToken := p.effective(u.Load.PromptTokenTime, p.promptTokenTime)
-	wait := 2*u.Distance + p.effective(u.Load.StepTime, p.stepTime)
+	wait := 2*u.Latency + p.effective(u.Load.StepTime, p.stepTime)
 	wait += p.batchWait(u, load, req.FirstClass)
 	wait += time.Duration((ahead + float64(req.PromptTokens-cached)) * float64(perToken))
 	if !u.HasAdapter(req.Adapter) {
--- a/internal/policy/routing/expectedwait/expectedwait_test.go
+++ b/internal/policy/routing/expectedwait/expectedwait_test.go
@@ -68,7 +68,7 @@
 			others(a, routing.Counts{Waiting: 3, PromptTokens: 3 * prompt}, 0)
 			others(b, routing.Counts{Waiting: 1, PromptTokens: prompt, FirstWaiting: 1, FirstPromptTokens: prompt}, 0)
 		}, "a"},
-		"a remote data centre": {func(a, _ *routing.Upstream, _ *routing.Request) { a.Distance = 60 * time.Millisecond }, "b"},
+		"a remote data centre": {func(a, _ *routing.Upstream, _ *routing.Request) { a.Latency = 60 * time.Millisecond }, "b"},
 		"a missing adapter": {func(_, b *routing.Upstream, req *routing.Request) {
 			req.Adapter = "grants"
 			b.Adapters = []string{"grants"}
--- a/internal/policy/routing/upstream.go
+++ b/internal/policy/routing/upstream.go
@@ -20,8 +20,8 @@
 	Weight float64
 	// Batch is how many requests the upstream runs concurrently.
 	Batch int
-	// Distance is the one-way network latency from this entry to the slot.
-	Distance time.Duration
+	// Latency is the one-way network latency from this entry to the slot.
+	Latency time.Duration
 	// Load is the newest report of the slot.
 	Load Load
 	// Versions lists the loaded model versions; empty means that the upstream does not report them.
--- a/internal/state/audit/writer/changes.go
+++ b/internal/state/audit/writer/changes.go
@@ -121,7 +121,7 @@
 // newChangeRow returns the audit row of a log entry: the operator, time, reason, and the objects before and after. For
 // a change of the roster it lists only the nodes removed and added: full rosters of 1,140 names would make the chain
 // large.
-func newChangeRow(e *revision.Entry, before, after *revision.State) *audit.Row {
+func newChangeRow(e *revision.LogEntry, before, after *revision.State) *audit.Row {
 	r := &audit.Row{
 		UnixMs: e.GetCommittedAtUnixMs(), Actor: e.GetMeta().GetOperator(), Reason: e.GetMeta().GetReason(),
 		Kind: audit.KindChange, OperationId: e.GetMeta().GetOperationId(), Revision: e.GetRevision(),
--- a/internal/state/catalog/configuration.go
+++ b/internal/state/catalog/configuration.go
@@ -93,9 +93,9 @@
 type Experts struct {
 	// Sets is the number of sets of layers that are placed independently, and PerSet the number of experts in each.
 	Sets, PerSet int
-	// Placements is the maximum number of experts of a set on one rank, and Spare the maximum number of new ones that
+	// MaxPerRank is the maximum number of experts of a set on one rank, and Spare the maximum number of new ones that
 	// one switch may load there.
-	Placements, Spare int
+	MaxPerRank, Spare int
 	// CopyTime is the time in which a rank copies one expert's weights.
 	CopyTime time.Duration
 	// Share is the fraction of the per-token work of a step that the experts do.
@@ -130,7 +130,7 @@
 
 // Configuration is one accepted version of the operators' configuration. It is immutable.
 type Configuration struct {
-	Version  ids.Revision
+	Revision ids.Revision
 	Services map[ids.Service]*Service
 	Limits   Limits
 
@@ -144,7 +144,7 @@
 // New returns an indexed configuration. accounts maps each key to its account.
 func New(revision ids.Revision, routes []*Route, services []*Service, accounts map[string]*Account, limits Limits) *Configuration {
 	c := &Configuration{
-		Version:  revision,
+		Revision: revision,
 		Services: make(map[ids.Service]*Service, len(services)),
 		Limits:   limits,
 		routes:   map[string][]*Route{},
--- a/internal/state/claims/ledger.go
+++ b/internal/state/claims/ledger.go
@@ -16,7 +16,7 @@
 type Effect interface{ effect() }
 
 // DeliverVerdict delivers the verdict on an attempt. Each Submit results in exactly one of these.
-type Answer struct {
+type DeliverVerdict struct {
 	Attempt ids.Attempt
 	Verdict Verdict
 }
@@ -26,8 +26,8 @@
 	Txn platform.Txn
 }
 
-func (Answer) effect() {}
-func (Commit) effect() {}
+func (DeliverVerdict) effect() {}
+func (Commit) effect()         {}
 
 // The events, actions and states of claim.yaml.
 const (
@@ -295,7 +295,7 @@
 	if v.Refusal != nil && v.Refusal.Code.Meaning().NotRun {
 		l.recordDecided(r, v.Refusal.Code)
 	}
-	l.effects = append(l.effects, Answer{r.Attempt, v})
+	l.effects = append(l.effects, DeliverVerdict{r.Attempt, v})
 }
 
 // recordDecided stores the refusal code for delayed duplicates of an attempt. Without it a duplicate of a refused
--- a/internal/state/claims/ledger_test.go
+++ b/internal/state/claims/ledger_test.go
@@ -64,7 +64,7 @@
 		switch e := e.(type) {
 		case Commit:
 			h.commits = append(h.commits, e.Txn)
-		case Answer:
+		case DeliverVerdict:
 			h.verdicts[e.Attempt.Seq] = append(h.verdicts[e.Attempt.Seq], verdictName(e.Verdict))
 		}
 	}
--- a/internal/state/claims/random_test.go
+++ b/internal/state/claims/random_test.go
@@ -60,14 +60,14 @@
 		switch e := e.(type) {
 		case Commit:
 			s.commits = append(s.commits, e.Txn)
-		case Answer:
+		case DeliverVerdict:
 			s.pendingVerdicts--
 			sim.checkVerdict(s, e)
 		}
 	}
 }
 
-func (sim *simulation) checkVerdict(s *simulatedSlot, e Answer) {
+func (sim *simulation) checkVerdict(s *simulatedSlot, e DeliverVerdict) {
 	r := sim.sent[e.Attempt.Seq]
 	v := e.Verdict
 	switch {
--- a/internal/state/claims/store.go
+++ b/internal/state/claims/store.go
@@ -172,7 +172,7 @@
 func (s *Store) perform(ctx context.Context, st *loopState, effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
-		case Answer:
+		case DeliverVerdict:
 			s.opts.countVerdict(e.Verdict)
 			if c := st.waiting[e.Attempt]; c != nil {
 				delete(st.waiting, e.Attempt)
--- a/internal/state/lease/deadholder_test.go
+++ b/internal/state/lease/deadholder_test.go
@@ -21,7 +21,7 @@
 }
 
 // execute carries out the effects of a holder immediately.
-func (r *row) execute(now time.Time, h *lease.Holder, effects []lease.Effect) {
+func (r *row) execute(now time.Time, h *lease.Contender, effects []lease.Effect) {
 	for len(effects) > 0 {
 		e := effects[0]
 		effects = effects[1:]
@@ -47,8 +47,8 @@
 }
 
 // holderSeeingOthersDead returns a holder that considers all other holders dead.
-func holderSeeingOthersDead(name string, seed uint64) *lease.Holder {
-	h := lease.NewHolder("duty", name, ids.Incarnation(name), testLength, rand.New(rand.NewPCG(seed, 1)))
+func holderSeeingOthersDead(name string, seed uint64) *lease.Contender {
+	h := lease.NewContender("duty", name, ids.Incarnation(name), testLength, rand.New(rand.NewPCG(seed, 1)))
 	h.SetHolderDead(func(holder string, _ ids.Incarnation) bool { return holder != name })
 	return h
 }
--- a/internal/state/lease/lease.go
+++ b/internal/state/lease/lease.go
@@ -109,7 +109,7 @@
 
 // Contender is the state machine of one node that contends for or holds one lease. It does no I/O, reads no clock, and is not
 // safe for concurrent use.
-type Holder struct {
+type Contender struct {
 	duty        Duty
 	name        string
 	incarnation ids.Incarnation
@@ -136,35 +136,35 @@
 // SetHolderDead sets the function that reports whether a holder is dead, so that the duty of a dead holder is acquired before
 // its lease expires. Use it only for duties whose safety does not depend on the lease: if a live holder is mistaken for dead,
 // two nodes carry out the duty until the old holder learns of the new one.
-func (h *Holder) SetHolderDead(dead func(holder string, incarnation ids.Incarnation) bool) {
+func (h *Contender) SetHolderDead(dead func(holder string, incarnation ids.Incarnation) bool) {
 	h.holderDead = dead
 }
 
 // NewContender returns a Contender that does not contend for the duty yet.
-func NewHolder(d Duty, name string, incarnation ids.Incarnation, length time.Duration, rng *rand.Rand) *Holder {
-	return &Holder{duty: d, name: name, incarnation: incarnation, length: length, rng: rng, machine: chart.Start()}
+func NewContender(d Duty, name string, incarnation ids.Incarnation, length time.Duration, rng *rand.Rand) *Contender {
+	return &Contender{duty: d, name: name, incarnation: incarnation, length: length, rng: rng, machine: chart.Start()}
 }
 
 // Held returns the lease that this node holds. Call its ValidAt with the time of each action.
-func (h *Holder) Held() HeldLease { return h.held }
+func (h *Contender) Held() HeldLease { return h.held }
 
 // NewestFence returns the fencing token in the rows as last seen.
-func (h *Holder) NewestFence() ids.Fence { return ids.Fence(h.row.Fence) }
+func (h *Contender) NewestFence() ids.Fence { return ids.Fence(h.row.Fence) }
 
 // NewestFenceOfOthers returns NewestFence, or 0 if the rows name this incarnation as the holder.
-func (h *Holder) NewestFenceOfOthers() ids.Fence {
+func (h *Contender) NewestFenceOfOthers() ids.Fence {
 	if h.isOwn(h.row.Lease) {
 		return 0
 	}
 	return h.NewestFence()
 }
 
-func (h *Holder) isOwn(l *cardamomyokev1.Lease) bool {
+func (h *Contender) isOwn(l *cardamomyokev1.Lease) bool {
 	return l.GetHolder() == h.name && l.GetIncarnation() == string(h.incarnation)
 }
 
 // PendingFor returns how long the call in flight has waited for its response; 0 if there is none.
-func (h *Holder) PendingFor(now time.Time) time.Duration {
+func (h *Contender) PendingFor(now time.Time) time.Duration {
 	if h.callStartedAt.IsZero() {
 		return 0
 	}
@@ -172,15 +172,15 @@
 }
 
 // State returns the state in the chart.
-func (h *Holder) State() charts.State { return h.machine.State() }
+func (h *Contender) State() charts.State { return h.machine.State() }
 
-func (h *Holder) fire(ev charts.Event) {
+func (h *Contender) fire(ev charts.Event) {
 	// The chart declares each of these events, so Fire cannot fail.
 	_, _ = h.machine.Fire(ev)
 }
 
 // SetWanted sets whether this node contends for the duty. If it stops contending, it releases a held duty immediately.
-func (h *Holder) SetWanted(now time.Time, want bool) []Effect {
+func (h *Contender) SetWanted(now time.Time, want bool) []Effect {
 	if want == h.wanted {
 		return nil
 	}
@@ -199,7 +199,7 @@
 }
 
 // Tick advances the state machine to now.
-func (h *Holder) Tick(now time.Time) []Effect {
+func (h *Contender) Tick(now time.Time) []Effect {
 	if h.machine.State() == stateHeld && !h.held.ValidAt(now) {
 		h.lapse()
 	}
@@ -227,13 +227,13 @@
 	return nil
 }
 
-func (h *Holder) lapse() {
+func (h *Contender) lapse() {
 	h.held = HeldLease{}
 	h.unchangedSince = time.Time{}
 	h.fire(evLapsed)
 }
 
-func (h *Holder) ownLease() *cardamomyokev1.Lease {
+func (h *Contender) ownLease() *cardamomyokev1.Lease {
 	return &cardamomyokev1.Lease{
 		Holder: h.name, Incarnation: string(h.incarnation), LengthMs: h.length.Milliseconds(), Renewals: h.renewalCount,
 	}
@@ -241,7 +241,7 @@
 
 // expired reports whether the duty may be acquired: the row names no holder, its holder is known to be dead, or the lease
 // has expired by this node's own clock.
-func (h *Holder) expired(now time.Time) bool {
+func (h *Contender) expired(now time.Time) bool {
 	if h.unchangedSince.IsZero() {
 		return false // not read yet
 	}
@@ -259,43 +259,43 @@
 //
 // Two nodes that do not reach each other but both reach the table would mistake each other for dead and acquire the duty
 // from each other again and again. A row that changes proves that its holder is alive.
-func (h *Holder) renewedRecently(now time.Time) bool {
+func (h *Contender) renewedRecently(now time.Time) bool {
 	return !h.changedAt.IsZero() && now.Sub(h.changedAt) < h.renewalTimeout()
 }
 
 // renewalTimeout returns the time within which a live holder renews its lease.
-func (h *Holder) renewalTimeout() time.Duration { return h.length / renewalsPerLength * 3 / 2 }
+func (h *Contender) renewalTimeout() time.Duration { return h.length / renewalsPerLength * 3 / 2 }
 
 // recordRow records the present state of the rows.
-func (h *Holder) recordRow(now time.Time, row Row) {
+func (h *Contender) recordRow(now time.Time, row Row) {
 	if row.Version != h.row.Version && now.Sub(h.readAt) < h.renewalTimeout() && !h.isOwn(row.Lease) {
 		h.changedAt = now
 	}
 	h.row, h.readAt = row, now
 }
 
-func (h *Holder) startCall(now time.Time) {
+func (h *Contender) startCall(now time.Time) {
 	h.callStartedAt = now
 	h.callID++
 	h.nextCallAt = now.Add(h.length/renewalsPerLength - time.Duration(h.rng.Int64N(int64(h.length/renewalsPerLength/marginDivisor)+1)))
 }
 
-func (h *Holder) read(now time.Time) []Effect {
+func (h *Contender) read(now time.Time) []Effect {
 	h.startCall(now)
 	return []Effect{&Read{}}
 }
 
-func (h *Holder) write(now time.Time, w *Write) []Effect {
+func (h *Contender) write(now time.Time, w *Write) []Effect {
 	h.startCall(now)
 	h.releasing = w.Lease.GetHolder() == ""
 	return []Effect{w}
 }
 
 // CallID identifies the call that the last effect requested. The owner passes it to OnRead or OnWrite with the result.
-func (h *Holder) CallID() uint64 { return h.callID }
+func (h *Contender) CallID() uint64 { return h.callID }
 
 // OnRead processes the result of a Read; ok is false if the rows could not be read.
-func (h *Holder) OnRead(now time.Time, call uint64, row Row, ok bool) []Effect {
+func (h *Contender) OnRead(now time.Time, call uint64, row Row, ok bool) []Effect {
 	if call != h.callID {
 		return nil
 	}
@@ -324,7 +324,7 @@
 }
 
 // verifyHolder drops the held duty unless the rows name this incarnation with the held fencing token.
-func (h *Holder) verifyHolder() {
+func (h *Contender) verifyHolder() {
 	if h.isOwn(h.row.Lease) && h.row.Fence == uint64(h.held.Fence) {
 		return
 	}
@@ -343,7 +343,7 @@
 }
 
 // OnWrite processes the outcome of a Write. The outcome is unknown if neither OK nor Conflict is set.
-func (h *Holder) OnWrite(now time.Time, call uint64, w WriteResult) []Effect {
+func (h *Contender) OnWrite(now time.Time, call uint64, w WriteResult) []Effect {
 	if call != h.callID {
 		return nil
 	}
--- a/internal/state/lease/manager/manager.go
+++ b/internal/state/lease/manager/manager.go
@@ -44,7 +44,7 @@
 // on the control loop; Held is safe for concurrent use.
 type Manager struct {
 	config  Config
-	holders map[lease.Duty]*lease.Holder
+	holders map[lease.Duty]*lease.Contender
 	view    atomic.Pointer[map[lease.Duty]lease.HeldLease]
 }
 
@@ -56,7 +56,7 @@
 	if c.Logger == nil {
 		c.Logger = log.NewNopLogger()
 	}
-	m := &Manager{config: c, holders: map[lease.Duty]*lease.Holder{}}
+	m := &Manager{config: c, holders: map[lease.Duty]*lease.Contender{}}
 	m.view.Store(&map[lease.Duty]lease.HeldLease{})
 	return m
 }
@@ -86,7 +86,7 @@
 func (m *Manager) SetWanted(now time.Time, d lease.Duty, want bool) {
 	h := m.holders[d]
 	if h == nil {
-		h = lease.NewHolder(d, m.config.Name, m.config.Incarnation, m.config.Length, m.config.Rand)
+		h = lease.NewContender(d, m.config.Name, m.config.Incarnation, m.config.Length, m.config.Rand)
 		h.SetHolderDead(m.config.HolderDead)
 		m.holders[d] = h
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-func (m *Manager) execute(now time.Time, d lease.Duty, h *lease.Holder, effects []lease.Effect) {
+func (m *Manager) execute(now time.Time, d lease.Duty, h *lease.Contender, effects []lease.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case *lease.Read:
@@ -132,7 +132,7 @@
 	}
 }
 
-func (m *Manager) read(d lease.Duty, h *lease.Holder, call uint64) {
+func (m *Manager) read(d lease.Duty, h *lease.Contender, call uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), m.config.Length/2)
 	defer cancel()
 	row, err := readRow(ctx, m.config.Table, d)
@@ -163,7 +163,7 @@
 // Unwrap returns the cause.
 func (e *RowError) Unwrap() error { return e.Cause }
 
-func (m *Manager) write(d lease.Duty, h *lease.Holder, call uint64, w *lease.Write) {
+func (m *Manager) write(d lease.Duty, h *lease.Contender, call uint64, w *lease.Write) {
 	ctx, cancel := context.WithTimeout(context.Background(), m.config.Length/2)
 	defer cancel()
 	out := commit(ctx, m.config.Table, d, w)
--- a/internal/state/lease/manager/manager_test.go
+++ b/internal/state/lease/manager/manager_test.go
@@ -264,7 +264,7 @@
 // Guards against a node that drops a duty that no other node holds. Its takeover takes effect but the response is lost, so
 // the row names this incarnation, which is not evidence of a later holder.
 func TestOwnTakeoverDoesNotCountAsOthers(t *testing.T) {
-	h := lease.NewHolder(duty, "a", "life-1", time.Second, rand.New(rand.NewPCG(1, 1)))
+	h := lease.NewContender(duty, "a", "life-1", time.Second, rand.New(rand.NewPCG(1, 1)))
 	now := time.Unix(0, 0)
 	h.SetWanted(now, true)
 	read := func(name, incarnation string, fence uint64) {
--- a/internal/state/revision/agent/agent.go
+++ b/internal/state/revision/agent/agent.go
@@ -172,7 +172,7 @@
 }
 
 // Change commits an operator's change; see store.Store.Change. It returns before the log entry is accepted; see Wait.
-func (a *Agent) Change(ctx context.Context, meta *cardamomyokev1.ChangeMeta, build store.Build) (*revision.Entry, error) {
+func (a *Agent) Change(ctx context.Context, meta *cardamomyokev1.ChangeMeta, build store.Build) (*revision.LogEntry, error) {
 	e, err := a.store.Change(ctx, a.View().Newest, meta, build)
 	if err == nil {
 		a.postCommitted(e)
@@ -181,7 +181,7 @@
 }
 
 // RemoveMembers commits the removal of nodes that an operator has declared dead.
-func (a *Agent) RemoveMembers(ctx context.Context, meta *cardamomyokev1.ChangeMeta, names []string) (*revision.Entry, error) {
+func (a *Agent) RemoveMembers(ctx context.Context, meta *cardamomyokev1.ChangeMeta, names []string) (*revision.LogEntry, error) {
 	e, err := a.store.EditRoster(ctx, a.View().Newest, &cardamomyokev1.RosterEdit{Remove: names}, meta)
 	if err == nil {
 		a.postCommitted(e)
@@ -189,7 +189,7 @@
 	return e, err
 }
 
-func (a *Agent) postCommitted(e *revision.Entry) {
+func (a *Agent) postCommitted(e *revision.LogEntry) {
 	a.post(func(now time.Time) []revision.Effect { return a.node.OnCommitted(now, e) })
 }
 
--- a/internal/state/revision/agent/cluster_test.go
+++ b/internal/state/revision/agent/cluster_test.go
@@ -162,7 +162,7 @@
 }
 
 // change commits a new value of address_keep_ms, the simplest possible change.
-func (c *cluster) change(at string, base uint64) *revision.Entry {
+func (c *cluster) change(at string, base uint64) *revision.LogEntry {
 	c.t.Helper()
 	e, err := c.members[at].agent.Change(context.Background(), c.meta(base), addressTTLEdit(1000+uint32(base)))
 	if err != nil {
@@ -182,7 +182,7 @@
 }
 
 // accepted waits until the node `at` learns that e is accepted, and returns how long that took.
-func (c *cluster) accepted(at string, e *revision.Entry, limit time.Duration) time.Duration {
+func (c *cluster) accepted(at string, e *revision.LogEntry, limit time.Duration) time.Duration {
 	c.t.Helper()
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
--- a/internal/state/revision/agent/scenario_test.go
+++ b/internal/state/revision/agent/scenario_test.go
@@ -130,7 +130,7 @@
 	defer tr.mu.Unlock()
 	var race *store.RaceError
 	var down *platform.UnavailableError
-	var unknown *store.UnknownError
+	var unknown *store.UnknownOutcomeError
 	switch {
 	case err == nil:
 		tr.changes++
--- a/internal/state/revision/catchup.go
+++ b/internal/state/revision/catchup.go
@@ -17,7 +17,7 @@
 }
 
 // OnCatchUp processes the state that another node sent; s is nil if the request failed.
-func (n *Node) OnCatchUp(now time.Time, s *State, entries []*Entry, accepted uint64) []Effect {
+func (n *Node) OnCatchUp(now time.Time, s *State, entries []*LogEntry, accepted uint64) []Effect {
 	n.begin(now)
 	if s != nil {
 		n.reset(s)
--- a/internal/state/revision/effects.go
+++ b/internal/state/revision/effects.go
@@ -74,7 +74,7 @@
 	Head    *cardamomyokev1.Head
 	// State is the newest checkpoint, or nil if it was not asked for or there is none.
 	State   *State
-	Entries []*Entry
+	Entries []*LogEntry
 	Holds   []*cardamomyokev1.Holds
 	Err     error
 }
--- a/internal/state/revision/node.go
+++ b/internal/state/revision/node.go
@@ -38,7 +38,7 @@
 	// that after the newest held log entry.
 	states      []*State
 	inForce     *State
-	log         []*Entry
+	log         []*LogEntry
 	committed   uint64
 	accepted    uint64
 	floors      []floor
@@ -211,9 +211,9 @@
 }
 
 // OnCommitted processes a log entry that this node itself has committed in the table.
-func (n *Node) OnCommitted(now time.Time, e *Entry) []Effect {
+func (n *Node) OnCommitted(now time.Time, e *LogEntry) []Effect {
 	n.begin(now)
-	n.merge([]*Entry{e}, e.GetSeq(), 0)
+	n.merge([]*LogEntry{e}, e.GetSeq(), 0)
 	return n.finish()
 }
 
@@ -231,7 +231,7 @@
 
 // merge records committed log entries and sequence numbers from any source, and stages the log entries that follow the held
 // ones.
-func (n *Node) merge(entries []*Entry, committed, accepted uint64) {
+func (n *Node) merge(entries []*LogEntry, committed, accepted uint64) {
 	before := [3]uint64{n.staged(), n.committed, n.accepted}
 	for _, e := range entries {
 		if len(n.states) > 0 && e.GetSeq() == n.staged()+1 {
@@ -248,7 +248,7 @@
 
 // stage applies e and holds it. A log entry that this node cannot apply is not held, so it is never accepted while the node
 // is a member, and the list of pending nodes names it.
-func (n *Node) stage(e *Entry) {
+func (n *Node) stage(e *LogEntry) {
 	next, err := n.head().Apply(e)
 	if err != nil {
 		return
@@ -289,7 +289,7 @@
 }
 
 // entriesAfter returns the held log entries after seq, or nil if there are none or the log no longer retains all of them.
-func (n *Node) entriesAfter(seq uint64) []*Entry {
+func (n *Node) entriesAfter(seq uint64) []*LogEntry {
 	if len(n.log) == 0 || n.log[0].GetSeq() > seq+1 || seq >= n.staged() {
 		return nil
 	}
--- a/internal/state/revision/node_test.go
+++ b/internal/state/revision/node_test.go
@@ -20,7 +20,7 @@
 	}
 	n := NewNode(self, "life-1", nil, Options{}, rand.New(rand.NewPCG(1, 1)), now)
 	n.OnHead(now, HeadRead{
-		Started: now, Head: &cardamomyokev1.Head{Committed: 1, Accepted: 1}, Entries: []*Entry{{Seq: 1, Roster: add}},
+		Started: now, Head: &cardamomyokev1.Head{Committed: 1, Accepted: 1}, Entries: []*LogEntry{{Seq: 1, Roster: add}},
 	})
 	return n
 }
@@ -60,7 +60,7 @@
 	start := time.Unix(1000, 0)
 	for _, repeated := range []bool{true, false} {
 		n, others := originOfThree(start)
-		n.OnCommitted(start, &Entry{Seq: 2})
+		n.OnCommitted(start, &LogEntry{Seq: 2})
 		n.receiveAckFrom(start, others[0], 1, 2)
 		late := start.Add(ackTTL + time.Second)
 		if repeated {
--- a/internal/state/revision/state.go
+++ b/internal/state/revision/state.go
@@ -8,7 +8,7 @@
 )
 
 // LogEntry is one step of the configuration log.
-type Entry = cardamomyokev1.LogEntry
+type LogEntry = cardamomyokev1.LogEntry
 
 // State is the result of applying the log up to one log entry. It is immutable.
 type State struct {
@@ -40,7 +40,7 @@
 }
 
 // Apply returns the state after e. Errors: *SequenceError, *config.FieldError.
-func (s *State) Apply(e *Entry) (*State, error) {
+func (s *State) Apply(e *LogEntry) (*State, error) {
 	if e.GetSeq() != s.Seq+1 {
 		return nil, fmt.Errorf("apply: %w", &SequenceError{s.Seq, e.GetSeq()})
 	}
--- a/internal/state/revision/store/change.go
+++ b/internal/state/revision/store/change.go
@@ -47,18 +47,18 @@
 
 // UnknownOutcomeError reports that the outcome of a change is unknown: it may be committed already, or may still
 // be.
-type UnknownError struct {
+type UnknownOutcomeError struct {
 	Operation string
 	Cause     error
 }
 
 // Error implements error.
-func (e *UnknownError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("operation %s may or may not be committed: %v", e.Operation, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *UnknownError) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
 // Build returns the edits of a change, given the committed state that it is applied to.
 type Build func(*revision.State) ([]*cardamomyokev1.Edit, error)
@@ -67,11 +67,11 @@
 // committed state is derived. A change that is repeated with the same operation id returns the log entry of the first call.
 // Errors: *config.FieldError, *RaceError, *PendingError, *ReusedError (nothing was committed); *platform.UnavailableError
 // (nothing was committed by this call); *UnknownOutcomeError.
-func (s *Store) Change(ctx context.Context, have *revision.State, meta *cardamomyokev1.ChangeMeta, build Build) (*revision.Entry, error) {
+func (s *Store) Change(ctx context.Context, have *revision.State, meta *cardamomyokev1.ChangeMeta, build Build) (*revision.LogEntry, error) {
 	if err := config.CheckMeta(meta); err != nil {
 		return nil, err
 	}
-	return s.propose(ctx, have, meta, func(st *revision.State, h *cardamomyokev1.Head) (*revision.Entry, error) {
+	return s.propose(ctx, have, meta, func(st *revision.State, h *cardamomyokev1.Head) (*revision.LogEntry, error) {
 		if st.Revision() != meta.GetBaseRevision() {
 			return nil, &RaceError{meta.GetBaseRevision(), st.Revision()}
 		}
@@ -82,26 +82,26 @@
 		if err != nil {
 			return nil, err
 		}
-		return &revision.Entry{Revision: st.Revision() + 1, Edits: edits}, nil
+		return &revision.LogEntry{Revision: st.Revision() + 1, Edits: edits}, nil
 	})
 }
 
 // EditRoster commits a change of the roster and returns its log entry. The errors are those of Change.
-func (s *Store) EditRoster(ctx context.Context, have *revision.State, e *cardamomyokev1.RosterEdit, meta *cardamomyokev1.ChangeMeta) (*revision.Entry, error) {
+func (s *Store) EditRoster(ctx context.Context, have *revision.State, e *cardamomyokev1.RosterEdit, meta *cardamomyokev1.ChangeMeta) (*revision.LogEntry, error) {
 	if meta.GetOperator() == "" {
 		meta = &cardamomyokev1.ChangeMeta{
 			Operator: systemOperator, Reason: meta.GetReason(), OperationId: string(ids.NewOperation()),
 		}
 	}
-	return s.propose(ctx, have, meta, func(st *revision.State, _ *cardamomyokev1.Head) (*revision.Entry, error) {
-		return &revision.Entry{Revision: st.Revision(), Roster: e}, nil
+	return s.propose(ctx, have, meta, func(st *revision.State, _ *cardamomyokev1.Head) (*revision.LogEntry, error) {
+		return &revision.LogEntry{Revision: st.Revision(), Roster: e}, nil
 	})
 }
 
 // propose appends the log entry that build returns to the log. If another write changes the head row first, that is no
 // conflict by itself: build decides again on the newer state.
 func (s *Store) propose(ctx context.Context, have *revision.State, meta *cardamomyokev1.ChangeMeta,
-	build func(*revision.State, *cardamomyokev1.Head) (*revision.Entry, error)) (*revision.Entry, error) {
+	build func(*revision.State, *cardamomyokev1.Head) (*revision.LogEntry, error)) (*revision.LogEntry, error) {
 	var earlier error
 	for range maxAttempts {
 		h, done, err := s.headAndOperation(ctx, meta.GetOperationId())
@@ -129,12 +129,12 @@
 		}
 		earlier = errors.Join(earlier, err)
 	}
-	return nil, &UnknownError{meta.GetOperationId(), earlier}
+	return nil, &UnknownOutcomeError{meta.GetOperationId(), earlier}
 }
 
 // storedEntry returns the log entry as stored in the table. If the response to an earlier attempt was lost, that attempt may
 // be the one that was applied; it differs from e only in its time stamp.
-func (s *Store) storedEntry(ctx context.Context, e *revision.Entry, earlier error) *revision.Entry {
+func (s *Store) storedEntry(ctx context.Context, e *revision.LogEntry, earlier error) *revision.LogEntry {
 	if earlier == nil {
 		return e
 	}
@@ -147,7 +147,7 @@
 
 // headAndOperation reads the head and the operation's row in one consistent read, and returns the operation's log entry if it
 // is committed.
-func (s *Store) headAndOperation(ctx context.Context, id string) (head, *revision.Entry, error) {
+func (s *Store) headAndOperation(ctx context.Context, id string) (head, *revision.LogEntry, error) {
 	rows, err := s.platform.Get(ctx, keyHead, prefixOp+id)
 	if err != nil {
 		return head{}, nil, err
@@ -164,12 +164,12 @@
 func unknownOr(meta *cardamomyokev1.ChangeMeta, earlier, err error) error {
 	var unknown *platform.UnknownOutcomeError
 	if errors.As(earlier, &unknown) {
-		return &UnknownError{meta.GetOperationId(), err}
+		return &UnknownOutcomeError{meta.GetOperationId(), err}
 	}
 	return err
 }
 
-func sameChange(e *revision.Entry, meta *cardamomyokev1.ChangeMeta) (*revision.Entry, error) {
+func sameChange(e *revision.LogEntry, meta *cardamomyokev1.ChangeMeta) (*revision.LogEntry, error) {
 	if !proto.Equal(e.GetMeta(), meta) {
 		return nil, &ReusedError{meta.GetOperationId()}
 	}
@@ -201,7 +201,7 @@
 	return have, nil
 }
 
-func (s *Store) write(ctx context.Context, st *revision.State, h head, meta *cardamomyokev1.ChangeMeta, e *revision.Entry) (*revision.Entry, error) {
+func (s *Store) write(ctx context.Context, st *revision.State, h head, meta *cardamomyokev1.ChangeMeta, e *revision.LogEntry) (*revision.LogEntry, error) {
 	e.Seq = st.Seq + 1
 	e.Meta = meta
 	e.CommittedAtUnixMs = s.clock().UnixMilli()
@@ -221,19 +221,19 @@
 }
 
 // Operation returns the log entry that an operation committed, or nil if there is none.
-func (s *Store) Operation(ctx context.Context, id string) (*revision.Entry, error) {
+func (s *Store) Operation(ctx context.Context, id string) (*revision.LogEntry, error) {
 	_, e, err := s.headAndOperation(ctx, id)
 	return e, err
 }
 
 // entry reads the log entry that the row of an operation refers to.
-func (s *Store) entry(ctx context.Context, op platform.Row) (*revision.Entry, error) {
+func (s *Store) entry(ctx context.Context, op platform.Row) (*revision.LogEntry, error) {
 	key := prefixLog + string(op.Value)
 	rows, err := s.platform.Get(ctx, key)
 	if err != nil {
 		return nil, err
 	}
-	e := &revision.Entry{}
+	e := &revision.LogEntry{}
 	return e, decode(key, rows[0].Value, e)
 }
 
@@ -279,7 +279,7 @@
 }
 
 // Before returns up to limit log entries before seq, newest first; seq 0 starts with the newest log entry.
-func (s *Store) Before(ctx context.Context, seq, limit uint64) ([]*revision.Entry, error) {
+func (s *Store) Before(ctx context.Context, seq, limit uint64) ([]*revision.LogEntry, error) {
 	if seq == 0 {
 		h, err := s.head(ctx)
 		if err != nil {
--- a/internal/state/revision/store/store.go
+++ b/internal/state/revision/store/store.go
@@ -131,8 +131,8 @@
 }
 
 // Entries returns the log entries after `after`, up to and including last.
-func (s *Store) Entries(ctx context.Context, after, last uint64) ([]*revision.Entry, error) {
-	var out []*revision.Entry
+func (s *Store) Entries(ctx context.Context, after, last uint64) ([]*revision.LogEntry, error) {
+	var out []*revision.LogEntry
 	for after < last {
 		rows, err := s.platform.List(ctx, prefixLog, logKey(after), int(min(pageSize, last-after)))
 		if err != nil {
@@ -142,7 +142,7 @@
 			return nil, &CorruptError{logKey(after + 1), &platform.NotFoundError{Name: logKey(after + 1)}}
 		}
 		for _, r := range rows {
-			e := &revision.Entry{}
+			e := &revision.LogEntry{}
 			if err := decode(r.Key, r.Value, e); err != nil {
 				return nil, err
 			}
--- a/internal/testing/bench/claims/world.go
+++ b/internal/testing/bench/claims/world.go
@@ -125,7 +125,7 @@
 func (w *world) apply(s *slot, effects []claims.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
-		case claims.Answer:
+		case claims.DeliverVerdict:
 			w.handleAnswer(s, e)
 		case claims.Commit:
 			w.commit(s, e.Txn)
@@ -145,7 +145,7 @@
 }
 
 // handleAnswer records the ledger's verdict for a claim, and schedules the end of a request that starts.
-func (w *world) handleAnswer(s *slot, e claims.Answer) {
+func (w *world) handleAnswer(s *slot, e claims.DeliverVerdict) {
 	if !e.Verdict.Start {
 		w.result.Refused++
 		return
--- a/internal/testing/bench/config/config.go
+++ b/internal/testing/bench/config/config.go
@@ -183,16 +183,16 @@
 	var err error
 	for seq := uint64(1); len(edits) > 0; seq++ {
 		k := min(maxEdits, len(edits))
-		if st, err = st.Apply(&revision.Entry{Seq: seq, Revision: seq, Edits: edits[:k]}); err != nil {
+		if st, err = st.Apply(&revision.LogEntry{Seq: seq, Revision: seq, Edits: edits[:k]}); err != nil {
 			return stateCost{}, err
 		}
 		edits = edits[k:]
 	}
-	if st, err = st.Apply(&revision.Entry{Seq: st.Seq + 1, Revision: st.Revision(), Roster: roster}); err != nil {
+	if st, err = st.Apply(&revision.LogEntry{Seq: st.Seq + 1, Revision: st.Revision(), Roster: roster}); err != nil {
 		return stateCost{}, err
 	}
 	start := time.Now()
-	next, err := st.Apply(&revision.Entry{Seq: st.Seq + 1, Revision: st.Revision() + 1, Edits: []*cardamomyokev1.Edit{
+	next, err := st.Apply(&revision.LogEntry{Seq: st.Seq + 1, Revision: st.Revision() + 1, Edits: []*cardamomyokev1.Edit{
 		clientEdit(cardamomyokev1.EditAction_EDIT_ACTION_CHANGE, 5, 2),
 	}})
 	if err != nil {
--- a/internal/testing/bench/policy/admit.go
+++ b/internal/testing/bench/policy/admit.go
@@ -100,7 +100,7 @@
 func workTokens(output int) float64 { return promptWeight*promptTokens + float64(output) }
 
 func newFairQueue(e *entry) *fairQueue {
-	classes := []admission.Class{{Name: classFirst, Rank: 0, QueueLimit: queueLimit}, {Name: classSecond, Rank: 1, QueueLimit: queueLimit}}
+	classes := []admission.Class{{Name: classFirst, Priority: 0, QueueLimit: queueLimit}, {Name: classSecond, Priority: 1, QueueLimit: queueLimit}}
 	share := func(c ids.Client) float64 { return max(minClientShare, e.usage.LocalShare(c, e.world.clock.now)) }
 	opts := admission.Options{Classes: classes, Reserve: admission.DefaultReserve, MaxWait: admission.DefaultMaxWait, Share: share}
 
--- a/internal/testing/bench/policy/entry.go
+++ b/internal/testing/bench/policy/entry.go
@@ -130,7 +130,7 @@
 			status.Weight = 1
 		}
 		upstreams = append(upstreams, &routing.Upstream{
-			ID: r.id, Weight: status.Weight, Batch: batchSize, Distance: e.distance(r),
+			ID: r.id, Weight: status.Weight, Batch: batchSize, Latency: e.distance(r),
 			Load: e.loads[i], Work: e.localWork[i], Cached: e.cachedBlocks[i],
 		})
 	}
@@ -212,7 +212,7 @@
 		Exclude: exclude, Rand: e.rng.Uint64(),
 	}, now)
 	if err != nil {
-		e.attemptFailed(req, retry.Attempt{Err: err})
+		e.attemptFailed(req, retry.FailedAttempt{Err: err})
 		return
 	}
 	i := e.indexOf(choice.Upstream.ID)
@@ -230,10 +230,10 @@
 	j.onFailure = func() {
 		e.health.Apply(health.Failed{Upstream: req.runner.id}, e.world.clock.now)
 		req.flight.End()
-		e.attemptFailed(req, retry.Attempt{Upstream: req.runner.id, Err: failure.New(failure.CodeUpstreamFailed, nil)})
+		e.attemptFailed(req, retry.FailedAttempt{Upstream: req.runner.id, Err: failure.New(failure.CodeUpstreamFailed, nil)})
 	}
 	req.job = j
-	e.world.clock.after(choice.Upstream.Distance, func() { e.arriveAtSlot(req, choice, exclude) })
+	e.world.clock.after(choice.Upstream.Latency, func() { e.arriveAtSlot(req, choice, exclude) })
 }
 
 // arriveAtSlot models the slot: it submits the request to the runner, or returns it unstarted if others overtook it.
@@ -247,7 +247,7 @@
 		req.job.finished = true
 		req.flight.End()
 		e.world.sendResponseReport(e, req.runner)
-		e.world.clock.after(choice.Upstream.Distance, func() { e.pickAgain(req, exclude) })
+		e.world.clock.after(choice.Upstream.Latency, func() { e.pickAgain(req, exclude) })
 	default:
 		req.runner.submit(req.job)
 	}
@@ -284,7 +284,7 @@
 		e.world.result.cacheHit(req, cached, choice.Estimate.CachedTokens)
 	}
 	if req.firstAt.IsZero() {
-		req.firstAt = now.Add(2 * choice.Upstream.Distance)
+		req.firstAt = now.Add(2 * choice.Upstream.Latency)
 		e.world.result.firstToken(req)
 	} else {
 		e.world.result.tokenGap(req, now.Sub(req.lastAt))
@@ -302,7 +302,7 @@
 }
 
 // attemptFailed retries the request or fails it, as the retry session decides.
-func (e *entry) attemptFailed(req *request, a retry.Attempt) {
+func (e *entry) attemptFailed(req *request, a retry.FailedAttempt) {
 	now := e.world.clock.now
 	d := req.session.Failed(a, req.stream.Delivered(), now)
 	if d.Action == retry.ActionGiveUp {
--- a/internal/testing/bench/slopes/duties.go
+++ b/internal/testing/bench/slopes/duties.go
@@ -34,10 +34,10 @@
 	for d := range duties {
 		duty := lease.Duty(fmt.Sprintf("group-%d", d))
 		var row lease.Row
-		var holders []*lease.Holder
+		var holders []*lease.Contender
 		for i := range leaseCandidates {
 			rng := rand.New(rand.NewPCG(uint64(d), uint64(i)))
-			holders = append(holders, lease.NewHolder(duty, fmt.Sprint(i), incarnation, manager.DefaultLength, rng))
+			holders = append(holders, lease.NewContender(duty, fmt.Sprint(i), incarnation, manager.DefaultLength, rng))
 		}
 		for now := virtualStart; now.Sub(virtualStart) < span; now = now.Add(50 * time.Millisecond) {
 			for _, h := range holders {
--- a/internal/testing/bench/slopes/usage.go
+++ b/internal/testing/bench/slopes/usage.go
@@ -34,7 +34,7 @@
 		now = now.Add(span / time.Duration(requests))
 		_ = l.Consume(ids.Client(clientName(rng.IntN(targetClients))), 207, now)
 	}
-	byRecipient := limits.NewRing(names).Recipients(names[0], l.Report(now))
+	byRecipient := limits.NewEntrySet(names).Recipients(names[0], l.Report(now))
 	bytes := 0
 	for node, records := range byRecipient {
 		if node == names[0] {
