--- a/internal/testing/bench/claims/command.go
+++ b/internal/testing/bench/claims/command.go
@@ -15,7 +15,7 @@
 
 // Parameters of the experiment.
 const (
-	// maxWriteRate is how many of the table's several hundred writes per second are for claims.
+	// maxWriteRate is the part of the table's capacity, several hundred writes per second, that claims may use.
 	maxWriteRate      = 300.0
 	minInterval       = 10 * time.Millisecond
 	groupBatch        = 128
--- a/internal/testing/bench/claims/world.go
+++ b/internal/testing/bench/claims/world.go
@@ -19,7 +19,7 @@
 	tableLatencySigma  = 0.5 // standard deviation of the logarithm
 	runTimeMedian      = 20 * time.Millisecond
 	runTimeSigma       = 0.5
-	lostTimeout        = 500 * time.Millisecond
+	lostTimeout        = 500 * time.Millisecond // delay after which the ledger learns that a response was lost
 	claimTimeout       = 10 * time.Second
 )
 
@@ -126,7 +126,7 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case claims.DeliverVerdict:
-			w.handleAnswer(s, e)
+			w.handleVerdict(s, e)
 		case claims.Commit:
 			w.commit(s, e.Txn)
 		}
@@ -144,8 +144,8 @@
 	w.In(max(0, next.Sub(w.Now())), func() { w.apply(s, s.ledger.Tick(w.Now())) })
 }
 
-// handleAnswer records the ledger's verdict for a claim, and schedules the end of a request that starts.
-func (w *world) handleAnswer(s *slot, e claims.DeliverVerdict) {
+// handleVerdict records the ledger's verdict for a claim, and schedules the end of a request that starts.
+func (w *world) handleVerdict(s *slot, e claims.DeliverVerdict) {
 	if !e.Verdict.Start {
 		w.result.Refused++
 		return
--- a/internal/testing/bench/config/cluster.go
+++ b/internal/testing/bench/config/cluster.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	dataCentres = 6
-	tick        = 50 * time.Millisecond
-	pollPeriod  = time.Millisecond
-	startLimit  = 2 * time.Minute
-	changeLimit = time.Minute
-	tableDelay  = 8 * time.Millisecond
+	dataCentres   = 6
+	tick          = 50 * time.Millisecond
+	pollPeriod    = time.Millisecond
+	startTimeout  = 2 * time.Minute
+	changeTimeout = time.Minute
+	tableDelay    = 8 * time.Millisecond
 )
 
 // delays holds the one-way delays between nodes: within a data centre, between data centres of a region, and between
@@ -46,7 +46,7 @@
 	return d.region
 }
 
-// cluster is a set of nodes that share one stand-in of the platform.
+// cluster is a set of nodes that share one stand-in for the platform.
 type cluster struct {
 	store      *standin.Store
 	net        *memnet.Net
@@ -93,9 +93,9 @@
 	}
 }
 
-// waitForAll waits until ok holds for each node. After the time limit it returns a NoProgressError for the step.
-func (c *cluster) waitForAll(step string, limit time.Duration, ok func(*revision.View) bool) error {
-	deadline := time.Now().Add(limit)
+// waitForAll waits until ok holds for each node. After the timeout it returns a NoProgressError for the step.
+func (c *cluster) waitForAll(step string, timeout time.Duration, ok func(*revision.View) bool) error {
+	deadline := time.Now().Add(timeout)
 	for _, a := range c.agents {
 		for !ok(a.View()) {
 			if time.Now().After(deadline) {
@@ -107,10 +107,10 @@
 	return nil
 }
 
-// waitReady waits until every node is a member, accepts new work and has accepted its newest entry.
+// waitReady waits until every node is a member and accepts new work, and its newest log entry is accepted.
 func (c *cluster) waitReady() error {
 	n := len(c.agents)
-	return c.waitForAll("start", startLimit, func(v *revision.View) bool {
+	return c.waitForAll("start", startTimeout, func(v *revision.View) bool {
 		return v.Newest != nil && len(v.Newest.Roster.Members()) == n && time.Now().Before(v.FreshUntil) && v.Accepted == v.Staged
 	})
 }
@@ -127,7 +127,7 @@
 	if err != nil {
 		return 0, err
 	}
-	err = c.waitForAll("change", changeLimit, func(v *revision.View) bool { return v.InForce.Seq >= e.GetSeq() })
+	err = c.waitForAll("change", changeTimeout, func(v *revision.View) bool { return v.InForce.Seq >= e.GetSeq() })
 	return time.Since(start), err
 }
 
--- a/internal/testing/bench/config/config.go
+++ b/internal/testing/bench/config/config.go
@@ -24,7 +24,7 @@
 	limitCPU       = 2.1 // percent of a core
 	limitMemoryMB  = 128
 	limitReads     = 2000
-	limitWrites    = 300 // "several hundred"
+	limitWrites    = 300 // the platform permits several hundred
 	bytesPerMB     = 1e6
 	percent        = 100
 	packetsPerCall = 4  // request, response and their acknowledgements
--- a/internal/testing/bench/demo/demo.go
+++ b/internal/testing/bench/demo/demo.go
@@ -1,4 +1,5 @@
-// Package demo sends a mix of model and plain requests as Arriaga's callers do, and checks every response.
+// Package demo sends a mix of model and plain requests, as the callers of the example deployment in examples/arriaga do,
+// and checks every response.
 package demo
 
 import (
--- a/internal/testing/bench/mapswitch/engines.go
+++ b/internal/testing/bench/mapswitch/engines.go
@@ -19,7 +19,8 @@
 	stepTime time.Duration
 	rng      *rand.Rand
 	closed   bool
-	// pausedSteps counts the steps that waited for an engine's limit, and pausedTime is their total wait.
+	// pausedSteps counts the steps that had to wait because an engine had reached its limit, the first step that it must
+	// not run yet. pausedTime is their total wait.
 	pausedSteps int
 	pausedTime  time.Duration
 	// fault is set if a step ran under two maps, which a correct switch rules out.
--- a/internal/testing/bench/mapswitch/group.go
+++ b/internal/testing/bench/mapswitch/group.go
@@ -31,7 +31,7 @@
 	proposer  *node.Proposer
 	addresses map[expertmap.Addr]string
 	servers   []*http.Server
-	// sent counts messages. proposerMuted drops the proposer's messages after its caps, as if it had crashed.
+	// sent counts messages. proposerMuted drops the proposer's messages after its cap requests, as if it had crashed.
 	sent          atomic.Int64
 	proposerMuted atomic.Bool
 }
--- a/internal/testing/bench/mapswitch/run.go
+++ b/internal/testing/bench/mapswitch/run.go
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// measure performs one switch. A proposer that crashes sends nothing after its caps, so that the slots finish the switch
-// without it. It still receives messages, which only tell the bench that the slots are done.
+// measure performs one switch. A proposer that crashes sends nothing after its cap requests, so that the slots finish the
+// switch without it. It still receives messages, but only so that Propose returns when the slots have switched.
 func (g *group) measure(to expertmap.MapID, crashes bool) (switchSample, error) {
 	const idleTime = 150 * time.Millisecond
 	time.Sleep(idleTime)
--- a/internal/testing/bench/policy/entry.go
+++ b/internal/testing/bench/policy/entry.go
@@ -58,7 +58,7 @@
 	overtaken int
 }
 
-// entry models one entry process. It wires the pure packages as the process does.
+// entry models one entry process. It combines the policy packages as the entry process does.
 type entry struct {
 	world *world
 	index int
@@ -130,7 +130,7 @@
 			status.Weight = 1
 		}
 		upstreams = append(upstreams, &routing.Upstream{
-			ID: r.id, Weight: status.Weight, Batch: batchSize, Latency: e.distance(r),
+			ID: r.id, Weight: status.Weight, Batch: batchSize, Latency: e.latency(r),
 			Load: e.loads[i], Work: e.localWork[i], Cached: e.cachedBlocks[i],
 		})
 	}
@@ -158,11 +158,11 @@
 	return int(total)
 }
 
-func (e *entry) distance(r *runner) time.Duration {
+func (e *entry) latency(r *runner) time.Duration {
 	if r.dc == e.dc {
-		return distanceLocal
+		return localLatency
 	}
-	return distanceRemote
+	return remoteLatency
 }
 
 // submit receives a request from its caller.
@@ -222,7 +222,7 @@
 	number, resumeFrom := req.stream.Begin()
 	e.world.result.attempted(req)
 	j := &job{
-		entry: e.index, rank: rankOf(req.class), blocks: req.blocks, prompt: promptTokens,
+		entry: e.index, priority: priorityOf(req.class), blocks: req.blocks, prompt: promptTokens,
 		output: req.output, resumeFrom: resumeFrom,
 	}
 	j.onToken = func(cached int) { e.receiveToken(req, j, number, cached, choice) }
@@ -331,7 +331,7 @@
 	e.admit.done(req, now)
 }
 
-func rankOf(class string) int {
+func priorityOf(class string) int {
 	if class == classFirst {
 		return 0
 	}
--- a/internal/testing/bench/policy/matrix.go
+++ b/internal/testing/bench/policy/matrix.go
@@ -90,17 +90,17 @@
 type Results struct {
 	settings Settings
 	mu       sync.Mutex
-	// figures holds the results by cell, in the order of the seeds.
-	figures map[cell][]*result
+	// results holds the results by cell, in the order of the seeds.
+	results map[cell][]*result
 	// saturationRates holds, by trace, the request rate at load 1 for each seed, in requests per second.
 	saturationRates map[string][]float64
 }
 
 // RunAll runs all cells with all seeds. The results do not depend on the number of workers.
 func RunAll(s Settings) (*Results, error) {
-	r := &Results{settings: s, figures: make(map[cell][]*result), saturationRates: make(map[string][]float64)}
+	r := &Results{settings: s, results: make(map[cell][]*result), saturationRates: make(map[string][]float64)}
 	for _, c := range cells() {
-		r.figures[c] = make([]*result, s.Seeds)
+		r.results[c] = make([]*result, s.Seeds)
 	}
 	for _, trace := range traces {
 		r.saturationRates[trace] = make([]float64, s.Seeds)
@@ -127,12 +127,12 @@
 		r.saturationRates[trace][i] = saturated.completionRate()
 	}
 	for _, c := range cells() {
-		figures := simulate(setup{
+		res := simulate(setup{
 			seed: seed, rate: c.load * r.saturationRates[c.trace][i], sharedPrefixes: c.trace == traceShared, policy: c.policy,
 			admit: c.admit, retries: c.retries, failingRunners: c.failing, duration: runTime, warmup: warmupTime,
 		})
 		r.mu.Lock()
-		r.figures[c][i] = figures
+		r.results[c][i] = res
 		r.mu.Unlock()
 	}
 	return nil
@@ -140,9 +140,9 @@
 
 // values returns a metric of a cell for each seed.
 func (r *Results) values(c cell, get func(*result) float64) []float64 {
-	values := make([]float64, 0, len(r.figures[c]))
-	for _, figures := range r.figures[c] {
-		values = append(values, get(figures))
+	values := make([]float64, 0, len(r.results[c]))
+	for _, res := range r.results[c] {
+		values = append(values, get(res))
 	}
 	return values
 }
--- a/internal/testing/bench/policy/policy_test.go
+++ b/internal/testing/bench/policy/policy_test.go
@@ -95,8 +95,8 @@
 func TestRunnerPrioritiesAndCancellation(t *testing.T) {
 	r := newRunner(newClock(), "r", 0)
 	var order []string
-	add := func(name string, rank int) *job {
-		j := &job{rank: rank, prompt: chunkTokens, output: 1, onEnd: func() {}}
+	add := func(name string, priority int) *job {
+		j := &job{priority: priority, prompt: chunkTokens, output: 1, onEnd: func() {}}
 		j.onToken = func(int) { order = append(order, name) }
 		r.submit(j)
 		return j
@@ -156,10 +156,10 @@
 // Guards against a report that hides an unmet criterion. All cells hold the same result, so that no policy is better
 // than its baseline.
 func TestWriteReportsUnmetCriteria(t *testing.T) {
-	r := &Results{settings: Settings{Seed: 1, Seeds: 1}, figures: make(map[cell][]*result), saturationRates: map[string][]float64{}}
+	r := &Results{settings: Settings{Seed: 1, Seeds: 1}, results: make(map[cell][]*result), saturationRates: map[string][]float64{}}
 	same := simulate(shortSetup(0.5))
 	for _, c := range cells() {
-		r.figures[c] = []*result{same}
+		r.results[c] = []*result{same}
 	}
 	var out bytes.Buffer
 	ok, err := r.Write(&out)
--- a/internal/testing/bench/policy/runner.go
+++ b/internal/testing/bench/policy/runner.go
@@ -18,13 +18,13 @@
 	chunkTokens    = 512
 	cacheBlocks    = 512
 	slowdownFactor = 2.5
-	ranks          = 2
+	priorities     = 2
 )
 
 // job is one attempt at a runner.
 type job struct {
 	entry           int
-	rank            int
+	priority        int
 	blocks          []uint64
 	prompt          int
 	output          int
@@ -65,8 +65,8 @@
 	j.arrivalSeq = r.arrivals
 	j.generated = j.resumeFrom
 	i, _ := slices.BinarySearchFunc(r.waiting, j, func(a, b *job) int {
-		if a.rank != b.rank {
-			return a.rank - b.rank
+		if a.priority != b.priority {
+			return a.priority - b.priority
 		}
 		return int(a.arrivalSeq) - int(b.arrivalSeq)
 	})
@@ -127,9 +127,9 @@
 // number of tokens and the number of jobs that have not generated a token in this attempt.
 func (r *runner) computePrompts() (tokens, computing int) {
 	budget := chunkTokens
-	for rank := range ranks {
+	for priority := range priorities {
 		for _, j := range r.batch {
-			if j.remainingPrompt == 0 || j.rank != rank {
+			if j.remainingPrompt == 0 || j.priority != priority {
 				continue
 			}
 			n := min(budget, j.remainingPrompt)
@@ -184,7 +184,7 @@
 	var c routing.Counts
 	for _, j := range r.waiting {
 		if entry < 0 || j.entry == entry {
-			addWaiting(&c, j.rank, max(0, j.prompt-r.cache.peek(j.blocks)*blockTokens))
+			addWaiting(&c, j.priority, max(0, j.prompt-r.cache.peek(j.blocks)*blockTokens))
 			c.OutputTokens += outputMean
 		}
 	}
@@ -193,7 +193,7 @@
 			continue
 		}
 		if j.generated == j.resumeFrom {
-			addWaiting(&c, j.rank, j.remainingPrompt)
+			addWaiting(&c, j.priority, j.remainingPrompt)
 		} else {
 			c.Running++
 		}
@@ -202,10 +202,10 @@
 	return c
 }
 
-func addWaiting(c *routing.Counts, rank, tokens int) {
+func addWaiting(c *routing.Counts, priority, tokens int) {
 	c.Waiting++
 	c.PromptTokens += tokens
-	if rank == 0 {
+	if priority == 0 {
 		c.FirstWaiting++
 		c.FirstPromptTokens += tokens
 	}
--- a/internal/testing/bench/policy/subset.go
+++ b/internal/testing/bench/policy/subset.go
@@ -244,7 +244,7 @@
 		r.requests--
 		flight.End()
 		load := w.load(i, entry)
-		w.clock.after(distanceLocal, func() { w.receiveReport(i, entry, load) })
+		w.clock.after(localLatency, func() { w.receiveReport(i, entry, load) })
 	})
 }
 
--- a/internal/testing/bench/policy/world.go
+++ b/internal/testing/bench/policy/world.go
@@ -47,11 +47,11 @@
 
 	controlInterval = 50 * time.Millisecond
 
-	distanceLocal  = 100 * time.Microsecond
-	distanceRemote = 500 * time.Microsecond
+	localLatency  = 100 * time.Microsecond
+	remoteLatency = 500 * time.Microsecond
 
-	failFrom   = 15 * time.Second
-	slowRunner = 3
+	failFrom        = 15 * time.Second
+	slowRunnerIndex = 3
 )
 
 // world simulates one run: the runners, the entries and the messages between them.
@@ -72,7 +72,7 @@
 	for i := range runners {
 		w.runners = append(w.runners, newRunner(w.clock, ids.Upstream(fmt.Sprintf("runner-%02d", i)), i%dataCentres))
 	}
-	w.runners[slowRunner].slowdown = slowdownFactor
+	w.runners[slowRunnerIndex].slowdown = slowdownFactor
 	for i := range entries {
 		w.entries = append(w.entries, newEntry(w, i))
 	}
@@ -124,7 +124,7 @@
 func (w *world) sendResponseReport(e *entry, r *runner) {
 	load := w.load(r, e, r.counts(allEntries))
 	steps, running := r.steps, len(r.batch)
-	w.clock.after(e.distance(r), func() { e.receiveReport(e.indexOf(r.id), load, steps, running) })
+	w.clock.after(e.latency(r), func() { e.receiveReport(e.indexOf(r.id), load, steps, running) })
 }
 
 // publish sends the cache events of a runner to all entries. Each message is delayed and may get lost.
--- a/internal/testing/bench/policy/write.go
+++ b/internal/testing/bench/policy/write.go
@@ -12,14 +12,14 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/report"
 )
 
-// The limits of the criteria.
+// The limits of the criteria, all of them ratios.
 const (
-	maxSharedRatio = 0.7
-	maxRatio       = 1.05
-	minGoodput     = 0.95
-	maxFirstClass  = 1.25
-	minShare       = 0.95
-	maxRetries     = 0.1
+	maxSharedRatio = 0.7  // time to first token over that of random-of-two, with shared prefixes
+	maxRatio       = 1.05 // the same with distinct prompts
+	minGoodput     = 0.95 // goodput at 3 times load over that at load 1
+	maxFirstClass  = 1.25 // first-class time to first token at 3 times load over that at 0.7
+	minShare       = 0.95 // work served for a small client over its fair share
+	maxRetries     = 0.1  // attempts that retries add over first attempts
 )
 
 func milliseconds(h *hdrhistogram.Histogram, q float64) float64 {
@@ -189,7 +189,7 @@
 	lowest := math.Inf(1)
 	for _, a := range accounts() {
 		if isSmall(a.name) {
-			lowest = min(lowest, mean(r.values(c, func(figures *result) float64 { return figures.fairShareRatio(a.name) })))
+			lowest = min(lowest, mean(r.values(c, func(res *result) float64 { return res.fairShareRatio(a.name) })))
 		}
 	}
 	return lowest
--- a/internal/testing/bench/quarantine/slot.go
+++ b/internal/testing/bench/quarantine/slot.go
@@ -126,10 +126,10 @@
 	w.In(time.Duration(w.rng.Float64()*float64(digestDelayMax)), receive)
 }
 
-// slotDigest sends the digests of a slot to all entries at the digest interval.
-func (w *world) slotDigest(u *upstream) {
+// sendSlotDigests sends the digests of a slot to all entries at the digest interval.
+func (w *world) sendSlotDigests(u *upstream) {
 	w.sendToEntries(u)
-	w.In(digestInterval, func() { w.slotDigest(u) })
+	w.In(digestInterval, func() { w.sendSlotDigests(u) })
 }
 
 // sendToEntries sends the slot's suspects and the state of its upstream to all entries.
@@ -144,8 +144,8 @@
 	}
 }
 
-// entryDigest sends the digests of an entry to all other entries and all slots at the digest interval.
-func (w *world) entryDigest(e *entry) {
+// sendEntryDigests sends the digests of an entry to all other entries and all slots at the digest interval.
+func (w *world) sendEntryDigests(e *entry) {
 	suspects := e.tracker.Digest(w.Now(), digestLimit)
 	for _, other := range w.entries {
 		if other != e {
@@ -155,5 +155,5 @@
 	for _, u := range w.upstreams {
 		w.deliver(func() { w.handleDecisions(u, u.guard.Merge(w.Now(), suspects...)) })
 	}
-	w.In(digestInterval, func() { w.entryDigest(e) })
+	w.In(digestInterval, func() { w.sendEntryDigests(e) })
 }
--- a/internal/testing/bench/quarantine/world.go
+++ b/internal/testing/bench/quarantine/world.go
@@ -35,7 +35,7 @@
 	Entries, Upstreams int
 	// Batch is the mean number of requests that run on an upstream.
 	Batch float64
-	// Poison is set if the caller of the poisonous request sends it.
+	// Poison adds the poisonous request to the load.
 	Poison bool
 	// OtherCrashInterval is the mean time between two crashes of an upstream that no request causes; 0 disables them.
 	OtherCrashInterval time.Duration
@@ -64,7 +64,7 @@
 
 type entry struct {
 	tracker *quarantine.Tracker
-	// down holds the upstreams that are down by the entry's state.
+	// down holds the upstreams that are down according to the digests that the entry has received.
 	down map[ids.Upstream]bool
 }
 
@@ -115,11 +115,11 @@
 // plan schedules the digests, the crashes and the first requests.
 func (w *world) plan() {
 	for _, u := range w.upstreams {
-		w.In(w.phase(), func() { w.slotDigest(u) })
+		w.In(w.phase(), func() { w.sendSlotDigests(u) })
 		w.planOtherCrash(u)
 	}
 	for _, e := range w.entries {
-		w.In(w.phase(), func() { w.entryDigest(e) })
+		w.In(w.phase(), func() { w.sendEntryDigests(e) })
 	}
 	w.planHarmless(0)
 	if w.scenario.Poison {
--- a/internal/testing/bench/rebalance/bench.go
+++ b/internal/testing/bench/rebalance/bench.go
@@ -11,8 +11,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/report"
 )
 
-// contenders lists the contenders in the row order of the tables.
-var contenders = []string{NameStatic, NameRepack, NameGreedy, NamePolicy, NameBound}
+// strategies lists the strategies in the row order of the tables.
+var strategies = []string{NameStatic, NameRepack, NameGreedy, NamePolicy, NameBound}
 
 // Settings configures a run of the bench.
 type Settings struct {
@@ -28,17 +28,17 @@
 	Out string
 }
 
-// Results holds the results of each scenario and contender, indexed by seed.
+// Results holds the results of each scenario and strategy, indexed by seed.
 type Results map[Scenario]map[string][]Result
 
-// RunAll runs all contenders through all scenarios and seeds.
+// RunAll runs all strategies through all scenarios and seeds.
 func RunAll(s Settings) (Results, error) {
 	all := Results{}
 	var g errgroup.Group
 	g.SetLimit(max(1, s.Workers))
 	for _, sc := range Scenarios() {
 		all[sc] = map[string][]Result{}
-		for _, name := range contenders {
+		for _, name := range strategies {
 			all[sc][name] = make([]Result, s.Seeds)
 		}
 		for i := range s.Seeds {
@@ -54,7 +54,7 @@
 
 func runTrace(s Settings, sc Scenario, seedIndex int, byName map[string][]Result) error {
 	t := NewTrace(s.Deployment, sc, s.Seed+uint64(seedIndex), time.Duration(s.Hours)*time.Hour)
-	for _, name := range contenders {
+	for _, name := range strategies {
 		if name == NameBound {
 			byName[name][seedIndex] = Bound(s.Deployment, t)
 			continue
@@ -77,14 +77,14 @@
 	return out
 }
 
-// Table returns the mean and spread over seeds, with one row per scenario and contender.
+// Table returns the mean and spread over seeds, with one row per scenario and strategy.
 func (r Results) Table(d Deployment) report.Table {
 	t := report.Table{
 		Title:   "rebalance --deployment " + d.Name,
 		Columns: []string{"trace", "policy", "skew p50", "skew p99", "skew mean", "GB moved", "loads", "switches", "steps that waited"},
 	}
 	for _, sc := range Scenarios() {
-		for _, name := range contenders {
+		for _, name := range strategies {
 			summarize := func(pick func(figures) float64) report.Summary {
 				return report.Summarize(figureBySeed(r[sc][name], pick))
 			}
@@ -99,7 +99,7 @@
 }
 
 // Plots writes one SVG file per scenario with the skew over time for the first seed, and one with the p99 skew of all
-// contenders.
+// strategies.
 func (r Results) Plots(d Deployment, out string) error {
 	var categories []string
 	for _, sc := range Scenarios() {
@@ -109,7 +109,7 @@
 		}
 	}
 	var bars []report.Bars
-	for _, name := range contenders {
+	for _, name := range strategies {
 		b := report.Bars{Name: name}
 		for _, sc := range Scenarios() {
 			b.Values = append(b.Values, report.Summarize(figureBySeed(r[sc][name], func(f figures) float64 { return f.p99 })).Mean)
@@ -125,7 +125,7 @@
 
 func (r Results) plotDay(d Deployment, sc Scenario, out string) error {
 	var lines []report.Series
-	for _, name := range contenders {
+	for _, name := range strategies {
 		lines = append(lines, smoothed(name, r[sc][name][0].Skew))
 	}
 	labels := report.Labels{Title: fmt.Sprintf("%s, %s: step-time skew", d.Name, sc), X: "hour", Y: "slowest rank over mean"}
--- a/internal/testing/bench/rebalance/command.go
+++ b/internal/testing/bench/rebalance/command.go
@@ -22,9 +22,9 @@
 	s := &Settings{}
 	traces := addCommand(app, s, "rebalance", "Run the placement policy and its baselines on drift traces.", runTraces)
 	traces.Flag("hours", "Length of each trace.").Default("24").IntVar(&s.Hours)
-	traces.Flag("workers", "Number of traces that run at once.").Default("4").IntVar(&s.Workers)
+	traces.Flag("workers", "Number of traces that run concurrently.").Default("4").IntVar(&s.Workers)
 	traces.Flag("out", "Folder for the plots.").Default("out").StringVar(&s.Out)
-	addCommand(app, &Settings{}, "rebalance-pieces", "Compare ways to cut weights into pieces and plans into switches.", runPieces)
+	addCommand(app, &Settings{}, "rebalance-pieces", "Compare ways to split weights into pieces and plans into switches.", runPieces)
 	addCommand(app, &Settings{}, "rebalance-cost", "Time one decision at several sizes of the group.", runCost)
 }
 
--- a/internal/testing/bench/rebalance/criteria.go
+++ b/internal/testing/bench/rebalance/criteria.go
@@ -18,7 +18,7 @@
 	movesDeployment          = "sjodastofa"
 )
 
-// pooled combines a contender's results from all scenarios and seeds.
+// pooled combines a strategy's results from all scenarios and seeds.
 func (r Results) pooled(name string) Result {
 	var all Result
 	for _, sc := range Scenarios() {
--- a/internal/testing/bench/rebalance/run.go
+++ b/internal/testing/bench/rebalance/run.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// decisionInterval is the interval between a contender's decisions, in windows.
+	// decisionInterval is the interval between a strategy's decisions, in windows.
 	decisionInterval = 5
 	// speedNoise is the relative error of a rank's busy time in one window.
 	speedNoise = 0.02
@@ -24,7 +24,7 @@
 // start is the time of a trace's first window; only times relative to it matter.
 var start = time.Unix(1_800_000_000, 0)
 
-// Result is the result of one contender on one trace.
+// Result is the result of one strategy on one trace.
 type Result struct {
 	// Skew holds, for each sampled step, the ratio of the slowest rank's time to the mean.
 	Skew []float64
@@ -37,16 +37,16 @@
 	DelayedSteps int
 }
 
-// simulation runs one contender on one trace.
+// simulation runs one strategy on one trace.
 type simulation struct {
-	d         Deployment
-	trace     *Trace
-	contender contender
-	rng       *rand.Rand
-	current   *expert.Map
-	pending   *change
+	d        Deployment
+	trace    *Trace
+	strategy strategy
+	rng      *rand.Rand
+	current  *expert.Map
+	pending  *change
 	// dueWindow is the window in which the loads of the last plan end. The pending map, if any, is in force from then on,
-	// and the contender decides again.
+	// and the strategy decides again.
 	dueWindow int
 	// inbox holds the reports by the window in which they arrive.
 	inbox  map[int][]placement.Report
@@ -54,8 +54,8 @@
 	result Result
 }
 
-// newSimulation starts a contender on a map packed for the popularity of the previous day.
-func newSimulation(d Deployment, t *Trace, c contender) (*simulation, error) {
+// newSimulation starts a strategy on a map packed for the popularity of the previous day.
+func newSimulation(d Deployment, t *Trace, c strategy) (*simulation, error) {
 	equalSpeeds := make([]float64, d.Shape.Ranks)
 	floats.AddConst(1, equalSpeeds)
 	first, err := placement.Pack(d.group(), d.MapSlotsPerRank, t.PriorPopularity, equalSpeeds, 1)
@@ -63,16 +63,16 @@
 		return nil, fmt.Errorf("pack the first map: %w", err)
 	}
 	return &simulation{
-		d: d, trace: t, contender: c, current: first,
+		d: d, trace: t, strategy: c, current: first,
 		rng:    rand.New(rand.NewPCG(t.Seed, scenarioStream(t.Scenario)+100)),
 		inbox:  map[int][]placement.Report{},
 		loader: newWeightLoader(d),
 	}, nil
 }
 
-// Run simulates the named contender on a trace, starting from the map of the previous day.
+// Run simulates the named strategy on a trace, starting from the map of the previous day.
 func Run(d Deployment, t *Trace, name string) (Result, error) {
-	s, err := newSimulation(d, t, newContender(name, d))
+	s, err := newSimulation(d, t, newStrategy(name, d))
 	if err != nil {
 		return Result{}, err
 	}
@@ -87,7 +87,7 @@
 func (s *simulation) window(w int) error {
 	now := start.Add(time.Duration(w) * Window)
 	for _, r := range s.inbox[w] {
-		if err := s.contender.observe(now, r); err != nil {
+		if err := s.strategy.observe(now, r); err != nil {
 			return fmt.Errorf("observe reports in window %d: %w", w, err)
 		}
 	}
@@ -105,7 +105,7 @@
 }
 
 func (s *simulation) decide(now time.Time, w int) error {
-	next, err := s.contender.decide(now, s.current)
+	next, err := s.strategy.decide(now, s.current)
 	if err != nil || next == nil {
 		return err
 	}
--- a/internal/testing/bench/rebalance/run_test.go
+++ b/internal/testing/bench/rebalance/run_test.go
@@ -19,7 +19,7 @@
 	return res
 }
 
-func TestContendersMoveWeightsAsExpected(t *testing.T) {
+func TestStrategiesMoveWeightsAsExpected(t *testing.T) {
 	d := Deployments()[0]
 	static, repack := runOn(t, d, ScenarioShift, NameStatic), runOn(t, d, ScenarioShift, NameRepack)
 	policy := runOn(t, d, ScenarioShift, NamePolicy)
@@ -53,7 +53,7 @@
 // rank. With seed 1 this happened in window 395, and the old map stayed in force for an hour.
 func TestPlanIsAbortedWhenLoadingRankSlowsDown(t *testing.T) {
 	d := Deployments()[0]
-	s, err := newSimulation(d, NewTrace(d, ScenarioStraggler, 1, 24*time.Hour), newContender(NamePolicy, d))
+	s, err := newSimulation(d, NewTrace(d, ScenarioStraggler, 1, 24*time.Hour), newStrategy(NamePolicy, d))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,12 +71,12 @@
 	}
 }
 
-// resultsWithPolicy returns results in which all contenders except the policy are the same.
+// resultsWithPolicy returns results in which all strategies except the policy are the same.
 func resultsWithPolicy(policy Result) Results {
 	r := Results{}
 	for _, sc := range Scenarios() {
 		r[sc] = map[string][]Result{}
-		for _, name := range contenders {
+		for _, name := range strategies {
 			r[sc][name] = []Result{{Skew: []float64{1.2, 1.2}, Bytes: 1e12}}
 		}
 		r[sc][NamePolicy] = []Result{policy}
@@ -127,7 +127,7 @@
 		t.Fatal(err)
 	}
 	table := all.Table(s.Deployment)
-	if want := len(Scenarios()) * len(contenders); len(table.Rows) != want {
+	if want := len(Scenarios()) * len(strategies); len(table.Rows) != want {
 		t.Errorf("%d rows, want %d", len(table.Rows), want)
 	}
 	if err := all.Plots(s.Deployment, s.Out); err != nil {
--- a/internal/testing/bench/rebalance/contender.go
+++ b/internal/testing/bench/rebalance/strategy.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/experts/placement/expert"
 )
 
-// Names of the contenders in the tables.
+// Names of the strategies in the tables.
 const (
 	NameStatic = "static"
 	NameRepack = "full-repack"
@@ -18,8 +18,9 @@
 	NameBound  = "bound"
 )
 
-// contender is a placement strategy under comparison. It receives the reports of a group that runs on its maps.
-type contender interface {
+// strategy is one of the ways to place experts that the bench compares. It receives the reports of a group that runs on
+// its maps.
+type strategy interface {
 	observe(now time.Time, r placement.Report) error
 	// decide returns the next map and the moves that lead to it, or nil to keep the current map.
 	decide(now time.Time, current *expert.Map) (*change, error)
@@ -112,8 +113,8 @@
 	return &change{next, moves, false}
 }
 
-// newContender returns the contender with the given name; static for any other name.
-func newContender(name string, d Deployment) contender {
+// newStrategy returns the strategy with the given name; static for any other name.
+func newStrategy(name string, d Deployment) strategy {
 	switch name {
 	case NameRepack:
 		return repack{placement.NewPolicy(d.group()), d}
--- a/internal/testing/bench/slopes/duties.go
+++ b/internal/testing/bench/slopes/duties.go
@@ -22,11 +22,11 @@
 
 const (
 	layers = 60
-	// leaseCandidates is the number of entries that contend for a group's lease (see internal/experts/rebalance).
-	leaseCandidates = 3
+	// leaseContenders is the number of entries that contend for a group's lease (see internal/experts/rebalance).
+	leaseContenders = 3
 )
 
-// leaseFigures runs the lease holders of the given number of duties, with three candidates each, on a virtual clock. It
+// leaseFigures runs the contenders for the leases of the given number of duties, three for each, on a virtual clock. It
 // returns the reads and writes of the table per second.
 func leaseFigures(duties int) ([]float64, error) {
 	const span = 10 * time.Minute
@@ -34,13 +34,13 @@
 	for d := range duties {
 		duty := lease.Duty(fmt.Sprintf("group-%d", d))
 		var row lease.Row
-		var holders []*lease.Contender
-		for i := range leaseCandidates {
+		var contenders []*lease.Contender
+		for i := range leaseContenders {
 			rng := rand.New(rand.NewPCG(uint64(d), uint64(i)))
-			holders = append(holders, lease.NewContender(duty, fmt.Sprint(i), incarnation, manager.DefaultLength, rng))
+			contenders = append(contenders, lease.NewContender(duty, fmt.Sprint(i), incarnation, manager.DefaultLength, rng))
 		}
 		for now := virtualStart; now.Sub(virtualStart) < span; now = now.Add(50 * time.Millisecond) {
-			for _, h := range holders {
+			for _, h := range contenders {
 				effects := append(h.SetWanted(now, true), h.Tick(now)...)
 				for len(effects) > 0 {
 					e := effects[0]
--- a/internal/testing/bench/slopes/requests.go
+++ b/internal/testing/bench/slopes/requests.go
@@ -10,8 +10,8 @@
 
 const costWorkers = 8
 
-// sharedCoster starts the processes on first use and shares them between all experiments that send requests.
-var sharedCoster = sync.OnceValues(func() (*load.CostMeter, error) { return load.NewCostMeter(costWorkers) })
+// sharedCostMeter starts the processes on first use and shares them between all experiments that send requests.
+var sharedCostMeter = sync.OnceValues(func() (*load.CostMeter, error) { return load.NewCostMeter(costWorkers) })
 
 func micros(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1e3 }
 
@@ -19,7 +19,7 @@
 // request, in microseconds.
 func modelFigures(tokens int) ([]float64, error) {
 	const requests = 800
-	c, err := sharedCoster()
+	c, err := sharedCostMeter()
 	if err != nil {
 		return nil, fmt.Errorf("start processes: %w", err)
 	}
@@ -33,7 +33,7 @@
 // plainFigures sends the given number of plain requests and returns the total processor time in ms that entry and slot
 // add to them.
 func plainFigures(requests int) ([]float64, error) {
-	c, err := sharedCoster()
+	c, err := sharedCostMeter()
 	if err != nil {
 		return nil, fmt.Errorf("start processes: %w", err)
 	}
@@ -49,7 +49,7 @@
 // addressFigures sends the given number of requests for addresses and returns their total processor time in ms and the
 // size of one response body in bytes.
 func addressFigures(requests int) ([]float64, error) {
-	c, err := sharedCoster()
+	c, err := sharedCostMeter()
 	if err != nil {
 		return nil, fmt.Errorf("start processes: %w", err)
 	}
--- a/internal/testing/bench/slopes/usage.go
+++ b/internal/testing/bench/slopes/usage.go
@@ -13,7 +13,7 @@
 
 // usageFigures lets one of the given number of entries consume its share of the target's requests, from uniformly
 // random clients. It returns the number and the bytes of the datagrams that the entry then sends to the entries that
-// sum up demand. An entry receives as much as it sends. Beyond limits.FullExchangeUpTo entries, each datagram gets a
+// aggregate demand. An entry receives as much as it sends. Beyond limits.FullExchangeUpTo entries, each datagram gets a
 // reply of the same size.
 func usageFigures(entries int) ([]float64, error) {
 	const span = 20 * time.Second
--- a/internal/testing/faulttest/addresses.go
+++ b/internal/testing/faulttest/addresses.go
@@ -6,14 +6,14 @@
 	"sync/atomic"
 )
 
-// Each cluster has its own loopback addresses, which also differ between test processes. The ports are below the range
+// Each cluster has its own port, on loopback addresses that differ between test processes. The ports are below the range
 // that the system uses for outgoing connections.
 const (
-	firstPort   = 20000
-	portCount   = 10000
-	firstOctet  = 20
-	octetCount  = 200
-	thirdOctets = 250
+	firstPort      = 20000
+	portCount      = 10000
+	minSecondOctet = 20
+	secondOctets   = 200
+	thirdOctets    = 250
 )
 
 var clusterCount atomic.Int64
@@ -29,7 +29,7 @@
 	n := int(clusterCount.Add(1))
 	pid := os.Getpid()
 	return &addresses{
-		prefix: fmt.Sprintf("127.%d.%d", firstOctet+pid%octetCount, (pid/octetCount)%thirdOctets),
+		prefix: fmt.Sprintf("127.%d.%d", minSecondOctet+pid%secondOctets, (pid/secondOctets)%thirdOctets),
 		port:   firstPort + n%portCount,
 	}
 }
--- a/internal/testing/faulttest/doc.go
+++ b/internal/testing/faulttest/doc.go
@@ -5,4 +5,7 @@
 // A Scenario sends requests while one or two faults are injected and reverted. It then compares the responses that each
 // caller received with the runs that the stand-ins recorded. Only safety is checked: timing decides which requests are
 // answered or refused, but no timing may violate a guarantee. No check depends on a clock.
+//
+// A chat is a streamed request to the model service. A slip is a request to the plain service to print a pick slip, which
+// must be printed at most once.
 package faulttest
--- a/internal/testing/faulttest/faults.go
+++ b/internal/testing/faulttest/faults.go
@@ -11,7 +11,7 @@
 type Revert func() error
 
 // Fault is one kind of failure. Inject applies it to a component chosen with rng and returns the function that reverts
-// it, or nil if there is nothing to revert. No other fault is injected or reverted while either of them runs.
+// it, or nil if there is nothing to revert. Calls of Inject and Revert functions never overlap.
 type Fault struct {
 	Name   string
 	Inject func(c *Cluster, rng *rand.Rand) Revert
@@ -61,7 +61,7 @@
 
 func pick[T any](list []T, rng *rand.Rand) T { return list[rng.IntN(len(list))] }
 
-// entryKilled stops an entry as a crash would. The connections of callers in mid-stream break, and the callers resend
+// entryKilled stops an entry as a crash would. Streams to callers break off, and the callers resend
 // through the other entry. A slip that the dead entry had forwarded may have run; its resend finds the claim.
 func entryKilled(c *Cluster, rng *rand.Rand) Revert {
 	e := pick(c.Entries, rng)
@@ -82,7 +82,7 @@
 }
 
 // entryPaused holds back all traffic between an entry and the slots. Callers wait until it flows again or until their
-// deadline. Requests that the entry had sent arrive late, at slots that have moved on.
+// deadline. Requests that the entry sent in the meantime arrive late, possibly after their deadline.
 func entryPaused(c *Cluster, rng *rand.Rand) Revert {
 	e := pick(c.Entries, rng)
 	e.setLinks(Freeze)
@@ -145,8 +145,8 @@
 	}
 }
 
-// engineStalled makes an engine hang. Callers in mid-stream wait until the slot abandons the engine, and receive the
-// remaining tokens from another one.
+// engineStalled makes an engine hang. Callers that are receiving a stream wait until the slot abandons the engine, and
+// receive the remaining tokens from another one.
 func engineStalled(c *Cluster, rng *rand.Rand) Revert {
 	e := pick(c.Models, rng).engine
 	if e == nil {
@@ -234,8 +234,8 @@
 	}
 }
 
-// allResponses sets the relays of all upstreams to a mode, so that every attempt fails after it has started. Callers must
-// not be told that their request did not run.
+// allResponses sets the relays of all upstreams to a mode, so that every attempt fails after it has started. No
+// caller may be refused as not run.
 func allResponses(m Mode) func(c *Cluster, rng *rand.Rand) Revert {
 	set := func(c *Cluster, m Mode) {
 		for _, h := range c.hosts() {
--- a/internal/testing/faulttest/faults_test.go
+++ b/internal/testing/faulttest/faults_test.go
@@ -42,7 +42,8 @@
 	}
 	// Not part of Faults, so that each seed keeps its pair of faults.
 	list = append(list, Scenario{Faults: []Fault{{"engine-cut-before-end", engineTruncatedBeforeEnd}}})
-	// These seeds detect an entry that treats every query about a lost attempt as answered with "never started".
+	// With these seeds the test fails if an entry assumes, for every lost attempt that it queries, that the attempt never
+	// started.
 	for _, seed := range []uint64{2, 3} {
 		list = append(list, Scenario{Seed: seed, Faults: []Fault{FaultByName("entry-cut-off")}})
 	}
@@ -54,9 +55,9 @@
 	return list
 }
 
-// Guards the guarantees to callers while one or two faults are active: each request fails or gets its own complete
-// response exactly once, a request refused as not run did not run, and a slip is printed at most once, however often it
-// is sent.
+// Guards against violations of the guarantees to callers while one or two faults are active: each request fails or gets
+// its own complete response exactly once, a request refused as not run did not run, and a slip is printed at most once,
+// however often it is sent.
 func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	list := scenarios()
 	results := make([]Result, len(list))
@@ -85,8 +86,8 @@
 	fmt.Println("violations:", total)
 }
 
-// Shows that the test above can fail. With a separate table for each slot, no slot sees the claims of another, and a slip
-// that is sent through two entries concurrently is printed twice.
+// Shows that TestGuaranteesHoldUnderFaults can fail. With a separate table for each slot, no slot sees the claims of
+// another, and a slip that is sent through two entries concurrently is printed twice.
 func TestSlipsRunTwiceWithoutSharedClaims(t *testing.T) {
 	res, err := Run(Scenario{Seed: 1, Disabled: DisabledSafeguards{SeparateTables: true}})
 	if err != nil {
--- a/internal/testing/faulttest/history.go
+++ b/internal/testing/faulttest/history.go
@@ -47,7 +47,7 @@
 	Reached map[string]bool
 }
 
-// Violation describes a guarantee that was not kept. Mark is the mark of the call or its idempotency key.
+// Violation describes a violated guarantee. Mark is the mark of the call or its idempotency key.
 type Violation struct {
 	Mark        string
 	Description string
@@ -64,7 +64,7 @@
 	}
 	byKey := map[string][]Call{}
 	for _, s := range calls {
-		checkAnswer(s, add)
+		checkResponse(s, add)
 		if s.Key != "" {
 			byKey[s.Key] = append(byKey[s.Key], s)
 		}
@@ -97,8 +97,8 @@
 	return n
 }
 
-// checkAnswer checks that a caller got its own response, exactly once, and complete if it was reported as complete.
-func checkAnswer(s Call, add addViolation) {
+// checkResponse checks that a caller got its own response, exactly once, and complete if it was reported as complete.
+func checkResponse(s Call, add addViolation) {
 	if s.Trailing {
 		add(s.Mark, "data follows the end of the response")
 	}
@@ -117,7 +117,7 @@
 // checkKey checks all calls with one idempotency key against each other and against the number of runs.
 func checkKey(key string, list []Call, ran int, add addViolation) {
 	refused := 0
-	var answer []byte
+	var response []byte
 	for _, s := range list {
 		if s.Class == NotRun {
 			refused++
@@ -128,10 +128,10 @@
 		if ran == 0 {
 			add(key, "answered, but never ran")
 		}
-		if answer != nil && !bytes.Equal(answer, s.Body) {
-			add(key, "two different answers: %.60q and %.60q", answer, s.Body)
+		if response != nil && !bytes.Equal(response, s.Body) {
+			add(key, "two different answers: %.60q and %.60q", response, s.Body)
 		}
-		answer = s.Body
+		response = s.Body
 	}
 	if refused == len(list) && ran > 0 {
 		add(key, "refused as not run %d times and nothing else, but it ran", refused)
--- a/internal/testing/faulttest/memtable/memtable.go
+++ b/internal/testing/faulttest/memtable/memtable.go
@@ -131,7 +131,7 @@
 	f(t.mem)
 }
 
-// ReleaseLate applies the delayed writes: those of fault Late and those whose context ended during their delay.
+// ReleaseLate applies the delayed writes: those of fault Late and those whose ctx was done during their delay.
 func (t *Table) ReleaseLate() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/testing/faulttest/scenario.go
+++ b/internal/testing/faulttest/scenario.go
@@ -108,8 +108,8 @@
 	return r.result(sc), nil
 }
 
-// waitReady sends requests through each entry until both services have answered readyConsecutive times in a row. It
-// returns *NotReadyError after maxReadyAttempts.
+// waitReady sends requests through each entry until readyConsecutive consecutive pairs of requests, one to each
+// service, are answered. It returns *NotReadyError after maxReadyAttempts pairs at one entry.
 func (r *run) waitReady() error {
 	client := newCaller()
 	for i, e := range r.c.Entries {
--- a/internal/testing/lint/lint.go
+++ b/internal/testing/lint/lint.go
@@ -27,8 +27,8 @@
 	return fmt.Sprintf("%s: %s makes an error without a type", f.Pos, f.Call)
 }
 
-// Tree returns the findings in all Go files below root that are neither tests nor generated.
-func Tree(root string) ([]Finding, error) {
+// CheckTree returns the findings in all Go files below root that are neither tests nor generated.
+func CheckTree(root string) ([]Finding, error) {
 	var found []Finding
 	fset := token.NewFileSet()
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -39,7 +39,7 @@
 		if err != nil {
 			return fmt.Errorf("parse %s: %w", path, err)
 		}
-		found = append(found, File(fset, file)...)
+		found = append(found, CheckFile(fset, file)...)
 		return nil
 	})
 	return found, err
@@ -57,8 +57,8 @@
 	return false
 }
 
-// File returns the findings of one file.
-func File(fset *token.FileSet, file *ast.File) []Finding {
+// CheckFile returns the findings of one file.
+func CheckFile(fset *token.FileSet, file *ast.File) []Finding {
 	var found []Finding
 	ast.Inspect(file, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
--- a/internal/testing/lint/lint_test.go
+++ b/internal/testing/lint/lint_test.go
@@ -14,7 +14,7 @@
 
 // Guards against errors that a caller cannot distinguish from others.
 func TestEveryErrorHasAType(t *testing.T) {
-	found, err := lint.Tree("../../..")
+	found, err := lint.CheckTree("../../..")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	var calls []string
-	for _, f := range lint.File(fset, file) {
+	for _, f := range lint.CheckFile(fset, file) {
 		calls = append(calls, f.Call)
 	}
 	if diff := cmp.Diff([]string{"errors.New", "fmt.Errorf"}, calls); diff != "" {
--- a/internal/testing/loopback/loopback.go
+++ b/internal/testing/loopback/loopback.go
@@ -57,7 +57,7 @@
 }
 
 const (
-	// retryInterval is the pause between two tries. A child process reaches its exec within about a millisecond.
+	// retryInterval is the pause between two attempts to listen. A child process reaches its exec within about a millisecond.
 	retryInterval = time.Millisecond
 	// maxRetries bounds the wait for an address that another program does use.
 	maxRetries = 2000
--- a/internal/testing/modelcheck/main.go
+++ b/internal/testing/modelcheck/main.go
@@ -25,7 +25,9 @@
 type FailedError struct{ Runs int }
 
 // Error implements error.
-func (e *FailedError) Error() string { return fmt.Sprintf("%d runs did not end as expected", e.Runs) }
+func (e *FailedError) Error() string {
+	return fmt.Sprintf("%d runs have an unexpected verdict", e.Runs)
+}
 
 func main() {
 	o := options{}
--- a/internal/testing/modelcheck/modelcheck_test.go
+++ b/internal/testing/modelcheck/modelcheck_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Guards against specifications whose run cannot fail: without mutants, with mutants that have no run or no macro in the
-// text, or with a mutant that is expected to hold.
+// Guards against plans that cannot show that a safeguard is needed: without mutants, with mutants that have no run or no
+// macro in the text, or with a mutant that is expected to hold.
 func TestPlanRejectsUncheckedMutants(t *testing.T) {
 	base := Run{Name: "base", Expect: VerdictHolds}
 	mutant := Run{Name: "m", Mutant: "MUTANT_A", Expect: VerdictAssertion}
--- a/internal/testing/modelcheck/plan.go
+++ b/internal/testing/modelcheck/plan.go
@@ -90,7 +90,7 @@
 		return nil, fmt.Errorf("list %s: %w", dir, err)
 	}
 	if len(sources) == 0 {
-		return nil, &PlanError{Plan: dir, Reason: "holds no .pml file"}
+		return nil, &PlanError{Plan: dir, Reason: "contains no .pml file"}
 	}
 	var plans []Plan
 	for _, source := range sources {
--- a/internal/testing/modelcheck/search.go
+++ b/internal/testing/modelcheck/search.go
@@ -38,7 +38,7 @@
 	Trace string
 }
 
-// Check runs one search in a new directory below tmp. A search that fails to run is reported as VerdictBroken; an error
+// Check runs one search in a new folder below tmp. A search that fails to run is reported as VerdictBroken; an error
 // means that its files could not be prepared.
 func Check(ctx context.Context, p Plan, r Run, lim Limits, tmp string) (Result, error) {
 	dir, err := os.MkdirTemp(tmp, p.Name+"-")
--- a/internal/testing/standin/engine/batch.go
+++ b/internal/testing/standin/engine/batch.go
@@ -23,8 +23,8 @@
 	CacheGap int
 	// LoadLag is the age of the load reports served.
 	LoadLag time.Duration
-	// HonourFence refuses an order whose fencing token is lower than that of an earlier order. Without it the engine
-	// applies every order.
+	// HonourFence makes the engine refuse an order whose fencing token is lower than that of an earlier order. Without
+	// it the engine applies every order.
 	HonourFence bool
 	// CrashText in a prompt crashes the engine, which calls OnCrash and does not respond; empty for never.
 	CrashText string
@@ -33,7 +33,7 @@
 
 // sequence is one request in the engine.
 type sequence struct {
-	rank         int
+	priority     int
 	arrival      uint64
 	blocks       []uint64
 	promptTokens int
@@ -44,13 +44,13 @@
 	cancelled bool
 }
 
-// waiting is a heap ordered by rank, lowest first, then by arrival.
+// waiting is a heap ordered by priority, lowest number first, then by arrival.
 type waiting []*sequence
 
 func (w waiting) Len() int { return len(w) }
 func (w waiting) Less(i, j int) bool {
-	if w[i].rank != w[j].rank {
-		return w[i].rank < w[j].rank
+	if w[i].priority != w[j].priority {
+		return w[i].priority < w[j].priority
 	}
 	return w[i].arrival < w[j].arrival
 }
--- a/internal/testing/standin/engine/engine.go
+++ b/internal/testing/standin/engine/engine.go
@@ -238,7 +238,7 @@
 		return
 	}
 	id := string(x.Req.Header.Peek("X-Request-Id"))
-	rank, _ := strconv.Atoi(string(x.Req.Header.Peek("X-Priority")))
+	priority, _ := strconv.Atoi(string(x.Req.Header.Peek("X-Priority")))
 	resume, _ := strconv.Atoi(string(x.Req.Header.Peek("X-Resume-Tokens")))
 	if body.ResumeText != Completion(body.Messages, resume) {
 		_ = x.Respond(fasthttp.StatusUnprocessableEntity, nil, nil)
@@ -247,7 +247,7 @@
 	n, _ := e.runs.LoadOrStore(id, &atomic.Int64{})
 	n.(*atomic.Int64).Add(1)
 	s := &sequence{
-		rank:         rank,
+		priority:     priority,
 		blocks:       prefix.Hash(body.Messages, blockBytes),
 		promptTokens: len(body.Messages) / bytesPerToken,
 		next:         resume,
--- a/internal/testing/standin/platform/services.go
+++ b/internal/testing/standin/platform/services.go
@@ -10,10 +10,10 @@
 	api "github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// hostList is the published host list. publishedAt is the time at which it was set, before the lag.
+// hostList is the published host list. changedAt is the time of its SetHosts call, before the lag.
 type hostList struct {
-	published   []api.Host
-	publishedAt time.Time
+	published []api.Host
+	changedAt time.Time
 }
 
 // SetHosts publishes hosts after lag, unless a list that was set later has been published by then.
@@ -23,7 +23,7 @@
 	publish := func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.hosts.publishedAt.After(setAt) {
+		if s.hosts.changedAt.After(setAt) {
 			return
 		}
 		s.hosts = hostList{hosts, setAt}
@@ -47,8 +47,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var age time.Duration
-	if !s.hosts.publishedAt.IsZero() {
-		age = time.Since(s.hosts.publishedAt)
+	if !s.hosts.changedAt.IsZero() {
+		age = time.Since(s.hosts.changedAt)
 	}
 	return slices.Clone(s.hosts.published), age, nil
 }
