--- a/internal/tool/ctl/audit.go
+++ b/internal/tool/ctl/audit.go
@@ -16,7 +16,7 @@
 // auditPageRows is the number of rows in one page.
 const auditPageRows = 1000
 
-// AuditError reports that rows of the audit are missing or were changed.
+// AuditError reports that rows of the audit log are missing or were changed.
 type AuditError struct{ Faults []*audit.Fault }
 
 // Error implements error.
@@ -76,7 +76,8 @@
 	return t.UnixMilli(), nil
 }
 
-// export prints the rows of a time range. It reads all rows, since they are sorted by chain and not by time.
+// export prints the rows of a time range, without the head rows of the chains. It reads all rows, since they are sorted by
+// chain and not by time.
 func (s *session) export(ctx context.Context, f *exportFlags) error {
 	wanted, err := timeRangeOf(f)
 	if err != nil {
--- a/internal/tool/ctl/audit_test.go
+++ b/internal/tool/ctl/audit_test.go
@@ -12,8 +12,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/tool/ctl"
 )
 
-// Guards against an export of a falsified audit. A row was changed or removed directly in the table; the export must report
-// the fault and exit with ExitAudit.
+// Guards against an export of a falsified audit log. A row was changed or removed directly in the table; the export must
+// report the fault and exit with ExitAudit.
 func TestAuditExportFailsOnTampering(t *testing.T) {
 	changed := func(key string, value []byte) []byte {
 		r := &audit.Row{}
--- a/internal/tool/ctl/ctl.go
+++ b/internal/tool/ctl/ctl.go
@@ -37,7 +37,7 @@
 	ExitUnknown = 6
 	// ExitNotFound: the named object, operation or request does not exist.
 	ExitNotFound = 7
-	// ExitAudit: rows of the audit are missing or were changed.
+	// ExitAudit: rows of the audit log are missing or were changed.
 	ExitAudit = 8
 	// ExitRefused: the operator's role does not permit the call, or the operator is not authenticated.
 	ExitRefused = 9
@@ -66,7 +66,7 @@
 // wait for its acceptance.
 const callTimeout = 75 * time.Second
 
-// defaultEntry is the RPC address of the demo's first entry.
+// defaultEntry is the address of the control port of the demo's first entry.
 const defaultEntry = "127.0.0.1:21101"
 
 // Main runs a command line and returns its exit code.
--- a/internal/tool/ctl/ctl_test.go
+++ b/internal/tool/ctl/ctl_test.go
@@ -208,7 +208,7 @@
 	}
 }
 
-// Guards the exit codes and the output that scripts and operators depend on, for each command.
+// Guards against a change of the exit codes or of the output that scripts and operators depend on, for each command.
 func TestCommands(t *testing.T) {
 	d := deploy(t)
 	for _, s := range steps {
@@ -240,8 +240,8 @@
 	check(t, step{out: []string{"revision 2 is accepted"}}, run(t, d.address, "", "operation", "op-lost"))
 }
 
-// Guards the behaviour while the platform's table is down: a change is refused as not applied, with ExitUnavailable, and
-// commands that need no table still work.
+// Guards against a wrong exit code while the platform's table is down, and against the failure of commands that need no
+// table. A change must be refused as not applied, with ExitUnavailable.
 func TestTableDown(t *testing.T) {
 	d := deploy(t)
 	check(t, step{}, run(t, d.address, firstConfig, strings.Fields("apply -f FILE"+metaFlags)...))
@@ -252,7 +252,8 @@
 	check(t, step{out: []string{"desk-model"}}, run(t, d.address, "", "list", "--in-force"))
 }
 
-// Guards the failover to the next entry when one refuses connections, and the exit code when no entry is reachable.
+// Guards against a command that fails because the first entry refuses connections although the next one is reachable,
+// and against a wrong exit code when no entry is reachable.
 func TestEntriesAreTriedInTurn(t *testing.T) {
 	d := deploy(t)
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/tool/ctl/errors.go
+++ b/internal/tool/ctl/errors.go
@@ -42,22 +42,22 @@
 
 func exitCode(err error) int {
 	var (
-		pending *PendingError
-		file    *FileError
-		unknown *UnknownOutcomeError
-		absent  *OperationError
-		audit   *AuditError
-		span    *TimeError
-		request *RequestError
+		pending  *PendingError
+		file     *FileError
+		unknown  *UnknownOutcomeError
+		notFound *OperationError
+		audit    *AuditError
+		badTime  *TimeError
+		request  *RequestError
 	)
 	switch {
 	case errors.As(err, &pending):
 		return ExitPending
-	case errors.As(err, &file) || errors.As(err, &span):
+	case errors.As(err, &file) || errors.As(err, &badTime):
 		return ExitUsage
 	case errors.As(err, &unknown):
 		return ExitUnknown
-	case errors.As(err, &absent) || errors.As(err, &request):
+	case errors.As(err, &notFound) || errors.As(err, &request):
 		return ExitNotFound
 	case errors.As(err, &audit):
 		return ExitAudit
--- a/internal/tool/ctl/keys_test.go
+++ b/internal/tool/ctl/keys_test.go
@@ -9,8 +9,8 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/tool/ctl"
 )
 
-// Guards the roles in certificates: an operator can neither call beyond the role nor act under another name, and unusable
-// keys are reported as such.
+// Guards against an operator who calls more than the role in the certificate permits or acts under another name, and
+// against unusable keys that are not reported as such.
 func TestCommandsWithKeys(t *testing.T) {
 	ca := keystest.New(t)
 	d := deployWith(t, keystest.Load(t, ca.Issue("e1", keys.RoleNode)))
--- a/internal/tool/explain/explain.go
+++ b/internal/tool/explain/explain.go
@@ -23,7 +23,7 @@
 	fieldLevel   = "level"
 )
 
-// Field is one field of a line that has no field of its own in Line.
+// Field is a key and its value in a log line, for keys that have no field in Line.
 type Field struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
@@ -120,9 +120,9 @@
 	return err
 }
 
-// ForRequest returns the lines about a request, sorted by time. It adds the lines about the processes and upstreams involved,
-// from before ahead of the request's first line until after past its last line. It returns nil if there is no line about
-// the request.
+// ForRequest returns the lines about a request, sorted by time. It adds the lines about the processes and upstreams
+// involved that are at most `before` earlier than the request's first line and at most `after` later than its last one.
+// It returns nil if there is no line about the request.
 func ForRequest(lines []*Line, request string, before, after time.Duration) []*Line {
 	var own []*Line
 	nodes, upstreams := map[string]bool{}, map[string]bool{}
