--- a/internal/gen/cardamomyoke/v1/cardamomyokev1connect/agent.connect.go
+++ b/internal/gen/cardamomyoke/v1/cardamomyokev1connect/agent.connect.go
@@ -3,6 +3,11 @@
 // Source: cardamomyoke/v1/agent.proto
 
 // The gateway that leads the placement of experts reaches the ranks of a group through an agent on each rank's host.
+//
+// A pass is one scheduling iteration of the group's engines, which all ranks begin together. A set is a set of layers whose
+// experts are placed together. The epoch identifies a formation of the group; if all ranks restart, the group may form
+// again with the same epoch. A rank that holds a pass keeps the group from beginning it; a rank that is armed for a pass
+// switches to its prepared map at that pass.
 package cardamomyokev1connect
 
 import (
--- a/internal/gen/cardamomyoke/v1/cardamomyokev1connect/revision.connect.go
+++ b/internal/gen/cardamomyoke/v1/cardamomyokev1connect/revision.connect.go
@@ -49,7 +49,7 @@
 	Push(context.Context, *v1.PushRequest) (*v1.PushResponse, error)
 	// Acknowledge delivers an acknowledgement from a child to its parent.
 	Acknowledge(context.Context, *v1.AcknowledgeRequest) (*v1.AcknowledgeResponse, error)
-	// CatchUp returns the full state, for a node that lacks too many entries.
+	// CatchUp returns the full state, for a node that lacks too many log entries.
 	CatchUp(context.Context, *v1.CatchUpRequest) (*v1.CatchUpResponse, error)
 }
 
@@ -125,7 +125,7 @@
 	Push(context.Context, *v1.PushRequest) (*v1.PushResponse, error)
 	// Acknowledge delivers an acknowledgement from a child to its parent.
 	Acknowledge(context.Context, *v1.AcknowledgeRequest) (*v1.AcknowledgeResponse, error)
-	// CatchUp returns the full state, for a node that lacks too many entries.
+	// CatchUp returns the full state, for a node that lacks too many log entries.
 	CatchUp(context.Context, *v1.CatchUpRequest) (*v1.CatchUpResponse, error)
 }
 
