--- a/internal/base/failure/doc_test.go
+++ b/internal/base/failure/doc_test.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/failure"
 )
 
-// TestEveryCodeIsInTheAPIPage holds docs/api.md to the table of codes.
+// Guards against a code that is added, or whose meaning changes, without an update of its row in docs/api.md.
 func TestEveryCodeIsInTheAPIPage(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/api.md")
 	if err != nil {
--- a/internal/base/settings/watch_test.go
+++ b/internal/base/settings/watch_test.go
@@ -11,7 +11,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/settings"
 )
 
-// named is a settings value with one key, which must be set.
+// named is a settings value with one required key.
 type named struct {
 	Name string `yaml:"name"`
 }
@@ -19,9 +19,10 @@
 // Check implements settings.Checker.
 func (n *named) Check() error { return settings.CheckName("$.name", n.Name, "a name") }
 
-// An operator writes settings that cannot be used, asks for a reload, and mends them. The process keeps what it has, says
-// why, and takes over what is mended; a signal without a change says so.
-func TestWatcherTakesOnlyWhatCanBeUsed(t *testing.T) {
+// Guards against losing the settings in use when an operator writes invalid ones, triggers a reload, and corrects them.
+// The process must keep its settings, report the error and apply the corrected settings. A signal without a change must
+// be reported as such.
+func TestWatcherRejectsInvalidSettings(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.yaml")
 	write := func(text string) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -29,13 +30,13 @@
 		}
 	}
 	write("name: first\n")
-	signals, said := make(chan os.Signal), make(chan string)
+	signals, calls := make(chan os.Signal), make(chan string)
 	w := &settings.Watcher{
 		File: file, Interval: time.Hour, Signals: signals,
-		Fresh:     func() settings.Checker { return &named{} },
-		Changed:   func(c settings.Checker) { said <- "changed to " + c.(*named).Name },
-		Refused:   func(err error) { said <- "refused: " + filepath.Base(err.Error()) },
-		Unchanged: func() { said <- "unchanged" },
+		NewSettings: func() settings.Checker { return &named{} },
+		Changed:     func(c settings.Checker) { calls <- "changed to " + c.(*named).Name },
+		Refused:     func(err error) { calls <- "refused: " + filepath.Base(err.Error()) },
+		Unchanged:   func() { calls <- "unchanged" },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -48,7 +49,7 @@
 	} {
 		write(step.text)
 		signals <- syscall.SIGHUP
-		if got := <-said; got != step.want {
+		if got := <-calls; got != step.want {
 			t.Fatalf("got %q, want %q", got, step.want)
 		}
 	}
--- a/internal/node/entry/audit_test.go
+++ b/internal/node/entry/audit_test.go
@@ -10,8 +10,9 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/audit"
 )
 
-// A request crashes an upstream among others, then one that it ran on alone for a probe; the news come twice. Only the
-// step to a refusal is recorded, once, with its end and the client.
+// Guards against an audit that lacks a refusal, holds it twice or lists mere suspicions. A request crashes an upstream
+// together with another request, then crashes one while it runs alone, as a quarantine trial run; the second crash is
+// reported twice. Only the change to refused is recorded, once, with the end of the refusal and the client.
 func TestRefusalsAreRecordedOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := quarantine.NewPersistentTracker(nil, quarantine.Rules{Period: time.Minute}, quarantine.DefaultPersistentTrackerOptions())
@@ -20,8 +21,8 @@
 	var got []*audit.Row
 	for _, c := range []quarantine.Crash{
 		{ID: 1, At: now, Ran: []quarantine.Running{poison, other}},
-		{ID: 2, At: now, Ran: []quarantine.Running{poison}, Probe: true},
-		{ID: 2, At: now, Ran: []quarantine.Running{poison}, Probe: true},
+		{ID: 2, At: now, Ran: []quarantine.Running{poison}, RanAlone: true},
+		{ID: 2, At: now, Ran: []quarantine.Running{poison}, RanAlone: true},
 	} {
 		before := p.Snapshot()
 		p.Merge(now, c.Suspects()...)
--- a/internal/node/entry/state.go
+++ b/internal/node/entry/state.go
@@ -24,7 +24,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision"
 )
 
-// state is what the control loop owns. Nothing else touches it.
+// state is owned by the control loop; no other goroutine accesses it.
 type state struct {
 	settings  *Settings
 	config    config.Source
@@ -39,19 +39,19 @@
 	snapshot  *config.Snapshot
 }
 
-// upstream is the newest digest of a slot with what outlives it.
+// upstream holds the newest digest of a slot, and the state that is retained from digest to digest.
 type upstream struct {
-	digest  *cardamomyokev1.Digest
-	heardAt time.Time
-	work    *routing.Work
-	cached  *prefix.BlockSet
+	digest     *cardamomyokev1.Digest
+	receivedAt time.Time
+	work       *routing.Work
+	cached     *prefix.BlockSet
 }
 
 const (
-	// cachedBlocks is how many prompt blocks are remembered for one upstream.
+	// cachedBlocks is the maximum number of prompt blocks remembered per upstream.
 	cachedBlocks = 8192
-	// farAway stands for the distance to a data centre that the settings do not name.
-	farAway = 40 * time.Millisecond
+	// defaultLatency is the one-way latency to a data centre that the settings do not list.
+	defaultLatency = 40 * time.Millisecond
 )
 
 func newState(set *Settings, source config.Source, l *limits.Limiter, logger log.Logger, now time.Time) *state {
@@ -77,16 +77,16 @@
 	}
 }
 
-// hear takes in a digest and reports whether it is news: a late or doubled one is dropped.
-func (s *state) hear(d *cardamomyokev1.Digest, now time.Time) bool {
-	news := s.members.Receive(d, now)
-	if news && d.GetRole() == cardamomyokev1.NodeRole_NODE_ROLE_SLOT {
-		s.hearSlot(d, now)
+// receiveDigest processes a digest and reports whether it was new; a late or duplicate digest is dropped.
+func (s *state) receiveDigest(d *cardamomyokev1.Digest, now time.Time) bool {
+	isNew := s.members.Receive(d, now)
+	if isNew && d.GetRole() == cardamomyokev1.NodeRole_NODE_ROLE_SLOT {
+		s.receiveSlotDigest(d, now)
 	}
-	return news
+	return isNew
 }
 
-func (s *state) hearSlot(d *cardamomyokev1.Digest, now time.Time) {
+func (s *state) receiveSlotDigest(d *cardamomyokev1.Digest, now time.Time) {
 	id := ids.Upstream(d.GetNode())
 	u, ok := s.upstreams[id]
 	if !ok {
@@ -97,25 +97,25 @@
 		u.cached.Clear()
 	}
 	u.digest = d
-	u.heardAt = now
-	s.tracker.Apply(heardOf(d), now)
+	u.receivedAt = now
+	s.tracker.Apply(slotReportOf(d), now)
 }
 
-func heardOf(d *cardamomyokev1.Digest) health.SlotReport {
+func slotReportOf(d *cardamomyokev1.Digest) health.SlotReport {
 	return health.SlotReport{
 		Upstream:    ids.Upstream(d.GetNode()),
 		Service:     ids.Service(d.GetSlot().GetService()),
 		Incarnation: ids.Incarnation(d.GetIncarnation()),
-		Leaving:     d.GetState() == cardamomyokev1.NodeState_NODE_STATE_LEAVING,
+		Draining:    d.GetState() == cardamomyokev1.NodeState_NODE_STATE_LEAVING,
 		Steps:       d.GetSlot().GetSteps(),
 		Running:     int(d.GetSlot().GetTotal().GetRunning()),
 		StepTime:    time.Duration(d.GetSlot().GetStepTimeUs()) * time.Microsecond,
 	}
 }
 
-// adopt takes over a configuration. Pools live on with their queues, unless the classes changed; what waits in an old
-// queue is still answered from there.
-func (s *state) adopt(snap *config.Snapshot) {
+// applySnapshot switches to a configuration. Pools and their queues are retained unless the priority classes changed;
+// requests that wait in a dropped queue are still served from it.
+func (s *state) applySnapshot(snap *config.Snapshot) {
 	old := s.snapshot
 	s.snapshot = snap
 	s.tracker.SetEjectionPercent(int(snap.Proto.GetPolicies().GetEjectionPercent()))
@@ -130,8 +130,8 @@
 	})
 }
 
-// adoptRoster follows the members that the configuration log names.
-func (s *state) adoptRoster(r *revision.Roster, now time.Time) {
+// applyRoster updates the member list to the members listed in the configuration log.
+func (s *state) applyRoster(r *revision.Roster, now time.Time) {
 	if r == nil || r == s.roster {
 		return
 	}
@@ -139,14 +139,15 @@
 	s.members.SetRoster(membership.FromRevision(r.Members()), now)
 }
 
-// missingReports is how many reports of a slot in a row may be missing before it counts as silent.
-const missingReports = 3.5
+// missingDigests is the number of consecutive slot digests that may be missing before the slot counts as unresponsive.
+const missingDigests = 3.5
 
-// tick judges health and forgets who is long silent. With more entries to tell, slots report more rarely, so the time
-// after which one is silent follows; a fixed one would eject healthy upstreams of a large deployment.
+// tick evaluates health and removes upstreams that have long been unresponsive. The more entries there are, the less
+// often a slot sends each a digest, so the timeout follows the digest interval; a fixed timeout would eject healthy
+// upstreams in a large deployment.
 func (s *state) tick(now time.Time) {
-	every := s.members.SlotInterval()
-	s.tracker.SetSilentAfter(max(health.Defaults().SilentAfter, time.Duration(missingReports*float64(every))))
+	interval := s.members.SlotInterval()
+	s.tracker.SetSilentAfter(max(health.Defaults().SilentAfter, time.Duration(missingDigests*float64(interval))))
 	for _, c := range s.tracker.Evaluate(now) {
 		_ = level.Info(s.logger).Log("msg", "upstream changed", "upstream", c.Upstream, "from", c.From, "to", c.To, "reason", c.Reason)
 		s.record(now, &audit.Row{
@@ -163,7 +164,7 @@
 	}
 }
 
-// build makes the view from the present state.
+// build returns a view of the current state.
 func (s *state) build(serving bool, now time.Time) *view {
 	v := &view{
 		config:       s.snapshot,
@@ -184,7 +185,7 @@
 	return v
 }
 
-// pool returns the service's pool with a new picker and capacity; gate and budget live on from view to view.
+// pool returns the service's pool with a new picker and capacity. The gate and the budget are reused from view to view.
 func (s *state) pool(service *cardamomyokev1.Service, now time.Time) *pool {
 	name := ids.Service(service.GetName())
 	list := s.routes(name, now)
@@ -215,10 +216,10 @@
 }
 
 func (s *state) queueOptions() admission.Options {
-	o := admission.Options{Reserve: admission.DefaultReserve, MaxWait: admission.DefaultMaxWait, Share: s.weight}
+	o := admission.Options{Reserve: admission.DefaultReserve, MaxWait: admission.DefaultMaxWait, Share: s.localShare}
 	for _, c := range s.snapshot.Proto.GetClasses() {
 		o.Classes = append(o.Classes, admission.Class{
-			Name: c.GetName(), Rank: int(c.GetRank()), QueueLimit: int(c.GetQueueLimit()),
+			Name: c.GetName(), Priority: int(c.GetRank()), QueueLimit: int(c.GetQueueLimit()),
 		})
 	}
 	return o
@@ -248,9 +249,9 @@
 		Address:    u.digest.GetHttpAddress(),
 		Weight:     status.Weight,
 		Batch:      int(load.GetBatch()),
-		Distance:   s.distance(ids.DataCentre(u.digest.GetDataCentre())),
+		Latency:    s.latencyTo(ids.DataCentre(u.digest.GetDataCentre())),
 		Load: routing.Load{
-			TakenAt:         u.heardAt,
+			TakenAt:         u.receivedAt,
 			Total:           countsOf(load.GetTotal()),
 			Yours:           countsOf(load.GetYours()),
 			StepTime:        time.Duration(load.GetStepTimeUs()) * time.Microsecond,
@@ -275,13 +276,13 @@
 	}
 }
 
-func (s *state) distance(dc ids.DataCentre) time.Duration {
+func (s *state) latencyTo(dc ids.DataCentre) time.Duration {
 	if dc == s.settings.DataCentre {
 		return 0
 	}
 	d, ok := s.settings.DataCentres[dc]
 	if !ok {
-		return farAway
+		return defaultLatency
 	}
 	return d.Std()
 }
@@ -301,22 +302,23 @@
 	return sum / float64(n)
 }
 
-// minPart keeps the weight of a client above 0 where next to none of its demand was seen.
-const minPart = 0.01
+// minLocalShare keeps the local share of a client above 0 where almost none of its usage was seen.
+const minLocalShare = 0.01
 
-// weight is a client's share times the part of its demand that comes to this entry, so that it gets its share over all
-// entries and not at each.
-func (s *state) weight(c ids.Client) float64 {
-	return s.share(c) * max(minPart, s.limits.LocalShare(c, time.Now()))
+// localShare returns a client's configured share times the fraction of its usage that arrives at this entry, so that the
+// client gets its share across all entries rather than at each of them.
+func (s *state) localShare(c ids.Client) float64 {
+	return s.share(c) * max(minLocalShare, s.limits.LocalShare(c, time.Now()))
 }
 
-// share is a client's share by the configuration in force.
+// share returns a client's share in the configuration in force, at least 1.
 func (s *state) share(c ids.Client) float64 {
 	return float64(max(1, s.config.Current().Client(c).GetShare()))
 }
 
-// capacity is what this entry may have started at once: the part of all places that the clients' fair work at this
-// entry needs; an even part as long as there is no demand, or there are too many entries to exchange it in full.
+// capacity returns the limit on the work that this entry runs concurrently: a fraction of the capacity of all upstreams.
+// The fraction is this entry's share of the work that all clients' fair shares allow. It is the same for all entries
+// while there is no usage, or if there are too many entries to exchange usage in full.
 func (s *state) capacity(list []*routing.Upstream, stepTime float64, now time.Time) admission.Capacity {
 	total := 0.0
 	for _, u := range list {
@@ -326,6 +328,6 @@
 	if stepTime > 0 {
 		rate = total / stepTime
 	}
-	part := s.limits.Quota(rate, s.share, now)
-	return admission.Capacity{Concurrency: max(1, int(part*total)), TokensPerSecond: part * rate}
+	fraction := s.limits.Quota(rate, s.share, now)
+	return admission.Capacity{Concurrency: max(1, int(fraction*total)), TokensPerSecond: fraction * rate}
 }
--- a/internal/node/gateway/handler.go
+++ b/internal/node/gateway/handler.go
@@ -54,7 +54,7 @@
 		g.logPaused(r, paused)
 	}
 	if err == nil {
-		span.Note(attribute.String("attempt", r.call.Attempt), attribute.String("service", string(r.service.Name)))
+		span.SetAttributes(attribute.String("attempt", r.call.Attempt), attribute.String("service", string(r.service.Name)))
 		err = g.runRequest(ctx, v, x, r, span.Header())
 	} else {
 		g.refuse(x, v, r, err)
@@ -90,7 +90,7 @@
 	case v.state == stateClosing:
 		return r, failure.New(failure.CodeStopping, nil).WithRetryAfter(closingRetryAfter)
 	}
-	r.revision = v.config.Version
+	r.revision = v.config.Revision
 	path, _, _ := bytes.Cut(in.Header.RequestURI(), []byte("?"))
 	r.route = v.config.Route(string(in.Header.Host()), string(path))
 	if r.route == nil {
@@ -125,9 +125,9 @@
 // yet.
 //
 // A gateway that has lost the store, or to which peers have announced a newer configuration, may lack a new route.
-// Callers treat a 404 as final, so the error tells them to retry instead.
+// Callers treat a 404 as final, so the error requests a retry instead.
 func (g *Gateway) notFoundError(v *view, code failure.Code) error {
-	if !v.storeUp || g.peers.replicaLag(g.config.Replica, time.Now()) > 0 {
+	if !v.storeUp || g.peers.replicaLag(g.configFollower.Replica, time.Now()) > 0 {
 		return failure.New(failure.CodeStaleRevision, failure.New(code, nil)).WithRetryAfter(notReadyRetryAfter)
 	}
 	return failure.New(code, nil)
--- a/internal/node/gateway/services.go
+++ b/internal/node/gateway/services.go
@@ -12,7 +12,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/catalog"
 )
 
-// updateServices sets the upstreams and options of each service's gate.
+// updateServices creates, updates and removes services according to the configuration and the registry.
 func (g *Gateway) updateServices(now time.Time) {
 	if g.control.config == nil {
 		return
@@ -35,7 +35,7 @@
 }
 
 // watchGroup creates the groupWatch of a service whose upstreams are ranks of a group. The group starts closed: a
-// gateway that starts does not know whether the group works, as all hosts may just have lost power.
+// gateway that starts has no evidence that the group works, as all hosts may just have lost power.
 func (g *Gateway) watchGroup(s *service, c *catalog.Service) {
 	if c.Engine == nil || c.Engine.Experts == nil {
 		return
@@ -66,11 +66,11 @@
 	plainFill = 1.5
 )
 
-func dispatchOptions(c *catalog.Service, off dispatch.Off) dispatch.Options {
+func dispatchOptions(c *catalog.Service, off dispatch.DisabledMechanisms) dispatch.Options {
 	if c.Engine != nil {
-		return dispatch.Options{Engine: c.Engine, Fill: engineFill, LateFill: engineLateFill, Off: off}
+		return dispatch.Options{Engine: c.Engine, Fill: engineFill, LateFill: engineLateFill, Disabled: off}
 	}
-	return dispatch.Options{Fill: plainFill, LateFill: plainFill, Off: off}
+	return dispatch.Options{Fill: plainFill, LateFill: plainFill, Disabled: off}
 }
 
 // retryBound returns this gateway's share of the retries that all gateways may make.
@@ -81,7 +81,8 @@
 }
 
 const (
-	// extraShare reserves the rest of the fixed number for gateways that started and stopped within a window.
+	// extraShare is the share of RetryBound.Extra that the present gateways use. The rest is for gateways that started and
+	// stopped within the window.
 	extraShare = 0.7
 	// spareNodes is how many gateways may start before all peers have received a message from them.
 	spareNodes = 2
--- a/internal/node/gateway/stream.go
+++ b/internal/node/gateway/stream.go
@@ -46,7 +46,7 @@
 // An upstream may fail within an event, and the stream then resumes on another one. Only complete events are relayed,
 // and none that the caller already has, so that no event consists of two halves.
 func (n *run) relayStream(ctx context.Context, t *dispatch.Ticket, res *httpclient.Response, info ResponseInfo) error {
-	if !info.Sealed {
+	if !info.Signed {
 		res.Release(false)
 		return &ResponseError{t.Upstream().ID, res.Status, "stream without a signature"}
 	}
@@ -124,7 +124,8 @@
 }
 
 // eventsAfter drops the leading events up to the one with id last, which the caller already has, and returns the others
-// with the id of their last event. Ids are increasing numbers; events without a numeric id are kept.
+// with the id of their last event. Ids are increasing numbers; events without a numeric id are kept. The error
+// is always nil.
 func eventsAfter(events []byte, last string) ([]byte, string, error) {
 	lastNumber, err := strconv.ParseInt(last, 10, 64)
 	if err != nil {
--- a/internal/node/slot/upstream_test.go
+++ b/internal/node/slot/upstream_test.go
@@ -11,9 +11,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/base/httpclient"
 )
 
-// An engine dies in mid-stream because of the request that it runs. The caller's request is resumed elsewhere; unless
-// the cut counts as a broken connection, the slot reports a death at which nothing ran, and the next engine dies too.
-func TestACutInMidStreamCountsAsBroken(t *testing.T) {
+// Guards against a request that crashes one engine after the other unsuspected. An engine crashes in mid-stream because
+// of it. If the truncated stream did not count as a broken connection, the slot would report a crash during which no
+// request ran, and the request would be resumed on another engine.
+func TestTruncatedStreamCountsAsBrokenConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -36,8 +37,8 @@
 		t.Fatal(err)
 	}
 	defer res.Release(false)
-	r := &modelRelay{job: &job{}}
-	if err := r.all(t.Context(), res); !broke(err) {
-		t.Fatalf("%v does not count as broken", err)
+	r := &modelRelay{incoming: &incomingAttempt{}}
+	if err := r.relayEvents(t.Context(), res); !isBrokenConnection(err) {
+		t.Fatalf("%v does not count as a broken connection", err)
 	}
 }
--- a/internal/policy/dispatch/mechanism.go
+++ b/internal/policy/dispatch/mechanism.go
@@ -1,6 +1,7 @@
 package dispatch
 
-// Mechanism names an optional rule of the policy. Operators disable one to measure its effect or while it does harm.
+// Mechanism names an optional rule of the policy. Operators can disable one to measure its effect, or while it causes
+// problems.
 type Mechanism string
 
 const (
@@ -11,8 +12,8 @@
 	SlotShare Mechanism = "slot-share"
 	// LateFill limits late requests to a share of the slots.
 	LateFill Mechanism = "late-fill"
-	// LateReading limits how much of a pass may be spent on the prompts of late requests.
-	LateReading Mechanism = "late-reading"
+	// LatePrefill limits how much of a pass may be spent on the prefill of late requests.
+	LatePrefill Mechanism = "late-reading"
 	// SlowRanks sends fewer requests to upstreams that are slower than normal.
 	SlowRanks Mechanism = "slow-ranks"
 	// EjectFailing ejects upstreams whose connections fail or that refuse requests.
@@ -23,8 +24,8 @@
 
 // Mechanisms lists all mechanisms of the pool.
 func Mechanisms() []Mechanism {
-	return []Mechanism{FewChoices, SlotShare, LateFill, LateReading, SlowRanks, EjectFailing, FirstResponseTime}
+	return []Mechanism{FewChoices, SlotShare, LateFill, LatePrefill, SlowRanks, EjectFailing, FirstResponseTime}
 }
 
-// Off is the set of mechanisms that are switched off.
-type Off map[Mechanism]bool
+// DisabledMechanisms is the set of mechanisms that are disabled.
+type DisabledMechanisms map[Mechanism]bool
--- a/internal/policy/quarantine/tracker.go
+++ b/internal/policy/quarantine/tracker.go
@@ -12,10 +12,10 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/platform"
 )
 
-// RowPrefix is the prefix of the table's keys of refused or overridden requests.
+// RowPrefix is the key prefix of the table's rows for refused or overridden requests.
 const RowPrefix = "quarantine/"
 
-// RowKey returns the table's key of a request.
+// RowKey returns the key of a request's row in the table.
 func RowKey(f Fingerprint) string { return RowPrefix + f.String() }
 
 // Bounds of a Tracker.
@@ -37,8 +37,8 @@
 	At time.Time
 	// Ran lists each request that was running, once, with its client.
 	Ran []Running
-	// Probe is set if a suspect was running that had to run alone.
-	Probe bool
+	// RanAlone is set if the only running request was one that had to run alone.
+	RanAlone bool
 }
 
 // Running is one request on an upstream.
@@ -51,7 +51,7 @@
 func (c Crash) Suspects() []Suspect {
 	out := make([]Suspect, 0, len(c.Ran))
 	for _, r := range c.Ran {
-		e := Evidence{Crash: c.ID, At: c.At, Lone: len(c.Ran) == 1, Probe: c.Probe}
+		e := Evidence{Crash: c.ID, At: c.At, OnlyRequest: len(c.Ran) == 1, RanAlone: c.RanAlone}
 		out = append(out, Suspect{Fingerprint: r.Fingerprint, Client: r.Client, Evidence: []Evidence{e}})
 	}
 	return out
@@ -199,8 +199,8 @@
 	return c
 }
 
-// Save is a row to be written to the table on condition that its version is that in Check. The caller then calls Saved
-// or SaveFailed.
+// Save is a row to be written to the table, provided that the version there still is that in Check. The caller then
+// calls Saved or SaveFailed.
 type Save struct {
 	Fingerprint Fingerprint
 	Check       platform.Check
--- a/internal/policy/retry/session_test.go
+++ b/internal/policy/retry/session_test.go
@@ -51,7 +51,7 @@
 			s := retry.NewSession(tc.rules, retry.NewBudget(percent), now.Add(tc.left))
 			var d retry.Decision
 			for i, err := range tc.failures {
-				d = s.Failed(retry.Attempt{Upstream: ids.Upstream(fmt.Sprintf("u%d", i)), Err: err}, tc.delivered, now)
+				d = s.Failed(retry.FailedAttempt{Upstream: ids.Upstream(fmt.Sprintf("u%d", i)), Err: err}, tc.delivered, now)
 			}
 			if d.Action != tc.want {
 				t.Fatalf("%s, want %s (%v)", d.Action, tc.want, d.Err)
@@ -70,9 +70,9 @@
 	}
 }
 
-// A caller that reads "not run" may send its request again. If a payout had run after all, it would run twice. So "not
-// run" must only be reported if every attempt is proved not to have run, and the same holds for repeating a request
-// that is not repeatable.
+// Guards against a request that runs twice, for example a payout: a caller that reads "not run" may send it again. So
+// "not run" must only be reported if every attempt is proved not to have run, and the same holds for repeating a
+// request that is not repeatable.
 func TestNotRunIsReportedOnlyWithProof(t *testing.T) {
 	outcomes := []error{
 		broken(), refused(), failure.New(failure.CodeNoUpstream, nil), failure.New(failure.CodeOutcomeUnknown, nil),
@@ -87,7 +87,7 @@
 			err := rapid.SampledFrom(outcomes).Draw(t, "outcome")
 			f := failure.From(err)
 			proved = proved && f.Code.Meaning().NotRun && f.Proof != failure.ProofNone
-			d := s.Failed(retry.Attempt{Upstream: "u", Err: err}, 0, now)
+			d := s.Failed(retry.FailedAttempt{Upstream: "u", Err: err}, 0, now)
 			if d.Action != retry.ActionGiveUp {
 				if !rules.Repeatable && !proved {
 					t.Fatalf("repeated a request that may have run")
@@ -103,8 +103,8 @@
 	})
 }
 
-// A third of the upstreams fails and every caller's request is retried. Without a budget the other upstreams would get
-// up to three times their load and fail too.
+// Guards against retries that multiply the load: a third of the upstreams fails and every caller's request is retried.
+// Without a budget the other upstreams would get up to three times their load and fail too.
 func TestRetriesCannotMultiplyTheLoad(t *testing.T) {
 	const requests = 2000
 	for _, percent := range []int{0, 10, 50} {
@@ -112,7 +112,7 @@
 		retries := 0
 		for range requests {
 			s := retry.NewSession(retry.DefaultRules(true, true), budget, now.Add(time.Hour))
-			for s.Failed(retry.Attempt{Err: broken()}, 0, now).Action != retry.ActionGiveUp {
+			for s.Failed(retry.FailedAttempt{Err: broken()}, 0, now).Action != retry.ActionGiveUp {
 				retries++
 			}
 		}
@@ -143,7 +143,7 @@
 	s := retry.NewSession(rules, retry.NewBudget(percent), now.Add(time.Hour))
 	var backoffs []time.Duration
 	for range rules.MaxAttempts - 1 {
-		backoffs = append(backoffs, s.Failed(retry.Attempt{Err: broken()}, 0, now).After)
+		backoffs = append(backoffs, s.Failed(retry.FailedAttempt{Err: broken()}, 0, now).After)
 	}
 	if diff := cmp.Diff([]time.Duration{rules.Backoff, 2 * rules.Backoff}, backoffs); diff != "" {
 		t.Fatal(diff)
--- a/internal/state/registry/doc.go
+++ b/internal/state/registry/doc.go
@@ -1,6 +1,8 @@
-// Package registry decides which entries of the platform's registry name upstreams that may be used.
+// Package registry decodes the rows in which upstreams register, and decides which of them gateways may send requests
+// to.
 //
-// Anyone may write to the registry, upstreams rewrite their entries some tenths of a second late, and a restart may keep its
-// id. The package does no I/O and reads no clock: rows and what upstreams proved go in, the list of upstreams and what is to
-// be logged come out.
+// Any client of the platform can write to the registry, upstreams update their registry entries some tenths of a second
+// late, and a restarted upstream may keep its ID. The package does no I/O and reads no clock: the caller passes in rows
+// and rejects registry entries whose address belongs to another upstream, and gets the list of upstreams and the
+// findings to log.
 package registry
--- a/internal/state/replica/doc.go
+++ b/internal/state/replica/doc.go
@@ -1,6 +1,7 @@
-// Package replica keeps copies of tables of the platform's store in a node's memory.
+// Package replica holds copies of tables of the platform's store in a node's memory.
 //
-// Each node follows the store's feed. A node that the store turns away, or that cannot reach it, learns what changed
-// from other nodes: they tell the version of the newest change that they know, and it pulls what it lacks. A copy only
-// moves forward, whichever way news come.
+// A few nodes, the sentinels, follow the store's feed, so that they notice soon when the store stops responding. The
+// other nodes, and those that the store rejects or that cannot reach it, get changes from their peers: nodes gossip
+// the version of their newest change, and a node pulls what it lacks. A node that has too few such peers follows the
+// feed itself. A copy only moves forward, whatever the source of an update.
 package replica
--- a/internal/state/revision/accept.go
+++ b/internal/state/revision/accept.go
@@ -7,36 +7,37 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// pending is an entry that is held but not known to be accepted.
+// pending is a log entry that this node holds but does not know to be accepted.
 type pending struct {
 	state *State
 	since time.Time
-	// held says since when this node knows that a member, by index, holds the entry, and seen when it last heard so.
-	held map[int]time.Time
-	seen map[int]time.Time
-	// edit is the entry's change of the roster, or nil.
+	// heldSince has, by member index, the time from which this node has known without a gap that the member holds the log
+	// entry, and lastAck the time at which that was last reported.
+	heldSince map[int]time.Time
+	lastAck   map[int]time.Time
+	// edit is the log entry's change of the roster, or nil.
 	edit *cardamomyokev1.RosterEdit
-	// silent are members that the entry removes only because they were silent. One that reaches the table but no node
-	// is alive: it serves until it reads of its removal.
+	// silent lists the members that the log entry removes only because they were unresponsive. A member that reaches the
+	// table but no other node is alive, and serves until it reads of its removal.
 	silent []*Member
 }
 
-// bits returns the members that held the entry at the time `since`, and still did not long before now. An
-// acknowledgement counts for ackKept only: a member that restarts after it has forgotten the entry, and if several do so
-// before the rest has got hold of it, they could form a majority that never hears of it.
-func (p *pending) bits(since, now time.Time) bitset {
+// holders returns the members known to have held the log entry at the given time whose latest acknowledgement is within
+// ackTTL. An older acknowledgement does not count, because a member that restarts after it has lost the log entry. If
+// several members restart before the rest receive the log entry, they could form a majority that never learns of it.
+func (p *pending) holders(at, now time.Time) bitset {
 	out := newBitset(len(p.state.Roster.members))
-	for i, first := range p.held {
-		if !first.After(since) && now.Sub(p.seen[i]) <= ackKept {
+	for i, first := range p.heldSince {
+		if !first.After(at) && now.Sub(p.lastAck[i]) <= ackTTL {
 			out.set(i)
 		}
 	}
 	return out
 }
 
-// credit notes which members hold the entry seq, and with it all entries before.
-func (n *Node) credit(held bitset, seq uint64, now time.Time) {
-	s := n.at(seq)
+// recordHolders records which members hold log entry seq and therefore all earlier log entries.
+func (n *Node) recordHolders(holders bitset, seq uint64, now time.Time) {
+	s := n.stateAt(seq)
 	if s == nil {
 		return
 	}
@@ -44,29 +45,29 @@
 		if p.state.Seq > seq {
 			continue
 		}
-		bits := translate(held, s.Roster, p.state.Roster)
+		bits := translate(holders, s.Roster, p.state.Roster)
 		for i := range p.state.Roster.members {
 			if !bits.has(i) {
 				continue
 			}
-			if _, known := p.held[i]; !known || now.Sub(p.seen[i]) > ackKept {
-				p.held[i] = now
+			if _, known := p.heldSince[i]; !known || now.Sub(p.lastAck[i]) > ackTTL {
+				p.heldSince[i] = now
 			}
-			p.seen[i] = now
-			n.heard[p.state.Roster.members[i].GetName()] = now
+			p.lastAck[i] = now
+			n.lastSeen[p.state.Roster.members[i].GetName()] = now
 		}
 	}
 }
 
-// accept has the newest entry that may be accepted written so. Only a node that hears from nobody does this, as it is
-// the one that the acknowledgements reach.
+// accept emits the effect that marks the newest acceptable log entry as accepted in the table. Only an origin does this,
+// since the acknowledgements arrive there.
 func (n *Node) accept() {
 	if !n.isOrigin() || n.now.Before(n.acceptAt) || n.oldestPending() == nil {
 		return
 	}
 	for _, p := range n.pending {
 		if i, ok := p.state.Roster.index[n.self.GetName()]; ok {
-			p.seen[i] = n.now
+			p.lastAck[i] = n.now
 		}
 	}
 	for i := len(n.pending) - 1; i >= 0; i-- {
@@ -74,51 +75,51 @@
 		if p.state.Seq <= n.accepted || !n.acceptable(p) {
 			continue
 		}
-		n.acceptAt = n.now.Add(readLimit)
-		n.do(&Accept{p.state})
+		n.acceptAt = n.now.Add(readTimeout)
+		n.emit(&Accept{p.state})
 		return
 	}
-	n.collect()
+	n.publishHolds()
 }
 
-// acceptable reports whether no node can act on what was before the entry, now or later.
+// acceptable reports whether no node can act on the state before the log entry, now or later.
 //
-// Each member that holds the entry puts it in force in time by itself. A member that is missing has stopped if it
-// cannot be fresh: a read of the table, begun after the entry was committed, would have shown the entry to it; and a
-// majority without it is impossible if the members that hold the entry leave too few others, in each roster that the
-// missing one may go by. What it knew before that has run out once StaleAfter has passed since the last of them got hold
-// of the entry.
+// Each member that holds the log entry puts it in force in time by itself. A missing member (one that may not hold the log
+// entry) has stopped if nothing can have kept it fresh. A read of the table that began after the commit would have shown it
+// the log entry. A majority without the log entry is impossible if the members that hold it leave too few others, in each
+// roster that the missing member may use. Any older basis of its freshness has expired once stopTimeout, which exceeds
+// StaleAfter, has passed since the last of those members received the log entry.
 func (n *Node) acceptable(p *pending) bool {
 	missing := n.missingFor(p)
 	if len(missing) == 0 {
 		return true
 	}
-	if n.now.Sub(p.since) < n.options.wait() {
+	if n.now.Sub(p.since) < n.options.stopTimeout() {
 		return false
 	}
-	held := p.bits(n.now.Add(-n.options.wait()), n.now)
-	gone := n.goneNames()
+	held := p.holders(n.now.Add(-n.options.stopTimeout()), n.now)
+	removed := n.removedNames()
 	for _, s := range n.states {
 		if s.Seq > p.state.Seq {
 			break
 		}
 		bits := translate(held, p.state.Roster, s.Roster)
 		for i, m := range s.Roster.members {
-			if gone[m.GetName()] {
+			if removed[m.GetName()] {
 				bits.set(i)
 			}
 		}
-		if !s.Roster.excludes(bits, missing) {
+		if !s.Roster.excludesMajority(bits, missing) {
 			return false
 		}
 	}
 	return true
 }
 
-// goneNames returns the nodes that are known to have ended, since they left or are said to be gone. None of them can
-// vouch for a node that is missing. A later life of one counts too: it is no member in its own eyes before it holds the
-// entry that adds it again.
-func (n *Node) goneNames() map[string]bool {
+// removedNames returns the nodes known to be dead: pending log entries remove them because they left or were reported dead
+// by an operator or the host list. None of them can be part of a majority that keeps a missing node fresh. This includes a
+// later incarnation of such a node, which does not act as a member before it holds the log entry that adds it again.
+func (n *Node) removedNames() map[string]bool {
 	out := map[string]bool{}
 	for _, p := range n.pending {
 		for _, name := range p.edit.GetRemove() {
@@ -128,14 +129,14 @@
 	return out
 }
 
-// missingFor returns the nodes that may not hold the entry and may not have been told to stop: members that have not
-// acknowledged it, and those that it or an entry before it, not accepted yet, removes for their silence.
+// missingFor returns the nodes that may lack the log entry without being aware that they must stop: members that have not
+// acknowledged it, and nodes that were unresponsive and are removed for that by this or an earlier pending log entry.
 func (n *Node) missingFor(p *pending) []*Member {
-	gone := n.goneNames()
+	removed := n.removedNames()
 	var out []*Member
-	held := p.bits(n.now, n.now)
+	held := p.holders(n.now, n.now)
 	for i, m := range p.state.Roster.members {
-		if !held.has(i) && !gone[m.GetName()] {
+		if !held.has(i) && !removed[m.GetName()] {
 			out = append(out, m)
 		}
 	}
@@ -144,7 +145,7 @@
 			break
 		}
 		for _, m := range before.silent {
-			if !gone[m.GetName()] && !n.addedAfter(i, m.GetName()) {
+			if !removed[m.GetName()] && !n.addedAfter(i, m.GetName()) {
 				out = append(out, m)
 			}
 		}
@@ -152,8 +153,8 @@
 	return out
 }
 
-// addedAfter reports whether a node that was removed for its silence has become a member again: it asked for that
-// because it had read of its removal.
+// addedAfter reports whether an unresponsive node that pending log entry i removed has become a member again. It requested
+// that because it had read of its removal.
 func (n *Node) addedAfter(i int, name string) bool {
 	for _, p := range n.pending[i:] {
 		for _, m := range p.edit.GetAdd() {
@@ -165,28 +166,28 @@
 	return false
 }
 
-// collect uses the table to put together the acknowledgements of nodes that do not reach each other.
-func (n *Node) collect() {
+// publishHolds writes the known holders to the table, to combine the acknowledgements of nodes that do not reach each other.
+func (n *Node) publishHolds() {
 	p := n.oldestPending()
-	if p == nil || n.now.Sub(p.since) < holdsAfter || n.now.Sub(n.holdsAt) < n.options.HeartbeatInterval*3/2 {
+	if p == nil || n.now.Sub(p.since) < holdsDelay || n.now.Sub(n.holdsWrittenAt) < n.options.HeartbeatInterval*3/2 {
 		return
 	}
 	held := n.holds()
-	n.holdsAt = n.now
+	n.holdsWrittenAt = n.now
 	n.holdsCount++
-	n.do(&WriteHolds{&cardamomyokev1.Holds{Seq: n.staged(), Holds: held, From: n.incarnation, Count: n.holdsCount}})
+	n.emit(&WriteHolds{&cardamomyokev1.Holds{Seq: n.staged(), Holds: held, From: n.incarnation, Count: n.holdsCount}})
 }
 
-// takeHolds credits what other nodes wrote in the table since the last read.
-func (n *Node) takeHolds(rows []*cardamomyokev1.Holds) {
+// mergeHolds records the holders that other nodes have written to the table since the last read.
+func (n *Node) mergeHolds(rows []*cardamomyokev1.Holds) {
 	for _, h := range rows {
-		last, known := n.counts[h.GetFrom()]
+		last, known := n.holdsCounts[h.GetFrom()]
 		if !known || last == h.GetCount() {
-			n.counts[h.GetFrom()] = h.GetCount()
-			continue // it may be old: only a change shows that it is not
+			n.holdsCounts[h.GetFrom()] = h.GetCount()
+			continue // the row may be old; only a changed count proves that it is not
 		}
-		n.counts[h.GetFrom()] = h.GetCount()
-		n.credit(bitset(h.GetHolds()), h.GetSeq(), n.now)
+		n.holdsCounts[h.GetFrom()] = h.GetCount()
+		n.recordHolders(bitset(h.GetHolds()), h.GetSeq(), n.now)
 	}
 }
 
@@ -199,8 +200,7 @@
 	return nil
 }
 
-// missingBits returns the nodes that hold acceptance back, for the nodes that hear from this one: members as bits,
-// others by name.
+// missingBits returns the nodes that acceptance waits for, as sent to the children: members as bits, others by name.
 func (n *Node) missingBits() ([]byte, []string) {
 	names := n.pendingNames()
 	if len(names) == 0 {
@@ -219,7 +219,7 @@
 	return out, others
 }
 
-// pendingNames returns the nodes that hold acceptance back, as far as this node knows.
+// pendingNames returns the nodes that acceptance waits for, as far as this node is aware.
 func (n *Node) pendingNames() []string {
 	if n.staged() <= n.accepted || len(n.pending) == 0 {
 		return nil
--- a/internal/state/revision/agent/agent_test.go
+++ b/internal/state/revision/agent/agent_test.go
@@ -6,7 +6,9 @@
 	"time"
 )
 
-func TestChangeIsInForceEverywhere(t *testing.T) {
+// Guards against a change that takes longer than a second to be accepted, or is not in force on every node, while all
+// nodes and the table are healthy.
+func TestChangeIsInForceOnAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 1)
 		defer c.stop()
--- a/internal/state/revision/state.go
+++ b/internal/state/revision/state.go
@@ -7,17 +7,17 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/config"
 )
 
-// Entry is one step of the log.
-type Entry = cardamomyokev1.LogEntry
+// LogEntry is one step of the configuration log.
+type LogEntry = cardamomyokev1.LogEntry
 
-// State is everything that the log says up to one entry. It is immutable.
+// State is the result of applying the log up to one log entry. It is immutable.
 type State struct {
 	Seq    uint64
 	Config *config.Snapshot // nil before the first operator's change
 	Roster *Roster
 }
 
-// SequenceError says that an entry does not follow the state it was applied to.
+// SequenceError reports that a log entry does not directly follow the state it was applied to.
 type SequenceError struct{ State, Entry uint64 }
 
 // Error implements error.
@@ -25,10 +25,10 @@
 	return fmt.Sprintf("entry %d does not follow state %d", e.Entry, e.State)
 }
 
-// Empty returns the state before the first entry.
+// Empty returns the state before the first log entry.
 func Empty() *State { return &State{Roster: NewRoster(nil)} }
 
-// Revision returns the number of the configuration; 0 if there is none.
+// Revision returns the revision of the configuration; 0 if there is none.
 func (s *State) Revision() uint64 { return s.Configuration().GetRevision() }
 
 // Configuration returns the configuration, or nil; it must not be changed.
@@ -40,7 +40,7 @@
 }
 
 // Apply returns the state after e. Errors: *SequenceError, *config.FieldError.
-func (s *State) Apply(e *Entry) (*State, error) {
+func (s *State) Apply(e *LogEntry) (*State, error) {
 	if e.GetSeq() != s.Seq+1 {
 		return nil, fmt.Errorf("apply: %w", &SequenceError{s.Seq, e.GetSeq()})
 	}
@@ -59,12 +59,12 @@
 	return next, err
 }
 
-// Proto returns the state as it is kept in the object store and sent to nodes that catch up.
+// Proto returns the form of the state that is stored in the object store and sent to nodes that catch up.
 func (s *State) Proto() *cardamomyokev1.State {
 	return &cardamomyokev1.State{Seq: s.Seq, Configuration: s.Configuration(), Members: s.Roster.members}
 }
 
-// FromProto reads what Proto wrote. Errors: *config.FieldError.
+// FromProto converts the result of Proto back to a State. Errors: *config.FieldError.
 func FromProto(p *cardamomyokev1.State) (*State, error) {
 	s := &State{Seq: p.GetSeq(), Roster: NewRoster(p.GetMembers())}
 	if p.GetConfiguration() == nil {
--- a/internal/state/revision/store/store.go
+++ b/internal/state/revision/store/store.go
@@ -1,9 +1,14 @@
-// Package store keeps the log of the configuration in the platform's table and object store.
+// Package store keeps the configuration log in the platform's table and object store. It commits changes, marks log entries
+// as accepted, and reads the log for nodes and operators.
 //
-// Rows: `config/head` says which entries are committed and accepted; `config/log/SEQ` is an entry, written once in the
-// same transaction as the head; `config/op/ID` tells what became of an operation; `config/holds/NODE` collects
-// acknowledgements of nodes that do not reach each other. Object `config/state/SEQ` is a checkpoint of an accepted
-// entry. A read of the head that begins after a commit shows it, and every rule of acceptance rests on that.
+// Rows:
+//   - `config/head` holds the newest committed and the newest accepted log entry;
+//   - `config/log/SEQ` is a log entry, written once in the same transaction as the head;
+//   - `config/op/ID` holds the sequence number of the log entry that an operation committed;
+//   - `config/holds/NODE` holds acknowledgements, for nodes that do not reach each other.
+//
+// Object `config/state/SEQ` is a checkpoint of an accepted log entry. A read of the head that begins after a commit shows
+// that commit; every rule of acceptance depends on this.
 package store
 
 import (
@@ -30,10 +35,10 @@
 
 	pageSize           = 500
 	checkpointInterval = 64
-	tries              = 20
+	maxAttempts        = 20
 )
 
-// Platform is what the store needs of the platform.
+// Platform is the part of the platform that the store uses.
 type Platform interface {
 	platform.Table
 	platform.Objects
@@ -45,13 +50,14 @@
 	clock    func() time.Time
 }
 
-// New returns a store; clock dates entries, for people only.
+// New returns a store. clock provides the time stamps of log entries, which are informative only, and the start times of
+// reads.
 func New(p Platform, clock func() time.Time) *Store { return &Store{p, clock} }
 
 func logKey(seq uint64) string    { return fmt.Sprintf("%s%020d", prefixLog, seq) }
 func stateName(seq uint64) string { return fmt.Sprintf("%s%020d", prefixState, seq) }
 
-// CorruptError says that a row or object cannot be read.
+// CorruptError reports that a row or object is missing or cannot be decoded or encoded.
 type CorruptError struct {
 	Key   string
 	Cause error
@@ -85,24 +91,24 @@
 	return h, decode(keyHead, rows[0].Value, h.Head)
 }
 
-// ReadHead reads the head row and the entries after `after`. With whole it starts at the newest checkpoint, with holds
-// it reads the acknowledgements kept in the table too.
-func (s *Store) ReadHead(ctx context.Context, after uint64, whole, holds bool) revision.HeadRead {
+// ReadHead reads the head row and the log entries after `after`. If full is set it starts at the newest checkpoint; if
+// holds is set it also reads the acknowledgements stored in the table.
+func (s *Store) ReadHead(ctx context.Context, after uint64, full, holds bool) revision.HeadRead {
 	rd := revision.HeadRead{Started: s.clock()}
-	rd.Err = s.readHead(ctx, &rd, after, whole)
+	rd.Err = s.readHead(ctx, &rd, after, full)
 	if rd.Err == nil && holds {
 		rd.Holds, rd.Err = s.holds(ctx)
 	}
 	return rd
 }
 
-func (s *Store) readHead(ctx context.Context, rd *revision.HeadRead, after uint64, whole bool) error {
+func (s *Store) readHead(ctx context.Context, rd *revision.HeadRead, after uint64, full bool) error {
 	h, err := s.head(ctx)
 	if err != nil {
 		return err
 	}
 	rd.Head = h.Head
-	if whole && h.GetCheckpoint() > after {
+	if full && h.GetCheckpoint() > after {
 		if rd.State, err = s.checkpoint(ctx, h.GetCheckpoint()); err != nil {
 			return err
 		}
@@ -124,9 +130,9 @@
 	return revision.FromProto(p)
 }
 
-// Entries returns the entries after the first number, up to and with the second.
-func (s *Store) Entries(ctx context.Context, after, last uint64) ([]*revision.Entry, error) {
-	var out []*revision.Entry
+// Entries returns the log entries after `after`, up to and including last.
+func (s *Store) Entries(ctx context.Context, after, last uint64) ([]*revision.LogEntry, error) {
+	var out []*revision.LogEntry
 	for after < last {
 		rows, err := s.platform.List(ctx, prefixLog, logKey(after), int(min(pageSize, last-after)))
 		if err != nil {
@@ -136,7 +142,7 @@
 			return nil, &CorruptError{logKey(after + 1), &platform.NotFoundError{Name: logKey(after + 1)}}
 		}
 		for _, r := range rows {
-			e := &revision.Entry{}
+			e := &revision.LogEntry{}
 			if err := decode(r.Key, r.Value, e); err != nil {
 				return nil, err
 			}
@@ -176,10 +182,11 @@
 	return err
 }
 
-// Accept writes that the entry of st is accepted, unless a later one is, and returns the newest that is.
+// Accept marks the log entry of st as accepted, unless a later one is, and returns the newest accepted log entry. It also
+// writes a checkpoint when checkpointInterval log entries have been accepted since the last one.
 func (s *Store) Accept(ctx context.Context, st *revision.State) (uint64, error) {
-	var last error
-	for range tries {
+	var lastErr error
+	for range maxAttempts {
 		h, err := s.head(ctx)
 		if err != nil {
 			return 0, err
@@ -188,22 +195,22 @@
 			return h.GetAccepted(), nil
 		}
 		h.Accepted = st.Seq
-		if st.Seq-h.GetCheckpoint() >= checkpointInterval && s.keep(ctx, st) == nil {
+		if st.Seq-h.GetCheckpoint() >= checkpointInterval && s.writeCheckpoint(ctx, st) == nil {
 			h.Checkpoint = st.Seq
 		}
-		_, last = s.commit(ctx, ids.NewOperation(), h, nil)
-		if last == nil {
+		_, lastErr = s.commit(ctx, ids.NewOperation(), h, nil)
+		if lastErr == nil {
 			return st.Seq, nil
 		}
-		if !again(last) {
-			return 0, last
+		if !retryable(lastErr) {
+			return 0, lastErr
 		}
 	}
-	return 0, last
+	return 0, lastErr
 }
 
-// keep writes a checkpoint. One that is there already was made from the same log.
-func (s *Store) keep(ctx context.Context, st *revision.State) error {
+// writeCheckpoint writes a checkpoint. An existing one of the same number was made from the same log.
+func (s *Store) writeCheckpoint(ctx context.Context, st *revision.State) error {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(st.Proto())
 	if err != nil {
 		return &CorruptError{stateName(st.Seq), err}
@@ -211,8 +218,8 @@
 	return s.platform.PutObject(ctx, stateName(st.Seq), data)
 }
 
-// commit writes the head, and the other rows, none of which may exist yet, on condition that the head is unchanged.
-func (s *Store) commit(ctx context.Context, op ids.Operation, h head, fresh []platform.Put) (platform.Result, error) {
+// commit writes the head and newRows in one transaction, on condition that the head is unchanged and none of newRows exists.
+func (s *Store) commit(ctx context.Context, op ids.Operation, h head, newRows []platform.Put) (platform.Result, error) {
 	value, err := proto.Marshal(h.Head)
 	if err != nil {
 		return platform.Result{}, &CorruptError{keyHead, err}
@@ -220,20 +227,20 @@
 	t := platform.Txn{
 		Operation: op,
 		Checks:    []platform.Check{{Key: keyHead, Version: h.version}},
-		Puts:      append([]platform.Put{{Key: keyHead, Value: value}}, fresh...),
+		Puts:      append([]platform.Put{{Key: keyHead, Value: value}}, newRows...),
 	}
-	for _, p := range fresh {
+	for _, p := range newRows {
 		t.Checks = append(t.Checks, platform.Check{Key: p.Key})
 	}
 	return s.platform.Commit(ctx, t)
 }
 
-// again reports whether a write may be tried once more after reading the head anew.
-func again(err error) bool {
+// retryable reports whether a write may be retried after reading the head again.
+func retryable(err error) bool {
 	var conflict *platform.ConflictError
 	var unknown *platform.UnknownOutcomeError
 	return errors.As(err, &conflict) || errors.As(err, &unknown)
 }
 
-// seqOf reads the number from a key of the log.
+// seqOf returns the sequence number in a key of the log, with its leading zeros.
 func seqOf(key string) string { return strings.TrimPrefix(key, prefixLog) }
--- a/internal/testing/bench/htmlreport/page.go
+++ b/internal/testing/bench/htmlreport/page.go
@@ -11,58 +11,58 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/testing/bench/report"
 )
 
-// Plot is one picture with the words that stand below it.
+// Plot is an image with its caption.
 type Plot struct {
-	// File is an SVG file.
+	// File is the path of an SVG file.
 	File    string
 	Caption string
 }
 
-// Section is what one bench found.
+// Section holds the results of one bench.
 type Section struct {
 	ID, Title, Text string
-	// Command repeats the measurement.
-	Command string
-	Tables  []report.Table
-	Claims  []report.Claim
-	Plots   []Plot
-	// Output is what a bench wrote as text, if it has no tables of its own.
+	// Command is the command line that repeats the measurement.
+	Command  string
+	Tables   []report.Table
+	Criteria []report.Criterion
+	Plots    []Plot
+	// Output is the text output of a bench that has no tables.
 	Output string
-	// Failed is why the bench gave no result; empty if it did.
-	Failed string
+	// Error is the reason why the bench has no result, or empty.
+	Error string
 }
 
-// Page is the whole report.
+// Page is the complete report. Provenance states the time and the seeds of the run.
 type Page struct {
-	Title, Made string
-	Sections    []Section
+	Title, Provenance string
+	Sections          []Section
 }
 
 //go:embed page.html
-var pageText string
+var pageTemplate string
 
-// WriteHTML writes the page with its plots inside, so that it can be moved as one file.
+// WriteHTML writes the page as one self-contained file with the plots embedded.
 func (p Page) WriteHTML(w io.Writer) error {
-	t, err := template.New("page").Funcs(template.FuncMap{"picture": picture, "numeric": numeric}).Parse(pageText)
+	page, err := template.New("page").Funcs(template.FuncMap{"picture": picture, "numeric": numeric}).Parse(pageTemplate)
 	if err != nil {
-		return fmt.Errorf("page: %w", err)
+		return fmt.Errorf("render page: %w", err)
 	}
-	if err := t.Execute(w, p); err != nil {
-		return fmt.Errorf("page: %w", err)
+	if err := page.Execute(w, p); err != nil {
+		return fmt.Errorf("render page: %w", err)
 	}
 	return nil
 }
 
-// picture returns the SVG file as a data URL.
+// picture returns the contents of an SVG file as a data URL.
 func picture(file string) (template.URL, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return "", fmt.Errorf("plot: %w", err)
+		return "", fmt.Errorf("read plot: %w", err)
 	}
 	return template.URL("data:image/svg+xml;base64," + base64.StdEncoding.EncodeToString(data)), nil
 }
 
-// numeric reports whether a cell holds a figure, which is set flush right.
+// numeric reports whether a cell holds a number, which the page aligns right.
 func numeric(cell string) bool {
 	if cell == "" {
 		return false
@@ -71,24 +71,24 @@
 	return c >= '0' && c <= '9' || c == '-' || c == '+'
 }
 
-// WriteText writes the summary: the verdicts of each section and what gave no result.
+// WriteText writes the text summary: the criteria, text output or error of each section.
 func (p Page) WriteText(w io.Writer) error {
-	fmt.Fprintf(w, "%s, %s\n", p.Title, p.Made)
+	fmt.Fprintf(w, "%s, %s\n", p.Title, p.Provenance)
 	for _, s := range p.Sections {
 		fmt.Fprintf(w, "\n%s (%s)\n", s.Title, s.Command)
-		if s.Failed != "" {
-			fmt.Fprintf(w, "no result: %s\n", s.Failed)
+		if s.Error != "" {
+			fmt.Fprintf(w, "no result: %s\n", s.Error)
 			continue
 		}
 		if s.Output != "" {
 			fmt.Fprint(w, s.Output)
 			continue
 		}
-		if len(s.Claims) == 0 {
+		if len(s.Criteria) == 0 {
 			fmt.Fprintf(w, "%d tables, no limits to meet\n", len(s.Tables))
 		}
-		if _, err := report.WriteClaims(w, s.Claims); err != nil {
-			return fmt.Errorf("summary: %w", err)
+		if _, err := report.WriteCriteria(w, s.Criteria); err != nil {
+			return fmt.Errorf("write summary: %w", err)
 		}
 	}
 	return nil
--- a/internal/testing/bench/slopes/slopes_test.go
+++ b/internal/testing/bench/slopes/slopes_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestFitOfALineHasNoResidual(t *testing.T) {
+func TestResidualIsZeroOnlyForALine(t *testing.T) {
 	f := fitLine([]float64{1, 2, 4, 8}, []float64{5, 7, 11, 19})
 	if math.Abs(f.Slope-2) > 1e-9 || math.Abs(f.Intercept-3) > 1e-9 || f.Residual > 1e-9 {
 		t.Errorf("got %+v, want slope 2, intercept 3, residual 0", f)
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestCheckFindsWhatIsNotReproduced(t *testing.T) {
+func TestCheckReportsDifferences(t *testing.T) {
 	series := func(name string, k Kind, values ...float64) Series {
 		return Series{Name: name, Kind: k, Sizes: []float64{1, 2}, Values: values}
 	}
@@ -26,13 +26,13 @@
 		run  []Series
 		want int
 	}{
-		"same":           {committed, 0},
-		"bytes grew":     {[]Series{series("bytes", Exact, 100, 210), series("time", Timed, 10, 20)}, 1},
-		"machine slower": {[]Series{series("bytes", Exact, 100, 200), series("time", Timed, 25, 50)}, 0},
-		"time shot up":   {[]Series{series("bytes", Exact, 100, 200), series("time", Timed, 10, 200)}, 1},
-		"became nothing": {[]Series{series("bytes", Exact, 0, 200), series("time", Timed, 10, 20)}, 1},
-		"series is gone": {[]Series{series("bytes", Exact, 100, 200)}, 1},
-		"series is new":  {append([]Series{series("other", Exact, 1, 1)}, committed...), 1},
+		"same run":                    {committed, 0},
+		"count grew":                  {[]Series{series("bytes", Exact, 100, 210), series("time", Timed, 10, 20)}, 1},
+		"machine is slower":           {[]Series{series("bytes", Exact, 100, 200), series("time", Timed, 25, 50)}, 0},
+		"time grew beyond the factor": {[]Series{series("bytes", Exact, 100, 200), series("time", Timed, 10, 200)}, 1},
+		"count became zero":           {[]Series{series("bytes", Exact, 0, 200), series("time", Timed, 10, 20)}, 1},
+		"series is missing":           {[]Series{series("bytes", Exact, 100, 200)}, 1},
+		"series is new":               {append([]Series{series("other", Exact, 1, 1)}, committed...), 1},
 	}
 	for name, tc := range tests {
 		if got := Check(committed, tc.run); len(got) != tc.want {
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestEveryNumberOfTheTargetHasARow(t *testing.T) {
+func TestCapacityPageHasARowForEachTargetFigure(t *testing.T) {
 	data, err := os.ReadFile("../../../../docs/capacity-entries.md")
 	if err != nil {
 		t.Fatal(err)
@@ -59,7 +59,8 @@
 	}
 }
 
-// The committed fit must have at least four sizes for each figure, else its residual says nothing.
+// Guards against fits with fewer than four sizes, whose residual does not show whether growth is linear, and against
+// committed series that differ from the measured ones.
 func TestCommittedSlopesHaveFourSizes(t *testing.T) {
 	series, err := Read("../../../../docs/slopes.json")
 	if err != nil {
--- a/internal/testing/bench/slopes/state.go
+++ b/internal/testing/bench/slopes/state.go
@@ -14,7 +14,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/revision"
 )
 
-// configuration has three models, two plain services and so many client accounts.
+// configuration returns a configuration with three models and the given number of client accounts.
 func configuration(clients int) *cardamomyokev1.Configuration {
 	c := &cardamomyokev1.Configuration{
 		Revision: 657_000,
@@ -38,32 +38,33 @@
 
 func clientName(i int) string { return fmt.Sprintf("client-%06d", i) }
 
-// configurationFigures measures one configuration: encoded, held in memory, decoded and checked, and its limits.
+// configurationFigures returns the encoded size and the heap of a configuration in bytes, and the time in microseconds
+// to decode and check it.
 func configurationFigures(clients int) ([]float64, error) {
 	data, err := proto.Marshal(configuration(clients))
 	if err != nil {
 		return nil, fmt.Errorf("encode configuration: %w", err)
 	}
-	var failed error
+	var loadErr error
 	load := func() *config.Snapshot {
 		c := &cardamomyokev1.Configuration{}
 		if err := proto.Unmarshal(data, c); err != nil {
-			failed = err
+			loadErr = err
 			return nil
 		}
 		s, err := config.NewSnapshot(c)
 		if err != nil {
-			failed = err
+			loadErr = err
 		}
 		return s
 	}
-	held := heapOf(func() any { return load() })
-	took := timeOf(func() { load() })
-	return []float64{float64(len(data)), held, took}, failed
+	heap := heapBytesOf(func() any { return load() })
+	micros := minCallMicros(func() { load() })
+	return []float64{float64(len(data)), heap, micros}, loadErr
 }
 
-// limiterWith has heard from so many clients.
-func limiterWith(clients int) *limits.Limiter {
+// limiterWithDemand returns a limiter with recorded demand of the given number of clients.
+func limiterWithDemand(clients int) *limits.Limiter {
 	l := limits.New(limits.Defaults(), targetEntries)
 	set := make(map[ids.Client]limits.Limit, clients)
 	for i := range clients {
@@ -71,24 +72,26 @@
 	}
 	l.SetLimits(set)
 	for i := range clients {
-		_ = l.Consume(ids.Client(clientName(i)), float64(10+i%500), begin)
+		_ = l.Consume(ids.Client(clientName(i)), float64(10+i%500), virtualStart)
 	}
 	return l
 }
 
+// limiterFigures returns the heap of a limiter in bytes, the times in microseconds of consuming an allowance and of a
+// report, and the number of records in a report.
 func limiterFigures(clients int) ([]float64, error) {
-	held := heapOf(func() any { return limiterWith(clients) })
-	l := limiterWith(clients)
+	heap := heapBytesOf(func() any { return limiterWithDemand(clients) })
+	l := limiterWithDemand(clients)
 	i := 0
-	take := timeOf(func() {
+	consume := minCallMicros(func() {
 		i++
-		_ = l.Consume(ids.Client(clientName(i%clients)), 200, begin)
+		_ = l.Consume(ids.Client(clientName(i%clients)), 200, virtualStart)
 	})
-	report := timeOf(func() { l.Report(begin) })
-	return []float64{held, take, report, float64(len(l.Report(begin)))}, nil
+	report := minCallMicros(func() { l.Report(virtualStart) })
+	return []float64{heap, consume, report, float64(len(l.Report(virtualStart)))}, nil
 }
 
-// members returns nodes in the target's proportion: 6 entries to 13 slots.
+// members returns n members in the target's ratio of 6 entries to 13 slots.
 func members(n int) []*revision.Member {
 	var out []*revision.Member
 	for i := range n {
@@ -104,7 +107,8 @@
 	return out
 }
 
-// memberFigures measures the roster as it is kept, and the table of members that digests refresh.
+// memberFigures measures the roster and the member list that digests refresh: encoded sizes and heap in bytes, and the
+// times in microseconds of a tick, of a view of the addresses and of a change of the roster.
 func memberFigures(n int) ([]float64, error) {
 	list := members(n)
 	encoded := float64(proto.Size(&cardamomyokev1.State{Seq: 1, Members: list}))
@@ -114,16 +118,16 @@
 	}
 	identities := membership.FromRevision(list)
 	build := func() *membership.MemberList {
-		l := membership.New(identities[0], membership.Defaults(), begin)
-		l.SetRoster(identities, begin)
+		l := membership.New(identities[0], membership.Defaults(), virtualStart)
+		l.SetRoster(identities, virtualStart)
 		return l
 	}
-	held := heapOf(func() any { return []any{build(), revision.NewRoster(members(n))} })
+	heap := heapBytesOf(func() any { return []any{build(), revision.NewRoster(members(n))} })
 	l := build()
-	tick := timeOf(func() { l.Tick(begin) })
-	adopt := timeOf(func() { build() })
-	addresses := timeOf(func() { l.Addresses("") })
-	return []float64{encoded, float64(proto.Size(status)), held, tick, addresses, adopt}, nil
+	tick := minCallMicros(func() { l.Tick(virtualStart) })
+	adopt := minCallMicros(func() { build() })
+	addresses := minCallMicros(func() { l.Addresses("") })
+	return []float64{encoded, float64(proto.Size(status)), heap, tick, addresses, adopt}, nil
 }
 
 func stateExperiments() []Experiment {
--- a/internal/testing/lint/lint.go
+++ b/internal/testing/lint/lint.go
@@ -1,7 +1,8 @@
-// Package lint checks a rule of the project that no ready-made linter knows: every failure has a type.
+// Package lint checks two rules of the project for which there is no linter: every error has a type, and the layers of
+// internal/ import each other in one direction only.
 //
-// An error made by errors.New or by fmt.Errorf without %w carries nothing but a string, so a caller can neither
-// tell it from another one nor answer it; such calls are reported outside test files.
+// An error made by errors.New, or by fmt.Errorf without %w, is only a string, so a caller cannot distinguish it from other
+// errors or handle it. Such calls are reported outside test files.
 package lint
 
 import (
@@ -15,19 +16,19 @@
 	"strings"
 )
 
-// Finding is one error without a type.
+// Finding is a call that makes an error without a type.
 type Finding struct {
 	Pos  token.Position
 	Call string
 }
 
-// String formats the finding as linters do.
+// String formats the finding as FILE:LINE:COLUMN: MESSAGE.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s: %s makes an error without a type", f.Pos, f.Call)
 }
 
-// Tree returns the findings in all Go files below root that are neither tests nor generated.
-func Tree(root string) ([]Finding, error) {
+// CheckTree returns the findings in all Go files below root that are neither tests nor generated.
+func CheckTree(root string) ([]Finding, error) {
 	var found []Finding
 	fset := token.NewFileSet()
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -38,7 +39,7 @@
 		if err != nil {
 			return fmt.Errorf("parse %s: %w", path, err)
 		}
-		found = append(found, File(fset, file)...)
+		found = append(found, CheckFile(fset, file)...)
 		return nil
 	})
 	return found, err
@@ -56,8 +57,8 @@
 	return false
 }
 
-// File returns the findings of one file.
-func File(fset *token.FileSet, file *ast.File) []Finding {
+// CheckFile returns the findings of one file.
+func CheckFile(fset *token.FileSet, file *ast.File) []Finding {
 	var found []Finding
 	ast.Inspect(file, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
