--- a/internal/state/claims/ledger_test.go
+++ b/internal/state/claims/ledger_test.go
@@ -393,3 +393,20 @@
 		}
 	}
 }
+
+// Guards against an upstream that crashes the slot: the Content-Type of its response is stored with the outcome and may hold
+// bytes that are not valid UTF-8.
+func TestOutcomeWithInvalidContentTypeDoesNotPanic(t *testing.T) {
+	defer func() {
+		if r := recover(); r != nil {
+			t.Fatalf("panic: %v", r)
+		}
+	}()
+	h := newHarness(t, memtable.NewMemory(), "slot-1")
+	h.submit(request(1, "k", "body"))
+	h.runUntilIdle()
+	outcome := Outcome{Status: 200, ContentType: "text/\xff", Body: []byte("slip")}
+	h.collect(h.ledger.Finished(h.now, ids.Attempt{Entry: "e", Seq: 1}, outcome))
+	h.runUntilIdle()
+	h.wantVerdicts(map[uint64][]string{1: {"start"}})
+}
--- a/internal/state/claims/row.go
+++ b/internal/state/claims/row.go
@@ -50,7 +50,9 @@
 func encode(m proto.Message) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		panic(err) // Marshal fails only for strings that are not valid UTF-8; Submit refuses requests with such strings.
+		// Marshal fails only for strings that are not valid UTF-8. Submit refuses requests with such strings, but the
+		// Content-Type of an outcome is not checked.
+		panic(err)
 	}
 	return data
 }
