--- a/internal/experts/lockstep/servicecontroller_test.go
+++ b/internal/experts/lockstep/servicecontroller_test.go
@@ -159,7 +159,7 @@
 	})
 }
 
-// slowReports is a service that counts the reports it returns, each after reportTakes.
+// slowReports is a service that counts the reports it returns, each after reportDelay.
 type slowReports struct {
 	*testService
 	reports atomic.Int64
