--- a/internal/policy/dispatch/outlier.go
+++ b/internal/policy/dispatch/outlier.go
@@ -10,7 +10,7 @@
 type Outcome int
 
 const (
-	// OutcomeNone is no evidence: the client disconnected, or the deadline passed while the upstream worked.
+	// OutcomeNone is no evidence: the caller disconnected, or the deadline passed while the upstream worked.
 	OutcomeNone Outcome = iota
 	// OutcomeOK is a complete response.
 	OutcomeOK
--- a/internal/state/claims/ledger_test.go
+++ b/internal/state/claims/ledger_test.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// Guards against a second run of a request that a client resends with the same key after the first attempt finished.
+// Guards against a second run of a request that a caller resends with the same key after the first attempt finished.
 // Both the same slot and another slot must return the stored outcome.
 func TestResendReturnsStoredOutcome(t *testing.T) {
 	mem := memtable.NewMemory()
@@ -212,7 +212,7 @@
 }
 
 // Guards against a key taken by a claim that was refused. The claim's transaction is delayed until after the deadline,
-// when the client has been refused as "not run". An empty transaction must have fenced it by then, so that a resend can
+// when the caller has been refused as "not run". An empty transaction must have fenced it by then, so that a resend can
 // run.
 func TestDelayedTransactionIsFenced(t *testing.T) {
 	h := newHarness(t, memtable.NewMemory(), "s1")
@@ -294,7 +294,7 @@
 	h.wantVerdicts(map[uint64][]string{1: {"start", "outcome-unknown", "outcome x"}})
 }
 
-// Guards against a second run of a request whose slot crashed and that the client resends. The resend must get
+// Guards against a second run of a request whose slot crashed and that the caller resends. The resend must get
 // "running" until the deadline and "outcome unknown" after it.
 func TestCrashedSlotLeavesOutcomeUnknown(t *testing.T) {
 	mem := memtable.NewMemory()
--- a/internal/state/claims/random_test.go
+++ b/internal/state/claims/random_test.go
@@ -238,7 +238,7 @@
 	}
 }
 
-// Guards against a request that runs twice, and against a false "not run". Clients resend requests through two slots
+// Guards against a request that runs twice, and against a false "not run". Callers resend requests through two slots
 // while the table loses responses, delays writes and refuses, slots crash and duplicates of attempts arrive late.
 func TestAtMostOnceUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(randomSeeds) {
--- a/internal/state/liveness/detector_test.go
+++ b/internal/state/liveness/detector_test.go
@@ -9,7 +9,7 @@
 	"github.com/cardamomyoke/cardamomyoke/internal/state/liveness"
 )
 
-// addressTTL is how long clients use an address: a dead gateway should not be listed for longer than that.
+// addressTTL is how long callers use an address: a dead gateway should not be listed for longer than that.
 const addressTTL = time.Second
 
 // timeUntilAllKnow returns the time from since until all live members had declared or learned that the given ones are
@@ -56,7 +56,7 @@
 	return declarations, recorded
 }
 
-// Guards against a detection time that grows with the group: members receive from each other more rarely, and clients
+// Guards against a detection time that grows with the group: members receive from each other more rarely, and callers
 // are sent to gateways that have been dead for seconds.
 func TestDetectionTimeDoesNotDependOnGroupSize(t *testing.T) {
 	for size, seeds := range map[int]int{7: 3, 41: 3, 149: 2, 360: 1} {
--- a/internal/state/membership/addresses.go
+++ b/internal/state/membership/addresses.go
@@ -8,12 +8,12 @@
 	cardamomyokev1 "github.com/cardamomyoke/cardamomyoke/internal/gen/cardamomyoke/v1"
 )
 
-// maxAddresses is the maximum number of addresses that a client receives per kind, local and remote.
+// maxAddresses is the maximum number of addresses that a caller receives per kind, local and remote.
 const maxAddresses = 8
 
-// Addresses returns the HTTP addresses of live entries to which clients of the given data centre may connect: local are
+// Addresses returns the HTTP addresses of live entries to which callers of the given data centre may connect: local are
 // in that data centre, remote in others. An empty data centre means this node's. Both lists are sorted by name; the
-// entry shuffles them in its responses, so that many clients that ask at the same time do not all connect to one
+// entry shuffles them in its responses, so that many callers that ask at the same time do not all connect to one
 // address.
 func (l *MemberList) Addresses(of ids.DataCentre) (local, remote []string) {
 	if of == "" {
--- a/internal/state/membership/large_test.go
+++ b/internal/state/membership/large_test.go
@@ -39,6 +39,6 @@
 		t.Errorf("%d other entries after one is leaving, want %d", got, entries-2)
 	}
 	if local, _ := members.Addresses(""); len(local) == 0 || local[0] != "h-e002" {
-		t.Errorf("clients are sent to %v, want only live entries, by name", local)
+		t.Errorf("callers are sent to %v, want only live entries, by name", local)
 	}
 }
--- a/internal/state/membership/memberlist.go
+++ b/internal/state/membership/memberlist.go
@@ -233,7 +233,7 @@
 const pauseThreshold = time.Second
 
 // compensateOwnPause moves the recorded times forward by the time for which this process was paused. Without it, a node
-// that was paused would classify all others as dead when it resumes and return no addresses to clients, although the
+// that was paused would classify all others as dead when it resumes and return no addresses to callers, although the
 // node itself was unresponsive.
 func (l *MemberList) compensateOwnPause(now time.Time) {
 	gap := now.Sub(l.lastTick)
--- a/internal/state/membership/membership_test.go
+++ b/internal/state/membership/membership_test.go
@@ -83,7 +83,7 @@
 	return now
 }
 
-// Guards against clients that receive the address of an entry whose digests have stopped arriving, or do not receive it
+// Guards against callers that receive the address of an entry whose digests have stopped arriving, or do not receive it
 // again after the entry's next digest, because any newer digest refutes a suspicion. A node without digests for long is
 // forgotten.
 func TestSilentEntryIsSuspectUntilNextDigest(t *testing.T) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// Guards against clients of an entry that receive no addresses after its host was paused for a minute: the entry was
+// Guards against callers of an entry that receive no addresses after its host was paused for a minute: the entry was
 // unresponsive, not the other nodes.
 func TestPausedNodeKeepsOthersLive(t *testing.T) {
 	list := membership.New(self("me", entryRole, "a"), membership.Defaults(), t0)
@@ -221,7 +221,7 @@
 	}
 }
 
-// Guards against two regions that stay apart after a partition. While they are partitioned, clients in one must not
+// Guards against two regions that stay apart after a partition. While they are partitioned, callers in one must not
 // receive addresses of the other; soon after the partition ends they must receive them again. Without probes each side
 // would treat the other as dead and send it no more digests.
 func TestPartitionedRegionsReconnect(t *testing.T) {
@@ -268,7 +268,7 @@
 	partitioned = true
 	now = advance(now, 3*time.Minute)
 	if remoteCount() != 0 {
-		t.Fatal("clients are sent to a region that cannot be reached")
+		t.Fatal("callers are sent to a region that cannot be reached")
 	}
 	partitioned = false
 	advance(now, 10*time.Second)
--- a/internal/state/membership/targets.go
+++ b/internal/state/membership/targets.go
@@ -191,7 +191,7 @@
 }
 
 // ring returns the n nearest neighbours of this node on a ring sorted by name, half of them on each side. On a ring
-// each entry receives digests from as many others as it sends to, so clients are spread evenly.
+// each entry receives digests from as many others as it sends to, so callers are spread evenly.
 func (l *MemberList) ring(list []*member, n int) []*member {
 	if len(list) <= n {
 		return list
