--- a/mk/demo.mk
+++ b/mk/demo.mk
@@ -1,5 +1,5 @@
 .PHONY: demo
 
-## demo: run the main job on this machine: stand-ins, three entries, two services, one entry replaced on the way
+## demo: run the main scenario on this machine: stand-ins, three entries, two services, one entry replaced during the run
 demo: build
 	scripts/demo.sh
--- a/mk/faults.mk
+++ b/mk/faults.mk
@@ -2,7 +2,7 @@
 
 FAULT_SEEDS ?= 200
 
-## test-faults: joint tests of failures: every fault, named pairs, and FAULT_SEEDS seeds of random pairs
+## test-faults: combined failure tests: each fault alone, named pairs, and FAULT_SEEDS seeds of random pairs
 test-faults:
 	@mkdir -p out
 	@$(GO) test -count=1 ./internal/state/claims ./internal/policy/quarantine ./internal/testing/bench/quarantine
@@ -10,10 +10,10 @@
 	@grep -E ' violations [0-9]+$$' out/test-faults.txt
 	@grep '^violations:' out/test-faults.txt
 
-## bench-claims: writes to the platform's table against claims a second
+## bench-claims: writes to the platform's table by claims per second
 bench-claims: build
 	$(BIN)/cardamomyoke-bench claims --seed 1
 
-## bench-quarantine: upstreams that one request takes down which crashes each one that runs it
+## bench-quarantine: number of upstreams lost to one request that crashes every upstream that runs it
 bench-quarantine: build
 	$(BIN)/cardamomyoke-bench quarantine --seed 1
--- a/mk/regression.mk
+++ b/mk/regression.mk
@@ -2,10 +2,10 @@
 
 JOBS ?= 4
 
-## regression: score the sites of deploy/regression.txt with the users' bench (BENCH=, SITES=, WHY=) and compare
+## regression: score the sites of deploy/regression.txt with the users' bench (BENCH=, SITES=, WHY=, JOBS=) and compare with the required scores
 regression:
 	@scripts/regression.sh "$(BENCH)" "$(SITES)" "$(WHY)" "$(JOBS)"
 
-## paired: play the days of a file (PLAYS=) with two commits (BEFORE=, AFTER=) on the users' bench (BENCH=, SITES=, WHY=) and compare
+## paired: run the days listed in a file (PLAYS=) with two commits (BEFORE=, AFTER=) on the users' bench (BENCH=, SITES=, WHY=) and compare
 paired:
 	@scripts/paired.sh "$(BENCH)" "$(SITES)" "$(WHY)" "$(BEFORE)" "$(AFTER)" "$(PLAYS)"
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The demo: stand-ins, three entries and both of Arriaga's services as separate plain processes on this machine. Mixed
-# requests go through addresses that were asked for, while one entry is replaced. Ends with the verdict of the bench.
+# The demo: runs stand-ins, three entries and both of Arriaga's services as separate processes on this machine. Requests of
+# both services are sent to addresses that the entries hand out, while one entry is replaced. Prints the bench's verdict at
+# the end.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 requests=${DEMO_REQUESTS:-600}
@@ -11,7 +12,8 @@
 dir=$(mktemp -d)
 pids=()
 
-# stop_all ends what this script started, and nothing else. The platform goes last: nodes that leave tell it so.
+# stop_all stops the processes that this script started, and no others. The platform is stopped last, because nodes report
+# to it that they are leaving.
 stop_all() {
   for pid in "${pids[@]:1}"; do kill "$pid" 2>/dev/null || true; done
   for pid in "${pids[@]:1}"; do wait "$pid" 2>/dev/null || true; done
@@ -68,7 +70,7 @@
 start platform bin/cardamomyoke-standin platform --listen 127.0.0.1:21900
 sleep 0.3
 if ! kill -0 "${pids[0]}" 2>/dev/null; then
-  echo "demo: port 21900 is taken; does another demo run on this machine?" >&2
+  echo "demo: port 21900 is in use; is another demo running on this machine?" >&2
   exit 1
 fi
 ledger_flags=()
@@ -94,15 +96,15 @@
   echo "$1 did not become ready" >&2
   exit 1
 }
-for _ in $(seq 100); do # the entries answer RPC as soon as they have joined
+for _ in $(seq 100); do # the entries respond to RPC once they have joined
   bin/cardamomyokectl --entry 127.0.0.1:21101 apply -f examples/arriaga/configuration.json --operator demo --reason "first configuration" >"$dir/apply.out" 2>&1 && break
   sleep 0.2
 done
 tail -1 "$dir/apply.out"
 for i in 1 2 3; do wait_ready "127.0.0.1:$((21000 + i))"; done
-sleep 1.5 # the digests of all slots have been heard by then
+sleep 1.5 # by then the entries have received the digests of all slots
 
-echo "demo: $requests requests at $rate a second; entry-2 is replaced by entry-4 on the way"
+echo "demo: $requests requests at $rate per second; entry-2 is replaced by entry-4 during the run"
 bin/cardamomyoke-bench demo --entry 127.0.0.1:21001 --entry 127.0.0.1:21002 --entry 127.0.0.1:21003 \
   "${ledger_flags[@]}" --requests "$requests" --rate "$rate" >"$dir/demo.out" 2>&1 &
 demo=$!
--- a/scripts/paired.sh
+++ b/scripts/paired.sh
@@ -1,8 +1,15 @@
 #!/usr/bin/env bash
-# Plays the same days with two commits and prints the worth of each play, and the mean and the spread of the differences.
-# Usage: paired.sh BENCH SITES WHY BEFORE AFTER PLAYS: the users' bench, the folder of its site files, a reason for the journal, two
-# commits, and a file with a play a line: SITE DAY and further options of the bench, such as --seed N. Each commit has a clone of its
-# own in PAIRED_OUT (out/paired), beside the logs of its plays; entries of the journal are copied to this repository's.
+# Runs the same days with two commits and prints the worth of each run, and the mean and standard deviation of the
+# differences.
+#
+# Usage: paired.sh BENCH SITES WHY BEFORE AFTER PLAYS
+#   BENCH, SITES   the users' bench and the folder of its site files
+#   WHY            a reason for the journal
+#   BEFORE, AFTER  the two commits
+#   PLAYS          a file with one run per line: SITE DAY and further options of the bench, such as --seed N
+#
+# Each commit is cloned to its own folder in PAIRED_OUT (default out/paired), next to the logs of its runs. Journal entries
+# of the runs are copied to this repository's journal.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -10,8 +17,8 @@
 out=$(realpath -m "${PAIRED_OUT:-out/paired}")
 here=$PWD
 
-# copy COMMIT prints the folder of a clone with that commit.
-copy() {
+# clone_commit COMMIT clones the commit, unless that was done before, and prints the clone's folder.
+clone_commit() {
   local hash dir
   hash=$(git rev-parse --short "$1^{commit}")
   dir=$out/$hash
@@ -22,7 +29,7 @@
   echo "$dir"
 }
 
-# play DIR NUMBER SITE DAY OPTIONS prints the worth of one play, or nothing if it came to none.
+# play DIR NUMBER SITE DAY OPTIONS runs one day and prints its worth, or nothing if the bench printed none.
 play() {
   local dir=$1 log=$1.$2.txt site=$3 day=$4
   shift 4
@@ -31,13 +38,13 @@
 }
 
 mkdir -p "$out"
-a=$(copy "$before") b=$(copy "$after")
+a=$(clone_commit "$before") b=$(clone_commit "$after")
 number=0
 printf '%-64s %8s %8s %8s\n' play before after change
 while read -r site day options; do
   case $site in '' | '#'*) continue ;; esac
   number=$((number + 1))
-  # shellcheck disable=SC2086 # options are several words
+  # shellcheck disable=SC2086 # options holds several words
   x=$(play "$a" "$number" "$site" "$day" $options)
   # shellcheck disable=SC2086
   y=$(play "$b" "$number" "$site" "$day" $options)
--- a/scripts/regression.sh
+++ b/scripts/regression.sh
@@ -1,6 +1,11 @@
 #!/usr/bin/env bash
-# Scores the sites of deploy/regression.txt one after the other and prints the scores beside those that must be kept.
-# Usage: regression.sh BENCH SITES WHY [JOBS]: the users' bench, the folder of its site files, a reason for the journal.
+# Scores the sites of deploy/regression.txt one after the other and prints each score next to the required one. Exits 1 if
+# a site's gate fails or its score is more than the slack of 0.03 below the required one.
+#
+# Usage: regression.sh BENCH SITES WHY [JOBS]
+#   BENCH, SITES  the users' bench and the folder of its site files
+#   WHY           a reason for the journal
+#   JOBS          the bench's --jobs; default 4
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/scripts/regression_test.go
+++ b/scripts/regression_test.go
@@ -1,4 +1,4 @@
-// Package scripts_test checks the scripts of this folder.
+// Package scripts_test tests the scripts in this folder.
 package scripts_test
 
 import (
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// bench prints what the users' bench prints at the end of a score; its argument is the score.
+// bench imitates the final output of the users' bench; SCORE is replaced by the score.
 const bench = `#!/bin/sh
 echo "score on the standard days of some-site (set 3625cddc): SCORE, -0.002 against snapshot c99f268a"
 echo "day                  own/srv  score  worth served refused failed  weakest part"
@@ -17,7 +17,7 @@
 echo "GATE passed"
 `
 
-// Failure: the score is not found in what the bench prints, and every site counts as fallen.
+// Guards against a score that is not found in the bench's output, so that every site counts as fallen.
 func TestRegressionReadsScores(t *testing.T) {
 	for _, c := range []struct {
 		score string
